--- a/daemon/entry/instance.go
+++ b/daemon/entry/instance.go
@@ -34,5 +34,5 @@
 	if err != nil {
 		return ""
 	}
-	return strconv.FormatUint(stats.Spared.Canceled+stats.Spared.Expired+stats.Spared.Moved, 10)
+	return strconv.FormatUint(stats.SavedTokens.Canceled+stats.SavedTokens.Expired+stats.SavedTokens.Moved, 10)
 }
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -82,5 +82,5 @@
 	stats, err := f.relay.Stats(t.Context())
 	is.NoErr(err)
 	is.Equal(stats.Canceled, uint64(1))
-	is.True(stats.Spared.Canceled > 0)
+	is.True(stats.SavedTokens.Canceled > 0)
 }
--- a/daemon/entry/stats.go
+++ b/daemon/entry/stats.go
@@ -64,9 +64,9 @@
 	for invariant, value := range stats.Violations {
 		counter(c.broken, value, string(invariant))
 	}
-	counter(c.spared, stats.Spared.Canceled, "canceled")
-	counter(c.spared, stats.Spared.Expired, "expired")
-	counter(c.spared, stats.Spared.Moved, "moved")
+	counter(c.spared, stats.SavedTokens.Canceled, "canceled")
+	counter(c.spared, stats.SavedTokens.Expired, "expired")
+	counter(c.spared, stats.SavedTokens.Moved, "moved")
 	for server, perSecond := range stats.Limited {
 		out <- prometheus.MustNewConstMetric(c.limited, prometheus.GaugeValue, perSecond, server)
 	}
@@ -78,7 +78,7 @@
 	return map[string]uint64{
 		"arrived": s.Arrivals, "started": s.Starts, "finished": s.Finished, "canceled": s.Canceled,
 		"refused": s.Refused, "broken": s.Broken, "retried": s.Retries, "continued": s.Continued,
-		"overtook": s.Overtook, "preempted": s.Preempted, "moved": s.Moved, "moved_by_kv": s.MovedByKV, "crashed": s.Crashes, "convicted": s.Convicted,
+		"overtook": s.PriorityInversions, "preempted": s.Preempted, "moved": s.Moved, "moved_by_kv": s.MovedByKV, "crashed": s.Crashes, "convicted": s.Convicted,
 	}
 }
 
--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -56,7 +56,7 @@
 func (c *core) homesOf(now time.Time, r *request) homes {
 	h := homes{assumed: c.peers[member.Others] != nil && !c.told}
 	shared := len(r.Prefix) - 2
-	if !r.Anchored || shared < 0 {
+	if !r.Pinned || shared < 0 {
 		return h
 	}
 	remote := c.options.Weights.RemoteCost.Duration.Seconds()
--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -46,9 +46,9 @@
 	Deadline time.Time
 	// Idempotent requests may be sent again after they reached a server.
 	Idempotent bool
-	// Anchored answers stay at the server that makes them until it fails: their
+	// Pinned answers stay at the server that makes them until it fails: their
 	// callers could not tell a change of server from a fault.
-	Anchored bool
+	Pinned bool
 }
 
 // Block is a piece of a prompt that other requests may share.
@@ -100,11 +100,11 @@
 	RetryAfter time.Duration
 	// Refused is true where the server refused the request and did not run it.
 	Refused bool
-	// Final is true where another server would answer the same, such as a bad request.
-	Final bool
-	// Answered is true where the server ran the request and answered with a
+	// Permanent is true where another server would answer the same, such as a bad request.
+	Permanent bool
+	// ServerError is true where the server ran the request and answered with a
 	// failure of its own: it is there, and may do better next time.
-	Answered bool
+	ServerError bool
 }
 
 // LoadReport is a server's own word on its load, late by Age.
@@ -176,12 +176,12 @@
 	FetchFrom string
 	// Continue is true where the caller already holds a part of the answer.
 	Continue bool
-	// Why is what decided the place, for the log.
-	Why Why
+	// Decision is what decided the place, for the log.
+	Decision Decision
 }
 
-// Why holds the inputs of a choice, as of its moment.
-type Why struct {
+// Decision holds the inputs of a choice, as of its moment.
+type Decision struct {
 	// Waited is how long the request waited here.
 	Waited time.Duration
 	// Own is what this instance runs on the server, Load what all are thought to.
@@ -215,12 +215,12 @@
 	Message    string
 	NotRun     fault.NotRun
 	RetryAfter time.Duration
-	// Held is what the request waited for, for the log.
-	Held Held
+	// Queue is what the request waited for, for the log.
+	Queue QueueState
 }
 
-// Held says how a request stood when it was given up.
-type Held struct {
+// QueueState says how a request stood when it was given up.
+type QueueState struct {
 	// Level is its place in the order of urgency, -1 where it was refused before it had
 	// one; Before counts the requests that would have started before it.
 	Level, Before int
@@ -228,22 +228,22 @@
 	// ones, and what it may run.
 	Running, Slots float64
 	// Blocked is why it had not started.
-	Blocked Blocked
+	Blocked BlockReason
 }
 
-// Blocked is why a waiting request did not start when it was last looked at.
-type Blocked string
+// BlockReason is why a waiting request did not start when it was last looked at.
+type BlockReason string
 
 // The reasons for which requests wait.
 const (
 	// NotBlocked requests were refused before they waited.
-	NotBlocked Blocked = ""
+	NotBlocked BlockReason = ""
 	// BlockedByOrder: others that go first did not start.
-	BlockedByOrder Blocked = "order"
+	BlockedByOrder BlockReason = "order"
 	// BlockedByShare: this instance's part of the pool's slots is taken.
-	BlockedByShare Blocked = "share"
+	BlockedByShare BlockReason = "share"
 	// BlockedByRoom: no server that suits it has room.
-	BlockedByRoom Blocked = "room"
+	BlockedByRoom BlockReason = "room"
 )
 
 // Stop tells the shell to cancel an attempt at its server, at once.
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -60,7 +60,7 @@
 // of the backlog before them.
 func (r *request) levelOf() int {
 	switch {
-	case !r.Anchored:
+	case !r.Pinned:
 		return levels - 1
 	case (r.item.Late || r.behind) && usualLevel(r.class) >= r.pool.lastLevel:
 		return lateLevel
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -59,7 +59,7 @@
 	c.Again = supply.again >= leastAgain
 	c.Stray = s.stray(r, h, supply.read)
 	c.Intrudes = s.intrudes(now, r, supply.read)
-	if r.Anchored {
+	if r.Pinned {
 		c.Trouble = time.Duration(s.trouble * float64(r.first()))
 	}
 	if !s.service {
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -110,7 +110,7 @@
 		return false
 	}
 	c.describeLimited(now, r, &h)
-	if r.Anchored && h.first() != nil && !wide {
+	if r.Pinned && h.first() != nil && !wide {
 		c.describeHomes(now, r, &h)
 		return true
 	}
@@ -202,7 +202,7 @@
 // pick returns the best of the servers that were described.
 func (c *core) pick(now time.Time, r *request, h how) *server {
 	way := &c.choice.onTime
-	anchored := r.Anchored && !r.pool.service
+	anchored := r.Pinned && !r.pool.service
 	if anchored {
 		way = &c.choice.anchored
 	}
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -130,7 +130,7 @@
 		c.peerDigest(now, e)
 	case PeerGone:
 		c.peerGone(now, e.Instance)
-	case LoadsTold:
+	case PeerLoads:
 		c.takeTold(now, e)
 	case Draining:
 		c.draining = true
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -82,7 +82,7 @@
 	if item.Late {
 		h.reserve += lateReserve
 	}
-	if r.Anchored && !p.service {
+	if r.Pinned && !p.service {
 		h.reserve += rankReserve * float64(item.Rank*p.slots())
 		if c.told {
 			h.reserve += toldReserve
@@ -121,7 +121,7 @@
 func (c *core) begin(now time.Time, r *request, s *server) {
 	r.pool.queue.Started(&r.item)
 	if r.pool.queue.Before(&r.item) > r.pool.waitingAt(r) {
-		c.stats.Overtook++
+		c.stats.PriorityInversions++
 	}
 	r.pool.noteStart(now, r, s)
 	r.pool.queue.Served(r.Class, r.item.Cost, now)
@@ -184,12 +184,12 @@
 	if from != nil {
 		resume = from.name
 	}
-	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.got > 0, Why: why})
+	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.got > 0, Decision: why})
 }
 
 // why notes what speaks for the server before the request is on it.
-func (c *core) why(now time.Time, r *request, s *server) Why {
-	return Why{
+func (c *core) why(now time.Time, r *request, s *server) Decision {
+	return Decision{
 		Waited: now.Sub(r.item.Arrived), Own: len(s.own), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
 		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.ahead, Expected: r.expected, Remote: s.remote, Lane: s.lane != laneLong,
 		Displaces: r.displacing, Bulk: s.yielding(),
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -33,7 +33,7 @@
 	for _, s := range c.pools["llm"].servers {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots), Yielding: bulk}
 	}
-	c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: instances - 1}})
+	c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loads, Instances: instances - 1}})
 }
 
 // Digests filled the engines, which put them back for any review. Reviews counted them as
@@ -45,8 +45,8 @@
 	is.Equal(c.running, 0) // no bulk there
 	c = filledWithBulk("e1", 12, 4)
 	start := only[Start](t, c.Step(epoch, review(1, 1)))
-	is.True(start.Why.Displaces)
-	is.Equal(start.Why.Bulk, 12.0)
+	is.True(start.Decision.Displaces)
+	is.Equal(start.Decision.Bulk, 12.0)
 	is.Equal(c.running, 1)
 	c.Step(epoch, digest(2, 2))
 	is.Equal(c.running, 1) // bulk doesn't take the place of bulk
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -104,7 +104,7 @@
 // these back first, and others must not get nothing beside slots that nobody uses.
 func (p *pool) leavesRoom(r *request) bool {
 	place := placeOf(r.class)
-	if p.service || !r.Anchored {
+	if p.service || !r.Pinned {
 		return true
 	}
 	if p.holdsLong(r) && model.RankOf(place) >= p.lastRank {
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -32,7 +32,7 @@
 	if e.Sent || e.Refused {
 		r.sends++
 	}
-	if e.Sent && !e.Refused && !e.Final {
+	if e.Sent && !e.Refused && !e.Permanent {
 		s.trouble += troubleLearn * (1 - s.trouble)
 	}
 	c.leave(now, r)
@@ -69,7 +69,7 @@
 	switch {
 	case e.Refused:
 		s.busyUntil = now.Add(max(e.RetryAfter, minBusy))
-	case e.Final, e.Answered:
+	case e.Permanent, e.ServerError:
 		s.heardAt = now
 	case e.Crashed:
 		c.noteCrash(now, s)
@@ -94,7 +94,7 @@
 	if c.guilty(now, r.Digest) {
 		return lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, true
 	}
-	if e.Final {
+	if e.Permanent {
 		return lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the backend server refused the request itself; change it", true
 	}
 	if !r.Idempotent && r.sentEver {
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -41,7 +41,7 @@
 	var load loadboard.Load
 	load.InFlight = 10
 	load.Backlog[lateLevel-1] = tokens / loadboard.Unit
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{loadboard.Key(server): load}}})
+	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{loadboard.Key(server): load}}})
 }
 
 // In a burst of one kind of request the engine that holds a prompt has four
@@ -52,15 +52,15 @@
 func TestARequestLeavesABusyHomeAndTakesItsPromptAlong(t *testing.T) {
 	is := is.New(t)
 	c, home := withDigestAtHome(t)
-	is.Equal(home.Why.Home, 1)
+	is.Equal(home.Decision.Home, 1)
 	is.Equal(home.FetchFrom, "")
 	finish(c, epoch.Add(slowTick), home)
 	told(c, home.Server, 200000)
 	away := only[Start](t, c.Step(epoch.Add(2*time.Second), digest(2, 7)))
 	is.True(away.Server != home.Server)
 	is.Equal(away.FetchFrom, home.Server)
-	is.Equal(away.Why.Fetched, 13300.0)
-	is.Equal(away.Why.Uncached, 3700.0)
+	is.Equal(away.Decision.Fetched, 13300.0)
+	is.Equal(away.Decision.Uncached, 3700.0)
 }
 
 // A prompt has just come to its home, which has four seconds to read before. No
@@ -74,7 +74,7 @@
 	same := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.Equal(same.Server, home.Server)
 	is.Equal(same.FetchFrom, "")
-	is.Equal(same.Why.Uncached, 3700.0)
+	is.Equal(same.Decision.Uncached, 3700.0)
 	is.Equal(same.Level, lateLevel)
 }
 
@@ -84,7 +84,7 @@
 	is := is.New(t)
 	c, home := withDigestAtHome(t)
 	finish(c, epoch.Add(slowTick), home)
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}}})
+	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}}})
 	leaves := epoch.Add(2 * time.Second)
 	c.Step(leaves, ServerState{Server: home.Server, Leaving: true})
 	away := only[Start](t, c.Step(leaves.Add(time.Second), digest(2, 7)))
@@ -101,7 +101,7 @@
 	c, home := withDigestAtHome(t)
 	told(c, home.Server, 200000)
 	is.True(c.servers[home.Server].before(lateLevel) > 200000)
-	c.Step(epoch, LoadsTold{})
+	c.Step(epoch, PeerLoads{})
 	again := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.Equal(again.Server, home.Server)
 }
--- a/request/policy/final.go
+++ b/request/policy/final.go
@@ -40,17 +40,17 @@
 		notRun = lilacv1.NotRun_NOT_RUN_UNKNOWN
 	}
 	c.stats.Refused++
-	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Held: r.heldBy()})
+	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Queue: r.heldBy()})
 }
 
 // heldBy is what the request waits for.
-func (r *request) heldBy() Held {
+func (r *request) heldBy() QueueState {
 	place := placeOf(r.class)
 	slots := 0.0
 	for _, part := range r.pool.split[:place+1] {
 		slots += part
 	}
-	return Held{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runs(place), Slots: slots, Blocked: r.blocked}
+	return QueueState{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runs(place), Slots: slots, Blocked: r.blocked}
 }
 
 // forget drops the request and settles what its team was charged.
@@ -90,7 +90,7 @@
 	if r == nil {
 		return
 	}
-	c.stats.Spared.Canceled += c.unmade(r)
+	c.stats.SavedTokens.Canceled += c.unmade(r)
 	c.stop(now, r)
 	c.forget(now, r)
 	c.stats.Canceled++
@@ -106,7 +106,7 @@
 }
 
 func (c *core) expire(now time.Time, r *request) {
-	c.stats.Spared.Expired += c.unmade(r)
+	c.stats.SavedTokens.Expired += c.unmade(r)
 	c.stop(now, r)
 	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline passed; allow more time, or use a more urgent class", 0)
 }
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -46,24 +46,24 @@
 
 // digest is a long prompt about a subject, draft a short one.
 func digest(id ID, subject uint64) Arrival {
-	return Arrival{ID: id, Class: "digest", Team: "a", Target: "llm", Digest: fmt.Sprint(id), PromptTokens: 17000, Anchored: true,
+	return Arrival{ID: id, Class: "digest", Team: "a", Target: "llm", Digest: fmt.Sprint(id), PromptTokens: 17000, Pinned: true,
 		Prefix: []Block{{Hash: subject, End: 13300}, {Hash: 1<<40 + uint64(id), End: 17000}}, Deadline: epoch.Add(time.Minute)}
 }
 
 func draft(id ID) Arrival {
-	return Arrival{ID: id, Class: "draft", Team: "a", Target: "llm", Digest: fmt.Sprint(id), PromptTokens: 1400, Anchored: true,
+	return Arrival{ID: id, Class: "draft", Team: "a", Target: "llm", Digest: fmt.Sprint(id), PromptTokens: 1400, Pinned: true,
 		Prefix: []Block{{Hash: 1 << 50, End: 350}, {Hash: 1<<41 + uint64(id), End: 1400}}, Deadline: epoch.Add(time.Minute)}
 }
 
 func lookup(id ID) Arrival {
-	return Arrival{ID: id, Class: "lookup", Team: "a", Target: "desk", Digest: fmt.Sprint(id), PromptTokens: 1, Idempotent: true, Anchored: true, Deadline: epoch.Add(2 * time.Minute)}
+	return Arrival{ID: id, Class: "lookup", Team: "a", Target: "desk", Digest: fmt.Sprint(id), PromptTokens: 1, Idempotent: true, Pinned: true, Deadline: epoch.Add(2 * time.Minute)}
 }
 
 // finish ends a started request whose first token took as long as was expected.
 func finish(c *core, now time.Time, start Start) {
 	c.Step(now, Sent{ID: start.ID, Attempt: start.Attempt})
-	c.Step(now.Add(start.Why.Expected), Tokens{ID: start.ID, Attempt: start.Attempt, Count: 3})
-	c.Step(now.Add(start.Why.Expected), Finished{ID: start.ID, Attempt: start.Attempt})
+	c.Step(now.Add(start.Decision.Expected), Tokens{ID: start.ID, Attempt: start.Attempt, Count: 3})
+	c.Step(now.Add(start.Decision.Expected), Finished{ID: start.ID, Attempt: start.Attempt})
 }
 
 // Digests of a few subjects come to two instances in turn. If each instance went
@@ -226,11 +226,11 @@
 	c := engines("e1", 1, "a", "b")
 	start := only[Start](t, c.Step(epoch, lookup(1)))
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
-	again := only[Start](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: 1, Sent: true, Answered: true}))
+	again := only[Start](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: 1, Sent: true, ServerError: true}))
 	is.True(again.Server != start.Server)
 	is.True(!c.servers[start.Server].barred(epoch.Add(2 * ms)))
 	c.Step(epoch.Add(2*ms), Sent{ID: 1, Attempt: 2})
-	refuse := only[Refuse](t, c.Step(epoch.Add(3*ms), Failed{ID: 1, Attempt: 2, Sent: true, Answered: true}))
+	refuse := only[Refuse](t, c.Step(epoch.Add(3*ms), Failed{ID: 1, Attempt: 2, Sent: true, ServerError: true}))
 	is.Equal(refuse.NotRun, lilacv1.NotRun_NOT_RUN_UNKNOWN)
 }
 
@@ -287,7 +287,7 @@
 		now := epoch.Add(time.Duration(i+1) * 200 * ms)
 		c.Step(now, Tick{})
 		start := only[Start](t, c.Step(now, digest(ID(i+1), uint64(i%40+1))))
-		if start.Why.Uncached > 13300 {
+		if start.Decision.Uncached > 13300 {
 			read++
 		}
 		finish(c, now, start)
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -330,7 +330,7 @@
 // intrudes tells whether the engine is kept for tight answers and the request, which is
 // none, would hold them up: with all that waits there it has too much to read.
 func (s *server) intrudes(now time.Time, r *request, read float64) bool {
-	if !s.quiet(now) || !r.Anchored || r.pool.isTight(r.class) {
+	if !s.quiet(now) || !r.Pinned || r.pool.isTight(r.class) {
 		return false
 	}
 	reading := s.prefill * (read + s.before(levels-1))
@@ -342,7 +342,7 @@
 func (s *server) stray(r *request, h *homes, read float64) time.Duration {
 	belongs := r.laneOf()
 	switch {
-	case s.service || !r.Anchored:
+	case s.service || !r.Pinned:
 		return 0
 	case s.lane == belongs:
 		return h.past(s)
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -66,7 +66,7 @@
 // where nothing as urgent waits for the slot. What would have to be computed
 // again stays until it is cut off: going earlier would save nothing.
 func (c *core) moveOff(now time.Time, r *request) bool {
-	if !r.server.leaves(now) || !r.Idempotent || r.Anchored || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaits(r) {
+	if !r.server.leaves(now) || !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaits(r) {
 		return false
 	}
 	s := c.choose(now, r, how{late: true})
--- a/request/policy/leaving_test.go
+++ b/request/policy/leaving_test.go
@@ -56,7 +56,7 @@
 	c.Step(at.Add(120*time.Millisecond), Tokens{ID: 1, Attempt: 2, Count: 1})
 	stats := c.Stats()
 	is.Equal(stats.MovedByKV, uint64(1))
-	is.True(stats.Spared.Moved > 2000)
+	is.True(stats.SavedTokens.Moved > 2000)
 }
 
 // The old engine no longer holds the answer, so that its prompt is computed
@@ -71,7 +71,7 @@
 	before := c.kv.near.expect(at, 2000)
 	c.Step(at.Add(100*time.Millisecond), Recomputed{ID: 1, Attempt: start.Attempt})
 	c.Step(at.Add(500*time.Millisecond), Tokens{ID: 1, Attempt: start.Attempt, Count: 1})
-	is.Equal(c.Stats().Spared, Spared{})
+	is.Equal(c.Stats().SavedTokens, SavedTokens{})
 	is.True(c.kv.near.expect(at, 2000) > before)
 	is.Equal(c.servers[start.Server].ahead.total(), 0.0)
 }
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -111,6 +111,6 @@
 	is.Equal(only[LimitChanged](t, c.Step(epoch, names("a-0", 0.5))).Share, 0.5)
 	c.Step(epoch.Add(slowTick), Fleet{Others: []Instance{{"e2", "a"}}})
 	changed := only[LimitChanged](t, c.Step(epoch.Add(2*slowTick), Tick{}))
-	is.Equal(changed.Source, LimitByFleet)
+	is.Equal(changed.Source, LimitFromFleet)
 	is.Equal(changed.Share, 0.25)
 }
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -70,7 +70,7 @@
 
 // pausable requests are idempotent, well ahead of their pace, and no suspects.
 func (c *core) pausable(now time.Time, v *request) bool {
-	return v.Idempotent && !v.Anchored && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
+	return v.Idempotent && !v.Pinned && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
 }
 
 // serves tells whether the server would be on time for the request with one request less.
@@ -100,7 +100,7 @@
 }
 
 func (c *core) shouldMove(now time.Time, r *request) bool {
-	if !r.Idempotent || r.Anchored || r.trial || r.attempt >= maxAttempts {
+	if !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts {
 		return false
 	}
 	s := r.server
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -58,15 +58,15 @@
 	Moved     uint64
 	// MovedByKV counts those of the moved that went with their KV cache.
 	MovedByKV uint64
-	// Overtook counts requests that started while more urgent ones of their pool, which could
+	// PriorityInversions counts requests that started while more urgent ones of their pool, which could
 	// still be in time, waited.
-	Overtook uint64
-	// Spared are the tokens that engines did not have to make.
-	Spared Spared
-	// Silent counts servers that were taken out for their silence.
-	Silent    uint64
-	Crashes   uint64
-	Convicted uint64
+	PriorityInversions uint64
+	// SavedTokens are the tokens that engines did not have to make.
+	SavedTokens SavedTokens
+	// Unresponsive counts servers that were taken out for their silence.
+	Unresponsive uint64
+	Crashes      uint64
+	Convicted    uint64
 	// Pardoned counts suspects whose crashes were put down to an outage.
 	Pardoned uint64
 	// Waiting and Running are as of now.
@@ -84,9 +84,9 @@
 	Violations map[Invariant]uint64
 }
 
-// Spared counts tokens that engines did not have to make. The rest of an answer
+// SavedTokens counts tokens that engines did not have to make. The rest of an answer
 // that was stopped is the estimate's, since nobody knows it.
-type Spared struct {
+type SavedTokens struct {
 	// Canceled is the rest of answers whose caller left, Expired of those whose
 	// deadline passed while they ran.
 	Canceled, Expired uint64
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -126,10 +126,10 @@
 func TestARefusalSaysWhatTheRequestWaitedFor(t *testing.T) {
 	is := is.New(t)
 	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
-	seen := make(map[Blocked]int)
+	seen := make(map[BlockReason]int)
 	r.refused = func(refusal Refuse) {
-		is.True(refusal.Held.Level >= 0)
-		seen[refusal.Held.Blocked]++
+		is.True(refusal.Queue.Level >= 0)
+		seen[refusal.Queue.Blocked]++
 	}
 	r.run(8*time.Second, surge(3.5))
 	is.True(seen[BlockedByShare]+seen[BlockedByRoom]+seen[BlockedByOrder] > 0)
--- a/request/policy/readings.go
+++ b/request/policy/readings.go
@@ -33,7 +33,7 @@
 // noteReadings remembers the shared parts of a request that starts on the server
 // and that it is not known to hold. Called before they count as held.
 func (c *core) noteReadings(now time.Time, r *request, s *server) {
-	if !r.Anchored {
+	if !r.Pinned {
 		return
 	}
 	begin := 0
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -150,7 +150,7 @@
 		r.first++
 		id := r.first
 		a := Arrival{
-			ID: id, Class: k.class.GetName(), Team: "a", Target: "llm", Digest: fmt.Sprint(id), Anchored: true,
+			ID: id, Class: k.class.GetName(), Team: "a", Target: "llm", Digest: fmt.Sprint(id), Pinned: true,
 			PromptTokens: k.shared + k.own, Deadline: r.now.Add(k.deadline), Hint: k.answer,
 			Prefix: []Block{
 				{Hash: uint64(kind+1)<<40 + r.random.Uint64N(k.subjects), End: k.shared},
--- a/request/policy/request.go
+++ b/request/policy/request.go
@@ -43,7 +43,7 @@
 	// level is its priority at the engine, as it started.
 	level int
 	// blocked is why it did not start when it was last looked at.
-	blocked  Blocked
+	blocked  BlockReason
 	expected time.Duration
 	// carried is the length of the KV cache that this attempt came with, at the
 	// rate carriedAt; 0 and nil if it came without.
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -31,12 +31,12 @@
 
 // The sources of a limit.
 const (
-	LimitByAnswer   LimitSource = "answer"
-	LimitByInstance LimitSource = "instance"
-	// LimitBySilence: nobody told of it any more.
-	LimitBySilence LimitSource = "silence"
-	// LimitByFleet: the limit stands, and other instances live now.
-	LimitByFleet LimitSource = "fleet"
+	LimitFromResponse LimitSource = "answer"
+	LimitFromPeer     LimitSource = "instance"
+	// LimitExpired: nobody told of it any more.
+	LimitExpired LimitSource = "silence"
+	// LimitFromFleet: the limit stands, and other instances live now.
+	LimitFromFleet LimitSource = "fleet"
 )
 
 // LimitReport is what an answer of the server says of its limit.
@@ -69,7 +69,7 @@
 	if s == nil || !e.Named && s.limited.At.IsZero() {
 		return
 	}
-	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Named: e.Named, At: now}, LimitByAnswer)
+	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Named: e.Named, At: now}, LimitFromResponse)
 	s.limited.ownAt = now
 }
 
@@ -85,7 +85,7 @@
 	}
 	c.shareLimit(now, s)
 	c.tellLimit(now, s, source)
-	if source == LimitByAnswer {
+	if source == LimitFromResponse {
 		c.announce()
 	}
 }
@@ -111,7 +111,7 @@
 func (c *core) hearLimits(now time.Time, told loadboard.Limits) {
 	for key, limit := range told {
 		if s := c.byKey[key]; s != nil {
-			c.setLimit(now, s, limit, LimitByInstance)
+			c.setLimit(now, s, limit, LimitFromPeer)
 		}
 	}
 }
@@ -122,14 +122,14 @@
 	c.fleet.forget(now)
 	for _, s := range c.ordered {
 		if s.limited.Named && now.Sub(s.limited.At) > limitKept {
-			c.setLimit(now, s, loadboard.Limit{At: now}, LimitBySilence)
+			c.setLimit(now, s, loadboard.Limit{At: now}, LimitExpired)
 		}
 		if !s.limited.Named {
 			continue
 		}
 		before := s.allowed.share
 		if c.shareLimit(now, s); s.allowed.share != before {
-			c.tellLimit(now, s, LimitByFleet)
+			c.tellLimit(now, s, LimitFromFleet)
 		}
 	}
 }
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	here, there := engines("e1", 3, "a"), engines("e2", 3, "a")
 	changed := only[LimitChanged](t, here.Step(epoch, names("a-1", 1.8)))
-	is.Equal(changed.Source, LimitByAnswer)
+	is.Equal(changed.Source, LimitFromResponse)
 	there.Step(epoch.Add(100*ms), PeerDigest{Digest: here.Digest(epoch.Add(50 * ms)), At: epoch})
 	is.Equal(there.servers["a-1"].limited.PerSecond, 1.8)
 	is.Equal(len(there.Digest(epoch.Add(200*ms)).GetLimits()), 0) // who heard of it doesn't tell it on
@@ -36,7 +36,7 @@
 	here, there := engines("e1", 3, "a"), engines("e2", 3, "a")
 	here.Step(epoch, names("a-1", 1.8))
 	word := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
-	there.Step(epoch.Add(200*ms), LoadsTold{Word: loadboard.DecodeWord(epoch.Add(200*ms), word)})
+	there.Step(epoch.Add(200*ms), PeerLoads{Word: loadboard.DecodeWord(epoch.Add(200*ms), word)})
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
 }
 
@@ -48,7 +48,7 @@
 	c.Step(epoch, names("a-1", 2))
 	c.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Named: true, At: epoch.Add(500 * ms)}}
-	c.Step(epoch.Add(1100*ms), LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}, Limits: old}})
+	c.Step(epoch.Add(1100*ms), PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}, Limits: old}})
 	is.True(!c.servers["a-1"].limited.Named)
 }
 
@@ -60,6 +60,6 @@
 	c.Step(epoch.Add(limitKept), Tick{})
 	is.True(c.servers["a-1"].limited.Named)
 	changed := only[LimitChanged](t, c.Step(epoch.Add(limitKept+time.Second), Tick{}))
-	is.Equal(changed.Source, LimitBySilence)
+	is.Equal(changed.Source, LimitExpired)
 	is.True(!c.servers["a-1"].limited.Named)
 }
--- a/request/policy/silent.go
+++ b/request/policy/silent.go
@@ -17,7 +17,7 @@
 func (c *core) noticeSilent(now time.Time) {
 	for _, s := range c.ordered {
 		oldest := s.oldestUnanswered()
-		if oldest == nil || !oldest.Anchored || !s.owesSigns() || now.Before(s.ejectedUntil) {
+		if oldest == nil || !oldest.Pinned || !s.owesSigns() || now.Before(s.ejectedUntil) {
 			continue
 		}
 		since := oldest.started
@@ -28,7 +28,7 @@
 			continue
 		}
 		s.eject(now)
-		c.stats.Silent++
+		c.stats.Unresponsive++
 		c.moveUnanswered(now, s)
 	}
 }
--- a/request/policy/spared_test.go
+++ b/request/policy/spared_test.go
@@ -18,10 +18,10 @@
 	c.Step(epoch, late)
 	c.Step(epoch, Tokens{ID: 2, Attempt: 1, Count: 1})
 	c.Step(epoch.Add(400*time.Millisecond), Canceled{ID: 1})
-	left := c.Stats().Spared.Canceled
+	left := c.Stats().SavedTokens.Canceled
 	is.True(left > 100 && left <= 200) // the estimate before any answer was seen is 200
 	c.Step(epoch.Add(2*time.Second), Tick{})
-	is.True(c.Stats().Spared.Expired > 100)
+	is.True(c.Stats().SavedTokens.Expired > 100)
 	c.Step(epoch.Add(2*time.Second), Canceled{ID: 1})
-	is.Equal(c.Stats().Spared.Canceled, left)
+	is.Equal(c.Stats().SavedTokens.Canceled, left)
 }
--- a/request/policy/told.go
+++ b/request/policy/told.go
@@ -8,15 +8,15 @@
 	"github.com/lilacbridge/lilacbridge/request/tiers"
 )
 
-// LoadsTold brings what all other instances run on each server and sent there
+// PeerLoads brings what all other instances run on each server and sent there
 // lately, where they tell it to each other beside their digests; its loads are nil
 // once that isn't known any more.
-type LoadsTold struct{ Word loadboard.Word }
+type PeerLoads struct{ Word loadboard.Word }
 
-func (LoadsTold) event() {}
+func (PeerLoads) event() {}
 
 // takeTold puts what others run in the place of what was told before.
-func (c *core) takeTold(now time.Time, e LoadsTold) {
+func (c *core) takeTold(now time.Time, e PeerLoads) {
 	c.told = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -49,7 +49,7 @@
 	took := now.Sub(r.started) - r.server.gapAt(r.server.load())
 	r.carriedAt.measured(now, r.carried, took)
 	c.stats.MovedByKV++
-	c.stats.Spared.Moved += uint64(r.carried)
+	c.stats.SavedTokens.Moved += uint64(r.carried)
 }
 
 // gaveUpCarried learns from a move that ended before its first token: it takes
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -17,7 +17,7 @@
 	for _, s := range full {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots)}
 	}
-	c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: 74}})
+	c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loads, Instances: 74}})
 }
 
 // homesFull is an instance before 40 engines of which the request's homes are full.
@@ -37,8 +37,8 @@
 	is := is.New(t)
 	c := homesFull(draft(1))
 	start := only[Start](t, c.Step(epoch.Add(ms), draft(1)))
-	is.Equal(start.Why.Load, 0.0)
-	is.Equal(start.Why.Waited, time.Duration(0))
+	is.Equal(start.Decision.Load, 0.0)
+	is.Equal(start.Decision.Waited, time.Duration(0))
 }
 
 // A digest waited for the engine that holds its prompt, and with it all digests behind it
@@ -50,8 +50,8 @@
 	crowd(c, epoch)
 	start := only[Start](t, c.Step(epoch, digest(1, 1)))
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
-	c.Step(epoch.Add(start.Why.Expected), Tokens{ID: 1, Attempt: 1, Count: 3})
-	now := epoch.Add(start.Why.Expected)
+	c.Step(epoch.Add(start.Decision.Expected), Tokens{ID: 1, Attempt: 1, Count: 3})
+	now := epoch.Add(start.Decision.Expected)
 	for _, s := range c.pools["llm"].servers {
 		s.cacheToken = 0 // the prompt can't be fetched
 	}
@@ -115,7 +115,7 @@
 	for _, s := range c.ordered {
 		loads[s.key] = loadboard.Load{InFlight: load}
 	}
-	c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: 74}})
+	c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loads, Instances: 74}})
 }
 
 // Notes of teams of the first priority began, ten times as long, while scans of the other
@@ -186,14 +186,14 @@
 	is := is.New(t)
 	c := homesFull(digest(1, 1))
 	c.Step(epoch.Add(ms), draft(2))
-	is.Equal(c.Stats().Overtook, uint64(0))
+	is.Equal(c.Stats().PriorityInversions, uint64(0))
 	c = homesFull(review(1, 1))
 	withReviews(c)
 	c.Step(epoch.Add(ms), review(1, 1))
 	is.Equal(c.running, 0) // its prompt is worth the wait for its homes
 	c.Step(epoch.Add(2*ms), digest(2, 5))
 	is.Equal(c.running, 1)
-	is.Equal(c.Stats().Overtook, uint64(1))
+	is.Equal(c.Stats().PriorityInversions, uint64(1))
 }
 
 // Reviews, which hold their slots for seconds, used up their own part of the slots. They were
--- a/request/policy/yield.go
+++ b/request/policy/yield.go
@@ -26,7 +26,7 @@
 // request, where the engine takes up to limit.
 func (s *server) yields(r *request, limit float64) float64 {
 	most := yieldShare * float64(s.slots)
-	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || most < leastYield {
+	if s.engine == nil || !r.Pinned || limit < float64(s.slots) || most < leastYield {
 		return 0
 	}
 	rank, bulk := r.class.GetRank(), 0.0
@@ -46,12 +46,12 @@
 // isBulk tells whether engines put the request back for any more urgent one.
 func (r *request) isBulk() bool {
 	rank := int(r.class.GetRank())
-	return r.Anchored && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsLong(r)
+	return r.Pinned && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsLong(r)
 }
 
 // mayDisplace tells whether the request may start in the place of bulk.
 func (r *request) mayDisplace() bool {
-	return r.Anchored && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
+	return r.Pinned && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
 }
 
 // yielding counts all instances' bulk on the engine.
--- a/request/relay/classify.go
+++ b/request/relay/classify.go
@@ -17,20 +17,20 @@
 	var status *upstream.StatusError
 	switch {
 	case errors.Is(err, errFinal):
-		failed.Final = true
+		failed.Permanent = true
 		return failed, "final"
 	case errors.As(err, &status):
 		return classifyStatus(failed, status)
 	case errors.Is(err, errServerFailed):
-		failed.Answered = true
+		failed.ServerError = true
 		return failed, "server_failed"
 	case errors.Is(err, errCutLive):
-		failed.Answered = true
+		failed.ServerError = true
 		return failed, "cut"
 	case errors.Is(err, errStalled):
 		return failed, "stalled"
 	case errors.Is(err, upstream.ErrNotBound), errors.Is(err, upstream.ErrUnnamed):
-		failed.Answered = true
+		failed.ServerError = true
 		return failed, "not_bound"
 	case upstream.Crashed(err):
 		failed.Crashed = true
@@ -49,7 +49,7 @@
 		// The engine has not loaded the model, or lost the request: others may do better.
 		return failed, "failed"
 	case status.Status < http.StatusInternalServerError:
-		failed.Final = true
+		failed.Permanent = true
 		return failed, "final"
 	}
 	return failed, "failed"
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -73,7 +73,7 @@
 	arrival := policy.Arrival{
 		Class: f.class, Team: team, Target: f.target, Digest: Digest(team, q.URI, q.Body),
 		PromptTokens: max(q.PromptTokens, 1), MaxTokens: q.MaxTokens, Hint: q.LengthHint, Prefix: prefixOf(q.Parts),
-		Deadline: q.Deadline, Idempotent: q.Route.Repeatable(), Anchored: true,
+		Deadline: q.Deadline, Idempotent: q.Route.Repeatable(), Pinned: true,
 	}
 	if err := r.enter(f); err != nil {
 		return err
--- a/request/relay/log.go
+++ b/request/relay/log.go
@@ -13,7 +13,7 @@
 // "refused". docs/OPERATIONS.md lists their fields.
 
 func (r *Relay) logSent(f *flight, start policy.Start) {
-	why := start.Why
+	why := start.Decision
 	r.Log.Line(logs.Success, "sent", "request", f.requestID, "class", f.class, "team", f.team, "target", f.target,
 		"server", start.Server, "attempt", start.Attempt, "level", start.Level, "waited_ms", why.Waited.Milliseconds(),
 		"own", why.Own, "load", int(why.Load), "report_age_ms", why.ReportAge.Milliseconds(),
@@ -34,8 +34,8 @@
 func (r *Relay) logRefused(f *flight, a policy.Refuse) {
 	r.Log.Line(logs.Failure, "refused", "request", f.requestID, "class", f.class, "team", f.team, "target", f.target,
 		"kind", fault.Name(a.Kind), "not_run", a.NotRun.String(), "retry_after_ms", a.RetryAfter.Milliseconds(),
-		"after_ms", time.Since(f.arrived).Milliseconds(), "level", a.Held.Level, "before", a.Held.Before,
-		"running", a.Held.Running, "slots", a.Held.Slots, "blocked", string(a.Held.Blocked))
+		"after_ms", time.Since(f.arrived).Milliseconds(), "level", a.Queue.Level, "before", a.Queue.Before,
+		"running", a.Queue.Running, "slots", a.Queue.Slots, "blocked", string(a.Queue.Blocked))
 }
 
 func (r *Relay) logBadLimit(f *flight, start policy.Start, text string) {
--- a/request/relay/run.go
+++ b/request/relay/run.go
@@ -163,11 +163,11 @@
 		r.Counter.Broken("answer_of_another_request")
 	}
 	if j.begun() && !j.continuable() {
-		failed.Final = true
+		failed.Permanent = true
 	}
 	r.Counter.Attempt(end)
 	r.Post(failed)
-	if !failed.Final {
+	if !failed.Permanent {
 		return false, nil
 	}
 	return true, r.finalError(f, j, err)
