--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -18,7 +18,7 @@
 	if !c.check(InvariantOneFinal, c.requests[a.ID] == nil) {
 		return
 	}
-	r := &request{Arrival: a, held: now, idleSince: now}
+	r := &request{Arrival: a, quarantinedAt: now, idleSince: now}
 	if refusal, ok := c.admit(now, r); !ok {
 		refusal.ID = a.ID
 		refusal.Queue.Level = -1
@@ -35,50 +35,50 @@
 	r.pool.use(r.class, now)
 	r.pool.noteWork(r)
 	r.pool.used[r.Class].flow.arrived(r.estimated)
-	c.fillItem(now, r)
-	if c.cutOff(now, r) || c.turnAway(now, r) {
+	c.initItem(now, r)
+	if c.refuseCutOff(now, r) || c.turnAway(now, r) {
 		return
 	}
 	c.enqueue(now, r)
 	c.dispatch(now, r.pool)
-	c.relieve(now, r.pool)
+	c.shedOverload(now, r.pool)
 }
 
 // admit checks what the configuration says of the request.
 func (c *core) admit(now time.Time, r *request) (Refuse, bool) {
 	if c.draining || c.view.Instances[c.options.Instance].GetDraining() {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request again, another instance takes it", c.spread(time.Second))
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request again, another instance takes it", c.jitter(time.Second))
 	}
 	if r.Class == "" {
 		r.Class = defaultClass
 	}
 	r.class = c.view.Classes[r.Class]
 	if r.class == nil {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_CLASS, fmt.Sprintf("class %q is not configured; ask the operators for the classes, or SET CLASS", r.Class), 0)
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_CLASS, fmt.Sprintf("class %q is not configured; ask the operators for the classes, or SET CLASS", r.Class), 0)
 	}
 	team := c.view.Teams[r.Team]
 	if team == nil {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_TEAM, fmt.Sprintf("team %q is not configured; ask the operators to SET TEAM", r.Team), 0)
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_TEAM, fmt.Sprintf("team %q is not configured; ask the operators to SET TEAM", r.Team), 0)
 	}
-	if c.guilty(now, r.Digest) {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, 0)
+	if c.convicted(now, r.Digest) {
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, 0)
 	}
 	r.pool = c.pools[r.Target]
 	if r.pool == nil || len(r.pool.servers) == 0 {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_MODEL, fmt.Sprintf("no backend server serves %q; GET /v1/models lists what is served", r.Target), 0)
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_MODEL, fmt.Sprintf("no backend server serves %q; GET /v1/models lists what is served", r.Target), 0)
 	}
 	if !r.Deadline.IsZero() && !r.Deadline.After(now) {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline had passed on arrival; allow more time", 0)
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline had passed on arrival; allow more time", 0)
 	}
 	r.limit = limitOf(team)
 	if wait, ok := c.limits.Allow(r.Team, r.limit, now); !ok {
-		return refuseKind(lilacv1.ErrorKind_ERROR_KIND_LIMIT, fmt.Sprintf("team %q has spent its tokens a second; come back after Retry-After, or ask the operators to raise the limit", r.Team), c.spread(max(wait, minRetryAfter)))
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_LIMIT, fmt.Sprintf("team %q has spent its tokens a second; come back after Retry-After, or ask the operators to raise the limit", r.Team), c.jitter(max(wait, minRetryAfter)))
 	}
 	return Refuse{}, true
 }
 
 // barred tells whether a conviction of the digest is in force.
-func (c *core) barred(now time.Time, digest string) bool {
+func (c *core) convictionInForce(now time.Time, digest string) bool {
 	conviction := c.view.Convictions[digest]
 	if conviction == nil {
 		return false
@@ -87,7 +87,7 @@
 	return expires == 0 || now.UnixMilli() < expires
 }
 
-func refuseKind(kind fault.Kind, message string, after time.Duration) (Refuse, bool) {
+func refuseWith(kind fault.Kind, message string, after time.Duration) (Refuse, bool) {
 	return Refuse{Kind: kind, Message: message, RetryAfter: after}, false
 }
 
@@ -108,19 +108,19 @@
 }
 
 // prefillShare is what a prompt token costs of what a generated one does.
-const prefillShare = 0.05
+const prefillCost = 0.05
 
-func (c *core) fillItem(now time.Time, r *request) {
+func (c *core) initItem(now time.Time, r *request) {
 	weight := max(float64(c.view.Teams[r.Team].GetWeight()), 1)
 	cost := r.estimated
 	if !r.pool.service {
-		cost += prefillShare * float64(r.PromptTokens)
+		cost += prefillCost * float64(r.PromptTokens)
 	}
 	r.item = queue.Item{
 		ID: uint64(r.ID), Tier: r.tier(), Rank: min(int(r.class.GetRank()), model.Ranks-1), Class: r.Class, Team: r.Team,
 		Weight: weight, Cost: cost, Arrived: now,
 	}
-	r.item.Due = now.Add(r.first() - r.pool.expectFirst(r))
+	r.item.Due = now.Add(r.firstTokenTarget() - r.pool.expectedFirst(r))
 	r.item.Kept = r.pool.withinShare(r)
 }
 
@@ -131,34 +131,34 @@
 const startMargin = 120 * time.Millisecond
 
 // expectFirst is the time to the first token that is kept free of waiting.
-func (p *pool) expectFirst(r *request) time.Duration {
+func (p *pool) expectedFirst(r *request) time.Duration {
 	best := time.Duration(-1)
-	for i := range min(len(p.servers), dueSample) {
+	for i := range min(len(p.servers), dueSampleSize) {
 		s := p.servers[i]
-		first := s.firstToken(s.load(), s.uncached(r), r.levelOf())
+		first := s.firstToken(s.load(), s.uncached(r), r.engineLevel())
 		if best < 0 || first < best {
 			best = first
 		}
 	}
-	return min(best+best/4+startMargin, r.first()/2)
+	return min(best+best/4+startMargin, r.firstTokenTarget()/2)
 }
 
 // dueSample is how many servers are asked for the time to a first token.
-const dueSample = 4
+const dueSampleSize = 4
 
 // enqueue lets the request wait: as a suspect, or in its tier.
 func (c *core) enqueue(now time.Time, r *request) {
 	r.pool.dirty = true
 	r.suspect = false
 	if c.suspects.Len() > 0 && c.suspects.Get(r.Digest) != nil {
-		r.held, r.suspect = now, true
+		r.quarantinedAt, r.suspect = now, true
 		r.pool.quarantine = append(r.pool.quarantine, r)
 		return
 	}
-	r.item.Late, r.behind = false, false
-	if r.got > 0 {
+	r.item.Late, r.expectedLate = false, false
+	if r.tokens > 0 {
 		// A continued answer goes first where it would fall behind its pace.
-		r.item.Due = now.Add(max(r.firstBy(now), 0))
+		r.item.Due = now.Add(max(r.slack(now), 0))
 		r.item.Begun = true
 	}
 	r.blocked = BlockedByOrder
--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -54,7 +54,7 @@
 
 // homesOf ranks the open engines by the request's last shared part.
 func (c *core) homesOf(now time.Time, r *request) homes {
-	h := homes{assumed: c.peers[member.Others] != nil && !c.told}
+	h := homes{assumed: c.peers[member.Others] != nil && !c.boardActive}
 	shared := len(r.Prefix) - 2
 	if !r.Pinned || shared < 0 {
 		return h
@@ -93,7 +93,7 @@
 	if !h.assumed || s != h.first() {
 		return uncached
 	}
-	return min(uncached, float64(max(r.PromptTokens+r.got-r.Prefix[len(r.Prefix)-2].End, 1)))
+	return min(uncached, float64(max(r.PromptTokens+r.tokens-r.Prefix[len(r.Prefix)-2].End, 1)))
 }
 
 const (
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -7,17 +7,17 @@
 )
 
 // levels is the number of priorities at engines; 0 is the most urgent.
-const levels = loadboard.Levels
+const engineLevels = loadboard.Levels
 
 // lateLevel is that of requests that start when their target is missed already:
 // they run in what the others leave. Only the least urgent classes have it: a more
 // urgent request that is late must not be preempted before less urgent ones.
-const lateLevel = levels - 1
+const lateEngineLevel = engineLevels - 1
 
 // backlog is prompt work that waits at an engine, in tokens, by the priority of
 // its requests. Engines read the prompts of more urgent requests first, so only
 // the part up to a request's own level is before it.
-type backlog [levels]float64
+type backlog [engineLevels]float64
 
 // before is what is read before a prompt of the level.
 func (b *backlog) before(level int) float64 {
@@ -29,17 +29,17 @@
 }
 
 // total is the whole backlog.
-func (b *backlog) total() float64 { return b.before(levels - 1) }
+func (b *backlog) total() float64 { return b.before(engineLevels - 1) }
 
 // add puts tokens on, or takes them off where they are negative.
 func (b *backlog) add(level int, tokens float64) { b[level] = max(0, b[level]+tokens) }
 
 // told is the backlog as peers are told of it.
-func (b *backlog) told() []uint32 {
+func (b *backlog) encode() []uint32 {
 	if b.total() == 0 {
 		return nil
 	}
-	list := make([]uint32, levels)
+	list := make([]uint32, engineLevels)
 	for level, tokens := range b {
 		list[level] = uint32(tokens)
 	}
@@ -47,9 +47,9 @@
 }
 
 // merge adds what a peer told, with the sign.
-func (b *backlog) merge(told []uint32, sign float64) {
+func (b *backlog) addEncoded(told []uint32, sign float64) {
 	for level, tokens := range told {
-		if level < levels {
+		if level < engineLevels {
 			b.add(level, sign*float64(tokens))
 		}
 	}
@@ -58,18 +58,18 @@
 // levelOf is the request's priority at engines if it started now. Requests that
 // are not anchored may meet engines that read prompts in turn: they expect all
 // of the backlog before them.
-func (r *request) levelOf() int {
+func (r *request) engineLevel() int {
 	switch {
 	case !r.Pinned:
-		return levels - 1
-	case (r.item.Late || r.behind) && usualLevel(r.class) >= r.pool.lastLevel:
-		return lateLevel
+		return engineLevels - 1
+	case (r.item.Late || r.expectedLate) && engineLevelOf(r.class) >= r.pool.lastLevel:
+		return lateEngineLevel
 	}
-	return usualLevel(r.class)
+	return engineLevelOf(r.class)
 }
 
 // levelOf is the class's level in the queue, by tier and the rank within it.
-func levelOf(class *lilacv1.Class) int {
+func queueLevel(class *lilacv1.Class) int {
 	return model.Level(int(class.GetTier()), int(class.GetRank()))
 }
 
@@ -81,6 +81,6 @@
 
 // usualLevel is the priority at engines of the class's requests that can be in time.
 // Engines preempt running requests by it: bulk before short urgent work of any tier.
-func usualLevel(class *lilacv1.Class) int {
-	return min(placeOf(class), lateLevel-1)
+func engineLevelOf(class *lilacv1.Class) int {
+	return min(placeOf(class), lateEngineLevel-1)
 }
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -47,20 +47,20 @@
 	return choose.Candidate{
 		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.barred(now),
 		Trial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.between()), r.between()),
+		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
 	}
 }
 
 // assess fills in what the request would meet on the server as one of n.
 func (s *server) assess(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
 	supply := h.supplyAt(s, r)
-	c.First = s.firstToken(n, supply.read, r.levelOf()) + s.fetchTime(supply.fetched)
+	c.First = s.firstToken(n, supply.read, r.engineLevel()) + s.fetchTime(supply.fetched)
 	c.Work = r.pool.readTime(supply.work())
 	c.Again = supply.again >= leastAgain
 	c.Stray = s.stray(r, h, supply.read)
 	c.Intrudes = s.intrudes(now, r, supply.read)
 	if r.Pinned {
-		c.Trouble = time.Duration(s.trouble * float64(r.first()))
+		c.Trouble = time.Duration(s.trouble * float64(r.firstTokenTarget()))
 	}
 	if !s.service {
 		c.Gap = s.gapAt(n)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -99,7 +99,7 @@
 func (c *core) describe(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
-	if at := slices.Index(servers, c.identical.joins(now, r)); at >= 0 {
+	if at := slices.Index(servers, c.identical.serverToJoin(now, r)); at >= 0 {
 		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
 		return false
 	}
@@ -127,7 +127,7 @@
 // Few instances may, and what one of them doesn't send nobody else does.
 func (c *core) describeLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Named && !s.held(now) {
+		if s.limited.Named && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
@@ -183,7 +183,7 @@
 	s := c.pickBy(&c.choice.displacing, now, r, h)
 	if s == nil {
 		s = c.pickBy(&c.choice.displacingLate, now, r, h)
-		r.behind = s != nil
+		r.expectedLate = s != nil
 	}
 	if s != nil {
 		s.displaceLeft--
@@ -216,7 +216,7 @@
 	if s == nil && way == &c.choice.anchored {
 		// No engine is in time: it waits where its prompt is.
 		s = c.pickBy(&c.choice.anchoredOnce, now, r, h)
-		r.behind = s != nil
+		r.expectedLate = s != nil
 	}
 	return s
 }
@@ -224,7 +224,7 @@
 // pickBy returns the best of the described servers in one way of choosing.
 func (c *core) pickBy(way *choose.Chooser, now time.Time, r *request, h how) *server {
 	asked := choose.Request{
-		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
+		FirstBy: r.slack(now), Target: r.firstTokenTarget(), Between: r.tokenGapTarget(), Avoid: r.failedOn,
 		Left: r.left(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
 	}
 	if len(r.pool.servers) == 1 {
@@ -240,7 +240,7 @@
 // possible tells whether any server that is looked at keeps the gap between
 // tokens at all, empty; if none does, waiting for one would help nobody.
 func (c *core) possible(r *request) bool {
-	between := r.between()
+	between := r.tokenGapTarget()
 	if between == 0 || r.pool.service {
 		return true
 	}
@@ -259,13 +259,13 @@
 	if r.pool.service {
 		return 0
 	}
-	left := c.estimates.Left(r.key(), r.got)
-	if r.Hint > r.got {
+	left := c.estimates.Left(r.key(), r.tokens)
+	if r.Hint > r.tokens {
 		// Callers' guesses are right at the median, a class's lengths differ thirtyfold.
-		left = float64(r.Hint - r.got)
+		left = float64(r.Hint - r.tokens)
 	}
 	if r.MaxTokens > 0 {
-		left = min(left, float64(max(r.MaxTokens-r.got, 1)))
+		left = min(left, float64(max(r.MaxTokens-r.tokens, 1)))
 	}
 	return left
 }
--- a/request/policy/claim.go
+++ b/request/policy/claim.go
@@ -14,13 +14,13 @@
 // has crashed already, where no real trial ever runs.
 
 // claim has a copy that died with the server be the next trial.
-func (c *core) claim(digest string, crashed *server) {
+func (c *core) claimTrial(digest string, crashed *server) {
 	e := c.suspects.Get(digest)
 	if e == nil || e.Trial != "" || e.Convicted() || !slices.Contains(e.Servers, crashed.name) {
 		return
 	}
-	for _, r := range c.copies(func(r *request) bool { return r.Digest == digest && r.suspect && r.failedOn == crashed.name }) {
-		r.claims = true
+	for _, r := range c.findRequests(func(r *request) bool { return r.Digest == digest && r.suspect && r.failedOn == crashed.name }) {
+		r.claimsTrial = true
 		e.Trial = crashed.name
 		c.announce()
 		return
@@ -28,19 +28,19 @@
 }
 
 // isClaim tells a claim from a trial that runs or is announced.
-func isClaim(s *lilacv1.Suspect) bool { return slices.Contains(s.GetServers(), s.GetTrial()) }
+func isTrialClaim(s *lilacv1.Suspect) bool { return slices.Contains(s.GetServers(), s.GetTrial()) }
 
 // yield gives way to a peer that tries the same suspect, or will. A trial goes
 // before a claim whatever the names, since it may run already.
-func (c *core) yield(peer string, s *lilacv1.Suspect) {
+func (c *core) yieldTrial(peer string, s *lilacv1.Suspect) {
 	e := c.suspects.Get(s.GetDigest())
 	if e == nil || e.Trial == "" {
 		return
 	}
 	first := peer < c.options.Instance
-	for _, r := range c.copies(func(r *request) bool { return r.Digest == e.Digest }) {
-		if r.claims && (first || !isClaim(s)) || r.reserved != nil && first && !isClaim(s) {
-			c.release(r)
+	for _, r := range c.findRequests(func(r *request) bool { return r.Digest == e.Digest }) {
+		if r.claimsTrial && (first || !isTrialClaim(s)) || r.trialReservation != nil && first && !isTrialClaim(s) {
+			c.releaseTrial(r)
 		}
 	}
 }
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -20,14 +20,14 @@
 	}
 	for digest := range view.Convictions {
 		if old.Convictions[digest] == nil {
-			c.endGuilty(now)
+			c.refuseConvicted(now)
 			break
 		}
 	}
 	c.configureServers(now, view)
 	c.configurePools(now, view)
 	for _, p := range c.poolOrder {
-		c.reclass(now, p)
+		c.updateClasses(now, p)
 		p.measure(now)
 		c.dispatch(now, p)
 	}
@@ -50,7 +50,7 @@
 				delete(c.servers, name)
 				continue
 			}
-			s.close(now, &s.configLeaving, true)
+			s.setClosed(now, &s.configLeaving, true)
 		}
 		c.ordered = append(c.ordered, s)
 	}
@@ -78,7 +78,7 @@
 		s.cache.most, s.large = int(tokens), true
 		s.cacheToken = time.Duration(configured.GetCacheTokenNs())
 	}
-	s.close(now, &s.configLeaving, configured.GetDraining())
+	s.setClosed(now, &s.configLeaving, configured.GetDraining())
 }
 
 // region is that of the data centre; one that the settings don't name is its own.
@@ -92,7 +92,7 @@
 // model gives an engine with a large batch the pool's estimates in place of those of
 // small engines: by these a prompt of 17,000 tokens seems to miss a target of 2.5 s
 // anywhere, and nothing is measured until it is late.
-func (s *server) model(e *engineModel) {
+func (s *server) useEngineModel(e *engineModel) {
 	if s.engine == e {
 		return
 	}
@@ -101,7 +101,7 @@
 }
 
 // rebase goes over to what was learned of the pool's engines since.
-func (s *server) rebase() {
+func (s *server) applyEngineModel() {
 	base := s.engine.base()
 	s.norm *= (s.load() + s.base) / (s.load() + base)
 	s.base = base
@@ -109,7 +109,7 @@
 }
 
 // close sets one of the reasons for which a server gets no new work.
-func (s *server) close(now time.Time, reason *bool, closed bool) {
+func (s *server) setClosed(now time.Time, reason *bool, closed bool) {
 	before := s.closed()
 	*reason = closed
 	if !before && s.closed() {
@@ -141,7 +141,7 @@
 		p.service = len(p.servers) > 0 && p.servers[0].service
 		for _, s := range p.servers {
 			if s.large && !s.service {
-				s.model(p.engine)
+				s.useEngineModel(p.engine)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 
 // reclass gives waiting and running requests their class's new settings. A
 // request whose class is gone keeps the old ones.
-func (c *core) reclass(now time.Time, p *pool) {
+func (c *core) updateClasses(now time.Time, p *pool) {
 	for _, u := range p.uses {
 		if class := c.view.Classes[u.class.GetName()]; class != nil {
 			u.class = class
@@ -175,13 +175,13 @@
 		return
 	}
 	if e.Leaving {
-		s.noteLeaving(now)
+		s.recordLeaving(now)
 	}
 	if e.Gone {
-		c.noteGone(now, s)
+		c.recordGone(now, s)
 	}
-	s.close(now, &s.leaving, e.Leaving)
-	s.close(now, &s.gone, e.Gone)
+	s.setClosed(now, &s.leaving, e.Leaving)
+	s.setClosed(now, &s.gone, e.Gone)
 	for _, p := range c.poolOrder {
 		p.measure(now)
 		c.dispatch(now, p)
--- a/request/policy/copies_test.go
+++ b/request/policy/copies_test.go
@@ -31,7 +31,7 @@
 }
 
 // tellSuspect is a peer's digest that tells of the request.
-func tellSuspect(peer string, sequence uint64, trial string, servers ...string) PeerDigest {
+func suspectDigest(peer string, sequence uint64, trial string, servers ...string) PeerDigest {
 	told := &lilacv1.Suspect{Digest: "same", Team: "a", Servers: servers, Trial: trial}
 	return PeerDigest{Digest: &lilacv1.Digest{Instance: peer, Sequence: sequence, Suspects: []*lilacv1.Suspect{told}}}
 }
@@ -56,11 +56,11 @@
 	is.Equal(c.running, 1) // one trial
 	trial := c.suspects.Get("same").Trial
 	is.True(trial != first)
-	for _, r := range c.copies(func(r *request) bool { return r.server != nil }) {
+	for _, r := range c.findRequests(func(r *request) bool { return r.server != nil }) {
 		c.Step(now, Sent{ID: r.ID, Attempt: r.attempt})
 		c.Step(now, Failed{ID: r.ID, Attempt: r.attempt, Sent: true, Crashed: true})
 	}
-	for end := now.Add(verdictPause + slowTick); !now.After(end); now = now.Add(slowTick) {
+	for end := now.Add(verdictDelay + slowTick); !now.After(end); now = now.Add(slowTick) {
 		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0) // barred until the verdict
 	}
 	is.Equal(len(c.requests), 0) // convicted and refused
@@ -87,7 +87,7 @@
 	waited := c.requests[ID(room+1)]
 	is.True(waited.server != nil)
 	is.True(waited.server.name != first)
-	for _, r := range c.copies(func(*request) bool { return true }) {
+	for _, r := range c.findRequests(func(*request) bool { return true }) {
 		c.Step(epoch.Add(slowTick), Canceled{ID: r.ID})
 	}
 	is.Equal(len(c.identical.first), 0)
@@ -102,8 +102,8 @@
 	a := arrival(2, "alerts")
 	a.Digest = "same"
 	r := &request{Arrival: a}
-	is.True(c.identical.joins(epoch.Add(joinFor), r) != nil)
-	is.True(c.identical.joins(epoch.Add(joinFor+1), r) == nil)
+	is.True(c.identical.serverToJoin(epoch.Add(joinWindow), r) != nil)
+	is.True(c.identical.serverToJoin(epoch.Add(joinWindow+1), r) == nil)
 }
 
 // Copies run at two instances when a third tells of the crash. The one that
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	c := poolOf(4)
 	server := sendCopy(c, 1)[0].Server
-	stop := only[Stop](t, c.Step(epoch, tellSuspect("e9", 1, "", "r9")))
+	stop := only[Stop](t, c.Step(epoch, suspectDigest("e9", 1, "", "r9")))
 	is.Equal(stop.Server, server)
 	is.Equal(len(c.requests[1].pool.quarantine), 1)
 	ejected := &lilacv1.Digest{Instance: "e9", Sequence: 2, Ejected: []string{server}}
@@ -127,9 +127,9 @@
 	is := is.New(t)
 	c := poolOf(4)
 	server := sendCopy(c, 1)[0].Server
-	c.Step(epoch, tellSuspect("e9", 1, "", "r9"))
+	c.Step(epoch, suspectDigest("e9", 1, "", "r9"))
 	ejected := &lilacv1.Digest{Instance: "e9", Sequence: 2, Ejected: []string{server}}
-	c.Step(epoch.Add(stoppedFor+time.Millisecond), PeerDigest{Digest: ejected})
+	c.Step(epoch.Add(stoppedCopyWindow+time.Millisecond), PeerDigest{Digest: ejected})
 	is.Equal(c.suspects.Get("same").Servers, []string{"r9"})
 }
 
@@ -143,13 +143,13 @@
 			server := sendCopy(c, 1)[0].Server
 			c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
 			is.Equal(c.suspects.Get("same").Trial, server) // told as a claim
-			c.Step(epoch, tellSuspect(other, 1, server, server))
+			c.Step(epoch, suspectDigest(other, 1, server, server))
 			starts := 0
-			for now := epoch; now.Before(epoch.Add(elsewhereFor)); now = now.Add(slowTick) {
+			for now := epoch; now.Before(epoch.Add(peerTrialTTL)); now = now.Add(slowTick) {
 				starts += len(all[Start](c.Step(now, Tick{})))
 			}
 			is.Equal(starts == 1, other > "e1")
-			is.Equal(c.requests[1].claims, false)
+			is.Equal(c.requests[1].claimsTrial, false)
 		})
 	}
 }
@@ -160,8 +160,8 @@
 	c := poolOf(4)
 	server := sendCopy(c, 1)[0].Server
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
-	c.Step(epoch, tellSuspect("e9", 1, "r8", server))
-	for now := epoch; now.Before(epoch.Add(elsewhereFor)); now = now.Add(slowTick) {
+	c.Step(epoch, suspectDigest("e9", 1, "r8", server))
+	for now := epoch; now.Before(epoch.Add(peerTrialTTL)); now = now.Add(slowTick) {
 		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0)
 	}
 }
@@ -173,7 +173,7 @@
 	c := poolOf(4)
 	sendCopy(c, 1)
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
-	at := epoch.Add(ownPause - slowTick)
+	at := epoch.Add(ownCrashDelay - slowTick)
 	server := c.suspects.Get("same").Servers[0]
 	for _, s := range c.ordered {
 		if s.name != server {
@@ -181,10 +181,10 @@
 			break
 		}
 	}
-	for now := at; now.Before(at.Add(unsettledFor)); now = now.Add(slowTick) {
+	for now := at; now.Before(at.Add(multiCrashDelay)); now = now.Add(slowTick) {
 		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0)
 	}
-	is.Equal(len(all[Start](c.Step(at.Add(unsettledFor+slowTick), Tick{}))), 1)
+	is.Equal(len(all[Start](c.Step(at.Add(multiCrashDelay+slowTick), Tick{}))), 1)
 }
 
 // A peer's copy clears the request while a claim waits here. The claim must not
@@ -194,10 +194,10 @@
 	c := poolOf(4)
 	sendCopy(c, 1)
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
-	is.True(c.requests[1].claims)
-	c.Step(epoch, tellSuspect("e9", 1, ""))
+	is.True(c.requests[1].claimsTrial)
+	c.Step(epoch, suspectDigest("e9", 1, ""))
 	c.Step(epoch.Add(slowTick), Tick{})
-	is.Equal(c.requests[1].claims, false)
+	is.Equal(c.requests[1].claimsTrial, false)
 	is.True(c.requests[1].server != nil)
 }
 
@@ -206,7 +206,7 @@
 func TestConvictionByTheLogEndsWaitingCopies(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
-	c.Step(epoch, tellSuspect("e9", 1, "", "r9"))
+	c.Step(epoch, suspectDigest("e9", 1, "", "r9"))
 	is.Equal(len(sendCopy(c, 1)), 0)
 	view := *c.view
 	view.Convictions = map[string]*lilacv1.Conviction{"same": {Digest: "same"}}
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -15,7 +15,7 @@
 	// slowTick is the interval of work that needn't be done at each tick.
 	slowTick = 100 * time.Millisecond
 	// expireEvery is how often old suspicions are dropped.
-	expireEvery = time.Minute
+	expireInterval = time.Minute
 )
 
 // core is the state of one instance's policy.
@@ -29,27 +29,27 @@
 	// byKey holds the servers by the names that they have in told loads.
 	byKey map[uint32]*server
 	// told is true while others tell their loads beside their digests.
-	told      bool
-	pools     map[string]*pool
-	poolOrder []*pool
-	peers     map[string]*peer
-	fleet     fleet
-	peerNames []string
+	boardActive bool
+	pools       map[string]*pool
+	poolOrder   []*pool
+	peers       map[string]*peer
+	fleet       fleet
+	peerNames   []string
 	// known counts instances that were ever heard, this one included.
-	known map[string]bool
+	knownInstances map[string]bool
 	// heardOf is when any instance of a data centre was last heard.
-	heardOf   map[string]time.Time
-	timers    timers
-	estimates *estimate.Table
-	budget    *retry.Budget
-	kv        kvCost
+	dataCenterHeard map[string]time.Time
+	timers          timers
+	estimates       *estimate.Table
+	budget          *retry.Budget
+	kv              kvCost
 	// notice is how long servers stay after the word that they leave.
-	notice   time.Duration
-	suspects *suspect.Table
-	limits   *limits.Table
-	choice   chooser
+	noticePeriod time.Duration
+	suspects     *suspect.Table
+	limits       *limits.Table
+	choice       chooser
 	// identical are the running requests that a copy must join.
-	identical identical
+	identical identicalRequests
 	draining  bool
 	running   int
 	sequence  uint64
@@ -62,34 +62,34 @@
 	// readings are the shared parts that others must hear of.
 	readings []reading
 	// accused are digests whose verdict is due; lastFall is the last new crash.
-	accused  []string
-	lastFall time.Time
+	awaitingVerdict []string
+	lastNewCrash    time.Time
 	// stopped are copies that were ordered to stop just now.
-	stopped []stoppedCopy
+	stoppedCopies []stoppedCopy
 }
 
 // New returns a core that refuses everything until its first Configured event.
 func New(options Options) Core {
 	return &core{
-		options:   options,
-		view:      model.NewView(nil),
-		random:    rand.New(rand.NewPCG(options.Seed, uint64(len(options.Instance)))),
-		requests:  make(map[ID]*request),
-		servers:   make(map[string]*server),
-		pools:     make(map[string]*pool),
-		peers:     make(map[string]*peer),
-		fleet:     newFleet(Instance{options.Instance, options.DataCenter}),
-		known:     map[string]bool{options.Instance: true},
-		heardOf:   make(map[string]time.Time),
-		estimates: estimate.NewTable(),
-		budget:    retry.New(options.Weights.RetryShare),
-		kv:        newKVCost(),
-		notice:    firstNotice,
-		suspects:  suspect.NewTable(),
-		limits:    limits.NewTable(),
-		choice:    newChooser(options.Weights),
-		identical: newIdentical(),
-		stats:     Stats{Violations: make(map[Invariant]uint64)},
+		options:         options,
+		view:            model.NewView(nil),
+		random:          rand.New(rand.NewPCG(options.Seed, uint64(len(options.Instance)))),
+		requests:        make(map[ID]*request),
+		servers:         make(map[string]*server),
+		pools:           make(map[string]*pool),
+		peers:           make(map[string]*peer),
+		fleet:           newFleet(Instance{options.Instance, options.DataCenter}),
+		knownInstances:  map[string]bool{options.Instance: true},
+		dataCenterHeard: make(map[string]time.Time),
+		estimates:       estimate.NewTable(),
+		budget:          retry.New(options.Weights.RetryShare),
+		kv:              newKVCost(),
+		noticePeriod:    initialNotice,
+		suspects:        suspect.NewTable(),
+		limits:          limits.NewTable(),
+		choice:          newChooser(options.Weights),
+		identical:       newIdenticalRequests(),
+		stats:           Stats{Violations: make(map[Invariant]uint64)},
 	}
 }
 
@@ -117,7 +117,7 @@
 	case LoadReport:
 		c.loadReport(now, e)
 	case Fleet:
-		c.fleet.alive(now, e.Others)
+		c.fleet.update(now, e.Others)
 	case LimitReport:
 		c.limitReport(now, e)
 	case CacheEvent:
@@ -131,7 +131,7 @@
 	case PeerGone:
 		c.peerGone(now, e.Instance)
 	case PeerLoads:
-		c.takeTold(now, e)
+		c.applyPeerLoads(now, e)
 	case Draining:
 		c.draining = true
 	case Tick:
@@ -180,10 +180,10 @@
 	for _, s := range c.ordered {
 		s.sample(now)
 	}
-	c.noticeCuts(now)
-	c.noticeSilent(now)
-	c.judge(now)
-	c.keepLimits(now)
+	c.detectPartitions(now)
+	c.ejectUnresponsive(now)
+	c.decideVerdicts(now)
+	c.refreshLimits(now)
 	c.giveUp(now)
 	for _, p := range c.poolOrder {
 		p.fadeWork()
@@ -191,15 +191,15 @@
 		p.expectSlots(now)
 		p.measure(now)
 		c.unpark(now, p)
-		c.cutoff(now, p)
+		c.updateCutoff(now, p)
 		c.refuseWaitingLate(now, p)
-		c.relieve(now, p)
+		c.shedOverload(now, p)
 		c.moveLeaving(now, p)
 		c.moveStragglers(now, p)
 		c.dispatch(now, p)
 	}
 	if now.After(c.expireAt) {
-		c.expireAt = now.Add(expireEvery)
+		c.expireAt = now.Add(expireInterval)
 		c.suspects.Expire(now)
 		c.limits.Expire(now)
 	}
--- a/request/policy/core_test.go
+++ b/request/policy/core_test.go
@@ -96,9 +96,9 @@
 		_, started := action.(Start)
 		is.True(!started) // a suspect waits for what the other instances know
 	}
-	again := only[Start](t, c.Step(epoch.Add(ownPause), Tick{}))
+	again := only[Start](t, c.Step(epoch.Add(ownCrashDelay), Tick{}))
 	is.True(again.Server != start.Server)
 	is.True(again.Continue)
 	is.Equal(len(c.Step(epoch, Tokens{ID: 1, Attempt: 1, Count: 1})), 0)
-	is.Equal(c.requests[1].got, 2) // a late token of the first attempt counts for nothing
+	is.Equal(c.requests[1].tokens, 2) // a late token of the first attempt counts for nothing
 }
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -15,7 +15,7 @@
 	p.dirty = false
 	c.tryTrials(now, p)
 	for p.queue.Len() > 0 {
-		if !c.startOwed(now, p) && !c.startNext(now, p) {
+		if !c.startGuaranteed(now, p) && !c.startNext(now, p) {
 			break
 		}
 	}
@@ -23,7 +23,7 @@
 	p.noteRoom(now)
 }
 
-func (c *core) startOwed(now time.Time, p *pool) bool {
+func (c *core) startGuaranteed(now time.Time, p *pool) bool {
 	item := p.queue.Owed(now)
 	if item == nil {
 		return false
@@ -34,18 +34,18 @@
 		return false
 	}
 	p.queue.Settle(item)
-	c.begin(now, r, s)
+	c.startQueued(now, r, s)
 	return true
 }
 
 // mostPassed is how many requests of a level are passed over in one dispatch: their
 // engines are full, and those behind them may belong to others.
-const mostPassed = 4
+const maxPassedOver = 4
 
 func (c *core) startNext(now time.Time, p *pool) bool {
 	for _, late := range [...]bool{false, true} {
 		for place := range model.Places {
-			if c.startOf(now, p, model.TierOf(place), model.RankOf(place), late) {
+			if c.startRank(now, p, model.TierOf(place), model.RankOf(place), late) {
 				return true
 			}
 		}
@@ -54,8 +54,8 @@
 }
 
 // startOf starts the first request of a rank within its tier that finds a server.
-func (c *core) startOf(now time.Time, p *pool, tier, rank int, late bool) bool {
-	for range mostPassed {
+func (c *core) startRank(now time.Time, p *pool, tier, rank int, late bool) bool {
+	for range maxPassedOver {
 		item := p.queue.Peek(tier, rank, late)
 		if item == nil {
 			return false
@@ -84,7 +84,7 @@
 	}
 	if r.Pinned && !p.service {
 		h.reserve += rankReserve * float64(item.Rank*p.slots())
-		if c.told {
+		if c.boardActive {
 			h.reserve += toldReserve
 		}
 	}
@@ -92,7 +92,7 @@
 		h.reserve += overReserve
 	}
 	s := c.choose(now, r, h)
-	if s == nil && c.identical.joins(now, r) != nil {
+	if s == nil && c.identical.serverToJoin(now, r) != nil {
 		c.park(r)
 		return true
 	}
@@ -103,7 +103,7 @@
 		r.blocked = BlockedByRoom
 		return false
 	}
-	c.begin(now, r, s)
+	c.startQueued(now, r, s)
 	return true
 }
 
@@ -118,9 +118,9 @@
 }
 
 // begin takes the request out of the queue and starts it.
-func (c *core) begin(now time.Time, r *request, s *server) {
+func (c *core) startQueued(now time.Time, r *request, s *server) {
 	r.pool.queue.Started(&r.item)
-	if r.pool.queue.Before(&r.item) > r.pool.waitingAt(r) {
+	if r.pool.queue.Before(&r.item) > r.pool.onTimeWaiting(r) {
 		c.stats.PriorityInversions++
 	}
 	r.pool.noteStart(now, r, s)
@@ -129,8 +129,8 @@
 }
 
 // waitingAt counts the requests of the request's own level that wait and can be in time.
-func (p *pool) waitingAt(r *request) int {
-	waiting, late := p.queue.LevelLen(levelOf(r.class))
+func (p *pool) onTimeWaiting(r *request) int {
+	waiting, late := p.queue.LevelLen(queueLevel(r.class))
 	return waiting - late
 }
 
@@ -139,41 +139,41 @@
 // startWith starts an attempt; the KV cache comes along from the server that
 // held the answer, unless that is nil.
 func (c *core) startWith(now time.Time, r *request, s, from *server) {
-	if !c.check(InvariantIdempotent, r.Idempotent || !r.sentEver) {
+	if !c.check(InvariantIdempotent, r.Idempotent || !r.everSent) {
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, 0)
 		return
 	}
 	c.check(InvariantLeaving, !s.closed() || now.Sub(s.closedAt) <= leavingGrace)
 	c.check(InvariantSuspects, !c.suspects.Get(r.Digest).Convicted() && (!r.trial || s.trial == r.Digest && s.peerTrials == 0))
 	c.check(InvariantDeadline, r.Deadline.IsZero() || now.Before(r.Deadline))
-	c.check(InvariantLimit, !s.held(now))
-	s.spend(now)
+	c.check(InvariantLimit, !s.limitReached(now))
+	s.takeAllowance(now)
 	s.startsLeft--
 	r.attempt++
 	r.server = s
-	r.sentNow = false
-	r.gotNow = 0
+	r.attemptSent = false
+	r.attemptTokens = 0
 	r.started, r.lastAt = now, now
-	r.level = r.levelOf()
+	r.level = r.engineLevel()
 	h := c.homesOf(now, r)
 	supply := h.supplyAt(s, r)
-	r.uncached, r.fetched, r.ahead = supply.read, supply.fetched, s.before(r.level)
-	r.expected = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
+	r.uncached, r.fetched, r.workAhead = supply.read, supply.fetched, s.before(r.level)
+	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
 	c.carry(now, r, s, from)
-	why := c.why(now, r, s)
+	why := c.decision(now, r, s)
 	why.Home = h.place(s)
 	s.attach(r)
-	c.identical.started(r)
+	c.identical.add(r)
 	s.ahead.add(r.level, r.uncached)
 	r.pool.attach(r)
 	c.noteReadings(now, r, s)
-	s.cache.use(r.Prefix, now.Add(r.expected))
+	s.cache.use(r.Prefix, now.Add(r.expectedFirst))
 	c.running++
 	c.stats.Starts++
 	if r.attempt == 1 {
 		c.budget.Earn()
 	}
-	if r.got > 0 {
+	if r.tokens > 0 {
 		c.stats.Continued++
 	}
 	fetch := ""
@@ -184,28 +184,28 @@
 	if from != nil {
 		resume = from.name
 	}
-	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.got > 0, Decision: why})
+	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.tokens > 0, Decision: why})
 }
 
 // why notes what speaks for the server before the request is on it.
-func (c *core) why(now time.Time, r *request, s *server) Decision {
+func (c *core) decision(now time.Time, r *request, s *server) Decision {
 	return Decision{
 		Waited: now.Sub(r.item.Arrived), Own: len(s.own), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
-		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.ahead, Expected: r.expected, Remote: s.remote, Lane: s.lane != laneLong,
+		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.workAhead, Expected: r.expectedFirst, Remote: s.remote, Lane: s.lane != laneLong,
 		Displaces: r.displacing, Bulk: s.yielding(),
 	}
 }
 
 // leave takes the request off its server.
-func (c *core) leave(now time.Time, r *request) {
+func (c *core) detachFromServer(now time.Time, r *request) {
 	s := r.server
 	if s == nil {
 		return
 	}
-	r.sentEver = r.sentEver || r.sentNow
-	if r.gotNow == 0 {
+	r.everSent = r.everSent || r.attemptSent
+	if r.attemptTokens == 0 {
 		s.ahead.add(r.level, -r.uncached)
-		if r.carriedAt != nil {
+		if r.kvTransferRate != nil {
 			c.gaveUpCarried(now, r)
 		}
 	} else {
@@ -218,7 +218,7 @@
 		r.displacing = false
 	}
 	r.pool.detach(r)
-	c.identical.left(r)
+	c.identical.remove(r)
 	r.server = nil
 	c.running--
 	c.endTrial(now, r, s)
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -15,7 +15,7 @@
 // filledWithBulk is an instance before 20 engines of 12 slots that are full, by what others
 // tell; so much of it is bulk.
 func filledWithBulk(instance string, bulk uint32, instances int) *core {
-	c := inTree(withReviews(engines(instance, 20, "a")))
+	c := inTree(withReviews(coreWithEngines(instance, 20, "a")))
 	for _, s := range c.ordered {
 		s.slots = 12
 	}
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	e := newEngineModel()
 	s := newServer("a-0")
-	s.model(e)
+	s.useEngineModel(e)
 	for range 10 {
 		e.read(s, 10*firstPrefill*4096, 4096)
 	}
@@ -133,7 +133,7 @@
 	is.True(math.Abs(e.prefill-60e-6) < 1e-9)
 	is.True(math.Abs(e.step-0.009) < 1e-9)
 	s := newServer("a-0")
-	s.model(e)
+	s.useEngineModel(e)
 	e.read(s, 10*60e-6*8000, 8000)
 	is.True(e.prefill < 65e-6)
 	e.hear(loadboard.EngineSums{})
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -21,29 +21,29 @@
 		return
 	}
 	s := r.server
-	e.Sent = e.Sent || r.sentNow && !e.Refused
+	e.Sent = e.Sent || r.attemptSent && !e.Refused
 	if e.Crashed && e.Sent {
 		c.suspectCrash(now, r, s)
 	}
 	if e.Refused {
 		// The server says that it did not run what it was sent.
-		r.sentNow = false
+		r.attemptSent = false
 	}
 	if e.Sent || e.Refused {
-		r.sends++
+		r.serversTried++
 	}
 	if e.Sent && !e.Refused && !e.Permanent {
 		s.trouble += troubleLearn * (1 - s.trouble)
 	}
-	c.leave(now, r)
+	c.detachFromServer(now, r)
 	r.pool.rejectedAt = now
 	if e.Refused || !e.Sent {
 		r.rejections++
 	}
 	r.failedOn = s.name
-	r.sentEver = r.sentEver || e.Sent && !e.Refused
-	c.blame(now, s, e)
-	if kind, message, giveUp := c.verdict(now, r, e); giveUp {
+	r.everSent = r.everSent || e.Sent && !e.Refused
+	c.penalizeServer(now, s, e)
+	if kind, message, giveUp := c.failureOutcome(now, r, e); giveUp {
 		after := time.Duration(0)
 		if kind == lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED {
 			after = c.retryAfter(r.pool)
@@ -53,27 +53,27 @@
 		c.enqueue(now, r)
 	}
 	if e.Crashed && e.Sent {
-		c.holdCopies(now, r.Digest, s)
+		c.quarantineCopies(now, r.Digest, s)
 	}
 	c.dispatch(now, r.pool)
 }
 
 // spent tells whether the request was sent to as many servers as its class allows.
-func (r *request) spent() bool {
+func (r *request) attemptsExhausted() bool {
 	most := int(r.class.GetMaxAttempts())
-	return most > 0 && r.sends >= most
+	return most > 0 && r.serversTried >= most
 }
 
 // blame draws the server's part from a failure.
-func (c *core) blame(now time.Time, s *server, e Failed) {
+func (c *core) penalizeServer(now time.Time, s *server, e Failed) {
 	switch {
 	case e.Refused:
 		s.busyUntil = now.Add(max(e.RetryAfter, minBusy))
 	case e.Permanent, e.ServerError:
 		s.heardAt = now
 	case e.Crashed:
-		c.noteCrash(now, s)
-		c.noteGone(now, s)
+		c.recordCrash(now, s)
+		c.recordGone(now, s)
 		if !now.Before(s.ejectedUntil) {
 			c.stats.Crashes++
 			s.eject(now)
@@ -90,14 +90,14 @@
 
 // verdict says whether a failed request is given up, and as what. A retry is
 // taken from the budget unless the server did not run the request at all.
-func (c *core) verdict(now time.Time, r *request, e Failed) (fault.Kind, string, bool) {
-	if c.guilty(now, r.Digest) {
+func (c *core) failureOutcome(now time.Time, r *request, e Failed) (fault.Kind, string, bool) {
+	if c.convicted(now, r.Digest) {
 		return lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, true
 	}
 	if e.Permanent {
 		return lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the backend server refused the request itself; change it", true
 	}
-	if !r.Idempotent && r.sentEver {
+	if !r.Idempotent && r.everSent {
 		return lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, true
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
@@ -107,7 +107,7 @@
 	if !e.Sent && !e.Refused || e.Refused && !bounded {
 		return 0, "", false
 	}
-	if r.attempt >= maxAttempts || r.spent() || !c.budget.Take() {
+	if r.attempt >= maxAttempts || r.attemptsExhausted() || !c.budget.Take() {
 		return lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "the backend server failed and the retry budget is spent; send the request again after Retry-After", true
 	}
 	c.check(InvariantBudget, c.budget.Holds())
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -43,7 +43,7 @@
 // supplyAt says how the server would come by the request's prompt.
 func (h *homes) supplyAt(s *server, r *request) supply {
 	p := supply{read: h.uncachedAt(s, r)}
-	held := float64(r.PromptTokens+r.got) - p.read
+	held := float64(r.PromptTokens+r.tokens) - p.read
 	more := h.held - held
 	if h.holder != nil && s != h.holder && s.cacheToken > 0 && r.pool.readTime(more) >= leastFetch {
 		p.read, p.fetched, p.from = p.read-more, more, h.holder
@@ -69,7 +69,7 @@
 // noteHolder keeps the engine that holds the most of the request's shared parts.
 // Where others' requests are not known, the first home is taken for it.
 func (h *homes) noteHolder(now time.Time, s *server, r *request, shared int) {
-	if kept := float64(s.cache.hit(r.Prefix[:shared+1])); kept > h.kept && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncached(r)) {
+	if kept := float64(s.cache.hit(r.Prefix[:shared+1])); kept > h.kept && !s.closed() && !s.limitReached(now) && !s.intrudes(now, r, s.uncached(r)) {
 		h.keeper, h.kept = s, kept
 	}
 	held := float64(s.cache.ready(now, r.Prefix[:shared+1]))
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -31,7 +31,7 @@
 // withDigestAtHome returns a core whose engines can fetch, and the start of the first
 // digest of subject 7, at its home.
 func withDigestAtHome(t *testing.T) (*core, Start) {
-	c := inTree(fetching(engines("e1", 3, "a", "b", "c")))
+	c := inTree(fetching(coreWithEngines("e1", 3, "a", "b", "c")))
 	c.Step(epoch.Add(slowTick), Tick{})
 	return c, only[Start](t, c.Step(epoch.Add(slowTick), digest(1, 7)))
 }
@@ -40,7 +40,7 @@
 func told(c *core, server string, tokens uint32) {
 	var load loadboard.Load
 	load.InFlight = 10
-	load.Backlog[lateLevel-1] = tokens / loadboard.Unit
+	load.Backlog[lateEngineLevel-1] = tokens / loadboard.Unit
 	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{loadboard.Key(server): load}}})
 }
 
@@ -75,7 +75,7 @@
 	is.Equal(same.Server, home.Server)
 	is.Equal(same.FetchFrom, "")
 	is.Equal(same.Decision.Uncached, 3700.0)
-	is.Equal(same.Level, lateLevel)
+	is.Equal(same.Level, lateEngineLevel)
 }
 
 // A leaving engine is asked for nothing new, but what it holds can be fetched while
@@ -100,7 +100,7 @@
 	is := is.New(t)
 	c, home := withDigestAtHome(t)
 	told(c, home.Server, 200000)
-	is.True(c.servers[home.Server].before(lateLevel) > 200000)
+	is.True(c.servers[home.Server].before(lateEngineLevel) > 200000)
 	c.Step(epoch, PeerLoads{})
 	again := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.Equal(again.Server, home.Server)
@@ -114,7 +114,7 @@
 	c.servers[home.Server].ejectedUntil = epoch.Add(time.Minute)
 	away := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.True(away.FetchFrom != home.Server)
-	plain := inTree(engines("e1", 3, "a", "b", "c"))
+	plain := inTree(coreWithEngines("e1", 3, "a", "b", "c"))
 	plain.Step(epoch.Add(slowTick), Tick{})
 	told(plain, home.Server, 200000)
 	is.Equal(only[Start](t, plain.Step(epoch.Add(slowTick), digest(3, 7))).FetchFrom, "")
@@ -123,7 +123,7 @@
 // A short shared part is read sooner than a fetch begins.
 func TestShortPartsAreRead(t *testing.T) {
 	is := is.New(t)
-	c := inTree(fetching(engines("e1", 3, "a", "b", "c")))
+	c := inTree(fetching(coreWithEngines("e1", 3, "a", "b", "c")))
 	c.Step(epoch.Add(slowTick), Tick{})
 	home := only[Start](t, c.Step(epoch.Add(slowTick), draft(1)))
 	told(c, home.Server, 200000)
@@ -133,11 +133,11 @@
 // What this instance runs is told by server and priority, and ends with the answer.
 func TestOwnLoadsAreTold(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a")
+	c := coreWithEngines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, digest(1, 7)))
 	load := c.Loads(epoch).Loads[loadboard.Key(start.Server)]
 	is.Equal(load.InFlight, uint32(1))
-	is.Equal(load.Backlog[lateLevel-1], uint32(266)) // 17,000 tokens
+	is.Equal(load.Backlog[lateEngineLevel-1], uint32(266)) // 17,000 tokens
 	finish(c, epoch, start)
 	is.Equal(len(c.Loads(epoch).Loads), 0)
 }
--- a/request/policy/final.go
+++ b/request/policy/final.go
@@ -15,13 +15,13 @@
 )
 
 // spread lengthens a delay by up to its half, so that callers don't return together.
-func (c *core) spread(delay time.Duration) time.Duration {
+func (c *core) jitter(delay time.Duration) time.Duration {
 	return delay + time.Duration(c.random.Int64N(int64(delay)/2+1))
 }
 
 // retryAfter is when the queue of now will have been served, spread out.
 func (c *core) retryAfter(p *pool) time.Duration {
-	return c.spread(min(max(p.wait(), minRetryAfter), maxRetryAfter))
+	return c.jitter(min(max(p.wait(), minRetryAfter), maxRetryAfter))
 }
 
 // end gives the request its one final action, by what its caller holds already.
@@ -30,21 +30,21 @@
 		return
 	}
 	c.forget(now, r)
-	if r.got > 0 {
+	if r.tokens > 0 {
 		c.stats.Broken++
 		c.emit(Broken{ID: r.ID, Kind: kind, Message: message, RetryAfter: after})
 		return
 	}
 	notRun := lilacv1.NotRun_NOT_RUN_TRUE
-	if r.sentEver {
+	if r.everSent {
 		notRun = lilacv1.NotRun_NOT_RUN_UNKNOWN
 	}
 	c.stats.Refused++
-	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Queue: r.heldBy()})
+	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Queue: r.queueState()})
 }
 
 // heldBy is what the request waits for.
-func (r *request) heldBy() QueueState {
+func (r *request) queueState() QueueState {
 	place := placeOf(r.class)
 	slots := 0.0
 	for _, part := range r.pool.split[:place+1] {
@@ -56,27 +56,27 @@
 // forget drops the request and settles what its team was charged.
 func (c *core) forget(now time.Time, r *request) {
 	delete(c.requests, r.ID)
-	used := float64(r.got)
-	if r.sentEver {
+	used := float64(r.tokens)
+	if r.everSent {
 		used += float64(r.PromptTokens)
 	}
 	c.limits.Spend(r.Team, r.limit, used-r.charged, now)
-	r.pool.queue.Charge(&r.item, float64(r.got)-r.estimated)
+	r.pool.queue.Charge(&r.item, float64(r.tokens)-r.estimated)
 }
 
 // stop takes the request out of the queue or off its server.
 func (c *core) stop(now time.Time, r *request) {
 	if r.server == nil {
-		c.unqueue(r)
+		c.dequeue(r)
 		return
 	}
 	c.emit(Stop{ID: r.ID, Server: r.server.name, Attempt: r.attempt})
-	c.leave(now, r)
+	c.detachFromServer(now, r)
 }
 
-func (c *core) unqueue(r *request) {
+func (c *core) dequeue(r *request) {
 	r.pool.queue.Remove(&r.item)
-	c.release(r)
+	c.releaseTrial(r)
 	if i := slices.Index(r.pool.parked, r); i >= 0 {
 		r.pool.parked = slices.Delete(r.pool.parked, i, i+1)
 	}
@@ -90,7 +90,7 @@
 	if r == nil {
 		return
 	}
-	c.stats.SavedTokens.Canceled += c.unmade(r)
+	c.stats.SavedTokens.Canceled += c.remainingTokens(r)
 	c.stop(now, r)
 	c.forget(now, r)
 	c.stats.Canceled++
@@ -98,15 +98,15 @@
 }
 
 // unmade is the expected rest of an answer that an engine makes now.
-func (c *core) unmade(r *request) uint64 {
-	if r.server == nil || !r.sentNow {
+func (c *core) remainingTokens(r *request) uint64 {
+	if r.server == nil || !r.attemptSent {
 		return 0
 	}
 	return uint64(r.left(c))
 }
 
 func (c *core) expire(now time.Time, r *request) {
-	c.stats.SavedTokens.Expired += c.unmade(r)
+	c.stats.SavedTokens.Expired += c.remainingTokens(r)
 	c.stop(now, r)
 	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline passed; allow more time, or use a more urgent class", 0)
 }
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -53,7 +53,7 @@
 func (p *pool) noteStart(now time.Time, r *request, s *server) {
 	p.starts += 1 / startsFor.Seconds()
 	p.laneStarts[s.lane] += 1 / startsFor.Seconds()
-	bound := &p.bound[levelOf(r.class)]
+	bound := &p.bound[queueLevel(r.class)]
 	if now.Sub(r.item.Arrived) < r.item.Due.Sub(now) {
 		*bound = min(*bound+1, boundMost)
 	}
@@ -92,17 +92,17 @@
 // urgent takes its place: only what is as urgent or more counts before it.
 func (c *core) turnAway(now time.Time, r *request) bool {
 	p := r.pool
-	if p.shut() {
-		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.spread(minRetryAfter))
+	if p.closedByLimits() {
+		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.jitter(minRetryAfter))
 		return true
 	}
 	if r.class.GetLate() != lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM || r.item.Kept || !p.full(now, r) {
 		return false
 	}
 	wait := p.startsIn(r)
-	if now.Add(wait).Before(r.item.Due) && !p.crowded(levelOf(r.class)) {
+	if now.Add(wait).Before(r.item.Due) && !p.crowded(queueLevel(r.class)) {
 		return false
 	}
-	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, c.spread(min(max(wait, minRetryAfter), maxRetryAfter)))
+	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, c.jitter(min(max(wait, minRetryAfter), maxRetryAfter)))
 	return true
 }
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -7,7 +7,7 @@
 // measured takes in one gap between tokens.
 func (s *server) measured(gap time.Duration) {
 	sample := gap.Seconds() / (s.load() + s.base)
-	if s.engine != nil && s.before(levels-1) == 0 {
+	if s.engine != nil && s.before(engineLevels-1) == 0 {
 		s.engine.stepped(s.load(), gap.Seconds())
 	}
 	weight := learn
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -16,7 +16,7 @@
 
 // engines returns a core before n large engines in each data centre, with a tight
 // class, a loose one and a plain service.
-func engines(instance string, n int, centres ...string) *core {
+func coreWithEngines(instance string, n int, centres ...string) *core {
 	snapshot := &lilacv1.Snapshot{
 		Revision: 1,
 		Classes: []*lilacv1.Class{
@@ -71,7 +71,7 @@
 // engines, a quarter of a second each time.
 func TestInstancesAgreeOnTheEngineOfASharedPrompt(t *testing.T) {
 	is := is.New(t)
-	cores := []*core{engines("e1", 3, "a", "b", "c"), engines("e2", 3, "b", "a", "c")}
+	cores := []*core{coreWithEngines("e1", 3, "a", "b", "c"), coreWithEngines("e2", 3, "b", "a", "c")}
 	for subject := range uint64(20) {
 		used := make(map[string]bool)
 		for round := range 6 {
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	used := make(map[string]bool)
 	for i, centre := range []string{"a", "b"} {
-		c := engines(fmt.Sprint("e", i), 3, "a", "b", "c")
+		c := coreWithEngines(fmt.Sprint("e", i), 3, "a", "b", "c")
 		c.options.DataCenter = centre
 		c.options.Weights.Regions = map[string]string{"a": "south", "b": "south", "c": "north"}
 		for _, s := range c.ordered {
@@ -115,7 +115,7 @@
 // each data centre takes no digests while the others have room.
 func TestTightAnswersHaveEnginesWithoutLongPrompts(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a", "b", "c")
+	c := coreWithEngines("e1", 3, "a", "b", "c")
 	c.Step(epoch.Add(slowTick), Tick{})
 	for i := range 60 {
 		now := epoch.Add(time.Second + time.Duration(i)*50*ms)
@@ -133,7 +133,7 @@
 // A data centre's only open engine is left: drafts and digests share it.
 func TestOneEngineIsNoLane(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a")
+	c := coreWithEngines("e1", 1, "a")
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(c.servers["a-0"].lane, laneLong)
 	only[Start](t, c.Step(epoch.Add(slowTick), draft(1)))
@@ -144,7 +144,7 @@
 // must count it as work before its own, and as held from then on.
 func TestWhatPeersSentIsWorkAndCache(t *testing.T) {
 	is := is.New(t)
-	c, peer := engines("e1", 3, "a"), engines("e2", 3, "a")
+	c, peer := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	peer.Step(epoch, Tick{})
 	start := only[Start](t, peer.Step(epoch, digest(1, 7)))
 	word := peer.Digest(epoch)
@@ -152,11 +152,11 @@
 	is.Equal(len(word.GetReadings()), 1)
 	c.Step(epoch, PeerDigest{Digest: word, At: epoch})
 	s := c.servers[start.Server]
-	is.Equal(s.before(levels-1), 17000.0)
+	is.Equal(s.before(engineLevels-1), 17000.0)
 	mine := &request{Arrival: digest(2, 7)}
 	is.Equal(s.uncached(mine), 3700.0)
 	c.Step(epoch, PeerGone{Instance: "e2"})
-	is.Equal(s.before(levels-1), 0.0)
+	is.Equal(s.before(engineLevels-1), 0.0)
 	is.Equal(s.uncached(mine), 3700.0) // the engine still holds it
 	is.Equal(len(peer.Digest(epoch.Add(2*readingTold)).GetReadings()), 0)
 }
@@ -172,10 +172,10 @@
 	is.Equal(b.before(4), 1000.0)
 	is.Equal(b.total(), 21000.0)
 	var peer backlog
-	peer.merge(b.told(), 1)
+	peer.addEncoded(b.encode(), 1)
 	is.Equal(peer, b)
-	peer.merge(b.told(), -1)
-	is.Equal(peer.told(), nil)
+	peer.addEncoded(b.encode(), -1)
+	is.Equal(peer.encode(), nil)
 	b.add(5, -30000)
 	is.Equal(b.total(), 1000.0)
 }
@@ -185,7 +185,7 @@
 // must not be taken for ten times slower.
 func TestUnknownWorkDoesNotMakeAnEngineSlow(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a")
+	c := coreWithEngines("e1", 1, "a")
 	s := c.servers["a-0"]
 	const rate, work = 0.00002, 10000
 	read := func(rate float64) {
@@ -209,7 +209,7 @@
 // told that it did not run, and no second server is asked.
 func TestRequestIsSentToNoMoreServersThanAllowed(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a")
+	c := coreWithEngines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, draft(1)))
 	refuse := only[Refuse](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: start.Attempt, Refused: true}))
 	is.Equal(refuse.NotRun, lilacv1.NotRun_NOT_RUN_TRUE)
@@ -223,7 +223,7 @@
 // must go on getting requests, and the look-up is tried once more elsewhere.
 func TestFailedAnswerIsRetriedAndEjectsNobody(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a", "b")
+	c := coreWithEngines("e1", 1, "a", "b")
 	start := only[Start](t, c.Step(epoch, lookup(1)))
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
 	again := only[Start](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: 1, Sent: true, ServerError: true}))
@@ -238,7 +238,7 @@
 // The others of the data centre must get most of them, and it must be tried again.
 func TestServerThatFailsOftenGetsLess(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a", "b")
+	c := coreWithEngines("e1", 1, "a", "b")
 	grey := c.servers["desk-a"]
 	for range 10 {
 		grey.trouble += troubleLearn * (1 - grey.trouble)
@@ -258,7 +258,7 @@
 // can be.
 func TestLateRequestsGoLastAtTheEngine(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a")
+	c := coreWithEngines("e1", 1, "a")
 	s := c.servers["a-0"]
 	s.ahead.add(4, 200000) // 3.7 s to read
 	var late Start
@@ -272,7 +272,7 @@
 			}
 		}
 	}
-	is.Equal(late.Level, lateLevel)
+	is.Equal(late.Level, lateEngineLevel)
 	is.Equal(only[Start](t, c.Step(epoch.Add(5*time.Second), draft(2))).Level, model.Place(1, 0))
 }
 
@@ -280,7 +280,7 @@
 // four times in five, and 40 subjects' prompts would be read 160 times.
 func TestHomesAreLookedAtInALargePool(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 10, "a", "b", "c", "d", "e", "f")
+	c := coreWithEngines("e1", 10, "a", "b", "c", "d", "e", "f")
 	c.Step(epoch.Add(slowTick), Tick{})
 	read := 0
 	for i := range 200 {
@@ -300,7 +300,7 @@
 // a booking must not run twice, and nothing more goes to the dark server.
 func TestSilentServerLosesWhatMayRunAgain(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a", "b")
+	c := coreWithEngines("e1", 1, "a", "b")
 	first := only[Start](t, c.Step(epoch, lookup(1)))
 	booking := lookup(2)
 	booking.Idempotent = false
@@ -328,7 +328,7 @@
 // the prompt is read once more elsewhere.
 func TestBusyEngineIsNotTakenForSilent(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a")
+	c := coreWithEngines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, digest(1, 1)))
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
 	for now := epoch; now.Before(epoch.Add(5 * time.Second)); now = now.Add(TickInterval) {
--- a/request/policy/giveup_test.go
+++ b/request/policy/giveup_test.go
@@ -11,7 +11,7 @@
 
 // playUntilRefused sends the request, ticks on and lets answer play the servers' part for each
 // start; it returns the refusal and how long it took.
-func playUntilRefused(t *testing.T, c *core, first Arrival, answer func(s Start) Event) (Refuse, time.Duration) {
+func runUntilRefused(t *testing.T, c *core, first Arrival, answer func(s Start) Event) (Refuse, time.Duration) {
 	t.Helper()
 	actions := append([]Action(nil), c.Step(epoch, first)...)
 	for wait := time.Duration(0); wait < 2*time.Minute; wait += TickInterval {
@@ -48,9 +48,9 @@
 	refuse := func(s Start) Event {
 		return Failed{ID: s.ID, Attempt: s.Attempt, Sent: true, Refused: true, RetryAfter: time.Second}
 	}
-	refusal, waited := playUntilRefused(t, c, arrival(1, "alerts"), refuse)
+	refusal, waited := runUntilRefused(t, c, arrival(1, "alerts"), refuse)
 	isGivenUp(is, refusal)
-	is.True(waited <= refusedWait+giveUpEvery+slowTick)
+	is.True(waited <= maxRefusedWait+giveUpInterval+slowTick)
 	is.Equal(len(c.requests), 0)
 }
 
@@ -62,9 +62,9 @@
 	for _, name := range []string{"r1", "r2"} {
 		c.Step(epoch, ServerState{Server: name, Leaving: true})
 	}
-	refusal, waited := playUntilRefused(t, c, arrival(1, "batch"), nil)
+	refusal, waited := runUntilRefused(t, c, arrival(1, "batch"), nil)
 	isGivenUp(is, refusal)
-	is.True(waited <= closedWait+2*giveUpEvery)
+	is.True(waited <= maxClosedWait+2*giveUpInterval)
 }
 
 // Servers work, but they are full for longer than any bound here. That is a
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -32,7 +32,7 @@
 			open[s.lane]++
 		}
 	}
-	if !c.told {
+	if !c.boardActive {
 		return
 	}
 	instances := float64(p.tiers.Instances())
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -15,7 +15,7 @@
 func crowdedFleet(n int, idle ...string) []*core {
 	var fleet []*core
 	for i := range n {
-		c := inTree(engines(fmt.Sprintf("e%d", i), 20, "a", "b"))
+		c := inTree(coreWithEngines(fmt.Sprintf("e%d", i), 20, "a", "b"))
 		c.random = rand.New(rand.NewPCG(uint64(i), 1))
 		c.view.Classes["draft"].FirstTokenMs = 2000
 		c.pools["llm"].use(c.view.Classes["draft"], epoch)
--- a/request/policy/identical.go
+++ b/request/policy/identical.go
@@ -12,40 +12,40 @@
 const (
 	// joinFor is how long copies follow the first, at most: a caller that sends
 	// again since the first hangs shall not be bound to it.
-	joinFor = 3 * time.Second
+	joinWindow = 3 * time.Second
 	// passedFor is how long copies of a request that passed run freely: popular
 	// requests must not share one server for ever.
-	passedFor = 10 * time.Minute
+	passedTTL = 10 * time.Minute
 	// maxPassed bounds the memory of those; when it is full it begins anew.
 	maxPassed = 4096
 )
 
 // identical knows the requests that run and have not passed yet.
-type identical struct {
+type identicalRequests struct {
 	// first is the first running copy of each digest; the next ones hang on it.
 	first map[string]*request
 	// passed is when a digest that came more than once passed.
 	passed map[string]time.Time
 }
 
-func newIdentical() identical {
-	return identical{first: make(map[string]*request), passed: make(map[string]time.Time)}
+func newIdenticalRequests() identicalRequests {
+	return identicalRequests{first: make(map[string]*request), passed: make(map[string]time.Time)}
 }
 
 // joins returns the server of the first copy that runs, or nil where the
 // request is free to go anywhere.
-func (i *identical) joins(now time.Time, r *request) *server {
+func (i *identicalRequests) serverToJoin(now time.Time, r *request) *server {
 	first := i.first[r.Digest]
-	if first == nil || first == r || now.Sub(first.started) > joinFor {
+	if first == nil || first == r || now.Sub(first.started) > joinWindow {
 		return nil
 	}
-	if at, ok := i.passed[r.Digest]; ok && now.Sub(at) < passedFor {
+	if at, ok := i.passed[r.Digest]; ok && now.Sub(at) < passedTTL {
 		return nil
 	}
 	return first.server
 }
 
-func (i *identical) started(r *request) {
+func (i *identicalRequests) add(r *request) {
 	if r.Digest == "" {
 		return
 	}
@@ -61,7 +61,7 @@
 }
 
 // left drops a copy that no longer runs; the next one is the first then.
-func (i *identical) left(r *request) {
+func (i *identicalRequests) remove(r *request) {
 	at := i.first[r.Digest]
 	if at == r {
 		i.setFirst(r.Digest, r.nextCopy)
@@ -75,7 +75,7 @@
 	r.nextCopy = nil
 }
 
-func (i *identical) setFirst(digest string, r *request) {
+func (i *identicalRequests) setFirst(digest string, r *request) {
 	if r == nil {
 		delete(i.first, digest)
 		return
@@ -84,7 +84,7 @@
 }
 
 // proved notes that a copy ran past the place where a suspect is cleared.
-func (i *identical) proved(now time.Time, r *request, waiting bool) {
+func (i *identicalRequests) markPassed(now time.Time, r *request, waiting bool) {
 	first := i.first[r.Digest]
 	if first == nil {
 		return
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -333,7 +333,7 @@
 	if !s.quiet(now) || !r.Pinned || r.pool.isTight(r.class) {
 		return false
 	}
-	reading := s.prefill * (read + s.before(levels-1))
+	reading := s.prefill * (read + s.before(engineLevels-1))
 	return reading > intrudeMost*r.pool.tight.Seconds()
 }
 
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -48,7 +48,7 @@
 // lasts ten. By the work of all it takes the time of one word.
 func TestLanesFollowTheWorkOfAllInstances(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a", "b")))
+	c := inTree(withReviews(coreWithEngines("e1", 15, "a", "b")))
 	others(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(sizes(c), [lanes]int{laneLong: 18, laneQuick: 6, laneTight: 6})
@@ -61,7 +61,7 @@
 // difference moved an engine, the prompts whose home it is would be read again.
 func TestLanesStandStillForSmallChanges(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a")))
+	c := inTree(withReviews(coreWithEngines("e1", 15, "a")))
 	others(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
 	before := sizes(c)
@@ -78,12 +78,12 @@
 // so reviews have engines of their own where there are enough.
 func TestQuickAnswersKeepAwayFromLongPrompts(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a")))
+	c := inTree(withReviews(coreWithEngines("e1", 15, "a")))
 	others(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(c.servers[only[Start](t, c.Step(epoch.Add(slowTick), review(1, 5))).Server].lane, laneQuick)
 	is.Equal(c.servers[only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 6))).Server].lane, laneLong)
-	few := withReviews(engines("e1", 3, "a"))
+	few := withReviews(coreWithEngines("e1", 3, "a"))
 	few.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(few.servers[only[Start](t, few.Step(epoch.Add(slowTick), review(1, 5))).Server].lane, laneLong)
 }
@@ -93,11 +93,11 @@
 // before them, though its class is more urgent than theirs.
 func TestALateUrgentRequestStaysMoreUrgentThanOthers(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a")
+	c := coreWithEngines("e1", 1, "a")
 	c.Step(epoch, digest(1, 1))
 	c.servers["a-0"].ahead.add(0, 200000)
 	start := only[Start](t, c.Step(epoch, draft(2)))
-	is.True(c.requests[2].behind)
+	is.True(c.requests[2].expectedLate)
 	is.Equal(start.Level, model.Place(1, 0))
 }
 
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	used := make(map[string]int)
 	for i := range 60 {
-		c := inTree(engines("e1", 10, "a", "b", "c", "d"))
+		c := inTree(coreWithEngines("e1", 10, "a", "b", "c", "d"))
 		others(c, epoch, 1000, 0, 0)
 		for _, s := range c.ordered {
 			s.toldAhead[5] = 30000
@@ -127,28 +127,28 @@
 	is := is.New(t)
 	bulk := &lilacv1.Class{Tier: 0, Rank: 2}
 	short := &lilacv1.Class{Tier: 1, Rank: 0}
-	is.True(usualLevel(short) < usualLevel(bulk))
+	is.True(engineLevelOf(short) < engineLevelOf(bulk))
 }
 
 // An instance that had seen no bulk lately sent late scans as the last of all, behind
 // the bulk of others.
 func TestLateRequestsStayBeforeOthersBulk(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 1, "a")
+	c := coreWithEngines("e1", 1, "a")
 	c.Step(epoch, draft(1))
 	p := c.pools[draft(1).Target]
 	is.Equal(p.lastLevel, model.Place(1, 0))
 	told := &lilacv1.PoolCutoff{Pool: p.name, AdmittedTier: model.Tiers, PlaceDemand: []uint32{0, 0, 0, 0, 0, 0, 0, 0, 0, 4}}
 	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: "e2", Cutoffs: []*lilacv1.PoolCutoff{told}}})
 	c.Step(epoch.Add(slowTick), Tick{})
-	is.Equal(p.lastLevel, lateLevel-1)
+	is.Equal(p.lastLevel, lateEngineLevel-1)
 }
 
 // The engine that reads a prompt became one of the lane for short pauses. Requests of the
 // prompt could go neither there nor, since it must not be read twice, anywhere else.
 func TestAPromptOnALaneEngineIsReadAgain(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 2, "a")
+	c := coreWithEngines("e1", 2, "a")
 	c.Step(epoch, draft(1))
 	lane, other := c.servers["a-0"], c.servers["a-1"]
 	lane.lane, other.lane = laneTight, laneLong
@@ -162,7 +162,7 @@
 // work alone the lane was full, and one draft in four was late beside long prompts.
 func TestTheTightLaneHasTheSlotsThatItsAnswersTake(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a", "b")))
+	c := inTree(withReviews(coreWithEngines("e1", 15, "a", "b")))
 	for _, s := range c.ordered {
 		s.slots = 12
 	}
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	names := []string{"e1", "e2"}
 	slices.SortFunc(names, member.CompareRank)
-	leader, other := withReviews(engines(names[0], 15, "a")), withReviews(engines(names[1], 15, "a"))
+	leader, other := withReviews(coreWithEngines(names[0], 15, "a")), withReviews(coreWithEngines(names[1], 15, "a"))
 	leader.pools["llm"].engine.own.prefill = 2 * firstPrefill
 	leader.pools["llm"].engine.blend()
 	now := epoch
@@ -228,7 +228,7 @@
 // that they still ran: these paused for too long.
 func TestEnginesThatLeaveTheTightLaneReadNoLongPromptsYet(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 6, "a")))
+	c := inTree(withReviews(coreWithEngines("e1", 6, "a")))
 	others(c, epoch, 100000, 0, 100000)
 	c.Step(epoch, draft(1))
 	now := epoch.Add(slowTick)
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -5,12 +5,12 @@
 const (
 	// firstNotice is the time from the word that a server leaves until it is
 	// gone, before any was seen to go.
-	firstNotice = 4 * time.Second
+	initialNotice = 4 * time.Second
 	// leastNotice bounds what is learned from servers that went at once.
-	leastNotice = time.Second
+	minNotice = time.Second
 	// noticeLearn is the weight of a notice longer than was known; a shorter one
 	// counts at once.
-	noticeLearn = 0.3
+	noticeWeight = 0.3
 	// moveWindow is how long before a server goes its answers are moved, besides
 	// the time that the move itself takes: until then they get on where they are
 	// and leave other servers' slots to what waits.
@@ -23,29 +23,29 @@
 // them.
 
 // leaves tells whether the platform says that the server is leaving.
-func (s *server) leaves(now time.Time) bool {
+func (s *server) isLeaving(now time.Time) bool {
 	return s.leaving || s.gone || now.Before(s.leavingUntil)
 }
 
 // noteLeaving remembers the first word that the server leaves. Called before
 // the word itself is noted.
-func (s *server) noteLeaving(now time.Time) {
-	if !s.leaves(now) {
+func (s *server) recordLeaving(now time.Time) {
+	if !s.isLeaving(now) {
 		s.leavesAt = now
 	}
 }
 
 // noteGone learns how long servers stay after the word that they leave.
-func (c *core) noteGone(now time.Time, s *server) {
-	if !s.leaves(now) || s.wentAt.After(s.leavesAt) {
+func (c *core) recordGone(now time.Time, s *server) {
+	if !s.isLeaving(now) || s.wentAt.After(s.leavesAt) {
 		return
 	}
 	s.wentAt = now
-	stayed := max(now.Sub(s.leavesAt), leastNotice)
-	if stayed > c.notice {
-		stayed = c.notice + time.Duration(noticeLearn*float64(stayed-c.notice))
+	stayed := max(now.Sub(s.leavesAt), minNotice)
+	if stayed > c.noticePeriod {
+		stayed = c.noticePeriod + time.Duration(noticeWeight*float64(stayed-c.noticePeriod))
 	}
-	c.notice = stayed
+	c.noticePeriod = stayed
 }
 
 // moveLeaving takes answers off servers that vanish before the answer's end.
@@ -55,7 +55,7 @@
 	}
 	moves := 0
 	for i := 0; i < len(p.running) && moves < maxMoves; i++ {
-		if c.moveOff(now, p.running[i]) {
+		if c.moveOffLeaving(now, p.running[i]) {
 			moves++
 			i--
 		}
@@ -65,12 +65,12 @@
 // moveOff lets an answer on a leaving server go on elsewhere with its KV cache,
 // where nothing as urgent waits for the slot. What would have to be computed
 // again stays until it is cut off: going earlier would save nothing.
-func (c *core) moveOff(now time.Time, r *request) bool {
-	if !r.server.leaves(now) || !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaits(r) {
+func (c *core) moveOffLeaving(now time.Time, r *request) bool {
+	if !r.server.isLeaving(now) || !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaiting(r) {
 		return false
 	}
 	s := c.choose(now, r, how{late: true})
-	if s == nil || !c.cutShort(now, r, s) || !c.carries(now, r, s) || !c.budget.Take() {
+	if s == nil || !c.aboutToBeLost(now, r, s) || !c.carries(now, r, s) || !c.budget.Take() {
 		return false
 	}
 	c.check(InvariantBudget, c.budget.Holds())
@@ -80,7 +80,7 @@
 }
 
 // urgentWaits tells whether a request as urgent as this one or more waits for a slot.
-func (p *pool) urgentWaits(r *request) bool {
+func (p *pool) urgentWaiting(r *request) bool {
 	for tier := range r.tier() + 1 {
 		if p.queue.TierLen(tier) > 0 {
 			return true
@@ -90,9 +90,9 @@
 }
 
 // cutShort tells whether the answer is about to be cut off with its server.
-func (c *core) cutShort(now time.Time, r *request, to *server) bool {
+func (c *core) aboutToBeLost(now time.Time, r *request, to *server) bool {
 	s := r.server
-	goes := s.leavesAt.Add(c.notice)
+	goes := s.leavesAt.Add(c.noticePeriod)
 	move := c.kv.rate(s, to).expect(now, r.tokensHeld())
 	rest := time.Duration(r.left(c) * float64(s.gapAt(s.load())))
 	return now.Add(moveWindow+move).After(goes) && now.Add(rest).After(goes)
--- a/request/policy/leaving_test.go
+++ b/request/policy/leaving_test.go
@@ -48,11 +48,11 @@
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(firstNotice))
+	at, start := runFor(c, 1, told, told.Add(initialNotice))
 	is.True(start != nil)
 	is.Equal(start.ResumeFrom, from)
 	is.True(start.Server != from)
-	is.True(at.Sub(told) > firstNotice-2*moveWindow) // it gets on where it is till then
+	is.True(at.Sub(told) > initialNotice-2*moveWindow) // it gets on where it is till then
 	c.Step(at.Add(120*time.Millisecond), Tokens{ID: 1, Attempt: 2, Count: 1})
 	stats := c.Stats()
 	is.Equal(stats.MovedByKV, uint64(1))
@@ -67,7 +67,7 @@
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(firstNotice))
+	at, start := runFor(c, 1, told, told.Add(initialNotice))
 	before := c.kv.near.expect(at, 2000)
 	c.Step(at.Add(100*time.Millisecond), Recomputed{ID: 1, Attempt: start.Attempt})
 	c.Step(at.Add(500*time.Millisecond), Tokens{ID: 1, Attempt: start.Attempt, Count: 1})
@@ -84,7 +84,7 @@
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(firstNotice))
+	at, start := runFor(c, 1, told, told.Add(initialNotice))
 	before := c.kv.near.expect(at, 2000)
 	c.Step(at.Add(2*time.Second), Failed{ID: 1, Attempt: start.Attempt, Refused: true})
 	is.True(c.kv.near.expect(at, 2000) > 2*before)
@@ -104,7 +104,7 @@
 			} else {
 				c.Step(told, ServerState{Server: from, Leaving: true})
 			}
-			_, start := runFor(c, 1, told, told.Add(2*firstNotice))
+			_, start := runFor(c, 1, told, told.Add(2*initialNotice))
 			is := is.New(t)
 			is.Equal(start, nil)
 			is.Equal(c.requests[1].server.name, from)
@@ -137,7 +137,7 @@
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
 	c.Step(told.Add(2*time.Second), Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
-	is.Equal(c.notice, 2*time.Second)
+	is.Equal(c.noticePeriod, 2*time.Second)
 }
 
 // Engines that move answers slowly are found out by measuring, and tried again
--- a/request/policy/limit_replay_test.go
+++ b/request/policy/limit_replay_test.go
@@ -16,7 +16,7 @@
 )
 
 // needyEngine is what an engine names as its limit, and what it got.
-type needyEngine struct {
+type limitedEngine struct {
 	perSecond float64
 	// from and until bound the time in which it names it; zero from for never.
 	from, until time.Time
@@ -28,12 +28,12 @@
 }
 
 // names tells whether the engine's answers name a limit.
-func (n *needyEngine) names(now time.Time) bool {
+func (n *limitedEngine) names(now time.Time) bool {
 	return !n.from.IsZero() && !now.Before(n.from) && now.Before(n.until)
 }
 
 // got takes in a request of an instance.
-func (n *needyEngine) got(now time.Time, from *core) {
+func (n *limitedEngine) got(now time.Time, from *core) {
 	n.all = append(n.all, now)
 	told, known := n.told[from]
 	if known && n.names(now) && now.Sub(told) >= limitHeard && now.Sub(n.namedAt) >= limitSettles {
@@ -42,7 +42,7 @@
 }
 
 // answer gives the instance the header of an answer.
-func (n *needyEngine) answer(r *replay, j *replayJob) {
+func (n *limitedEngine) answer(r *replay, j *replayJob) {
 	report := LimitReport{Server: j.start.Server, Named: n.names(r.now), PerSecond: n.perSecond}
 	if report.Named {
 		if n.told == nil {
@@ -56,7 +56,7 @@
 }
 
 // most is the most that counted in any span.
-func (n *needyEngine) most() int {
+func (n *limitedEngine) most() int {
 	most := 0
 	for i, end := range n.counted {
 		count := 0
@@ -71,10 +71,10 @@
 }
 
 // allowed is how many may come in a span.
-func (n *needyEngine) allowed() int { return int(1.5*n.perSecond*limitSpan.Seconds() + 5) }
+func (n *limitedEngine) allowed() int { return int(1.5*n.perSecond*limitSpan.Seconds() + 5) }
 
 // rate is the arrivals a second between two moments.
-func (n *needyEngine) rate(from, until time.Duration) float64 {
+func (n *limitedEngine) rate(from, until time.Duration) float64 {
 	count := 0
 	for _, at := range n.all {
 		if !at.Before(epoch.Add(from)) && at.Before(epoch.Add(until)) {
@@ -88,7 +88,7 @@
 func (r *replay) need(perSecond float64, until time.Duration, names ...string) {
 	for _, name := range names {
 		e := r.engines[name]
-		e.need = needyEngine{perSecond: perSecond, from: epoch.Add(2 * time.Second), until: epoch.Add(until)}
+		e.need = limitedEngine{perSecond: perSecond, from: epoch.Add(2 * time.Second), until: epoch.Add(until)}
 	}
 }
 
--- a/request/policy/limitshare.go
+++ b/request/policy/limitshare.go
@@ -19,17 +19,17 @@
 	// request a second allows one more. With leastBurst and burstFor a server gets, in any
 	// four seconds, at most five times its limit and two: the rest of what it bears is left
 	// for times in which instances disagree on who lives.
-	leastSenders = 2
+	minSenders = 2
 	// leastBurst is how many requests a sender may save up, at least; burstFor the time in
 	// which it may save more.
-	leastBurst = 1.0
-	burstFor   = 500 * time.Millisecond
+	minBurst    = 1.0
+	burstWindow = 500 * time.Millisecond
 	// missingFor is how long an instance that is no longer heard keeps its part: it may go
 	// on sending beyond a cut.
-	missingFor = 10 * time.Second
+	missingTTL = 10 * time.Second
 	// limitedHold is for how long a request of a limited server counts as running there,
 	// in what the pool can run.
-	limitedHold = 4 * time.Second
+	limitedSlotTime = 4 * time.Second
 )
 
 // Instance is another instance of the fleet.
@@ -41,7 +41,7 @@
 func (Fleet) event() {}
 
 // living is an instance; missingSince is when it was no longer heard, zero while it is.
-type living struct {
+type fleetMember struct {
 	Instance
 	missingSince time.Time
 }
@@ -49,27 +49,27 @@
 // fleet is what is known of all instances, this one included.
 type fleet struct {
 	self    Instance
-	members map[string]living
+	members map[string]fleetMember
 }
 
-func newFleet(self Instance) fleet { return fleet{self: self, members: make(map[string]living)} }
+func newFleet(self Instance) fleet { return fleet{self: self, members: make(map[string]fleetMember)} }
 
 // alive takes in who lives.
-func (f *fleet) alive(now time.Time, others []Instance) {
+func (f *fleet) update(now time.Time, others []Instance) {
 	for name, m := range f.members {
 		if m.missingSince.IsZero() {
-			f.members[name] = living{m.Instance, now}
+			f.members[name] = fleetMember{m.Instance, now}
 		}
 	}
 	for _, other := range others {
-		f.members[other.Name] = living{Instance: other}
+		f.members[other.Name] = fleetMember{Instance: other}
 	}
 }
 
 // forget drops who has been missing for some time.
-func (f *fleet) forget(now time.Time) {
+func (f *fleet) expire(now time.Time) {
 	for name, m := range f.members {
-		if !m.missingSince.IsZero() && now.Sub(m.missingSince) > missingFor {
+		if !m.missingSince.IsZero() && now.Sub(m.missingSince) > missingTTL {
 			delete(f.members, name)
 		}
 	}
@@ -93,7 +93,7 @@
 	slices.SortFunc(near, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(s.name+"/"+a), xxhash.Sum64String(s.name+"/"+b)), cmp.Compare(a, b))
 	})
-	return near[:min(len(near), leastSenders+int(s.limited.PerSecond))]
+	return near[:min(len(near), minSenders+int(s.limited.PerSecond))]
 }
 
 // allowance is what this instance may send to a limited server.
@@ -105,7 +105,7 @@
 
 // refresh brings the credit up to date.
 func (a *allowance) refresh(now time.Time) {
-	a.credit = min(a.credit+a.share*now.Sub(a.at).Seconds(), max(leastBurst, a.share*burstFor.Seconds()))
+	a.credit = min(a.credit+a.share*now.Sub(a.at).Seconds(), max(minBurst, a.share*burstWindow.Seconds()))
 	a.at = now
 }
 
@@ -126,7 +126,7 @@
 }
 
 // held tells whether the server's limit leaves no request to this instance now.
-func (s *server) held(now time.Time) bool {
+func (s *server) limitReached(now time.Time) bool {
 	if !s.limited.Named {
 		return false
 	}
@@ -135,7 +135,7 @@
 }
 
 // spend takes a request that starts on the server out of its allowance.
-func (s *server) spend(now time.Time) {
+func (s *server) takeAllowance(now time.Time) {
 	if s.limited.Named {
 		s.allowed.refresh(now)
 		s.allowed.credit--
@@ -144,7 +144,7 @@
 
 // shut tells whether no server of the pool ever takes a request from this instance, while
 // limits stand as they do.
-func (p *pool) shut() bool {
+func (p *pool) closedByLimits() bool {
 	limited := false
 	for _, s := range p.servers {
 		if s.closed() || s.cut {
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -19,7 +19,7 @@
 	views := make([]fleet, n)
 	for i := range views {
 		views[i] = newFleet(all[i])
-		views[i].alive(epoch, append(append([]Instance(nil), all[:i]...), all[i+1:]...))
+		views[i].update(epoch, append(append([]Instance(nil), all[:i]...), all[i+1:]...))
 	}
 	return views
 }
@@ -61,10 +61,10 @@
 	s.limited.Limit = loadboard.Limit{Named: true, PerSecond: 1}
 	before := views[0].senders(s)
 	is.Equal(len(before), 3)
-	views[0].alive(epoch.Add(time.Minute), nil)
-	views[0].forget(epoch.Add(time.Minute + missingFor))
+	views[0].update(epoch.Add(time.Minute), nil)
+	views[0].expire(epoch.Add(time.Minute + missingTTL))
 	is.Equal(views[0].senders(s), before)
-	views[0].forget(epoch.Add(time.Minute + missingFor + time.Second))
+	views[0].expire(epoch.Add(time.Minute + missingTTL + time.Second))
 	is.Equal(views[0].senders(s), []string{views[0].self.Name}) // nobody else is left
 }
 
@@ -74,7 +74,7 @@
 	is := is.New(t)
 	c, home := withDigestAtHome(t)
 	finish(c, epoch.Add(slowTick), home)
-	c.Step(epoch.Add(time.Second), names(home.Server, 0))
+	c.Step(epoch.Add(time.Second), namedLimit(home.Server, 0))
 	start := only[Start](t, c.Step(epoch.Add(2*time.Second), digest(2, 7)))
 	is.True(start.Server != home.Server)
 	is.Equal(c.Stats().Violations[InvariantLimit], uint64(0))
@@ -83,10 +83,10 @@
 // Every start on the server counts: also those of requests that failed elsewhere first.
 func TestRetriesCountAgainstALimit(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 2, "a")
+	c := coreWithEngines("e1", 2, "a")
 	c.view.Classes["draft"].MaxAttempts = 2
-	c.Step(epoch, names("a-0", 1))
-	c.Step(epoch, names("a-1", 1))
+	c.Step(epoch, namedLimit("a-0", 1))
+	c.Step(epoch, namedLimit("a-1", 1))
 	now := epoch.Add(5 * time.Second)
 	c.Step(now, Tick{})
 	first := only[Start](t, c.Step(now, lookupOnEngine(1)))
@@ -107,8 +107,8 @@
 // show in the log.
 func TestAPartOfALimitFollowsTheFleet(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 2, "a")
-	is.Equal(only[LimitChanged](t, c.Step(epoch, names("a-0", 0.5))).Share, 0.5)
+	c := coreWithEngines("e1", 2, "a")
+	is.Equal(only[LimitChanged](t, c.Step(epoch, namedLimit("a-0", 0.5))).Share, 0.5)
 	c.Step(epoch.Add(slowTick), Fleet{Others: []Instance{{"e2", "a"}}})
 	changed := only[LimitChanged](t, c.Step(epoch.Add(2*slowTick), Tick{}))
 	is.Equal(changed.Source, LimitFromFleet)
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -61,7 +61,7 @@
 		if v.tier() != lowest || !c.pausable(now, v) || !c.serves(now, r, v.server) {
 			continue
 		}
-		if best == nil || v.firstBy(now) > best.firstBy(now) {
+		if best == nil || v.slack(now) > best.slack(now) {
 			best = v
 		}
 	}
@@ -70,7 +70,7 @@
 
 // pausable requests are idempotent, well ahead of their pace, and no suspects.
 func (c *core) pausable(now time.Time, v *request) bool {
-	return v.Idempotent && !v.Pinned && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
+	return v.Idempotent && !v.Pinned && !v.trial && v.attemptTokens > 0 && v.attempt < maxAttempts/2 && v.slack(now) > time.Second
 }
 
 // serves tells whether the server would be on time for the request with one request less.
@@ -79,8 +79,8 @@
 		return false
 	}
 	n := s.load()
-	return n <= s.limit(r.pool.tight, r.between()) &&
-		(r.between() == 0 || s.gapAt(n) <= r.between()) && s.firstToken(n, s.uncached(r), r.levelOf()) <= r.firstBy(now)
+	return n <= s.limit(r.pool.tight, r.tokenGapTarget()) &&
+		(r.tokenGapTarget() == 0 || s.gapAt(n) <= r.tokenGapTarget()) && s.firstToken(n, s.uncached(r), r.engineLevel()) <= r.slack(now)
 }
 
 // moveStragglers takes requests off servers that fell behind, where another
@@ -105,21 +105,21 @@
 	}
 	s := r.server
 	if s.cut {
-		return now.Sub(r.lastAt) > giveUpSilent || r.gotNow == 0 && now.Sub(r.started) > answersSilent
+		return now.Sub(r.lastAt) > partitionMoveDelay || r.attemptTokens == 0 && now.Sub(r.started) > answerSilenceTimeout
 	}
-	if r.gotNow == 0 {
+	if r.attemptTokens == 0 {
 		return c.overdue(now, r)
 	}
 	if !s.stalled(r.pool) {
 		return false
 	}
-	return r.between() > 0 && r.pace(c.estimates.Left(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
+	return r.tokenGapTarget() > 0 && r.pace(c.estimates.Left(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
 }
 
 // overdue tells whether the first token is later than it should be: the
 // server holds more than this instance knows of. It gets no more for a moment.
 func (c *core) overdue(now time.Time, r *request) bool {
-	if now.Sub(r.started) < overdueFactor*r.expected+overdueFloor {
+	if now.Sub(r.started) < overdueFactor*r.expectedFirst+overdueFloor {
 		return false
 	}
 	r.server.fullUntil = now.Add(fullFor)
@@ -134,7 +134,7 @@
 // pace is the mean gap that the whole answer would have with the given gap from now on.
 func (r *request) pace(left float64, gap time.Duration, now time.Time) time.Duration {
 	past := now.Sub(r.firstAt)
-	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.got) + left))
+	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.tokens) + left))
 }
 
 // move takes the request to another server if that one would be in time.
@@ -156,10 +156,10 @@
 // better tells whether the answer would still keep its targets on the server.
 func (c *core) better(now time.Time, r *request, s *server) bool {
 	n := s.load() + 1
-	first := s.firstToken(n, s.uncached(r), r.levelOf())
-	if r.got == 0 {
-		return first <= r.firstBy(now)
+	first := s.firstToken(n, s.uncached(r), r.engineLevel())
+	if r.tokens == 0 {
+		return first <= r.slack(now)
 	}
-	left := c.estimates.Left(r.key(), r.got)
-	return !s.stalled(r.pool) && r.pace(left, s.gapAt(n), now.Add(first)) <= r.between()
+	left := c.estimates.Left(r.key(), r.tokens)
+	return !s.stalled(r.pool) && r.pace(left, s.gapAt(n), now.Add(first)) <= r.tokenGapTarget()
 }
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -9,9 +9,9 @@
 
 const (
 	// maxWait is the longest queue, as the time that serving it takes.
-	maxWait = 20 * time.Second
+	maxQueueTime = 20 * time.Second
 	// minQueue is how many requests may wait in any case.
-	minQueue = 8
+	minQueueLen = 8
 
 	limitedMessage  = "all backend servers name limits, and others send what they take; send the request again after Retry-After, another instance may take it"
 	overloadMessage = "all backend servers are busy; send the request again after Retry-After"
@@ -23,7 +23,7 @@
 func (c *core) expireLate(now time.Time, p *pool) {
 	var refused []*request
 	p.queue.Expired(now, func(item *queue.Item) {
-		if r := c.requests[ID(item.ID)]; r.got == 0 && r.refusedLate(now) {
+		if r := c.requests[ID(item.ID)]; r.tokens == 0 && r.refusedLate(now) {
 			refused = append(refused, r)
 		}
 	})
@@ -34,7 +34,7 @@
 func (c *core) refuseWaitingLate(now time.Time, p *pool) {
 	var refused []*request
 	p.queue.EachLate(func(item *queue.Item) {
-		if r := c.requests[ID(item.ID)]; r.got == 0 && r.refusedLate(now) {
+		if r := c.requests[ID(item.ID)]; r.tokens == 0 && r.refusedLate(now) {
 			refused = append(refused, r)
 		}
 	})
@@ -43,8 +43,8 @@
 
 func (c *core) refuseLate(now time.Time, p *pool, refused []*request) {
 	for _, r := range refused {
-		p.noteMiss(levelOf(r.class))
-		c.unqueue(r)
+		p.noteMiss(queueLevel(r.class))
+		c.dequeue(r)
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_LATE, lateMessage, c.retryAfter(p))
 	}
 }
@@ -61,7 +61,7 @@
 }
 
 // cutoff brings the pool's cutoff up to date with what the peers said.
-func (c *core) cutoff(now time.Time, p *pool) {
+func (c *core) updateCutoff(now time.Time, p *pool) {
 	if p.tiers.Update(now) {
 		c.announce()
 	}
@@ -69,7 +69,7 @@
 
 // cutOff refuses an arrival of a tier that is cut off, so that all instances
 // may shed more urgent ones, unless it is within its class's share.
-func (c *core) cutOff(now time.Time, r *request) bool {
+func (c *core) refuseCutOff(now time.Time, r *request) bool {
 	p, tier := r.pool, r.tier()
 	if p.tiers.Admits(tier) {
 		return false
@@ -91,21 +91,21 @@
 // but takes the place of none.
 func (p *pool) withinShare(r *request) bool {
 	waiting := float64(p.queue.ClassLen(r.Class))
-	served := shareOf(r.class) * p.rate * r.first().Seconds()
+	served := shareOf(r.class) * p.rate * r.firstTokenTarget().Seconds()
 	return waiting < 1 || (waiting+1)*r.item.Cost <= served
 }
 
 // relieve sheds while the queue takes longer than maxWait: the lowest tier
 // that waits, and only as far as all instances have cut the lower ones off.
-func (c *core) relieve(now time.Time, p *pool) {
-	for p.queue.Len() > minQueue && p.wait() > maxWait {
+func (c *core) shedOverload(now time.Time, p *pool) {
+	for p.queue.Len() > minQueueLen && p.wait() > maxQueueTime {
 		tier := p.queue.LowestTier()
 		if tier < 0 {
 			return
 		}
 		if !p.tiers.MayShed(tier, now) {
 			p.tiers.HoldBack(tier, now)
-			c.cutoff(now, p)
+			c.updateCutoff(now, p)
 			return
 		}
 		if !c.shed(now, p, tier) {
@@ -123,7 +123,7 @@
 	r := c.requests[ID(item.ID)]
 	c.check(InvariantTier, p.queue.LowestTier() <= r.tier() && p.tiers.MayShed(tier, now))
 	after := c.retryAfter(p)
-	c.unqueue(r)
+	c.dequeue(r)
 	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, after)
 	return true
 }
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -111,7 +111,7 @@
 func TestSmallEnginesDoNotPutBulkBack(t *testing.T) {
 	is := is.New(t)
 	for slots, want := range map[int]float64{64: 1, 12: 0} {
-		c := engines("e1", 1, "a")
+		c := coreWithEngines("e1", 1, "a")
 		s := c.servers["a-0"]
 		s.slots = slots
 		c.Step(epoch, digest(1, 1))
--- a/request/policy/cut.go
+++ b/request/policy/partition.go
@@ -5,25 +5,25 @@
 const (
 	// peersSilent is how long no instance of a data centre is heard until it
 	// counts as cut off.
-	peersSilent = 1300 * time.Millisecond
+	peerSilenceTimeout = 1300 * time.Millisecond
 	// answersSilent is the same for the answers that come from there, all at
 	// once: two engines don't stall in the same moment.
-	answersSilent = 350 * time.Millisecond
-	minSilent     = 2
+	answerSilenceTimeout = 350 * time.Millisecond
+	minSilentAnswers     = 2
 	// giveUpSilent is when an answer from a cut-off data centre is had elsewhere.
-	giveUpSilent = time.Second
+	partitionMoveDelay = time.Second
 )
 
 // noticeCuts finds data centres that are out of reach. A silent partition
 // breaks no connection: it shows as answers that stop all at once, and as
 // digests that no longer come; a healed one as digests that come again. So no
 // request need be sent there to find out.
-func (c *core) noticeCuts(now time.Time) {
-	for dataCenter, heard := range c.heardOf {
+func (c *core) detectPartitions(now time.Time) {
+	for dataCenter, heard := range c.dataCenterHeard {
 		if dataCenter == c.options.DataCenter {
 			continue
 		}
-		cut := now.Sub(heard) > peersSilent || c.answersStopped(now, dataCenter)
+		cut := now.Sub(heard) > peerSilenceTimeout || c.answersStopped(now, dataCenter)
 		for _, s := range c.ordered {
 			if s.dataCenter == dataCenter {
 				s.cut = cut
@@ -40,9 +40,9 @@
 			continue
 		}
 		expected += s.decoding
-		if now.Sub(s.lastToken) < answersSilent {
+		if now.Sub(s.lastToken) < answerSilenceTimeout {
 			return false
 		}
 	}
-	return expected >= minSilent
+	return expected >= minSilentAnswers
 }
--- a/request/policy/told.go
+++ b/request/policy/peerloads.go
@@ -16,23 +16,23 @@
 func (PeerLoads) event() {}
 
 // takeTold puts what others run in the place of what was told before.
-func (c *core) takeTold(now time.Time, e PeerLoads) {
-	c.told = e.Word.Loads != nil
+func (c *core) applyPeerLoads(now time.Time, e PeerLoads) {
+	c.boardActive = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
 		s.toldLoad, s.toldYielding = float64(load.InFlight), float64(load.Yielding)
 		for level, units := range load.Backlog {
 			s.toldAhead[level] = float64(units) * loadboard.Unit
 		}
-		s.join(c.told || len(c.peers) > 0)
+		s.join(c.boardActive || len(c.peers) > 0)
 	}
 	for _, read := range e.Word.Readings {
 		c.hearReading(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
 	}
-	c.hearLimits(now, e.Word.Limits)
+	c.applyPeerLimits(now, e.Word.Limits)
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
-		p.hear(c.options.Instance, work, c.told)
+		p.applyPeerWork(c.options.Instance, work, c.boardActive)
 		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
 		c.spreadStarts(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
@@ -47,7 +47,7 @@
 
 // hear takes in what others do in the pool and know of it; told is false while they tell
 // nothing.
-func (p *pool) hear(self string, work loadboard.PoolWork, told bool) {
+func (p *pool) applyPeerWork(self string, work loadboard.PoolWork, told bool) {
 	p.toldWork = told
 	for l, rate := range work.Rates {
 		p.work.told[l] = float64(rate)
@@ -70,7 +70,7 @@
 }
 
 // toldWork is the same of all pools, for peers that exchange digests directly.
-func (c *core) toldWork() []*lilacv1.PoolWork {
+func (c *core) encodeWork() []*lilacv1.PoolWork {
 	var all []*lilacv1.PoolWork
 	for _, p := range c.poolOrder {
 		if !p.service {
@@ -82,7 +82,7 @@
 }
 
 // takeWork takes in what a peer does, where peers exchange their digests directly.
-func (c *core) takeWork(p *peer, work []*lilacv1.PoolWork) {
+func (c *core) applyWork(p *peer, work []*lilacv1.PoolWork) {
 	p.work = nil
 	if len(work) > 0 {
 		p.work = make(loadboard.Work, len(work))
@@ -90,13 +90,13 @@
 	for _, told := range work {
 		p.work[told.GetPool()] = loadboard.DecodeWork(told)
 	}
-	c.sumWork()
+	c.sumPeerWork()
 }
 
 // sumWork adds up the work of all peers; where loads are told beside digests, the
 // work is told there.
-func (c *core) sumWork() {
-	if c.told {
+func (c *core) sumPeerWork() {
+	if c.boardActive {
 		return
 	}
 	for _, p := range c.poolOrder {
@@ -108,7 +108,7 @@
 				heard = true
 			}
 		}
-		p.hear(c.options.Instance, sum, heard)
+		p.applyPeerWork(c.options.Instance, sum, heard)
 	}
 }
 
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -12,12 +12,12 @@
 
 const (
 	// peerEject is how long a peer's word of a crash keeps a server out.
-	peerEject = 2 * time.Second
+	peerCrashEjection = 2 * time.Second
 	// peerLeaving is how long a peer's word that a server leaves holds: many
 	// digests, so that lost ones let nothing through.
-	peerLeaving = 10 * time.Second
+	peerLeavingTTL = 10 * time.Second
 	// crashNews is how long a crash is told to the peers.
-	crashNews = time.Second
+	crashReportWindow = time.Second
 )
 
 // peer is another instance, by its last digest.
@@ -50,23 +50,23 @@
 		Leaving:     c.draining,
 		Revision:    c.view.Revision,
 		Suspects:    c.suspects.Share(now),
-		Spends:      c.spends(now),
+		Spends:      c.teamSpends(now),
 		Readings:    c.toldReadings(now),
-		Work:        c.toldWork(),
+		Work:        c.encodeWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
 	for _, p := range c.poolOrder {
 		d.Cutoffs = append(d.Cutoffs, p.tiers.Tell(p.claim(), p.queue.LowestTier()))
-		d.PromiseMs = shorterPromise(d.PromiseMs, p.tiers.Promise())
+		d.PromiseMs = minPromise(d.PromiseMs, p.tiers.Promise())
 	}
 	for _, s := range c.ordered {
 		if len(s.own) > 0 {
-			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.own)), TokensLeft: uint64(s.ahead.total()), Backlog: s.ahead.told(), GapUs: s.gapTold(now)})
+			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.own)), TokensLeft: uint64(s.ahead.total()), Backlog: s.ahead.encode(), GapUs: s.gapTold(now)})
 		}
 		if s.leaving || s.gone {
 			d.LeavingServers = append(d.LeavingServers, s.name)
 		}
-		if now.Before(s.ejectedUntil) && now.Sub(s.crashedAt) < crashNews {
+		if now.Before(s.ejectedUntil) && now.Sub(s.crashedAt) < crashReportWindow {
 			d.Ejected = append(d.Ejected, s.name)
 		}
 	}
@@ -74,7 +74,7 @@
 }
 
 // spends lists what limited teams spent here lately.
-func (c *core) spends(now time.Time) []*lilacv1.TeamSpend {
+func (c *core) teamSpends(now time.Time) []*lilacv1.TeamSpend {
 	var all []*lilacv1.TeamSpend
 	for _, name := range c.limits.Recent(now) {
 		all = append(all, &lilacv1.TeamSpend{Team: name, Tokens: c.limits.Spent(name)})
@@ -87,7 +87,7 @@
 }
 
 // shorterPromise is the promise of all pools together: the shortest.
-func shorterPromise(ms uint32, promise time.Duration) uint32 {
+func minPromise(ms uint32, promise time.Duration) uint32 {
 	if ms == 0 {
 		return uint32(promise.Milliseconds())
 	}
@@ -104,38 +104,38 @@
 	if p == nil {
 		p = &peer{}
 		c.peers[name] = p
-		c.known[name] = true
-		c.namePeers()
+		c.knownInstances[name] = true
+		c.updatePeerNames()
 	} else if p.incarnation == d.GetIncarnation() && d.GetSequence() <= p.sequence {
 		return
 	}
 	p.incarnation, p.sequence, p.at = d.GetIncarnation(), d.GetSequence(), now
-	c.heardOf[d.GetDataCenter()] = now
+	c.dataCenterHeard[d.GetDataCenter()] = now
 	p.dataCenter, p.leaving = d.GetDataCenter(), d.GetLeaving()
-	c.takeLoads(now, p, d.GetLoads())
-	c.takeWork(p, d.GetWork())
+	c.applyLoads(now, p, d.GetLoads())
+	c.applyWork(p, d.GetWork())
 	c.hearReadings(now, d.GetReadings())
-	c.hearLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
-	c.takeSuspects(now, name, p, d.GetSuspects())
+	c.applyPeerLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
+	c.applySuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
 		if team := c.view.Teams[spend.GetTeam()]; team != nil {
 			c.limits.Told(name, spend.GetTeam(), limitOf(team), spend.GetTokens(), now)
 		}
 	}
 	for _, ejected := range d.GetEjected() {
-		c.takeEjected(now, ejected)
+		c.applyEjected(now, ejected)
 	}
 	for _, leaving := range d.GetLeavingServers() {
 		if s := c.servers[leaving]; s != nil {
-			s.noteLeaving(now)
-			s.leavingUntil = now.Add(peerLeaving)
+			s.recordLeaving(now)
+			s.leavingUntil = now.Add(peerLeavingTTL)
 		}
 	}
-	c.takeCutoffs(now, e)
+	c.applyCutoffs(now, e)
 }
 
 // bindsUntil is when the digest's cutoffs bind no longer; zero if they never did.
-func (e PeerDigest) bindsUntil(now time.Time) time.Time {
+func (e PeerDigest) cutoffsValidUntil(now time.Time) time.Time {
 	switch d := e.Digest; {
 	case d.GetIncomplete():
 		return time.Time{}
@@ -146,28 +146,28 @@
 	}
 }
 
-func (c *core) takeCutoffs(now time.Time, e PeerDigest) {
+func (c *core) applyCutoffs(now time.Time, e PeerDigest) {
 	byPool := make(map[string]*lilacv1.PoolCutoff, len(e.Digest.GetCutoffs()))
 	for _, cutoff := range e.Digest.GetCutoffs() {
 		byPool[cutoff.GetPool()] = cutoff
 	}
 	for _, p := range c.poolOrder {
-		p.tiers.ObserveUntil(e.Digest.GetInstance(), byPool[p.name], e.bindsUntil(now))
+		p.tiers.ObserveUntil(e.Digest.GetInstance(), byPool[p.name], e.cutoffsValidUntil(now))
 		if ms := e.Digest.GetPromiseMs(); ms > 0 {
 			p.tiers.SetPromise(time.Duration(ms) * time.Millisecond)
 		}
 		p.splitSlots()
-		c.cutoff(now, p)
+		c.updateCutoff(now, p)
 		c.dispatch(now, p)
 	}
 }
 
-func (c *core) takeLoads(now time.Time, p *peer, loads []*lilacv1.ServerLoad) {
-	c.dropLoads(p)
+func (c *core) applyLoads(now time.Time, p *peer, loads []*lilacv1.ServerLoad) {
+	c.removeLoads(p)
 	for _, load := range loads {
 		if s := c.servers[load.GetServer()]; s != nil {
 			s.peers += float64(load.GetInFlight())
-			s.peersAhead.merge(load.GetBacklog(), 1)
+			s.peersAhead.addEncoded(load.GetBacklog(), 1)
 			p.loads = append(p.loads, peerLoad{server: s, inFlight: float64(load.GetInFlight()), backlog: load.GetBacklog()})
 			s.join(true)
 			s.hearGap(now, time.Duration(load.GetGapUs())*time.Microsecond)
@@ -175,10 +175,10 @@
 	}
 }
 
-func (c *core) dropLoads(p *peer) {
+func (c *core) removeLoads(p *peer) {
 	for _, load := range p.loads {
 		load.server.peers = max(0, load.server.peers-load.inFlight)
-		load.server.peersAhead.merge(load.backlog, -1)
+		load.server.peersAhead.addEncoded(load.backlog, -1)
 		load.server.join(true)
 	}
 	p.loads = p.loads[:0]
@@ -186,16 +186,16 @@
 
 // takeEjected believes a peer's word that a server crashed: its connections
 // broke before ours noticed.
-func (c *core) takeEjected(now time.Time, name string) {
+func (c *core) applyEjected(now time.Time, name string) {
 	s := c.servers[name]
 	if s != nil {
-		c.noteCrash(now, s)
-		c.noteGone(now, s)
+		c.recordCrash(now, s)
+		c.recordGone(now, s)
 	}
-	if s == nil || s.ejectedUntil.After(now.Add(peerEject)) {
+	if s == nil || s.ejectedUntil.After(now.Add(peerCrashEjection)) {
 		return
 	}
-	s.ejectedUntil = now.Add(peerEject)
+	s.ejectedUntil = now.Add(peerCrashEjection)
 	s.probing = true
 }
 
@@ -204,35 +204,35 @@
 	if p == nil {
 		return
 	}
-	c.dropLoads(p)
-	c.dropTrials(p)
+	c.removeLoads(p)
+	c.removeTrials(p)
 	delete(c.peers, name)
-	c.sumWork()
+	c.sumPeerWork()
 	if p.leaving {
 		// It went in order and spends nothing any more.
-		delete(c.known, name)
+		delete(c.knownInstances, name)
 	}
-	c.namePeers()
+	c.updatePeerNames()
 	for _, pool := range c.poolOrder {
 		pool.tiers.Gone(name)
 		pool.measure(now)
-		c.cutoff(now, pool)
+		c.updateCutoff(now, pool)
 		c.dispatch(now, pool)
 	}
 }
 
 // namePeers keeps the reachable instances in order, this one included.
-func (c *core) namePeers() {
+func (c *core) updatePeerNames() {
 	c.peerNames = append(c.peerNames[:0], c.options.Instance)
 	for name := range c.peers {
 		c.peerNames = append(c.peerNames, name)
 	}
 	slices.Sort(c.peerNames)
-	c.limits.SetShare(len(c.peerNames), len(c.known))
+	c.limits.SetShare(len(c.peerNames), len(c.knownInstances))
 }
 
 // rank is this instance's place among the reachable ones.
-func (c *core) rank() (place, of int) {
+func (c *core) instanceRank() (place, of int) {
 	if len(c.peerNames) == 0 {
 		return 0, 1
 	}
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -121,14 +121,14 @@
 func (p *pool) tighten(now time.Time) {
 	p.tight, p.shares = 0, tiers.Shares{}
 	others := p.tiers.Others()
-	p.lastLevel, p.lastTier = min(others.Last(), lateLevel-1), others.LastTier()
+	p.lastLevel, p.lastTier = min(others.Last(), lateEngineLevel-1), others.LastTier()
 	p.lastRank = model.RankOf(max(others.Last(), 0))
 	for _, u := range p.uses {
 		if now.Sub(u.at) >= tightFor {
 			continue
 		}
 		p.shares[placeOf(u.class)] += shareOf(u.class)
-		p.lastLevel = max(p.lastLevel, usualLevel(u.class))
+		p.lastLevel = max(p.lastLevel, engineLevelOf(u.class))
 		p.lastTier = max(p.lastTier, int(u.class.GetTier()))
 		p.lastRank = max(p.lastRank, model.RankOf(placeOf(u.class)))
 		target := time.Duration(u.class.GetBetweenTokensMs()) * time.Millisecond
@@ -185,7 +185,7 @@
 		norms += s.norm
 		n := s.limit(s.paced(p, 0), p.tight)
 		if s.limited.Named {
-			n = min(n, s.limited.PerSecond*limitedHold.Seconds())
+			n = min(n, s.limited.PerSecond*limitedSlotTime.Seconds())
 		}
 		p.capacity += n
 		p.rate += s.rateAt(n)
@@ -213,7 +213,7 @@
 		if i == 0 {
 			p.engine.settle(float64(s.slots))
 		}
-		s.rebase()
+		s.applyEngineModel()
 	}
 }
 
@@ -247,15 +247,15 @@
 }
 
 func (p *pool) attach(r *request) {
-	r.poolAt = len(p.running)
+	r.poolIndex = len(p.running)
 	p.running = append(p.running, r)
 	p.byPlace[placeOf(r.class)]++
 }
 
 func (p *pool) detach(r *request) {
 	last := len(p.running) - 1
-	p.running[r.poolAt] = p.running[last]
-	p.running[r.poolAt].poolAt = r.poolAt
+	p.running[r.poolIndex] = p.running[last]
+	p.running[r.poolIndex].poolIndex = r.poolIndex
 	p.running[last] = nil
 	p.running = p.running[:last]
 	p.byPlace[placeOf(r.class)]--
--- a/request/policy/prefix.go
+++ b/request/policy/prefix.go
@@ -143,7 +143,7 @@
 
 // uncached is the prompt work that the request would cause on the server, in tokens.
 func (s *server) uncached(r *request) float64 {
-	return float64(max(r.PromptTokens+r.got-s.cache.hit(r.Prefix), 1))
+	return float64(max(r.PromptTokens+r.tokens-s.cache.hit(r.Prefix), 1))
 }
 
 func (c *core) cacheEvent(e CacheEvent) {
--- a/request/policy/progress.go
+++ b/request/policy/progress.go
@@ -14,7 +14,7 @@
 
 func (c *core) sent(e Sent) {
 	if r := c.current(e.ID, e.Attempt); r != nil {
-		r.sentNow = true
+		r.attemptSent = true
 	}
 }
 
@@ -24,11 +24,11 @@
 		return
 	}
 	s := r.server
-	r.sentNow, r.sentEver = true, true
-	if r.gotNow == 0 {
+	r.attemptSent, r.everSent = true, true
+	if r.attemptTokens == 0 {
 		s.ahead.add(r.level, -r.uncached)
 		s.decoding++
-		if r.carried > 0 {
+		if r.kvTransferred > 0 {
 			c.carriedOver(now, r)
 		} else {
 			s.answered(r, now.Sub(r.started))
@@ -39,15 +39,15 @@
 		s.measured(gap)
 		r.pool.used[r.Class].flow.paced(gap.Seconds())
 	}
-	if r.got == 0 {
+	if r.tokens == 0 {
 		r.firstAt = now
 	}
-	r.got += e.Count
-	r.gotNow += e.Count
+	r.tokens += e.Count
+	r.attemptTokens += e.Count
 	r.lastAt, s.lastToken, s.heardAt = now, now, now
 	r.idleSince, r.pool.progressAt, r.rejections = now, now, 0
-	if r.gotNow >= trialTokens {
-		c.passed(now, r)
+	if r.attemptTokens >= trialTokens {
+		c.passedCrashPoint(now, r)
 	}
 }
 
@@ -57,19 +57,19 @@
 		return
 	}
 	s := r.server
-	if r.pool.service && r.gotNow == 0 {
+	if r.pool.service && r.attemptTokens == 0 {
 		s.answered(r, now.Sub(r.started))
 	}
 	s.proved()
 	s.heardAt = now
 	s.trouble -= troubleLearn * s.trouble
 	r.pool.progressAt = now
-	c.passed(now, r)
-	c.leave(now, r)
+	c.passedCrashPoint(now, r)
+	c.detachFromServer(now, r)
 	if !r.pool.service {
-		c.estimates.Observe(r.key(), r.got, r.estimated)
+		c.estimates.Observe(r.key(), r.tokens, r.estimated)
 	}
-	r.sentEver = true
+	r.everSent = true
 	c.forget(now, r)
 	c.stats.Finished++
 	c.dispatch(now, r.pool)
--- a/request/policy/readings.go
+++ b/request/policy/readings.go
@@ -72,6 +72,6 @@
 // already keeps its place in the order of use: it is told of again and again.
 func (c *core) hearReading(now time.Time, s *server, hash uint64, tokens int) {
 	if s != nil && s.cache.held[hash] == nil {
-		s.cache.add(hash, tokens, now.Add(s.firstToken(s.load(), float64(tokens), levels-1)))
+		s.cache.add(hash, tokens, now.Add(s.firstToken(s.load(), float64(tokens), engineLevels-1)))
 	}
 }
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -37,7 +37,7 @@
 	// preempted counts requests that were put back for more urgent ones, wronged those of
 	// them whose kind is more urgent than that of one that ran on.
 	preempted, wronged int
-	need               needyEngine
+	need               limitedEngine
 }
 
 func (e *replayEngine) stop(c *core, id ID) {
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -144,7 +144,7 @@
 func (s *server) closed() bool { return s.configLeaving || s.leaving || s.gone }
 
 func (s *server) barred(now time.Time) bool {
-	if s.closed() || s.cut || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.held(now) {
+	if s.closed() || s.cut || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.limitReached(now) {
 		return true
 	}
 	return s.probing && len(s.own) > 0
@@ -213,9 +213,9 @@
 		s.answer += learn * (took.Seconds() - s.answer)
 		return
 	}
-	work := r.uncached + r.ahead
+	work := r.uncached + r.workAhead
 	if s.engine != nil {
-		if r.fetched == 0 && r.ahead <= aheadMost*r.uncached {
+		if r.fetched == 0 && r.workAhead <= aheadMost*r.uncached {
 			s.learnReading(took, work)
 		}
 		return
@@ -339,14 +339,14 @@
 }
 
 func (s *server) attach(r *request) {
-	r.ownAt = len(s.own)
+	r.serverIndex = len(s.own)
 	s.own = append(s.own, r)
 }
 
 func (s *server) detach(r *request) {
 	last := len(s.own) - 1
-	s.own[r.ownAt] = s.own[last]
-	s.own[r.ownAt].ownAt = r.ownAt
+	s.own[r.serverIndex] = s.own[last]
+	s.own[r.serverIndex].serverIndex = r.serverIndex
 	s.own[last] = nil
 	s.own = s.own[:last]
 }
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -12,10 +12,10 @@
 
 const (
 	// limitTold is how long an instance tells what an answer to itself said.
-	limitTold = 3 * time.Second
+	limitReportTTL = 3 * time.Second
 	// limitKept is how long a limit is believed without any word of it: a server to which
 	// nobody sends anything says nothing.
-	limitKept = 30 * time.Second
+	limitTTL = 30 * time.Second
 )
 
 // serverLimit is the limit that a server names.
@@ -23,7 +23,7 @@
 	loadboard.Limit
 	// ownAt is when an answer to this instance last stated or denied a limit; zero where
 	// none ever stated one.
-	ownAt time.Time
+	reportedAt time.Time
 }
 
 // LimitSource is who told of a server's limit.
@@ -70,7 +70,7 @@
 		return
 	}
 	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Named: e.Named, At: now}, LimitFromResponse)
-	s.limited.ownAt = now
+	s.limited.reportedAt = now
 }
 
 // setLimit takes in news of a server's limit, unless newer ones are known.
@@ -84,13 +84,13 @@
 		return
 	}
 	c.shareLimit(now, s)
-	c.tellLimit(now, s, source)
+	c.emitLimitChanged(now, s, source)
 	if source == LimitFromResponse {
 		c.announce()
 	}
 }
 
-func (c *core) tellLimit(now time.Time, s *server, source LimitSource) {
+func (c *core) emitLimitChanged(now time.Time, s *server, source LimitSource) {
 	c.emit(LimitChanged{
 		Server: s.name, Named: s.limited.Named, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
 	})
@@ -100,7 +100,7 @@
 func (c *core) ownLimits(now time.Time) loadboard.Limits {
 	limits := make(loadboard.Limits)
 	for _, s := range c.ordered {
-		if at := s.limited.ownAt; !at.IsZero() && now.Sub(at) <= limitTold && !s.limited.At.After(at) {
+		if at := s.limited.reportedAt; !at.IsZero() && now.Sub(at) <= limitReportTTL && !s.limited.At.After(at) {
 			limits[s.key] = s.limited.Limit
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // hearLimits takes in what answers to other instances said.
-func (c *core) hearLimits(now time.Time, told loadboard.Limits) {
+func (c *core) applyPeerLimits(now time.Time, told loadboard.Limits) {
 	for key, limit := range told {
 		if s := c.byKey[key]; s != nil {
 			c.setLimit(now, s, limit, LimitFromPeer)
@@ -118,10 +118,10 @@
 
 // keepLimits drops limits that nobody has told of for long, and brings the shares of the
 // others up to date.
-func (c *core) keepLimits(now time.Time) {
-	c.fleet.forget(now)
+func (c *core) refreshLimits(now time.Time) {
+	c.fleet.expire(now)
 	for _, s := range c.ordered {
-		if s.limited.Named && now.Sub(s.limited.At) > limitKept {
+		if s.limited.Named && now.Sub(s.limited.At) > limitTTL {
 			c.setLimit(now, s, loadboard.Limit{At: now}, LimitExpired)
 		}
 		if !s.limited.Named {
@@ -129,7 +129,7 @@
 		}
 		before := s.allowed.share
 		if c.shareLimit(now, s); s.allowed.share != before {
-			c.tellLimit(now, s, LimitFromFleet)
+			c.emitLimitChanged(now, s, LimitFromFleet)
 		}
 	}
 }
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -10,7 +10,7 @@
 )
 
 // names is an answer of the server that names a limit.
-func names(server string, perSecond float64) LimitReport {
+func namedLimit(server string, perSecond float64) LimitReport {
 	return LimitReport{Server: server, Named: true, PerSecond: perSecond}
 }
 
@@ -18,8 +18,8 @@
 // one more that sends its share.
 func TestInstancesTellEachOtherOfLimits(t *testing.T) {
 	is := is.New(t)
-	here, there := engines("e1", 3, "a"), engines("e2", 3, "a")
-	changed := only[LimitChanged](t, here.Step(epoch, names("a-1", 1.8)))
+	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
+	changed := only[LimitChanged](t, here.Step(epoch, namedLimit("a-1", 1.8)))
 	is.Equal(changed.Source, LimitFromResponse)
 	there.Step(epoch.Add(100*ms), PeerDigest{Digest: here.Digest(epoch.Add(50 * ms)), At: epoch})
 	is.Equal(there.servers["a-1"].limited.PerSecond, 1.8)
@@ -33,8 +33,8 @@
 // The same in a large fleet, whose digests say nothing of servers.
 func TestBoardsTellOfLimits(t *testing.T) {
 	is := is.New(t)
-	here, there := engines("e1", 3, "a"), engines("e2", 3, "a")
-	here.Step(epoch, names("a-1", 1.8))
+	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
+	here.Step(epoch, namedLimit("a-1", 1.8))
 	word := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
 	there.Step(epoch.Add(200*ms), PeerLoads{Word: loadboard.DecodeWord(epoch.Add(200*ms), word)})
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
@@ -44,8 +44,8 @@
 // limit back that the server has given up.
 func TestTheNewestWordOfALimitCounts(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a")
-	c.Step(epoch, names("a-1", 2))
+	c := coreWithEngines("e1", 3, "a")
+	c.Step(epoch, namedLimit("a-1", 2))
 	c.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Named: true, At: epoch.Add(500 * ms)}}
 	c.Step(epoch.Add(1100*ms), PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}, Limits: old}})
@@ -55,11 +55,11 @@
 // A server with a limit to which nobody sends anything says nothing more of it.
 func TestALimitIsForgottenWithoutAnyWord(t *testing.T) {
 	is := is.New(t)
-	c := engines("e1", 3, "a")
-	c.Step(epoch, names("a-1", 2))
-	c.Step(epoch.Add(limitKept), Tick{})
+	c := coreWithEngines("e1", 3, "a")
+	c.Step(epoch, namedLimit("a-1", 2))
+	c.Step(epoch.Add(limitTTL), Tick{})
 	is.True(c.servers["a-1"].limited.Named)
-	changed := only[LimitChanged](t, c.Step(epoch.Add(limitKept+time.Second), Tick{}))
+	changed := only[LimitChanged](t, c.Step(epoch.Add(limitTTL+time.Second), Tick{}))
 	is.Equal(changed.Source, LimitExpired)
 	is.True(!c.servers["a-1"].limited.Named)
 }
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -14,19 +14,19 @@
 	// askPause is how long an instance waits for the others' word before it
 	// tries a suspect that it learned of, plus rankPause for each rank, so that
 	// two instances don't begin together.
-	askPause  = 700 * time.Millisecond
-	rankPause = 100 * time.Millisecond
+	peerSuspectDelay = 700 * time.Millisecond
+	rankDelay        = 100 * time.Millisecond
 	// ownPause is the same after a crash of one's own: another copy may have
 	// taken another server down in the same moment, and its news is on the way.
-	ownPause = 600 * time.Millisecond
+	ownCrashDelay = 600 * time.Millisecond
 	// reserveFor is how long a trial on another instance's server is announced
 	// before it starts: two digests, so that a lost one does no harm.
-	reserveFor = 1100 * time.Millisecond
+	reservationDelay = 1100 * time.Millisecond
 	// elsewhereFor is how long a peer's word of a trial counts.
-	elsewhereFor = 1500 * time.Millisecond
+	peerTrialTTL = 1500 * time.Millisecond
 	// ownServersFor is how long a suspect waits for one of the servers that
 	// are this instance's for trials before it takes any.
-	ownServersFor = time.Second
+	ownServersWindow = time.Second
 )
 
 // suspectCrash notes that the request was in flight on a server that crashed.
@@ -37,16 +37,16 @@
 	if e := c.suspects.Get(r.Digest); e != nil {
 		e.Own = true
 	}
-	c.suspects.CrashedAfter(r.Digest, s.name, r.got)
+	c.suspects.CrashedAfter(r.Digest, s.name, r.tokens)
 	delete(c.identical.passed, r.Digest)
-	c.accuse(r.Digest)
+	c.awaitVerdict(r.Digest)
 }
 
 // takeSuspects takes in a peer's suspects and the servers that it tries them on.
-func (c *core) takeSuspects(now time.Time, name string, p *peer, suspects []*lilacv1.Suspect) {
-	c.dropTrials(p)
+func (c *core) applySuspects(now time.Time, name string, p *peer, suspects []*lilacv1.Suspect) {
+	c.removeTrials(p)
 	for _, s := range suspects {
-		if server := c.servers[s.GetTrial()]; server != nil && !isClaim(s) {
+		if server := c.servers[s.GetTrial()]; server != nil && !isTrialClaim(s) {
 			server.peerTrials++
 			p.trials = append(p.trials, server)
 		}
@@ -54,25 +54,25 @@
 	if len(suspects) == 0 {
 		return
 	}
-	news := c.unknown(suspects)
+	news := c.unknownSuspects(suspects)
 	if c.suspects.Merge(suspects, now) {
 		for _, s := range suspects {
-			c.accuse(s.GetDigest())
+			c.awaitVerdict(s.GetDigest())
 		}
-		c.holdAccused(now)
+		c.stopAwaitingVerdict(now)
 	}
 	for _, s := range suspects {
 		if news[s.GetDigest()] {
-			c.holdCopies(now, s.GetDigest(), nil)
+			c.quarantineCopies(now, s.GetDigest(), nil)
 		}
 		if s.GetTrial() != "" {
-			c.yield(name, s)
+			c.yieldTrial(name, s)
 		}
 	}
 }
 
 // unknown returns the digests that are no suspects here yet.
-func (c *core) unknown(suspects []*lilacv1.Suspect) map[string]bool {
+func (c *core) unknownSuspects(suspects []*lilacv1.Suspect) map[string]bool {
 	news := make(map[string]bool)
 	for _, s := range suspects {
 		if len(s.GetServers()) > 0 && c.suspects.Get(s.GetDigest()) == nil {
@@ -82,7 +82,7 @@
 	return news
 }
 
-func (c *core) dropTrials(p *peer) {
+func (c *core) removeTrials(p *peer) {
 	for _, server := range p.trials {
 		server.peerTrials--
 	}
@@ -107,48 +107,48 @@
 func (c *core) tryTrial(now time.Time, r *request) bool {
 	e := c.suspects.Get(r.Digest)
 	if e == nil {
-		c.release(r)
+		c.releaseTrial(r)
 		r.suspect = false
 		r.item.Late = false
 		r.pool.queue.Push(&r.item)
 		return true
 	}
-	if c.guilty(now, r.Digest) {
-		c.unqueue(r)
+	if c.convicted(now, r.Digest) {
+		c.dequeue(r)
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, 0)
 		return true
 	}
-	if e.Convicted() || e.Pardoned && !c.calm(now) || c.unsettled(now) || c.mustWait(now, r, e) {
+	if e.Convicted() || e.Pardoned && !c.crashFree(now) || c.multipleCrashes(now) || c.mustDelayTrial(now, r, e) {
 		return false
 	}
 	s, mine := c.trialServer(now, r, e)
 	if s == nil {
 		return false
 	}
-	if r.reserved == nil {
-		r.reserved, r.reservedAt, r.claims = s, now, false
+	if r.trialReservation == nil {
+		r.trialReservation, r.trialReservedAt, r.claimsTrial = s, now, false
 		e.Trial = s.name
 		s.trial = r.Digest
 		c.announce()
 	}
-	if !mine && now.Sub(r.reservedAt) < reserveFor {
+	if !mine && now.Sub(r.trialReservedAt) < reservationDelay {
 		return false
 	}
-	r.reserved = nil
+	r.trialReservation = nil
 	r.trial = true
 	c.start(now, r, s)
 	return true
 }
 
 // release gives up a claim and gives a reserved server back.
-func (c *core) release(r *request) {
-	if r.reserved == nil && !r.claims {
+func (c *core) releaseTrial(r *request) {
+	if r.trialReservation == nil && !r.claimsTrial {
 		return
 	}
-	if r.reserved != nil {
-		r.reserved.trial = ""
+	if r.trialReservation != nil {
+		r.trialReservation.trial = ""
 	}
-	r.reserved, r.claims = nil, false
+	r.trialReservation, r.claimsTrial = nil, false
 	if e := c.suspects.Get(r.Digest); e != nil {
 		e.Trial = ""
 	}
@@ -157,16 +157,16 @@
 // mustWait tells whether another copy of the suspect runs, or may soon. After
 // a crash of one's own the first trial is one's own; a suspect that a peer
 // told of is tried only when no peer tries it.
-func (c *core) mustWait(now time.Time, r *request, e *suspect.Entry) bool {
-	holds := r.claims || r.reserved != nil
-	if !holds && (e.Trial != "" || now.Sub(e.Elsewhere) < elsewhereFor) {
+func (c *core) mustDelayTrial(now time.Time, r *request, e *suspect.Entry) bool {
+	holds := r.claimsTrial || r.trialReservation != nil
+	if !holds && (e.Trial != "" || now.Sub(e.Elsewhere) < peerTrialTTL) {
 		return true
 	}
 	if r.failedOn != "" && slices.Contains(e.Servers, r.failedOn) {
-		return now.Sub(r.held) < ownPause
+		return now.Sub(r.quarantinedAt) < ownCrashDelay
 	}
-	rank, _ := c.rank()
-	return now.Sub(r.held) < askPause+time.Duration(rank)*rankPause
+	rank, _ := c.instanceRank()
+	return now.Sub(r.quarantinedAt) < peerSuspectDelay+time.Duration(rank)*rankDelay
 }
 
 // trialServer finds the server for a suspect. Each reachable instance has
@@ -174,19 +174,19 @@
 // must announce itself first. So no two instances put their suspects together
 // before either has told of it.
 func (c *core) trialServer(now time.Time, r *request, e *suspect.Entry) (best *server, mine bool) {
-	rank, of := c.rank()
-	if s := r.reserved; s != nil {
-		if c.mayTry(now, s, e, r.Digest) {
+	rank, of := c.instanceRank()
+	if s := r.trialReservation; s != nil {
+		if c.trialAllowed(now, s, e, r.Digest) {
 			return s, slices.Index(r.pool.servers, s)%of == rank
 		}
-		c.release(r)
+		c.releaseTrial(r)
 	}
 	for i, s := range r.pool.servers {
-		if !c.mayTry(now, s, e, "") || s.load() >= float64(s.slots) {
+		if !c.trialAllowed(now, s, e, "") || s.load() >= float64(s.slots) {
 			continue
 		}
 		own := i%of == rank
-		if !own && (mine || now.Sub(r.held) < ownServersFor+time.Duration(rank)*rankPause) {
+		if !own && (mine || now.Sub(r.quarantinedAt) < ownServersWindow+time.Duration(rank)*rankDelay) {
 			continue
 		}
 		if best == nil || own && !mine || s.load() < best.load() {
@@ -197,7 +197,7 @@
 }
 
 // mayTry tells whether no other suspect holds the server, and whether it is up.
-func (c *core) mayTry(now time.Time, s *server, e *suspect.Entry, holder string) bool {
+func (c *core) trialAllowed(now time.Time, s *server, e *suspect.Entry, holder string) bool {
 	return !s.barred(now) && s.trial == holder && s.peerTrials == 0 && !slices.Contains(e.Servers, s.name)
 }
 
@@ -214,8 +214,8 @@
 }
 
 // passed notes that a request ran past the place of the crash, if there is one.
-func (c *core) passed(now time.Time, r *request) {
-	c.identical.proved(now, r, slices.ContainsFunc(r.pool.parked, func(p *request) bool { return p.Digest == r.Digest }))
+func (c *core) passedCrashPoint(now time.Time, r *request) {
+	c.identical.markPassed(now, r, slices.ContainsFunc(r.pool.parked, func(p *request) bool { return p.Digest == r.Digest }))
 	if r.trial {
 		c.clearSuspect(now, r)
 	}
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -19,7 +19,7 @@
 // and none left of an engine that crashed.
 func (c *core) carries(now time.Time, r *request, to *server) bool {
 	from := r.server
-	if r.gotNow == 0 || from.cut || now.Before(from.ejectedUntil) {
+	if r.attemptTokens == 0 || from.cut || now.Before(from.ejectedUntil) {
 		return false
 	}
 	return c.kv.rate(from, to).expect(now, r.tokensHeld())+leastGain < to.prefillTime(to.uncached(r))
@@ -27,17 +27,17 @@
 
 // carry notes that the attempt's KV cache comes from another server.
 func (c *core) carry(now time.Time, r *request, to, from *server) {
-	r.carried, r.carriedAt = 0, nil
+	r.kvTransferred, r.kvTransferRate = 0, nil
 	if from == nil {
 		return
 	}
-	r.carried, r.carriedAt = r.tokensHeld(), c.kv.rate(from, to)
+	r.kvTransferred, r.kvTransferRate = r.tokensHeld(), c.kv.rate(from, to)
 	r.uncached = 0
-	r.expected = to.gapAt(to.load()+1) + r.carriedAt.expect(now, r.carried)
+	r.expectedFirst = to.gapAt(to.load()+1) + r.kvTransferRate.expect(now, r.kvTransferred)
 }
 
 // tokensHeld is the length of prompt and answer so far.
-func (r *request) tokensHeld() float64 { return float64(r.PromptTokens + r.got) }
+func (r *request) tokensHeld() float64 { return float64(r.PromptTokens + r.tokens) }
 
 // prefillTime is how long the server takes for prompt tokens.
 func (s *server) prefillTime(tokens float64) time.Duration {
@@ -47,17 +47,17 @@
 // carriedOver takes in how long a move by KV cache took until its first token.
 func (c *core) carriedOver(now time.Time, r *request) {
 	took := now.Sub(r.started) - r.server.gapAt(r.server.load())
-	r.carriedAt.measured(now, r.carried, took)
+	r.kvTransferRate.measured(now, r.kvTransferred, took)
 	c.stats.MovedByKV++
-	c.stats.SavedTokens.Moved += uint64(r.carried)
+	c.stats.SavedTokens.Moved += uint64(r.kvTransferred)
 }
 
 // gaveUpCarried learns from a move that ended before its first token: it takes
 // at least as long as was waited. Without it an engine that moves slowly would
 // never be found out, since its moves are overdue and go elsewhere.
 func (c *core) gaveUpCarried(now time.Time, r *request) {
-	if took := now.Sub(r.started); took > r.expected {
-		r.carriedAt.measured(now, r.carried, took)
+	if took := now.Sub(r.started); took > r.expectedFirst {
+		r.kvTransferRate.measured(now, r.kvTransferred, took)
 	}
 }
 
@@ -65,12 +65,12 @@
 // is computed after all.
 func (c *core) recomputed(now time.Time, e Recomputed) {
 	r := c.current(e.ID, e.Attempt)
-	if r == nil || r.carriedAt == nil || r.gotNow > 0 {
+	if r == nil || r.kvTransferRate == nil || r.attemptTokens > 0 {
 		return
 	}
 	s := r.server
 	r.uncached = s.uncached(r)
 	s.ahead.add(r.level, r.uncached)
-	r.carriedAt.measured(now, r.carried, now.Sub(r.started)+s.prefillTime(r.uncached))
-	r.carried, r.carriedAt = 0, nil
+	r.kvTransferRate.measured(now, r.kvTransferred, now.Sub(r.started)+s.prefillTime(r.uncached))
+	r.kvTransferred, r.kvTransferRate = 0, nil
 }
--- a/request/policy/silent.go
+++ b/request/policy/unresponsive.go
@@ -9,27 +9,27 @@
 const (
 	// silentFor is the silence after which a server is taken for gone, besides
 	// twice the time in which its oldest request was expected to be answered.
-	silentFor = 700 * time.Millisecond
+	unresponsiveTimeout = 700 * time.Millisecond
 )
 
 // noticeSilent takes servers that fell silent out, and has what may run again and
 // has not begun to be answered run elsewhere.
-func (c *core) noticeSilent(now time.Time) {
+func (c *core) ejectUnresponsive(now time.Time) {
 	for _, s := range c.ordered {
 		oldest := s.oldestUnanswered()
-		if oldest == nil || !oldest.Pinned || !s.owesSigns() || now.Before(s.ejectedUntil) {
+		if oldest == nil || !oldest.Pinned || !s.expectsProgress() || now.Before(s.ejectedUntil) {
 			continue
 		}
 		since := oldest.started
 		if s.heardAt.After(since) {
 			since = s.heardAt
 		}
-		if now.Sub(since) < silentFor+2*oldest.expected {
+		if now.Sub(since) < unresponsiveTimeout+2*oldest.expectedFirst {
 			continue
 		}
 		s.eject(now)
 		c.stats.Unresponsive++
-		c.moveUnanswered(now, s)
+		c.retryUnanswered(now, s)
 	}
 }
 
@@ -37,13 +37,13 @@
 // of other instances gives nothing to one whose answers have all not begun: with 76
 // instances that is the rule in a burst, and leaving such engines had 4,200k tokens
 // read again on a day of overload.
-func (s *server) owesSigns() bool { return s.service || s.decoding > 0 }
+func (s *server) expectsProgress() bool { return s.service || s.decoding > 0 }
 
 // oldestUnanswered is the request that waits longest for its answer to begin.
 func (s *server) oldestUnanswered() *request {
 	var oldest *request
 	for _, r := range s.own {
-		if r.gotNow == 0 && (oldest == nil || r.started.Before(oldest.started)) {
+		if r.attemptTokens == 0 && (oldest == nil || r.started.Before(oldest.started)) {
 			oldest = r
 		}
 	}
@@ -52,14 +52,14 @@
 
 // moveUnanswered sends requests of a silent server to others, as far as their
 // kind, their class and the retry budget allow it.
-func (c *core) moveUnanswered(now time.Time, s *server) {
-	for _, r := range c.copies(func(r *request) bool { return r.server == s && r.gotNow == 0 && r.Idempotent }) {
+func (c *core) retryUnanswered(now time.Time, s *server) {
+	for _, r := range c.findRequests(func(r *request) bool { return r.server == s && r.attemptTokens == 0 && r.Idempotent }) {
 		most := int(r.class.GetMaxAttempts())
-		if most > 0 && r.sends+1 >= most || r.attempt >= maxAttempts || !c.budget.Take() {
+		if most > 0 && r.serversTried+1 >= most || r.attempt >= maxAttempts || !c.budget.Take() {
 			continue
 		}
 		c.check(InvariantBudget, c.budget.Holds())
-		r.sends++
+		r.serversTried++
 		r.failedOn = s.name
 		c.stop(now, r)
 		c.enqueue(now, r)
--- a/request/policy/verdict.go
+++ b/request/policy/verdict.go
@@ -15,42 +15,42 @@
 // others. If others crashed besides, an outage explains them all better.
 const (
 	// verdictPause is how long two crashes wait for their verdict.
-	verdictPause = 3 * time.Second
+	verdictDelay = 3 * time.Second
 	// outageWindow is how far from a suspect's crash others tell of an outage.
 	outageWindow = 5 * time.Second
 	// outageOthers is the number of such servers. One is left to a second
 	// crashing request or chance; where there are no more, one of them must have
 	// crashed with the request's last server or after it.
-	outageOthers = 2
+	outageServers = 2
 	// sameCrash is how far apart the news of crashes of one moment may come.
-	sameCrash = 500 * time.Millisecond
+	sameCrashWindow = 500 * time.Millisecond
 	// calmAfter is how long after the last crash a pardoned request is tried.
-	calmAfter = 3 * time.Second
+	crashFreePeriod = 3 * time.Second
 	// unsettledFor is how long after the last crash no suspect is tried, where
 	// unsettledServers crashed within outageWindow: an outage may go on, and take
 	// an innocent's second server with it.
-	unsettledFor     = 1500 * time.Millisecond
-	unsettledServers = 2
+	multiCrashDelay   = 1500 * time.Millisecond
+	multiCrashServers = 2
 	// fallFor is how long without word of a crash the next one is a new one.
-	fallFor = 10 * time.Second
+	crashReportGap = 10 * time.Second
 )
 
 // noteCrash takes in any word of a server's crash, its own or a peer's.
-func (c *core) noteCrash(now time.Time, s *server) {
-	if s.fellAt.IsZero() || now.Sub(s.fellHeard) > fallFor {
+func (c *core) recordCrash(now time.Time, s *server) {
+	if s.fellAt.IsZero() || now.Sub(s.fellHeard) > crashReportGap {
 		s.fellAt = now
-		c.lastFall = now
+		c.lastNewCrash = now
 	}
 	s.fellHeard = now
-	c.blameStopped(now, s)
+	c.suspectStopped(now, s)
 }
 
 // calm tells whether no server has newly crashed for a while.
-func (c *core) calm(now time.Time) bool { return now.Sub(c.lastFall) >= calmAfter }
+func (c *core) crashFree(now time.Time) bool { return now.Sub(c.lastNewCrash) >= crashFreePeriod }
 
 // unsettled tells whether several servers crashed just now.
-func (c *core) unsettled(now time.Time) bool {
-	if now.Sub(c.lastFall) >= unsettledFor {
+func (c *core) multipleCrashes(now time.Time) bool {
+	if now.Sub(c.lastNewCrash) >= multiCrashDelay {
 		return false
 	}
 	fell := 0
@@ -59,48 +59,48 @@
 			fell++
 		}
 	}
-	return fell >= unsettledServers
+	return fell >= multiCrashServers
 }
 
 // guilty tells whether the verdict on a suspect is known here, by the log or by
 // this instance's own judgement.
-func (c *core) guilty(now time.Time, digest string) bool {
+func (c *core) convicted(now time.Time, digest string) bool {
 	e := c.suspects.Get(digest)
-	return c.barred(now, digest) || e.Convicted() && e.Guilty
+	return c.convictionInForce(now, digest) || e.Convicted() && e.Guilty
 }
 
 // accuse has a request with two crashes wait for its verdict.
-func (c *core) accuse(digest string) {
-	if e := c.suspects.Get(digest); e.Convicted() && !e.Guilty && !slices.Contains(c.accused, digest) {
-		c.accused = append(c.accused, digest)
+func (c *core) awaitVerdict(digest string) {
+	if e := c.suspects.Get(digest); e.Convicted() && !e.Guilty && !slices.Contains(c.awaitingVerdict, digest) {
+		c.awaitingVerdict = append(c.awaitingVerdict, digest)
 	}
 }
 
 // judge gives the verdicts that are due.
-func (c *core) judge(now time.Time) {
-	kept := c.accused[:0]
+func (c *core) decideVerdicts(now time.Time) {
+	kept := c.awaitingVerdict[:0]
 	changed := false
-	for _, digest := range c.accused {
+	for _, digest := range c.awaitingVerdict {
 		e := c.suspects.Get(digest)
 		if !e.Convicted() || e.Guilty {
 			continue
 		}
-		if now.Sub(e.Learned) < verdictPause {
+		if now.Sub(e.Learned) < verdictDelay {
 			kept = append(kept, digest)
 			continue
 		}
 		changed = true
-		c.decide(now, e)
+		c.decideVerdict(now, e)
 	}
-	c.accused = kept
+	c.awaitingVerdict = kept
 	if changed {
 		c.announce()
-		c.endGuilty(now)
+		c.refuseConvicted(now)
 	}
 }
 
-func (c *core) decide(now time.Time, e *suspect.Entry) {
-	if !e.Pardoned && c.outage(e) {
+func (c *core) decideVerdict(now time.Time, e *suspect.Entry) {
+	if !e.Pardoned && c.explainedByOutage(e) {
 		c.stats.Pardoned++
 		c.suspects.Pardon(e.Digest, now)
 		return
@@ -114,21 +114,21 @@
 
 // outage tells whether servers that the request did not run on crashed in the
 // same window as those that it did, and explain its crashes better.
-func (c *core) outage(e *suspect.Entry) bool {
-	others, goesOn := c.othersFell(e)
+func (c *core) explainedByOutage(e *suspect.Entry) bool {
+	others, goesOn := c.otherCrashes(e)
 	switch e.Places() {
 	case suspect.PlacesAgree:
 		return false
 	case suspect.PlacesDiffer:
 		return others > 0
 	default:
-		return others > outageOthers || others == outageOthers && goesOn
+		return others > outageServers || others == outageServers && goesOn
 	}
 }
 
 // othersFell counts the crashes of others near the suspect's own, and tells
 // whether any came with the last of these or after it.
-func (c *core) othersFell(e *suspect.Entry) (others int, goesOn bool) {
+func (c *core) otherCrashes(e *suspect.Entry) (others int, goesOn bool) {
 	last := e.CrashedAt[len(e.CrashedAt)-1]
 	for _, s := range c.ordered {
 		if s.fellAt.IsZero() || e.Blamed(s.name) {
@@ -136,7 +136,7 @@
 		}
 		if slices.ContainsFunc(e.CrashedAt, func(at time.Time) bool { return s.fellAt.Sub(at).Abs() <= outageWindow }) {
 			others++
-			goesOn = goesOn || last.Sub(s.fellAt) <= sameCrash
+			goesOn = goesOn || last.Sub(s.fellAt) <= sameCrashWindow
 		}
 	}
 	return others, goesOn
@@ -144,10 +144,10 @@
 
 // holdAccused takes the copies of barred requests off their servers. They
 // wait for the verdict; what may not start again ends now.
-func (c *core) holdAccused(now time.Time) {
-	for _, r := range c.copies(func(r *request) bool { return c.suspects.Get(r.Digest).Convicted() }) {
+func (c *core) stopAwaitingVerdict(now time.Time) {
+	for _, r := range c.findRequests(func(r *request) bool { return c.suspects.Get(r.Digest).Convicted() }) {
 		c.stop(now, r)
-		if !r.Idempotent && r.sentEver {
+		if !r.Idempotent && r.everSent {
 			c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, 0)
 			continue
 		}
@@ -156,8 +156,8 @@
 }
 
 // endGuilty ends the copies of convicted requests here.
-func (c *core) endGuilty(now time.Time) {
-	for _, r := range c.copies(func(r *request) bool { return c.guilty(now, r.Digest) }) {
+func (c *core) refuseConvicted(now time.Time) {
+	for _, r := range c.findRequests(func(r *request) bool { return c.convicted(now, r.Digest) }) {
 		c.stop(now, r)
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, 0)
 	}
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -12,7 +12,7 @@
 )
 
 // crowd tells that others fill the engines.
-func crowd(c *core, now time.Time, full ...*server) {
+func reportFull(c *core, now time.Time, full ...*server) {
 	loads := loadboard.Loads{}
 	for _, s := range full {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots)}
@@ -21,13 +21,13 @@
 }
 
 // homesFull is an instance before 40 engines of which the request's homes are full.
-func homesFull(a Arrival) *core {
-	c := inTree(engines("e1", 20, "a", "b"))
+func coreWithFullHomes(a Arrival) *core {
+	c := inTree(coreWithEngines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
-	crowd(c, epoch)
+	reportFull(c, epoch)
 	r := &request{Arrival: a, class: c.view.Classes[a.Class], pool: c.pools[a.Target]}
 	h := c.homesOf(epoch, r)
-	crowd(c, epoch, h.ranked[:]...)
+	reportFull(c, epoch, h.ranked[:]...)
 	return c
 }
 
@@ -35,7 +35,7 @@
 // refused, though their prompt takes 20 ms to read anywhere.
 func TestAShortPromptLeavesItsFullHomes(t *testing.T) {
 	is := is.New(t)
-	c := homesFull(draft(1))
+	c := coreWithFullHomes(draft(1))
 	start := only[Start](t, c.Step(epoch.Add(ms), draft(1)))
 	is.Equal(start.Decision.Load, 0.0)
 	is.Equal(start.Decision.Waited, time.Duration(0))
@@ -45,9 +45,9 @@
 // whose engines were idle.
 func TestARequestThatWaitsForItsHomeHoldsNobodyUp(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 20, "a", "b"))
+	c := inTree(coreWithEngines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
-	crowd(c, epoch)
+	reportFull(c, epoch)
 	start := only[Start](t, c.Step(epoch, digest(1, 1)))
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
 	c.Step(epoch.Add(start.Decision.Expected), Tokens{ID: 1, Attempt: 1, Count: 3})
@@ -55,7 +55,7 @@
 	for _, s := range c.pools["llm"].servers {
 		s.cacheToken = 0 // the prompt can't be fetched
 	}
-	crowd(c, now, c.servers[start.Server])
+	reportFull(c, now, c.servers[start.Server])
 	c.Step(now, digest(2, 1))
 	is.True(c.requests[2].server == nil) // it waits rather than have its prompt read twice
 	is.True(only[Start](t, c.Step(now.Add(700*ms), digest(3, 2))).Server != start.Server)
@@ -65,13 +65,13 @@
 // though the other came first.
 func TestTheMoreUrgentRankOfATierStartsFirst(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 1, "a"))
+	c := inTree(coreWithEngines("e1", 1, "a"))
 	c.Step(epoch, Tick{})
-	crowd(c, epoch, c.servers["a-0"])
+	reportFull(c, epoch, c.servers["a-0"])
 	c.Step(epoch, digest(1, 1))
 	c.Step(epoch.Add(ms), draft(2))
 	is.Equal(c.running, 0)
-	crowd(c, epoch.Add(2*ms))
+	reportFull(c, epoch.Add(2*ms))
 	starts := starts(c.Step(epoch.Add(3*ms), Tick{}))
 	is.True(len(starts) > 0)
 	is.Equal(starts[0].ID, ID(2))
@@ -90,8 +90,8 @@
 
 // fleetOfTwelves is an instance before engines of 12 slots, to which drafts and reviews of a
 // usual team and digests of an urgent one come.
-func fleetOfTwelves(n int) *core {
-	c := inTree(withReviews(engines("e1", n, "a")))
+func coreWithSmallEngines(n int) *core {
+	c := inTree(withReviews(coreWithEngines("e1", n, "a")))
 	c.view.Classes["urgent-digest"] = &lilacv1.Class{Name: "urgent-digest", Tier: 0, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 266, MaxAttempts: 1}
 	for _, s := range c.ordered {
 		s.slots = 12
@@ -110,7 +110,7 @@
 }
 
 // busy tells that others run so many requests on each engine.
-func busy(c *core, now time.Time, load uint32) {
+func reportLoad(c *core, now time.Time, load uint32) {
 	loads := loadboard.Loads{}
 	for _, s := range c.ordered {
 		loads[s.key] = loadboard.Load{InFlight: load}
@@ -122,12 +122,12 @@
 // teams waited for the same slots until they were refused.
 func TestBulkOfAnUrgentTeamStartsAfterShortWorkOfOthers(t *testing.T) {
 	is := is.New(t)
-	c := fleetOfTwelves(1)
-	busy(c, epoch, 12)
+	c := coreWithSmallEngines(1)
+	reportLoad(c, epoch, 12)
 	c.Step(epoch, urgentDigest(1))
 	c.Step(epoch.Add(ms), review(2, 2))
 	is.Equal(c.running, 0)
-	busy(c, epoch.Add(2*ms), 0)
+	reportLoad(c, epoch.Add(2*ms), 0)
 	started := starts(c.Step(epoch.Add(3*ms), Tick{}))
 	is.True(len(started) > 0)
 	is.Equal(started[0].ID, ID(2))
@@ -138,9 +138,9 @@
 func TestBulkOfAnUrgentTeamLeavesAsManySlotsFree(t *testing.T) {
 	for load := range uint32(12) {
 		is := is.New(t)
-		short, bulk := fleetOfTwelves(1), fleetOfTwelves(1)
-		busy(short, epoch, load)
-		busy(bulk, epoch, load)
+		short, bulk := coreWithSmallEngines(1), coreWithSmallEngines(1)
+		reportLoad(short, epoch, load)
+		reportLoad(bulk, epoch, load)
 		shortStarts := len(starts(short.Step(epoch, review(1, 1)))) > 0
 		bulkStarts := len(starts(bulk.Step(epoch, urgentDigest(1)))) > 0
 		is.True(shortStarts || !bulkStarts)
@@ -151,10 +151,10 @@
 // its deadline and was told neither that it did not run nor when to come back.
 func TestALateRequestIsRefusedOnceThePoolIsFull(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 1, "a"))
+	c := inTree(coreWithEngines("e1", 1, "a"))
 	c.view.Classes["draft"].Late, c.view.Classes["draft"].FirstTokenMs = withRoom, 300
 	c.Step(epoch, Tick{})
-	crowd(c, epoch, c.servers["a-0"])
+	reportFull(c, epoch, c.servers["a-0"])
 	c.Step(epoch, draft(1))
 	late := epoch.Add(300 * ms)
 	c.Step(late, Tick{})
@@ -168,9 +168,9 @@
 // arrival for a full pool while other digests began.
 func TestBulkThatWaitsDoesNotTurnUrgentRequestsAway(t *testing.T) {
 	is := is.New(t)
-	c := fleetOfTwelves(1)
+	c := coreWithSmallEngines(1)
 	c.view.Classes["review"].Late, c.view.Classes["digest"].Late = withRoom, withRoom
-	busy(c, epoch, 12)
+	reportLoad(c, epoch, 12)
 	c.Step(epoch, digest(1, 1))
 	now := epoch.Add(fullAfter + slowTick)
 	c.Step(now, Tick{})
@@ -184,10 +184,10 @@
 // Nothing showed that bulk began while more urgent requests waited.
 func TestStartsBeforeMoreUrgentRequestsAreCounted(t *testing.T) {
 	is := is.New(t)
-	c := homesFull(digest(1, 1))
+	c := coreWithFullHomes(digest(1, 1))
 	c.Step(epoch.Add(ms), draft(2))
 	is.Equal(c.Stats().PriorityInversions, uint64(0))
-	c = homesFull(review(1, 1))
+	c = coreWithFullHomes(review(1, 1))
 	withReviews(c)
 	c.Step(epoch.Add(ms), review(1, 1))
 	is.Equal(c.running, 0) // its prompt is worth the wait for its homes
@@ -200,7 +200,7 @@
 // refused beside a third of the instance's slots, kept for drafts that did not come.
 func TestOnlyTheLeastUrgentBulkKeepsOutOfUnusedSlots(t *testing.T) {
 	is := is.New(t)
-	c := fleetOfTwelves(4)
+	c := coreWithSmallEngines(4)
 	for id, name := range []string{"draft", "review", "digest"} {
 		c.pools["llm"].use(c.view.Classes[name], epoch)
 		c.pools["llm"].used[name].flow.tokens, c.pools["llm"].used[name].flow.pace = 300, 0.05
