--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -32,11 +32,11 @@
 		c.timers.add(a.Deadline, a.ID)
 	}
 	c.charge(now, r)
-	r.pool.use(r.class, now)
-	r.pool.noteWork(r)
-	r.pool.used[r.Class].flow.arrived(r.estimated)
+	r.pool.recordUse(r.class, now)
+	r.pool.observeWork(r)
+	r.pool.usageByClass[r.Class].traffic.observeArrival(r.estimated)
 	c.fillItem(now, r)
-	if c.cutOff(now, r) || c.turnAway(now, r) {
+	if c.cutOff(now, r) || c.refuseWhenFull(now, r) {
 		return
 	}
 	c.enqueue(now, r)
@@ -135,7 +135,7 @@
 	best := time.Duration(-1)
 	for i := range min(len(p.servers), dueSample) {
 		s := p.servers[i]
-		first := s.firstToken(s.load(), s.uncached(r), r.levelOf())
+		first := s.firstToken(s.load(), s.uncachedTokens(r), r.levelOf())
 		if best < 0 || first < best {
 			best = first
 		}
--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -25,22 +25,22 @@
 	// ranked are in order of rank; those that don't exist are nil.
 	ranked [homeCount]*server
 	ranks  [homeCount]uint64
-	// assumed is true where the first one is taken to hold the parts.
-	assumed bool
+	// assumeCached is true where the first one is taken to hold the parts.
+	assumeCached bool
 	// holder is the engine that holds the most of the shared parts, held how many
 	// of their tokens; nil where none is known to.
-	holder *server
-	held   float64
-	// keeper and kept are the same for engines that may not have read it yet.
-	keeper *server
-	kept   float64
+	holder     *server
+	heldTokens float64
+	// assigned and kept are the same for engines that may not have read it yet.
+	assigned       *server
+	assignedTokens float64
 }
 
 // first is the first home; nil where the request has none.
 func (h *homes) first() *server { return h.ranked[0] }
 
-// note puts the server at its place among the homes.
-func (h *homes) note(s *server, rank uint64) {
+// insert puts the server at its place among the homes.
+func (h *homes) insert(s *server, rank uint64) {
 	for i := range h.ranked {
 		if h.ranked[i] == nil || rank > h.ranks[i] {
 			s, h.ranked[i] = h.ranked[i], s
@@ -54,32 +54,32 @@
 
 // homesOf ranks the open engines by the request's last shared part.
 func (c *core) homesOf(now time.Time, r *request) homes {
-	h := homes{assumed: c.peers[member.Others] != nil && !c.told}
+	h := homes{assumeCached: c.peers[member.Others] != nil && !c.told}
 	shared := len(r.Prefix) - 2
 	if !r.Anchored || shared < 0 {
 		return h
 	}
 	remote := c.options.Weights.RemoteCost.Duration.Seconds()
 	part := strconv.FormatUint(r.Prefix[shared].Hash, 36)
-	belongs := r.laneOf()
+	belongs := r.assignedLane()
 	for _, s := range r.pool.servers {
-		if s.canGive(now) {
-			h.noteHolder(now, s, r, shared)
+		if s.servesFetches(now) {
+			h.updateHolders(now, s, r, shared)
 		}
-		if s.closed() || s.cut || s.limited.Named && s.allowed.share == 0 {
+		if s.closed() || s.unreachable || s.limited.Named && s.allowed.share == 0 {
 			continue
 		}
 		rank := xxhash.Sum64String(part + s.name)
-		if s.lane != belongs || belongs != laneTight && s.quiet(now) {
+		if s.lane != belongs || belongs != laneTight && s.excludesLongPrompts(now) {
 			continue
 		}
 		// A remote engine is worth its price where that buys more time of reading.
-		if s.remote && r.pool.reading*float64(r.Prefix[shared].End) < remote {
+		if s.remote && r.pool.medianPrefill*float64(r.Prefix[shared].End) < remote {
 			continue
 		}
-		h.note(s, rank)
+		h.insert(s, rank)
 	}
-	h.holdAtHome(now, r, shared)
+	h.assumeHeldAtHome(now, r, shared)
 	return h
 }
 
@@ -89,34 +89,34 @@
 // of the requests itself: there the first home is taken to hold the prompt. By what
 // is known, shared parts were read again 2.7 times as often at 76 instances.
 func (h *homes) uncachedAt(s *server, r *request) float64 {
-	uncached := s.uncached(r)
-	if !h.assumed || s != h.first() {
+	uncached := s.uncachedTokens(r)
+	if !h.assumeCached || s != h.first() {
 		return uncached
 	}
 	return min(uncached, float64(max(r.PromptTokens+r.got-r.Prefix[len(r.Prefix)-2].End, 1)))
 }
 
 const (
-	// pastFirst is the price of the second home: more than a way between regions,
+	// secondHomePenalty is the price of the second home: more than a way between regions,
 	// so that instances everywhere begin with the same engine.
-	pastFirst = 250 * time.Millisecond
-	// pastSecond is the price of the homes after it and of other engines, so that
+	secondHomePenalty = 250 * time.Millisecond
+	// otherEnginePenalty is the price of the homes after it and of other engines, so that
 	// what leaves the first home meets on the second, and is read there once.
-	pastSecond = 500 * time.Millisecond
+	otherEnginePenalty = 500 * time.Millisecond
 )
 
-// place is the home's place from 1 on, else 0.
-func (h *homes) place(s *server) int {
+// position is the home's place from 1 on, else 0.
+func (h *homes) position(s *server) int {
 	return 1 + slices.Index(h.ranked[:], s)
 }
 
-// past is the price of an engine that is not the first home.
-func (h *homes) past(s *server) time.Duration {
+// penalty is the price of an engine that is not the first home.
+func (h *homes) penalty(s *server) time.Duration {
 	switch {
 	case h.first() == nil || s == h.first():
 		return 0
 	case s == h.ranked[1]:
-		return pastFirst
+		return secondHomePenalty
 	}
-	return pastSecond
+	return otherEnginePenalty
 }
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -10,57 +10,57 @@
 
 // candidate describes the server with the request on it.
 func (s *server) candidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
-	c := s.outline(r, now, index)
-	if s.shunned || s.startsLeft < 1 {
+	c := s.baseCandidate(r, now, index)
+	if s.skipped || s.startBudget < 1 {
 		c.Barred = true
 	}
 	if c.Barred {
 		return c
 	}
 	n := c.Load + 1
-	if yields := s.yields(r, c.Limit); yields > 0 {
+	if yields := s.preemptibleSlots(r, c.Limit); yields > 0 {
 		c.Limit += yields
 		n = min(n, float64(s.slots))
 	}
-	s.assess(&c, r, now, h, n)
+	s.fillCosts(&c, r, now, h, n)
 	return c
 }
 
-// displaced describes the engine with the request on it in the place of bulk.
-func (s *server) displaced(r *request, now time.Time, index int, h *homes) choose.Candidate {
-	c := s.outline(r, now, index)
-	if s.displaceLeft < 1 {
+// displacingCandidate describes the engine with the request on it in the place of bulk.
+func (s *server) displacingCandidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
+	c := s.baseCandidate(r, now, index)
+	if s.displaceBudget < 1 {
 		c.Barred = true
 	}
 	if c.Barred {
 		return c
 	}
 	n := min(c.Load+1, float64(s.slots))
-	c.Load -= s.yielding() + displaceOver*float64(s.slots)
+	c.Load -= s.bulkLoad() + displaceOvercommit*float64(s.slots)
 	c.Order = s.displaceOrder()
-	s.assess(&c, r, now, h, n)
+	s.fillCosts(&c, r, now, h, n)
 	return c
 }
 
-// outline is what is known of the server without looking at the request's prompt.
-func (s *server) outline(r *request, now time.Time, index int) choose.Candidate {
+// baseCandidate is what is known of the server without looking at the request's prompt.
+func (s *server) baseCandidate(r *request, now time.Time, index int) choose.Candidate {
 	return choose.Candidate{
-		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.barred(now),
+		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.unavailable(now),
 		Trial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.between()), r.between()),
+		Load:  s.load(), Limit: s.limit(s.gapTarget(r.pool, r.between()), r.between()),
 	}
 }
 
-// assess fills in what the request would meet on the server as one of n.
-func (s *server) assess(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
-	supply := h.supplyAt(s, r)
-	c.First = s.firstToken(n, supply.read, r.levelOf()) + s.fetchTime(supply.fetched)
-	c.Work = r.pool.readTime(supply.work())
-	c.Again = supply.again >= leastAgain
-	c.Stray = s.stray(r, h, supply.read)
-	c.Intrudes = s.intrudes(now, r, supply.read)
+// fillCosts fills in what the request would meet on the server as one of n.
+func (s *server) fillCosts(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
+	source := h.sourceAt(s, r)
+	c.First = s.firstToken(n, source.prefill, r.levelOf()) + s.fetchTime(source.fetched)
+	c.Work = r.pool.prefillTime(source.cost())
+	c.Again = source.duplicate >= minDuplicatePrefill
+	c.Stray = s.lanePenalty(r, h, source.prefill)
+	c.Intrudes = s.intrudes(now, r, source.prefill)
 	if r.Anchored {
-		c.Trouble = time.Duration(s.trouble * float64(r.first()))
+		c.Trouble = time.Duration(s.failureRate * float64(r.first()))
 	}
 	if !s.service {
 		c.Gap = s.gapAt(n)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -14,20 +14,20 @@
 	// lateReserve is what late requests leave free besides: what can still be on
 	// time shall not have to wait for them.
 	lateReserve = 2
-	// overReserve is what requests above the quota leave free besides: there are
+	// overQuotaReserve is what requests above the quota leave free besides: there are
 	// more of them than the split counts on, and tier 0 shall not feel it.
-	overReserve = 0.5
-	// firstReserve and stepReserve are the slots of each server that tier 1
+	overQuotaReserve = 0.5
+	// tierReserve and stepReserve are the slots of each server that tier 1
 	// leaves free for tier 0, and what each further tier leaves besides.
-	firstReserve = 1
-	stepReserve  = 0.5
+	tierReserve     = 1
+	tierReserveStep = 0.5
 	// rankReserve is the part of each large engine's slots that a class leaves free for
 	// each rank of its tier that is more urgent: long answers hold their slots for many
 	// seconds, and a burst of urgent ones would wait for their ends.
 	rankReserve = 0.08
-	// toldReserve is what requests leave free besides of each large engine where loads are
+	// staleLoadReserve is what requests leave free besides of each large engine where loads are
 	// told in steps: many instances start requests between two words.
-	toldReserve = 1
+	staleLoadReserve = 1
 	// crowdWeight is the weight of what a request adds to others' gaps.
 	crowdWeight = 0.5
 	// workWeight keeps requests with their shared prompt until its engine is about
@@ -43,16 +43,16 @@
 	nearShare  = 0.1
 )
 
-// reservesOf returns what each tier leaves free of each server. Free slots
+// tierReserves returns what each tier leaves free of each server. Free slots
 // keep urgent first tokens on time and cost throughput, so a fleet that weighs
 // attainment higher against wasted and lost work keeps up to one more.
-func reservesOf(weights settings.Policy) (reserves [model.Tiers]float64) {
+func tierReserves(weights settings.Policy) (reserves [model.Tiers]float64) {
 	attainment := 0.5
 	if sum := weights.AttainmentWeight + weights.WasteWeight; sum > 0 {
 		attainment = weights.AttainmentWeight / sum
 	}
 	for tier := 1; tier < len(reserves); tier++ {
-		reserves[tier] = firstReserve + attainment + stepReserve*float64(tier-1)
+		reserves[tier] = tierReserve + attainment + tierReserveStep*float64(tier-1)
 	}
 	return reserves
 }
@@ -82,7 +82,7 @@
 	firstOnTime := append(slices.Clone(once), choose.FirstOnTime{})
 	picker := choose.Near{First: nearFirst, Second: nearSecond, Share: nearShare}
 	return chooser{
-		reserves:       reservesOf(weights),
+		reserves:       tierReserves(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
 		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.Least{}},
@@ -93,10 +93,10 @@
 	}
 }
 
-// describe fills in the candidates for a request; a large pool is sampled. It returns
+// collectCandidates fills in the candidates for a request; a large pool is sampled. It returns
 // true where only the engines that suit the request were looked at, and a wide look
 // would find others.
-func (c *core) describe(now time.Time, r *request, wide bool) (narrow bool) {
+func (c *core) collectCandidates(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
 	if at := slices.Index(servers, c.identical.joins(now, r)); at >= 0 {
@@ -109,9 +109,9 @@
 		}
 		return false
 	}
-	c.describeLimited(now, r, &h)
+	c.collectLimited(now, r, &h)
 	if r.Anchored && h.first() != nil && !wide {
-		c.describeHomes(now, r, &h)
+		c.collectHomes(now, r, &h)
 		return true
 	}
 	start := c.random.IntN(len(servers))
@@ -123,9 +123,9 @@
 	return false
 }
 
-// describeLimited looks at the servers in need that this instance may send a request to now.
+// collectLimited looks at the servers in need that this instance may send a request to now.
 // Few instances may, and what one of them doesn't send nobody else does.
-func (c *core) describeLimited(now time.Time, r *request, h *homes) {
+func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
 		if s.limited.Named && !s.held(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
@@ -133,23 +133,23 @@
 	}
 }
 
-// describeHomes looks at the request's homes and at the engines that hold its
+// collectHomes looks at the request's homes and at the engines that hold its
 // prompt.
 //
 // It guards against a herd: 78 instances that see the same loads, half a second
 // old, all send to the engine that was the least loaded then. It shows as engines
 // with 5 s of prompts to read beside idle ones. It holds because each shared part has
 // homes of its own, spread over all engines.
-func (c *core) describeHomes(now time.Time, r *request, h *homes) {
+func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if h.place(s) > 0 || s == h.holder || s == h.keeper {
+		if h.position(s) > 0 || s == h.holder || s == h.assigned {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
 }
 
-// how says how a request looks for a server.
-type how struct {
+// chooseOptions says how a request looks for a server.
+type chooseOptions struct {
 	reserve, over float64
 	late          bool
 	alone         bool
@@ -158,11 +158,11 @@
 // choose returns the server for the request, or nil while none has room. Where the
 // engines that suit it are full it looks at others, as soon as that costs less than to
 // wait.
-func (c *core) choose(now time.Time, r *request, h how) *server {
-	narrow := c.describe(now, r, h.late)
+func (c *core) choose(now time.Time, r *request, h chooseOptions) *server {
+	narrow := c.collectCandidates(now, r, h.late)
 	s := c.pick(now, r, h)
-	if s == nil && narrow && r.leavesHomes(now) {
-		c.describe(now, r, true)
+	if s == nil && narrow && r.mayLeaveHomes(now) {
+		c.collectCandidates(now, r, true)
 		s = c.pick(now, r, h)
 	}
 	if s == nil && r.mayDisplace() {
@@ -172,60 +172,60 @@
 }
 
 // displace returns an engine on which the request starts in the place of bulk, or nil.
-func (c *core) displace(now time.Time, r *request, h how) *server {
+func (c *core) displace(now time.Time, r *request, h chooseOptions) *server {
 	homes := c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
 	for i, s := range r.pool.servers {
-		if s.displaceLeft >= 1 {
-			c.choice.candidates = append(c.choice.candidates, s.displaced(r, now, i, &homes))
+		if s.displaceBudget >= 1 {
+			c.choice.candidates = append(c.choice.candidates, s.displacingCandidate(r, now, i, &homes))
 		}
 	}
-	s := c.pickBy(&c.choice.displacing, now, r, h)
+	s := c.pickWith(&c.choice.displacing, now, r, h)
 	if s == nil {
-		s = c.pickBy(&c.choice.displacingLate, now, r, h)
+		s = c.pickWith(&c.choice.displacingLate, now, r, h)
 		r.behind = s != nil
 	}
 	if s != nil {
-		s.displaceLeft--
+		s.displaceBudget--
 		r.displacing = true
 	}
 	return s
 }
 
-// leavesHomes tells whether the request goes to engines that don't hold its prompt: at
+// mayLeaveHomes tells whether the request goes to engines that don't hold its prompt: at
 // once where others share little of it, else after half of the time that it may wait.
-func (r *request) leavesHomes(now time.Time) bool {
+func (r *request) mayLeaveHomes(now time.Time) bool {
 	shared := r.Prefix[len(r.Prefix)-2].End
-	return shared < leastAgain || now.Sub(r.item.Arrived) >= r.item.Due.Sub(r.item.Arrived)/2
+	return shared < minDuplicatePrefill || now.Sub(r.item.Arrived) >= r.item.Due.Sub(r.item.Arrived)/2
 }
 
 // pick returns the best of the servers that were described.
-func (c *core) pick(now time.Time, r *request, h how) *server {
+func (c *core) pick(now time.Time, r *request, h chooseOptions) *server {
 	way := &c.choice.onTime
 	anchored := r.Anchored && !r.pool.service
 	if anchored {
 		way = &c.choice.anchored
 	}
-	if h.late || !c.possible(r) {
+	if h.late || !c.gapAchievable(r) {
 		way = &c.choice.late
 		if anchored {
 			way = &c.choice.anchoredLate
 		}
 	}
-	s := c.pickBy(way, now, r, h)
+	s := c.pickWith(way, now, r, h)
 	if s == nil && way == &c.choice.anchored {
 		// No engine is in time: it waits where its prompt is.
-		s = c.pickBy(&c.choice.anchoredOnce, now, r, h)
+		s = c.pickWith(&c.choice.anchoredOnce, now, r, h)
 		r.behind = s != nil
 	}
 	return s
 }
 
-// pickBy returns the best of the described servers in one way of choosing.
-func (c *core) pickBy(way *choose.Chooser, now time.Time, r *request, h how) *server {
+// pickWith returns the best of the described servers in one way of choosing.
+func (c *core) pickWith(way *choose.Chooser, now time.Time, r *request, h chooseOptions) *server {
 	asked := choose.Request{
 		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
-		Left: r.left(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
+		Left: r.tokensLeft(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
 	}
 	if len(r.pool.servers) == 1 {
 		asked.Avoid = ""
@@ -237,9 +237,9 @@
 	return r.pool.servers[c.choice.candidates[at].Index]
 }
 
-// possible tells whether any server that is looked at keeps the gap between
+// gapAchievable tells whether any server that is looked at keeps the gap between
 // tokens at all, empty; if none does, waiting for one would help nobody.
-func (c *core) possible(r *request) bool {
+func (c *core) gapAchievable(r *request) bool {
 	between := r.between()
 	if between == 0 || r.pool.service {
 		return true
@@ -254,8 +254,8 @@
 	return false
 }
 
-// left is the expected number of tokens to come.
-func (r *request) left(c *core) float64 {
+// tokensLeft is the expected number of tokens to come.
+func (r *request) tokensLeft(c *core) float64 {
 	if r.pool.service {
 		return 0
 	}
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -28,7 +28,7 @@
 	c.configurePools(now, view)
 	for _, p := range c.poolOrder {
 		c.reclass(now, p)
-		p.measure(now)
+		p.update(now)
 		c.dispatch(now, p)
 	}
 }
@@ -46,7 +46,7 @@
 	c.ordered = c.ordered[:0]
 	for name, s := range c.servers {
 		if view.Servers[name] == nil {
-			if len(s.own) == 0 {
+			if len(s.running) == 0 {
 				delete(c.servers, name)
 				continue
 			}
@@ -75,8 +75,8 @@
 		s.slots = defaultSlots
 	}
 	if tokens := configured.GetCacheTokens(); tokens > 0 {
-		s.cache.most, s.large = int(tokens), true
-		s.cacheToken = time.Duration(configured.GetCacheTokenNs())
+		s.cache.maxTokens, s.largeBatch = int(tokens), true
+		s.fetchPerToken = time.Duration(configured.GetCacheTokenNs())
 	}
 	s.close(now, &s.configLeaving, configured.GetDraining())
 }
@@ -89,23 +89,23 @@
 	return dataCenter
 }
 
-// model gives an engine with a large batch the pool's estimates in place of those of
+// setEngineModel gives an engine with a large batch the pool's estimates in place of those of
 // small engines: by these a prompt of 17,000 tokens seems to miss a target of 2.5 s
 // anywhere, and nothing is measured until it is late.
-func (s *server) model(e *engineModel) {
+func (s *server) setEngineModel(e *engineModel) {
 	if s.engine == e {
 		return
 	}
 	s.engine = e
-	s.base, s.norm, s.prefill = e.base(), e.each, e.prefill
+	s.stepOffset, s.gapPerRequest, s.prefill = e.stepOffset(), e.perRequest, e.prefill
 }
 
-// rebase goes over to what was learned of the pool's engines since.
-func (s *server) rebase() {
-	base := s.engine.base()
-	s.norm *= (s.load() + s.base) / (s.load() + base)
-	s.base = base
-	s.prefill = s.engine.prefill * s.slow
+// applyEngineModel goes over to what was learned of the pool's engines since.
+func (s *server) applyEngineModel() {
+	base := s.engine.stepOffset()
+	s.gapPerRequest *= (s.load() + s.stepOffset) / (s.load() + base)
+	s.stepOffset = base
+	s.prefill = s.engine.prefill * s.prefillRatio
 }
 
 // close sets one of the reasons for which a server gets no new work.
@@ -140,8 +140,8 @@
 		}
 		p.service = len(p.servers) > 0 && p.servers[0].service
 		for _, s := range p.servers {
-			if s.large && !s.service {
-				s.model(p.engine)
+			if s.largeBatch && !s.service {
+				s.setEngineModel(p.engine)
 			}
 		}
 	}
@@ -160,13 +160,13 @@
 // reclass gives waiting and running requests their class's new settings. A
 // request whose class is gone keeps the old ones.
 func (c *core) reclass(now time.Time, p *pool) {
-	for _, u := range p.uses {
+	for _, u := range p.usages {
 		if class := c.view.Classes[u.class.GetName()]; class != nil {
 			u.class = class
-			p.queue.SetShare(class.GetName(), shareOf(class))
+			p.queue.SetShare(class.GetName(), guaranteedShare(class))
 		}
 	}
-	p.tighten(now)
+	p.updateClassUse(now)
 }
 
 func (c *core) serverState(now time.Time, e ServerState) {
@@ -183,7 +183,7 @@
 	s.close(now, &s.leaving, e.Leaving)
 	s.close(now, &s.gone, e.Gone)
 	for _, p := range c.poolOrder {
-		p.measure(now)
+		p.update(now)
 		c.dispatch(now, p)
 	}
 }
@@ -199,8 +199,8 @@
 		return
 	}
 	s.reportAge = e.Age.Seconds()
-	s.reported = max(0, float64(e.Running+e.Waiting)-s.ownAgo(e.Age))
-	s.join(len(c.peers) > 0)
+	s.reportedLoad = max(0, float64(e.Running+e.Waiting)-s.runningAgo(e.Age))
+	s.estimateOtherLoad(len(c.peers) > 0)
 	for _, p := range c.poolOrder {
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -60,7 +60,7 @@
 	actions   []Action
 	announced bool
 	// readings are the shared parts that others must hear of.
-	readings []reading
+	readings []prefillRecord
 	// accused are digests whose verdict is due; lastFall is the last new crash.
 	accused  []string
 	lastFall time.Time
@@ -178,7 +178,7 @@
 // housekeep does what needs doing ten times a second.
 func (c *core) housekeep(now time.Time) {
 	for _, s := range c.ordered {
-		s.sample(now)
+		s.sampleLoad(now)
 	}
 	c.noticeCuts(now)
 	c.noticeSilent(now)
@@ -186,10 +186,10 @@
 	c.keepLimits(now)
 	c.giveUp(now)
 	for _, p := range c.poolOrder {
-		p.fadeWork()
-		p.fadeStarts()
+		p.decayWorkRates()
+		p.decayStartRates()
 		p.expectSlots(now)
-		p.measure(now)
+		p.update(now)
 		c.unpark(now, p)
 		c.cutoff(now, p)
 		c.refuseWaitingLate(now, p)
--- a/request/policy/cut.go
+++ b/request/policy/cut.go
@@ -26,7 +26,7 @@
 		cut := now.Sub(heard) > peersSilent || c.answersStopped(now, dataCenter)
 		for _, s := range c.ordered {
 			if s.dataCenter == dataCenter {
-				s.cut = cut
+				s.unreachable = cut
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 			continue
 		}
 		expected += s.decoding
-		if now.Sub(s.lastToken) < answersSilent {
+		if now.Sub(s.lastTokenAt) < answersSilent {
 			return false
 		}
 	}
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -54,7 +54,7 @@
 // demand, and took half of the pool's slots for its own.
 func TestLargeFleetsSplitSlotsByWhatIsTold(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 2, "a"))
+	c := withIndirectDigests(engines("e1", 2, "a"))
 	c.Step(epoch, draft(1))
 	p := c.pools["llm"]
 	var work loadboard.PoolWork
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -20,7 +20,7 @@
 		}
 	}
 	p.queue.Restore()
-	p.noteRoom(now)
+	p.updateFullSince(now)
 }
 
 func (c *core) startOwed(now time.Time, p *pool) bool {
@@ -29,7 +29,7 @@
 		return false
 	}
 	r := c.requests[ID(item.ID)]
-	s := c.choose(now, r, how{late: true})
+	s := c.choose(now, r, chooseOptions{late: true})
 	if s == nil {
 		return false
 	}
@@ -74,22 +74,22 @@
 func (c *core) tryStart(now time.Time, p *pool, item *queue.Item) bool {
 	urgent := item.Tier == 0 && item.Rank == 0 && !item.Late
 	r := c.requests[ID(item.ID)]
-	if !urgent && (p.runs(placeOf(r.class)) >= p.quota || !p.leavesRoom(r)) {
+	if !urgent && (p.runningUpTo(placeOf(r.class)) >= p.quota || !p.withinSplit(r)) {
 		r.blocked = BlockedByShare
 		return false
 	}
-	h := how{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
+	h := chooseOptions{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
 	if item.Late {
 		h.reserve += lateReserve
 	}
 	if r.Anchored && !p.service {
 		h.reserve += rankReserve * float64(item.Rank*p.slots())
 		if c.told {
-			h.reserve += toldReserve
+			h.reserve += staleLoadReserve
 		}
 	}
 	if !urgent && float64(len(p.running)) >= p.quota {
-		h.reserve += overReserve
+		h.reserve += overQuotaReserve
 	}
 	s := c.choose(now, r, h)
 	if s == nil && c.identical.joins(now, r) != nil {
@@ -123,7 +123,7 @@
 	if r.pool.queue.Before(&r.item) > r.pool.waitingAt(r) {
 		c.stats.Overtook++
 	}
-	r.pool.noteStart(now, r, s)
+	r.pool.observeStart(now, r, s)
 	r.pool.queue.Served(r.Class, r.item.Cost, now)
 	c.start(now, r, s)
 }
@@ -148,7 +148,7 @@
 	c.check(InvariantDeadline, r.Deadline.IsZero() || now.Before(r.Deadline))
 	c.check(InvariantLimit, !s.held(now))
 	s.spend(now)
-	s.startsLeft--
+	s.startBudget--
 	r.attempt++
 	r.server = s
 	r.sentNow = false
@@ -156,18 +156,18 @@
 	r.started, r.lastAt = now, now
 	r.level = r.levelOf()
 	h := c.homesOf(now, r)
-	supply := h.supplyAt(s, r)
-	r.uncached, r.fetched, r.ahead = supply.read, supply.fetched, s.before(r.level)
+	source := h.sourceAt(s, r)
+	r.uncached, r.fetched, r.ahead = source.prefill, source.fetched, s.backlogBefore(r.level)
 	r.expected = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
-	c.carry(now, r, s, from)
+	c.setCarried(now, r, s, from)
 	why := c.why(now, r, s)
-	why.Home = h.place(s)
+	why.Home = h.position(s)
 	s.attach(r)
 	c.identical.started(r)
-	s.ahead.add(r.level, r.uncached)
+	s.ownBacklog.add(r.level, r.uncached)
 	r.pool.attach(r)
-	c.noteReadings(now, r, s)
-	s.cache.use(r.Prefix, now.Add(r.expected))
+	c.recordPrefills(now, r, s)
+	s.cache.insert(r.Prefix, now.Add(r.expected))
 	c.running++
 	c.stats.Starts++
 	if r.attempt == 1 {
@@ -177,8 +177,8 @@
 		c.stats.Continued++
 	}
 	fetch := ""
-	if supply.from != nil {
-		fetch = supply.from.name
+	if source.from != nil {
+		fetch = source.from.name
 	}
 	resume := ""
 	if from != nil {
@@ -190,9 +190,9 @@
 // why notes what speaks for the server before the request is on it.
 func (c *core) why(now time.Time, r *request, s *server) Why {
 	return Why{
-		Waited: now.Sub(r.item.Arrived), Own: len(s.own), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
+		Waited: now.Sub(r.item.Arrived), Own: len(s.running), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
 		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.ahead, Expected: r.expected, Remote: s.remote, Lane: s.lane != laneLong,
-		Displaces: r.displacing, Bulk: s.yielding(),
+		Displaces: r.displacing, Bulk: s.bulkLoad(),
 	}
 }
 
@@ -204,17 +204,17 @@
 	}
 	r.sentEver = r.sentEver || r.sentNow
 	if r.gotNow == 0 {
-		s.ahead.add(r.level, -r.uncached)
+		s.ownBacklog.add(r.level, -r.uncached)
 		if r.carriedAt != nil {
-			c.gaveUpCarried(now, r)
+			c.observeAbandonedTransfer(now, r)
 		}
 	} else {
 		s.decoding--
 	}
 	s.detach(r)
-	s.startsLeft++
+	s.startBudget++
 	if r.displacing {
-		s.displaceLeft++
+		s.displaceBudget++
 		r.displacing = false
 	}
 	r.pool.detach(r)
--- a/request/policy/yield.go
+++ b/request/policy/displace.go
@@ -11,42 +11,42 @@
 // the same order, and as few as they need.
 
 const (
-	// yieldShare is the part of an engine's slots that may be taken in this way by one
+	// maxPreemptibleShare is the part of an engine's slots that may be taken in this way by one
 	// instance, beside what others take.
-	yieldShare = 0.125
-	// leastYield is the number of slots below which none is taken: small engines stand
+	maxPreemptibleShare = 0.125
+	// minPreemptibleSlots is the number of slots below which none is taken: small engines stand
 	// before many instances, which would all take one in the same moment.
-	leastYield = 2
-	// displaceOver is the part of an engine's slots beyond which requests that displace bulk
+	minPreemptibleSlots = 2
+	// displaceOvercommit is the part of an engine's slots beyond which requests that displace bulk
 	// wait there: a slot that is free for a moment goes back to bulk, which is read again.
-	displaceOver = 1.0 / 3
+	displaceOvercommit = 1.0 / 3
 )
 
-// yields is how many of this instance's requests on a full engine give way to the
+// preemptibleSlots is how many of this instance's requests on a full engine give way to the
 // request, where the engine takes up to limit.
-func (s *server) yields(r *request, limit float64) float64 {
-	most := yieldShare * float64(s.slots)
-	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || most < leastYield {
+func (s *server) preemptibleSlots(r *request, limit float64) float64 {
+	most := maxPreemptibleShare * float64(s.slots)
+	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || most < minPreemptibleSlots {
 		return 0
 	}
 	rank, bulk := r.class.GetRank(), 0.0
-	for _, running := range s.own {
-		if running.class.GetRank() > rank && running.pool.holdsLong(running) {
+	for _, running := range s.running {
+		if running.class.GetRank() > rank && running.pool.holdsSlotsLong(running) {
 			bulk++
 		}
 	}
 	return min(bulk, most)
 }
 
-// holdsLong tells whether the request's class holds its slots for long.
-func (p *pool) holdsLong(r *request) bool {
-	return p.used[r.Class].flow.holds(0) >= briefHold.Seconds()
+// holdsSlotsLong tells whether the request's class holds its slots for long.
+func (p *pool) holdsSlotsLong(r *request) bool {
+	return p.usageByClass[r.Class].traffic.slotHoldTime(0) >= maxBriefHold.Seconds()
 }
 
 // isBulk tells whether engines put the request back for any more urgent one.
 func (r *request) isBulk() bool {
 	rank := int(r.class.GetRank())
-	return r.Anchored && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsLong(r)
+	return r.Anchored && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsSlotsLong(r)
 }
 
 // mayDisplace tells whether the request may start in the place of bulk.
@@ -54,16 +54,16 @@
 	return r.Anchored && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
 }
 
-// yielding counts all instances' bulk on the engine.
-func (s *server) yielding() float64 { return s.toldYielding + s.ownYielding() }
+// bulkLoad counts all instances' bulk on the engine.
+func (s *server) bulkLoad() float64 { return s.boardBulk + s.ownBulk() }
 
-// ownYielding counts this instance's bulk on the engine.
-func (s *server) ownYielding() float64 {
+// ownBulk counts this instance's bulk on the engine.
+func (s *server) ownBulk() float64 {
 	if s.engine == nil {
 		return 0
 	}
 	count := 0.0
-	for _, r := range s.own {
+	for _, r := range s.running {
 		if r.isBulk() {
 			count++
 		}
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -12,23 +12,23 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// filledWithBulk is an instance before 20 engines of 12 slots that are full, by what others
+// coreFullOfBulk is an instance before 20 engines of 12 slots that are full, by what others
 // tell; so much of it is bulk.
-func filledWithBulk(instance string, bulk uint32, instances int) *core {
-	c := inTree(withReviews(engines(instance, 20, "a")))
+func coreFullOfBulk(instance string, bulk uint32, instances int) *core {
+	c := withIndirectDigests(withReviews(engines(instance, 20, "a")))
 	for _, s := range c.ordered {
 		s.slots = 12
 	}
 	for _, name := range []string{"draft", "review", "digest"} {
-		c.pools["llm"].use(c.view.Classes[name], epoch)
+		c.pools["llm"].recordUse(c.view.Classes[name], epoch)
 	}
 	c.Step(epoch, Tick{})
 	c.random = rand.New(rand.NewPCG(xxhash.Sum64String(instance), 1))
-	tellBulk(c, epoch, bulk, instances)
+	setBulk(c, epoch, bulk, instances)
 	return c
 }
 
-func tellBulk(c *core, now time.Time, bulk uint32, instances int) {
+func setBulk(c *core, now time.Time, bulk uint32, instances int) {
 	loads := loadboard.Loads{}
 	for _, s := range c.pools["llm"].servers {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots), Yielding: bulk}
@@ -38,12 +38,12 @@
 
 // Digests filled the engines, which put them back for any review. Reviews counted them as
 // full and waited until they were refused.
-func TestUrgentRequestsTakeEnginesThatBulkFills(t *testing.T) {
+func TestUrgentRequestsDisplaceBulk(t *testing.T) {
 	is := is.New(t)
-	c := filledWithBulk("e1", 0, 4)
+	c := coreFullOfBulk("e1", 0, 4)
 	c.Step(epoch, review(1, 1))
 	is.Equal(c.running, 0) // no bulk there
-	c = filledWithBulk("e1", 12, 4)
+	c = coreFullOfBulk("e1", 12, 4)
 	start := only[Start](t, c.Step(epoch, review(1, 1)))
 	is.True(start.Why.Displaces)
 	is.Equal(start.Why.Bulk, 12.0)
@@ -53,12 +53,12 @@
 }
 
 // Seventy-five instances started an urgent request each in the place of the same bulk.
-func TestInstancesDisplaceNoMoreBulkThanThereIs(t *testing.T) {
+func TestDisplacingRequestsAreBoundedByBulk(t *testing.T) {
 	is := is.New(t)
 	const instances, bulk = 75, 12
 	started := make(map[string]int)
 	for i := range instances {
-		c := filledWithBulk(fmt.Sprintf("e%d", i), bulk, instances)
+		c := coreFullOfBulk(fmt.Sprintf("e%d", i), bulk, instances)
 		for id := range ID(5) {
 			for _, start := range starts(c.Step(epoch, review(id+1, uint64(id)))) {
 				started[start.Server]++
@@ -73,24 +73,24 @@
 
 // What one urgent request displaced is there for the next one once it ends, so that the
 // engine's slots don't go back to bulk between them.
-func TestADisplacingRequestLeavesItsPlaceToTheNext(t *testing.T) {
+func TestDisplacedSlotIsReusedByNextRequest(t *testing.T) {
 	is := is.New(t)
-	c := filledWithBulk("e1", 1, 1)
+	c := coreFullOfBulk("e1", 1, 1)
 	first := starts(c.Step(epoch, review(1, 1)))
 	is.Equal(len(first), 1)
 	s := c.servers[first[0].Server]
-	is.Equal(s.displaceLeft, 0.0)
+	is.Equal(s.displaceBudget, 0.0)
 	finish(c, epoch.Add(ms), first[0])
-	is.Equal(s.displaceLeft, 1.0)
+	is.Equal(s.displaceBudget, 1.0)
 }
 
 // Instances that see bulk on many engines begin with the same ones: the rest of the bulk
 // isn't put back and read again.
-func TestInstancesDisplaceBulkOnTheSameEngines(t *testing.T) {
+func TestInstancesDisplaceBulkOnSameEngines(t *testing.T) {
 	is := is.New(t)
 	used := make(map[string]bool)
 	for i := range 8 {
-		c := filledWithBulk(fmt.Sprintf("e%d", i), 12, 8)
+		c := coreFullOfBulk(fmt.Sprintf("e%d", i), 12, 8)
 		for _, start := range starts(c.Step(epoch, review(1, uint64(i)))) {
 			used[start.Server] = true
 		}
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -12,11 +12,11 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// scaled is the workshop on engines that take so many times as long, with so much
+// scaledReplay is the workshop on engines that take so many times as long, with so much
 // less traffic.
-func scaled(slots int, times float64) *replay {
+func scaledReplay(slots int, times float64) *replay {
 	by := func(d time.Duration) time.Duration { return time.Duration(times * float64(d)) }
-	s := speed{step: by(workshopSpeed.step), each: by(workshopSpeed.each), prefill: by(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
+	s := engineSpeed{step: by(workshopSpeed.step), perRequest: by(workshopSpeed.perRequest), prefill: by(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
 	kinds := workshop()
 	for i := range kinds {
 		kinds[i].perSecond /= max(times, 1)
@@ -26,12 +26,12 @@
 
 // The same load came to engines of other speeds or with smaller batches. They were
 // taken for eight times slower than they are, and requests waited for idle engines.
-func TestSpeedsAreLearnedWhateverTheEnginesAre(t *testing.T) {
+func TestSpeedIsLearnedForAllEngineTypes(t *testing.T) {
 	for _, slots := range []int{64, 12} {
 		for _, times := range []float64{0.5, 1, 4} {
 			t.Run(fmt.Sprintf("%d slots, %.1f times as slow", slots, times), func(t *testing.T) {
 				is := is.New(t)
-				r := scaled(slots, times)
+				r := scaledReplay(slots, times)
 				// As many requests come in the longer time.
 				r.run(time.Duration(12*max(times, 1))*time.Second, steady)
 				truth := times * workshopSpeed.prefill.Seconds()
@@ -47,15 +47,15 @@
 
 // An instance that sees few answers must not need hundreds of them to find out that its
 // engines are ten times slower than assumed at first.
-func TestTheRateOfReadingIsLearnedFromFewAnswers(t *testing.T) {
+func TestPrefillRateIsLearnedFromFewAnswers(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
 	s := newServer("a-0")
-	s.model(e)
+	s.setEngineModel(e)
 	for range 10 {
-		e.read(s, 10*firstPrefill*4096, 4096)
+		e.observePrefill(s, 10*initialPrefill*4096, 4096)
 	}
-	is.True(e.prefill > 5*firstPrefill)
+	is.True(e.prefill > 5*initialPrefill)
 }
 
 // A clean series of gaps at small and large batches gives step and slope; the gaps
@@ -69,33 +69,33 @@
 		if i%5 == 0 {
 			gap += 0.025
 		}
-		e.stepped(n, gap)
+		e.observeStep(n, gap)
 		if i%100 == 0 {
-			e.settle(64)
+			e.refit(64)
 		}
 	}
 	is.True(e.step > 0.0024 && e.step < 0.0045)
-	is.True(e.each > 0.0001 && e.each < 0.0002)
+	is.True(e.perRequest > 0.0001 && e.perRequest < 0.0002)
 }
 
 // A class is tight by what its pool's engines do: beside prompts that they read fast
 // its answers keep their pace, beside slow ones they don't.
-func TestLanesGoByTheEnginesSpeed(t *testing.T) {
+func TestLanesDependOnEngineSpeed(t *testing.T) {
 	is := is.New(t)
 	p := newPool("llm", epoch)
 	class := &lilacv1.Class{Name: "query", BetweenTokensMs: 60}
-	p.use(class, epoch)
+	p.recordUse(class, epoch)
 	is.True(p.isTight(class)) // at 50 tokens a millisecond a chunk takes 41 ms
-	p.engine.prefill, p.engine.step = firstPrefill/4, firstStep/4
+	p.engine.prefill, p.engine.step = initialPrefill/4, initialStep/4
 	is.True(!p.isTight(class))
 }
 
 // Slow engines were taken for faster than they are: the estimate rose too slowly, and
 // gaps beside long prompts were taken off the time of reading.
-func TestSlowEnginesAreLearnedClosely(t *testing.T) {
+func TestSlowEngineSpeedIsLearnedAccurately(t *testing.T) {
 	for _, slots := range []int{64, 12} {
 		is := is.New(t)
-		r := scaled(slots, 4)
+		r := scaledReplay(slots, 4)
 		r.run(48*time.Second, steady)
 		truth := 4 * workshopSpeed.prefill.Seconds()
 		for _, c := range r.cores {
@@ -114,41 +114,41 @@
 	e := newEngineModel()
 	for i := range 2000 {
 		n := float64(1 + i%8)
-		e.stepped(n, 0.012+0.0006*n)
+		e.observeStep(n, 0.012+0.0006*n)
 		if i%100 == 0 {
-			e.settle(64)
+			e.refit(64)
 		}
 	}
-	is.True(e.each > 0.0001 && e.each < 0.0012)
+	is.True(e.perRequest > 0.0001 && e.perRequest < 0.0012)
 	is.True(e.step > 0.008 && e.step < 0.016)
 }
 
 // An instance that has seen no answer yet knows the engines from the others, and one
 // strange answer of its own doesn't outweigh theirs.
-func TestEnginesAreKnownFromTheOthers(t *testing.T) {
+func TestEngineEstimatesComeFromOtherInstances(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
 	const w = 500
-	e.hear(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), Step: w * 9000, Each: w * 200})
+	e.setOthers(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), Step: w * 9000, Each: w * 200})
 	is.True(math.Abs(e.prefill-60e-6) < 1e-9)
 	is.True(math.Abs(e.step-0.009) < 1e-9)
 	s := newServer("a-0")
-	s.model(e)
-	e.read(s, 10*60e-6*8000, 8000)
+	s.setEngineModel(e)
+	e.observePrefill(s, 10*60e-6*8000, 8000)
 	is.True(e.prefill < 65e-6)
-	e.hear(loadboard.EngineSums{})
+	e.setOthers(loadboard.EngineSums{})
 	is.True(e.prefill != 0) // alone again, it has its own
 }
 
 // Three instances in four saw answers that waited behind prompts that nobody told of. Their
 // engines seem twice as slow; the mean of all must stay near what the fourth saw.
-func TestWaitsOfMostInstancesDoNotMakeEnginesSlow(t *testing.T) {
+func TestQueueingAtMostInstancesDoesNotInflatePrefillEstimate(t *testing.T) {
 	is := is.New(t)
 	var told loadboard.PoolWork
 	for _, prefill := range []float64{20e-6, 40e-6, 40e-6, 40e-6} {
 		told.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), Step: 50000, Each: 500}})
 	}
 	e := newEngineModel()
-	e.hear(told.Engine)
+	e.setOthers(told.Engine)
 	is.True(e.prefill < 28e-6)
 }
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -15,104 +15,106 @@
 // and later places get what is left.
 
 const (
-	// lengthLearn is the weight of one request in its class's usual length, paceLearn
+	// lengthSampleWeight is the weight of one request in its class's usual length, paceLearn
 	// that of one event of an answer in the class's pace.
-	lengthLearn = 0.05
-	paceLearn   = 0.02
-	// slowdown is how much longer than now answers are expected to hold their slots:
+	lengthSampleWeight = 0.05
+	paceSampleWeight   = 0.02
+	// holdSlowdown is how much longer than now answers are expected to hold their slots:
 	// until slots are scarce, batches fill up and prompts wait to be read.
-	slowdown = 2.0
-	// growFor bounds what is expected by what can come in so long: a class that occupies
+	holdSlowdown = 2.0
+	// growthWindow bounds what is expected by what can come in so long: a class that occupies
 	// what it needs would else keep as much again from less urgent ones.
-	growFor = 4 * time.Second
-	// briefHold is the time within which a slot that is lent out comes back before the
+	growthWindow = 4 * time.Second
+	// maxBriefHold is the time within which a slot that is lent out comes back before the
 	// requests that it is kept for have all come.
-	briefHold = growFor
+	maxBriefHold = growthWindow
 )
 
-// flow is what is known of a class's requests at this instance.
-type flow struct {
+// classTraffic is what is known of a class's requests at this instance.
+type classTraffic struct {
 	// rate is at how many a second they come, tokens the usual length of their answers,
 	// pace the time between two tokens, in seconds.
 	rate, tokens, pace float64
 }
 
-// arrived takes in a request that is expected to be answered by so many tokens.
-func (f *flow) arrived(tokens float64) {
-	f.rate += 1 / workFor.Seconds()
+// observeArrival takes in a request that is expected to be answered by so many tokens.
+func (f *classTraffic) observeArrival(tokens float64) {
+	f.rate += 1 / workRateWindow.Seconds()
 	if f.tokens == 0 {
 		f.tokens = tokens
 	}
-	f.tokens += lengthLearn * (tokens - f.tokens)
+	f.tokens += lengthSampleWeight * (tokens - f.tokens)
 }
 
-// paced takes in the gap between two tokens of an answer, in seconds.
-func (f *flow) paced(gap float64) {
+// observeGap takes in the gap between two tokens of an answer, in seconds.
+func (f *classTraffic) observeGap(gap float64) {
 	if f.pace == 0 {
 		f.pace = gap
 	}
-	f.pace += paceLearn * (gap - f.pace)
+	f.pace += paceSampleWeight * (gap - f.pace)
 }
 
-// fade lets the rate follow the last seconds.
-func (f *flow) fade() { f.rate *= math.Exp(-slowTick.Seconds() / workFor.Seconds()) }
+// decayRate lets the rate follow the last seconds.
+func (f *classTraffic) decayRate() {
+	f.rate *= math.Exp(-slowTick.Seconds() / workRateWindow.Seconds())
+}
 
-// lasts is for how long an answer of the usual length is made, in seconds, where a token
+// answerTime is for how long an answer of the usual length is made, in seconds, where a token
 // takes so long at least.
-func (f *flow) lasts(least float64) float64 { return f.tokens * max(f.pace, least) }
+func (f *classTraffic) answerTime(least float64) float64 { return f.tokens * max(f.pace, least) }
 
-// holds is for how long an answer will hold its slot, in seconds, where a token takes
+// slotHoldTime is for how long an answer will hold its slot, in seconds, where a token takes
 // so long at least.
-func (f *flow) holds(least float64) float64 { return slowdown * f.lasts(least) }
+func (f *classTraffic) slotHoldTime(least float64) float64 { return holdSlowdown * f.answerTime(least) }
 
 // expectSlots brings the slots that each place's requests will occupy up to date.
 func (p *pool) expectSlots(now time.Time) {
-	p.expected = tiers.Demand{}
+	p.expectedSlots = tiers.Demand{}
 	if p.service {
 		return
 	}
 	full := p.engine.stepAt(float64(p.slots()))
 	var growth tiers.Demand
-	for _, u := range p.uses {
-		u.flow.fade()
-		if now.Sub(u.at) < tightFor {
-			p.expected[placeOf(u.class)] += u.flow.rate * u.flow.holds(full)
-			growth[placeOf(u.class)] += u.flow.rate * growFor.Seconds()
+	for _, u := range p.usages {
+		u.traffic.decayRate()
+		if now.Sub(u.lastAt) < classUseWindow {
+			p.expectedSlots[placeOf(u.class)] += u.traffic.rate * u.traffic.slotHoldTime(full)
+			growth[placeOf(u.class)] += u.traffic.rate * growthWindow.Seconds()
 		}
 	}
-	for place := range p.expected {
-		p.expected[place] = min(p.expected[place], p.byPlace[place]+growth[place])
+	for place := range p.expectedSlots {
+		p.expectedSlots[place] = min(p.expectedSlots[place], p.runningByPlace[place]+growth[place])
 	}
 }
 
-// claim is what this instance asks slots for: what runs and waits, and what is expected.
-func (p *pool) claim() tiers.Demand {
+// slotDemand is what this instance asks slots for: what runs and waits, and what is expected.
+func (p *pool) slotDemand() tiers.Demand {
 	claim := p.demand()
 	for place := range claim {
-		claim[place] = max(claim[place], p.expected[place])
+		claim[place] = max(claim[place], p.expectedSlots[place])
 	}
 	return claim
 }
 
 // splitSlots works out this instance's part of the pool's slots.
 func (p *pool) splitSlots() {
-	p.split, p.quota = p.tiers.Split(p.capacity, p.claim(), p.shares)
+	p.slotSplit, p.quota = p.tiers.Split(p.capacity, p.slotDemand(), p.shares)
 }
 
-// leavesRoom tells whether the request leaves the slots free that are kept for more
+// withinSplit tells whether the request leaves the slots free that are kept for more
 // urgent ones. All but long answers of the least urgent rank may borrow them: engines put
 // these back first, and others must not get nothing beside slots that nobody uses.
-func (p *pool) leavesRoom(r *request) bool {
+func (p *pool) withinSplit(r *request) bool {
 	place := placeOf(r.class)
 	if p.service || !r.Anchored {
 		return true
 	}
-	if p.holdsLong(r) && model.RankOf(place) >= p.lastRank {
-		return p.byPlace[place] < p.split[place]
+	if p.holdsSlotsLong(r) && model.RankOf(place) >= p.lastRank {
+		return p.runningByPlace[place] < p.slotSplit[place]
 	}
 	slots := 0.0
-	for _, part := range p.split[:place+1] {
+	for _, part := range p.slotSplit[:place+1] {
 		slots += part
 	}
-	return p.runs(place) < slots
+	return p.runningUpTo(place) < slots
 }
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -16,7 +16,7 @@
 )
 
 func (c *core) failed(now time.Time, e Failed) {
-	r := c.current(e.ID, e.Attempt)
+	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil {
 		return
 	}
@@ -33,7 +33,7 @@
 		r.sends++
 	}
 	if e.Sent && !e.Refused && !e.Final {
-		s.trouble += troubleLearn * (1 - s.trouble)
+		s.failureRate += failureSampleWeight * (1 - s.failureRate)
 	}
 	c.leave(now, r)
 	r.pool.rejectedAt = now
@@ -68,9 +68,9 @@
 func (c *core) blame(now time.Time, s *server, e Failed) {
 	switch {
 	case e.Refused:
-		s.busyUntil = now.Add(max(e.RetryAfter, minBusy))
+		s.busyUntil = now.Add(max(e.RetryAfter, minOverloadBackoff))
 	case e.Final, e.Answered:
-		s.heardAt = now
+		s.lastResponseAt = now
 	case e.Crashed:
 		c.noteCrash(now, s)
 		c.noteGone(now, s)
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -9,84 +9,84 @@
 // to another one without the prompt being read there again.
 
 const (
-	// leastFetch is the least time of reading that a fetch spares: some 5 ms pass
+	// minFetchGain is the least time of reading that a fetch spares: some 5 ms pass
 	// before a fetch begins.
-	leastFetch = 6 * time.Millisecond
-	// leastAgain is the least part of a prompt, in tokens, for whose sake a request
+	minFetchGain = 6 * time.Millisecond
+	// minDuplicatePrefill is the least part of a prompt, in tokens, for whose sake a request
 	// stays at the engine that reads it already: one chunk. While all engines are
 	// busy, a prompt read twice delays all others, and who does so to be in time makes
 	// more than one of them late.
-	leastAgain = readChunk
-	// fetchShare is what a fetched token costs of what a read one does: it takes the
+	minDuplicatePrefill = prefillChunk
+	// fetchCostRatio is what a fetched token costs of what a read one does: it takes the
 	// links' time and volume in place of the engine's.
-	fetchShare = 0.5
+	fetchCostRatio = 0.5
 )
 
-// supply is how an engine comes by a request's prompt.
-type supply struct {
-	// read is what it must read, fetched what it takes from another engine, in tokens.
-	read, fetched float64
+// promptSource is how an engine comes by a request's prompt.
+type promptSource struct {
+	// prefill is what it must read, fetched what it takes from another engine, in tokens.
+	prefill, fetched float64
 	// from is the engine that holds the fetched part; nil for none.
 	from *server
-	// again is the part of read that another engine holds or reads already.
-	again float64
+	// duplicate is the part of read that another engine holds or reads already.
+	duplicate float64
 }
 
-// work is the supply's cost, as tokens to be read.
-func (p supply) work() float64 { return p.read + fetchShare*p.fetched }
+// cost is the supply's cost, as tokens to be read.
+func (p promptSource) cost() float64 { return p.prefill + fetchCostRatio*p.fetched }
 
 // fetchTime is how long the fetched part takes on its way.
 func (s *server) fetchTime(tokens float64) time.Duration {
-	return time.Duration(tokens * float64(s.cacheToken))
+	return time.Duration(tokens * float64(s.fetchPerToken))
 }
 
-// supplyAt says how the server would come by the request's prompt.
-func (h *homes) supplyAt(s *server, r *request) supply {
-	p := supply{read: h.uncachedAt(s, r)}
-	held := float64(r.PromptTokens+r.got) - p.read
-	more := h.held - held
-	if h.holder != nil && s != h.holder && s.cacheToken > 0 && r.pool.readTime(more) >= leastFetch {
-		p.read, p.fetched, p.from = p.read-more, more, h.holder
+// sourceAt says how the server would come by the request's prompt.
+func (h *homes) sourceAt(s *server, r *request) promptSource {
+	p := promptSource{prefill: h.uncachedAt(s, r)}
+	held := float64(r.PromptTokens+r.got) - p.prefill
+	more := h.heldTokens - held
+	if h.holder != nil && s != h.holder && s.fetchPerToken > 0 && r.pool.prefillTime(more) >= minFetchGain {
+		p.prefill, p.fetched, p.from = p.prefill-more, more, h.holder
 		held += more
 	}
-	p.again = max(0, h.kept-held)
+	p.duplicate = max(0, h.assignedTokens-held)
 	return p
 }
 
-// leavingGives is how long a leaving engine still passes its cache on: it stays for
+// leavingFetchWindow is how long a leaving engine still passes its cache on: it stays for
 // some seconds after the word that it leaves, and its prompts, once fetched, need not
 // be read again by those who take its place.
-const leavingGives = 2 * time.Second
+const leavingFetchWindow = 2 * time.Second
 
-// canGive tells whether others may fetch from the engine.
-func (s *server) canGive(now time.Time) bool {
-	if s.gone || s.cut || now.Before(s.ejectedUntil) {
+// servesFetches tells whether others may fetch from the engine.
+func (s *server) servesFetches(now time.Time) bool {
+	if s.gone || s.unreachable || now.Before(s.ejectedUntil) {
 		return false
 	}
-	return !s.closed() || now.Sub(s.closedAt) < leavingGives
+	return !s.closed() || now.Sub(s.closedAt) < leavingFetchWindow
 }
 
-// noteHolder keeps the engine that holds the most of the request's shared parts.
+// updateHolders keeps the engine that holds the most of the request's shared parts.
 // Where others' requests are not known, the first home is taken for it.
-func (h *homes) noteHolder(now time.Time, s *server, r *request, shared int) {
-	if kept := float64(s.cache.hit(r.Prefix[:shared+1])); kept > h.kept && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncached(r)) {
-		h.keeper, h.kept = s, kept
+func (h *homes) updateHolders(now time.Time, s *server, r *request, shared int) {
+	if kept := float64(s.cache.cachedTokens(r.Prefix[:shared+1])); kept > h.assignedTokens && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
+		h.assigned, h.assignedTokens = s, kept
 	}
-	held := float64(s.cache.ready(now, r.Prefix[:shared+1]))
-	if held > h.held {
-		h.holder, h.held = s, held
+	held := float64(s.cache.readyTokens(now, r.Prefix[:shared+1]))
+	if held > h.heldTokens {
+		h.holder, h.heldTokens = s, held
 	}
 }
 
-// holdAtHome takes the first home for the holder where it is assumed to be one and
+// assumeHeldAtHome takes the first home for the holder where it is assumed to be one and
 // has not failed just now.
-func (h *homes) holdAtHome(now time.Time, r *request, shared int) {
-	if !h.assumed || h.first() == nil || now.Before(h.first().ejectedUntil) {
+func (h *homes) assumeHeldAtHome(now time.Time, r *request, shared int) {
+	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
 		return
 	}
 	all := float64(r.Prefix[shared].End)
-	h.keeper, h.kept = h.first(), all
-	if h.held < all {
-		h.holder, h.held = h.first(), all
+	h.assigned, h.assignedTokens = h.first(), all
+	if h.heldTokens < all {
+		h.holder, h.heldTokens = h.first(), all
 	}
 }
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -11,33 +11,33 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// fetching lets the core's engines fetch KV cache, as long as the wire takes for it.
-func fetching(c *core) *core {
+// enableFetch lets the core's engines fetch KV cache, as long as the wire takes for it.
+func enableFetch(c *core) *core {
 	for _, s := range c.ordered {
 		if !s.service {
-			s.cacheToken = 10 * time.Microsecond
+			s.fetchPerToken = 10 * time.Microsecond
 		}
 	}
 	return c
 }
 
-// inTree has the core believe that digests travel in a tree: a prompt's home is
+// withIndirectDigests has the core believe that digests travel in a tree: a prompt's home is
 // taken to hold it.
-func inTree(c *core) *core {
+func withIndirectDigests(c *core) *core {
 	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: member.Others, Incarnation: "1", Sequence: 1}, At: epoch})
 	return c
 }
 
-// withDigestAtHome returns a core whose engines can fetch, and the start of the first
+// coreWithCachedPrompt returns a core whose engines can fetch, and the start of the first
 // digest of subject 7, at its home.
-func withDigestAtHome(t *testing.T) (*core, Start) {
-	c := inTree(fetching(engines("e1", 3, "a", "b", "c")))
+func coreWithCachedPrompt(t *testing.T) (*core, Start) {
+	c := withIndirectDigests(enableFetch(engines("e1", 3, "a", "b", "c")))
 	c.Step(epoch.Add(slowTick), Tick{})
 	return c, only[Start](t, c.Step(epoch.Add(slowTick), digest(1, 7)))
 }
 
-// told has others run so much prompt work on the server, at the level of digests.
-func told(c *core, server string, tokens uint32) {
+// setOtherBacklog has others run so much prompt work on the server, at the level of digests.
+func setOtherBacklog(c *core, server string, tokens uint32) {
 	var load loadboard.Load
 	load.InFlight = 10
 	load.Backlog[lateLevel-1] = tokens / loadboard.Unit
@@ -49,13 +49,13 @@
 // word all requests of the prompt went there and were late; reading it on another
 // engine costs a quarter of a second. So it goes elsewhere and the prompt is
 // fetched.
-func TestARequestLeavesABusyHomeAndTakesItsPromptAlong(t *testing.T) {
+func TestRequestLeavesBusyHomeAndFetchesPrompt(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
+	c, home := coreWithCachedPrompt(t)
 	is.Equal(home.Why.Home, 1)
 	is.Equal(home.FetchFrom, "")
 	finish(c, epoch.Add(slowTick), home)
-	told(c, home.Server, 200000)
+	setOtherBacklog(c, home.Server, 200000)
 	away := only[Start](t, c.Step(epoch.Add(2*time.Second), digest(2, 7)))
 	is.True(away.Server != home.Server)
 	is.Equal(away.FetchFrom, home.Server)
@@ -67,10 +67,10 @@
 // engine can fetch it yet, and reading it a second time would make more than one
 // other request late: 0.4 s of an engine for 13,300 tokens while all are busy. So the
 // request waits where its prompt is, behind those that can be in time.
-func TestARequestWaitsForItsPromptRatherThanHaveItReadTwice(t *testing.T) {
+func TestRequestWaitsForPromptInsteadOfDuplicatePrefill(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
-	told(c, home.Server, 200000)
+	c, home := coreWithCachedPrompt(t)
+	setOtherBacklog(c, home.Server, 200000)
 	same := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.Equal(same.Server, home.Server)
 	is.Equal(same.FetchFrom, "")
@@ -80,9 +80,9 @@
 
 // A leaving engine is asked for nothing new, but what it holds can be fetched while
 // it is there: its prompts are not read again by those who take its place.
-func TestALeavingEngineGivesItsPromptsAway(t *testing.T) {
+func TestLeavingEngineServesFetches(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
+	c, home := coreWithCachedPrompt(t)
 	finish(c, epoch.Add(slowTick), home)
 	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}}})
 	leaves := epoch.Add(2 * time.Second)
@@ -90,17 +90,17 @@
 	away := only[Start](t, c.Step(leaves.Add(time.Second), digest(2, 7)))
 	is.True(away.Server != home.Server)
 	is.Equal(away.FetchFrom, home.Server)
-	late := only[Start](t, c.Step(leaves.Add(leavingGives+time.Second), digest(3, 7)))
+	late := only[Start](t, c.Step(leaves.Add(leavingFetchWindow+time.Second), digest(3, 7)))
 	is.True(late.FetchFrom != home.Server)
 }
 
 // Once the others' word ends, what they ran must not keep requests from a prompt's
 // engine for ever.
-func TestLoadsThatAreNotToldAnyMoreEnd(t *testing.T) {
+func TestBoardLoadsExpireWithoutUpdates(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
-	told(c, home.Server, 200000)
-	is.True(c.servers[home.Server].before(lateLevel) > 200000)
+	c, home := coreWithCachedPrompt(t)
+	setOtherBacklog(c, home.Server, 200000)
+	is.True(c.servers[home.Server].backlogBefore(lateLevel) > 200000)
 	c.Step(epoch, LoadsTold{})
 	again := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.Equal(again.Server, home.Server)
@@ -108,30 +108,30 @@
 
 // The engine that holds the prompt went down, or can't pass anything on: the
 // prompt is read, and no engine waits for another that never answers.
-func TestNothingIsFetchedFromAnEngineThatIsOut(t *testing.T) {
+func TestNoFetchFromEjectedEngine(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
+	c, home := coreWithCachedPrompt(t)
 	c.servers[home.Server].ejectedUntil = epoch.Add(time.Minute)
 	away := only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 7)))
 	is.True(away.FetchFrom != home.Server)
-	plain := inTree(engines("e1", 3, "a", "b", "c"))
+	plain := withIndirectDigests(engines("e1", 3, "a", "b", "c"))
 	plain.Step(epoch.Add(slowTick), Tick{})
-	told(plain, home.Server, 200000)
+	setOtherBacklog(plain, home.Server, 200000)
 	is.Equal(only[Start](t, plain.Step(epoch.Add(slowTick), digest(3, 7))).FetchFrom, "")
 }
 
 // A short shared part is read sooner than a fetch begins.
-func TestShortPartsAreRead(t *testing.T) {
+func TestShortPrefixesAreNotFetched(t *testing.T) {
 	is := is.New(t)
-	c := inTree(fetching(engines("e1", 3, "a", "b", "c")))
+	c := withIndirectDigests(enableFetch(engines("e1", 3, "a", "b", "c")))
 	c.Step(epoch.Add(slowTick), Tick{})
 	home := only[Start](t, c.Step(epoch.Add(slowTick), draft(1)))
-	told(c, home.Server, 200000)
+	setOtherBacklog(c, home.Server, 200000)
 	is.Equal(only[Start](t, c.Step(epoch.Add(slowTick), draft(2))).FetchFrom, "")
 }
 
 // What this instance runs is told by server and priority, and ends with the answer.
-func TestOwnLoadsAreTold(t *testing.T) {
+func TestOwnLoadsAreReported(t *testing.T) {
 	is := is.New(t)
 	c := engines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, digest(1, 7)))
--- a/request/policy/final.go
+++ b/request/policy/final.go
@@ -21,7 +21,7 @@
 
 // retryAfter is when the queue of now will have been served, spread out.
 func (c *core) retryAfter(p *pool) time.Duration {
-	return c.spread(min(max(p.wait(), minRetryAfter), maxRetryAfter))
+	return c.spread(min(max(p.queueWait(), minRetryAfter), maxRetryAfter))
 }
 
 // end gives the request its one final action, by what its caller holds already.
@@ -47,10 +47,10 @@
 func (r *request) heldBy() Held {
 	place := placeOf(r.class)
 	slots := 0.0
-	for _, part := range r.pool.split[:place+1] {
+	for _, part := range r.pool.slotSplit[:place+1] {
 		slots += part
 	}
-	return Held{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runs(place), Slots: slots, Blocked: r.blocked}
+	return Held{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runningUpTo(place), Slots: slots, Blocked: r.blocked}
 }
 
 // forget drops the request and settles what its team was charged.
@@ -102,7 +102,7 @@
 	if r.server == nil || !r.sentNow {
 		return 0
 	}
-	return uint64(r.left(c))
+	return uint64(r.tokensLeft(c))
 }
 
 func (c *core) expire(now time.Time, r *request) {
--- a/request/policy/fleet_replay_test.go
+++ b/request/policy/fleet_replay_test.go
@@ -11,10 +11,10 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// largeWorkshop is the load of a workshop whose teams differ in priority, on 48 engines of
+// largeFleetKinds is the load of a workshop whose teams differ in priority, on 48 engines of
 // 12 slots, which do it with a third of them.
-func largeWorkshop() []kindOf {
-	var kinds []kindOf
+func largeFleetKinds() []requestKind {
+	var kinds []requestKind
 	for tier, share := range []float64{0.2, 0.6, 0.2} {
 		class := func(name string, rank, first, between uint32) *lilacv1.Class {
 			return &lilacv1.Class{
@@ -23,31 +23,31 @@
 			}
 		}
 		kinds = append(kinds,
-			kindOf{class: class("query", 0, 400, 25), perSecond: 31 * share, shared: 200, own: 630, subjects: 330, answer: 290, deadline: 10 * time.Second},
-			kindOf{class: class("scan", 1, 600, 40), perSecond: 110 * share, shared: 570, own: 1800, subjects: 1100, answer: 22, deadline: 3 * time.Second},
-			kindOf{class: class("note", 2, 2000, 100), perSecond: 72 * share, shared: 5400, own: 6600, subjects: 260, answer: 380, deadline: 12 * time.Second},
+			requestKind{class: class("query", 0, 400, 25), perSecond: 31 * share, shared: 200, own: 630, subjects: 330, answer: 290, deadline: 10 * time.Second},
+			requestKind{class: class("scan", 1, 600, 40), perSecond: 110 * share, shared: 570, own: 1800, subjects: 1100, answer: 22, deadline: 3 * time.Second},
+			requestKind{class: class("note", 2, 2000, 100), perSecond: 72 * share, shared: 5400, own: 6600, subjects: 260, answer: 380, deadline: 12 * time.Second},
 		)
 	}
 	return kinds
 }
 
-var largeWorkshopSpeed = speed{step: 3 * ms, each: 120 * time.Microsecond, prefill: 11 * time.Microsecond, fixed: 60 * ms}
+var largeFleetSpeed = engineSpeed{step: 3 * ms, perRequest: 120 * time.Microsecond, prefill: 11 * time.Microsecond, fixed: 60 * ms}
 
 // rankTally sums up the kinds of a rank.
 func (r *replay) rankTally(rank uint32, from, to time.Duration) (sum tally) {
 	for kind, k := range r.kinds {
 		if k.class.GetRank() == rank {
 			t := r.tally(kind, from, to)
-			sum.asked, sum.inTime, sum.nothing, sum.begun = sum.asked+t.asked, sum.inTime+t.inTime, sum.nothing+t.nothing, sum.begun+t.begun
+			sum.arrived, sum.inTime, sum.unanswered, sum.started = sum.arrived+t.arrived, sum.inTime+t.inTime, sum.unanswered+t.unanswered, sum.started+t.started
 		}
 	}
 	return sum
 }
 
-// wronged counts the requests that were put back while a less urgent kind ran on.
-func (r *replay) wronged() (count int) {
+// priorityInversions counts the requests that were put back while a less urgent kind ran on.
+func (r *replay) priorityInversions() (count int) {
 	for _, e := range r.engines {
-		count += e.wronged
+		count += e.priorityInversions
 	}
 	return count
 }
@@ -70,15 +70,15 @@
 	for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
 		for rank := range uint32(2) {
 			span := r.rankTally(rank, from, from+5*time.Second)
-			is.True(span.nothing < 10 || span.nothing*12 <= span.asked)
+			is.True(span.unanswered < 10 || span.unanswered*12 <= span.arrived)
 		}
 	}
-	is.True(r.wronged() < 10)
+	is.True(r.priorityInversions() < 10)
 }
 
 func runLargeFleet(seed uint64, length time.Duration, times func(time.Duration) float64) *replay {
-	r := newReplay(seed, 24, 16, 12, largeWorkshopSpeed, largeWorkshop()).withBoards()
-	r.returns = true
+	r := newReplay(seed, 24, 16, 12, largeFleetSpeed, largeFleetKinds()).withBoards()
+	r.callersRetry = true
 	r.run(length, times)
 	return r
 }
@@ -92,7 +92,7 @@
 		r := runLargeFleet(seed, 15*time.Second, surge(3))
 		r.checkUrgent(is)
 		notes := r.rankTally(2, 2*time.Second, 12*time.Second)
-		is.True(notes.nothing < notes.asked) // the least urgent kind isn't shut out
+		is.True(notes.unanswered < notes.arrived) // the least urgent kind isn't shut out
 	}
 }
 
@@ -117,9 +117,9 @@
 	is := is.New(t)
 	r := runLargeFleet(3, 10*time.Second, steady)
 	for rank := range uint32(3) {
-		is.Equal(r.rankTally(rank, 0, 8*time.Second).nothing, 0)
+		is.Equal(r.rankTally(rank, 0, 8*time.Second).unanswered, 0)
 		warm := r.rankTally(rank, 3*time.Second, 8*time.Second)
-		is.True(warm.inTime*10 >= warm.asked*9)
+		is.True(warm.inTime*10 >= warm.arrived*9)
 	}
 }
 
@@ -130,8 +130,8 @@
 	r := runLargeFleet(3, 10*time.Second, steady)
 	for rank := range uint32(3) {
 		all := r.rankTally(rank, time.Second, 8*time.Second)
-		is.Equal(all.nothing, 0)
-		is.True(all.inTime*10 >= all.asked*9)
+		is.Equal(all.unanswered, 0)
+		is.True(all.inTime*10 >= all.arrived*9)
 	}
 }
 
@@ -142,7 +142,7 @@
 	r := runLargeFleet(7+firstSeed(t), 3*time.Second, steady)
 	for rank := range uint32(3) {
 		all := r.rankTally(rank, 0, time.Second)
-		is.Equal(all.nothing, 0)
-		is.True(all.inTime*10 >= all.asked*9)
+		is.Equal(all.unanswered, 0)
+		is.True(all.inTime*10 >= all.arrived*9)
 	}
 }
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -19,16 +19,16 @@
 	// fullAfter is how long requests wait for room until a pool counts as full: a
 	// few words of other instances' loads, so that a moment's lack of news is none.
 	fullAfter = 400 * time.Millisecond
-	// startsFor is the time over which the rate of starts is averaged.
-	startsFor = 2 * time.Second
-	// boundMost is the most that may wait of one level, boundCut what is left of the
+	// startRateWindow is the time over which the rate of starts is averaged.
+	startRateWindow = 2 * time.Second
+	// maxQueueBound is the most that may wait of one level, boundCut what is left of the
 	// number after one waited in vain.
-	boundMost = 256
-	boundCut  = 0.7
+	maxQueueBound      = 256
+	queueBoundDecrease = 0.7
 )
 
-// noteRoom remembers since when requests wait for want of room, by place.
-func (p *pool) noteRoom(now time.Time) {
+// updateFullSince remembers since when requests wait for want of room, by place.
+func (p *pool) updateFullSince(now time.Time) {
 	waiting := false
 	for place := range p.fullSince {
 		count, _ := p.queue.LevelLen(model.Level(model.TierOf(place), model.RankOf(place)))
@@ -49,48 +49,48 @@
 	return !since.IsZero() && now.Sub(since) >= fullAfter
 }
 
-// noteStart takes in a start: where it came in good time, one more may wait.
-func (p *pool) noteStart(now time.Time, r *request, s *server) {
-	p.starts += 1 / startsFor.Seconds()
-	p.laneStarts[s.lane] += 1 / startsFor.Seconds()
-	bound := &p.bound[levelOf(r.class)]
+// observeStart takes in a start: where it came in good time, one more may wait.
+func (p *pool) observeStart(now time.Time, r *request, s *server) {
+	p.startRate += 1 / startRateWindow.Seconds()
+	p.laneStartRates[s.lane] += 1 / startRateWindow.Seconds()
+	bound := &p.queueBounds[levelOf(r.class)]
 	if now.Sub(r.item.Arrived) < r.item.Due.Sub(now) {
-		*bound = min(*bound+1, boundMost)
+		*bound = min(*bound+1, maxQueueBound)
 	}
 }
 
-// noteMiss takes in that a request of the level waited in vain: fewer may wait.
-func (p *pool) noteMiss(level int) {
+// observeMissedStart takes in that a request of the level waited in vain: fewer may wait.
+func (p *pool) observeMissedStart(level int) {
 	waiting, _ := p.queue.LevelLen(level)
-	p.bound[level] = max(boundCut*min(p.bound[level], float64(waiting)), 1)
+	p.queueBounds[level] = max(queueBoundDecrease*min(p.queueBounds[level], float64(waiting)), 1)
 }
 
-// crowded tells whether as many requests of the level wait as start in time.
-func (p *pool) crowded(level int) bool {
+// queueBoundReached tells whether as many requests of the level wait as start in time.
+func (p *pool) queueBoundReached(level int) bool {
 	waiting, late := p.queue.LevelLen(level)
-	return float64(waiting-late) >= p.bound[level]
+	return float64(waiting-late) >= p.queueBounds[level]
 }
 
-// fadeStarts lets the rate follow the last seconds.
-func (p *pool) fadeStarts() {
-	keep := math.Exp(-slowTick.Seconds() / startsFor.Seconds())
-	p.starts *= keep
-	for l := range p.laneStarts {
-		p.laneStarts[l] *= keep
+// decayStartRates lets the rate follow the last seconds.
+func (p *pool) decayStartRates() {
+	keep := math.Exp(-slowTick.Seconds() / startRateWindow.Seconds())
+	p.startRate *= keep
+	for l := range p.laneStartRates {
+		p.laneStartRates[l] *= keep
 	}
 }
 
-// startsIn is when the request would start, by the rate at which requests start
+// expectedStartWait is when the request would start, by the rate at which requests start
 // now and those that go before it.
-func (p *pool) startsIn(r *request) time.Duration {
+func (p *pool) expectedStartWait(r *request) time.Duration {
 	before := float64(p.queue.Before(&r.item) + 1)
-	return time.Duration(before / max(p.starts, 1) * float64(time.Second))
+	return time.Duration(before / max(p.startRate, 1) * float64(time.Second))
 }
 
-// turnAway refuses an arrival that would not start in time in a full pool, unless
+// refuseWhenFull refuses an arrival that would not start in time in a full pool, unless
 // it is within its class's guaranteed share. It takes nobody's place and nobody less
 // urgent takes its place: only what is as urgent or more counts before it.
-func (c *core) turnAway(now time.Time, r *request) bool {
+func (c *core) refuseWhenFull(now time.Time, r *request) bool {
 	p := r.pool
 	if p.shut() {
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.spread(minRetryAfter))
@@ -99,8 +99,8 @@
 	if r.class.GetLate() != lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM || r.item.Kept || !p.full(now, r) {
 		return false
 	}
-	wait := p.startsIn(r)
-	if now.Add(wait).Before(r.item.Due) && !p.crowded(levelOf(r.class)) {
+	wait := p.expectedStartWait(r)
+	if now.Add(wait).Before(r.item.Due) && !p.queueBoundReached(levelOf(r.class)) {
 		return false
 	}
 	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, c.spread(min(max(wait, minRetryAfter), maxRetryAfter)))
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -152,13 +152,13 @@
 	is.Equal(len(word.GetReadings()), 1)
 	c.Step(epoch, PeerDigest{Digest: word, At: epoch})
 	s := c.servers[start.Server]
-	is.Equal(s.before(levels-1), 17000.0)
+	is.Equal(s.backlogBefore(levels-1), 17000.0)
 	mine := &request{Arrival: digest(2, 7)}
-	is.Equal(s.uncached(mine), 3700.0)
+	is.Equal(s.uncachedTokens(mine), 3700.0)
 	c.Step(epoch, PeerGone{Instance: "e2"})
-	is.Equal(s.before(levels-1), 0.0)
-	is.Equal(s.uncached(mine), 3700.0) // the engine still holds it
-	is.Equal(len(peer.Digest(epoch.Add(2*readingTold)).GetReadings()), 0)
+	is.Equal(s.backlogBefore(levels-1), 0.0)
+	is.Equal(s.uncachedTokens(mine), 3700.0) // the engine still holds it
+	is.Equal(len(peer.Digest(epoch.Add(2*prefillRecordTTL)).GetReadings()), 0)
 }
 
 // An engine reads urgent prompts first. A draft is not behind the digests that
@@ -189,7 +189,7 @@
 	s := c.servers["a-0"]
 	const rate, work = 0.00002, 10000
 	read := func(rate float64) {
-		s.learnReading(s.gapAt(s.load())+time.Duration(rate*work*float64(time.Second)), work)
+		s.observePrefill(s.gapAt(s.load())+time.Duration(rate*work*float64(time.Second)), work)
 	}
 	for i := range 300 {
 		sample := rate
@@ -228,7 +228,7 @@
 	c.Step(epoch, Sent{ID: 1, Attempt: 1})
 	again := only[Start](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: 1, Sent: true, Answered: true}))
 	is.True(again.Server != start.Server)
-	is.True(!c.servers[start.Server].barred(epoch.Add(2 * ms)))
+	is.True(!c.servers[start.Server].unavailable(epoch.Add(2 * ms)))
 	c.Step(epoch.Add(2*ms), Sent{ID: 1, Attempt: 2})
 	refuse := only[Refuse](t, c.Step(epoch.Add(3*ms), Failed{ID: 1, Attempt: 2, Sent: true, Answered: true}))
 	is.Equal(refuse.NotRun, lilacv1.NotRun_NOT_RUN_UNKNOWN)
@@ -241,7 +241,7 @@
 	c := engines("e1", 1, "a", "b")
 	grey := c.servers["desk-a"]
 	for range 10 {
-		grey.trouble += troubleLearn * (1 - grey.trouble)
+		grey.failureRate += failureSampleWeight * (1 - grey.failureRate)
 	}
 	start := only[Start](t, c.Step(epoch, lookup(1)))
 	is.Equal(start.Server, "desk-b")
@@ -260,7 +260,7 @@
 	is := is.New(t)
 	c := engines("e1", 1, "a")
 	s := c.servers["a-0"]
-	s.ahead.add(4, 200000) // 3.7 s to read
+	s.ownBacklog.add(4, 200000) // 3.7 s to read
 	var late Start
 	if starts := c.Step(epoch, digest(1, 1)); len(starts) > 0 {
 		late = only[Start](t, starts)
@@ -320,7 +320,7 @@
 	is.Equal(len(again), 1)
 	is.Equal(again[0].ID, ID(1))
 	is.True(again[0].Server != first.Server)
-	is.True(c.servers[first.Server].barred(now))
+	is.True(c.servers[first.Server].unavailable(now))
 }
 
 // In a burst an engine reads other instances' prompts for seconds. An instance with
@@ -334,5 +334,5 @@
 	for now := epoch; now.Before(epoch.Add(5 * time.Second)); now = now.Add(TickInterval) {
 		c.Step(now, Tick{})
 	}
-	is.True(!c.servers[start.Server].barred(epoch.Add(5 * time.Second)))
+	is.True(!c.servers[start.Server].unavailable(epoch.Add(5 * time.Second)))
 }
--- a/request/policy/giveup.go
+++ b/request/policy/giveup.go
@@ -62,7 +62,7 @@
 // open tells whether any server of the pool may get work, now or after a pause.
 func (p *pool) open(now time.Time) bool {
 	for _, s := range p.servers {
-		if !s.closed() && !s.cut && !now.Before(s.leavingUntil) {
+		if !s.closed() && !s.unreachable && !now.Before(s.leavingUntil) {
 			return true
 		}
 	}
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -12,23 +12,23 @@
 // each word opens an engine to as many instances, by chance, as together fill its room, and
 // bounds what each of them starts there until the next.
 
-// toldAge is the usual age of loads that are told beside digests.
-const toldAge = 750 * time.Millisecond
+// boardLoadAge is the usual age of loads that are told beside digests.
+const boardLoadAge = 750 * time.Millisecond
 
-// spreadStarts draws which engines this instance uses until the next word, and how much of
+// drawStartBudgets draws which engines this instance uses until the next word, and how much of
 // each.
-func (c *core) spreadStarts(p *pool) {
+func (c *core) drawStartBudgets(p *pool) {
 	if p.service {
 		return
 	}
-	var engines, open [lanes]float64
+	var engines, open [laneCount]float64
 	for _, s := range p.servers {
-		s.shunned, s.startsLeft, s.displaceLeft = false, math.Inf(1), 0
-		if s.closed() || s.cut {
+		s.skipped, s.startBudget, s.displaceBudget = false, math.Inf(1), 0
+		if s.closed() || s.unreachable {
 			continue
 		}
 		engines[s.lane]++
-		if s.roomLeft(p) >= 1 {
+		if s.freeSlots(p) >= 1 {
 			open[s.lane]++
 		}
 	}
@@ -37,23 +37,23 @@
 	}
 	instances := float64(p.tiers.Instances())
 	for _, s := range p.servers {
-		s.displaceLeft = wholePart(c.random, s.yielding()/instances)
+		s.displaceBudget = roundRandomly(c.random, s.bulkLoad()/instances)
 		if open[s.lane] == 0 {
 			continue
 		}
-		starts := p.laneStarts[s.lane] * instances * toldAge.Seconds()
+		starts := p.laneStartRates[s.lane] * instances * boardLoadAge.Seconds()
 		// What ends meanwhile makes room too.
-		room := max(s.roomLeft(p), 0) + starts/engines[s.lane]
+		room := max(s.freeSlots(p), 0) + starts/engines[s.lane]
 		come := starts / open[s.lane]
 		if come > room {
-			s.shunned = c.random.Float64() >= room/come
+			s.skipped = c.random.Float64() >= room/come
 		}
-		s.startsLeft = max(1, math.Ceil(max(room, come)/instances))
+		s.startBudget = max(1, math.Ceil(max(room, come)/instances))
 	}
 }
 
-// wholePart rounds up or down by chance, so that the mean stays the same.
-func wholePart(random *rand.Rand, part float64) float64 {
+// roundRandomly rounds up or down by chance, so that the mean stays the same.
+func roundRandomly(random *rand.Rand, part float64) float64 {
 	whole := math.Floor(part)
 	if random.Float64() < part-whole {
 		whole++
@@ -61,7 +61,7 @@
 	return whole
 }
 
-// roomLeft is how many more requests the engine takes, by what is known of its load.
-func (s *server) roomLeft(p *pool) float64 {
-	return s.limit(s.paced(p, 0), p.tight) - toldReserve - s.load()
+// freeSlots is how many more requests the engine takes, by what is known of its load.
+func (s *server) freeSlots(p *pool) float64 {
+	return s.limit(s.gapTarget(p, 0), p.minBetween) - staleLoadReserve - s.load()
 }
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -10,15 +10,15 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// crowdedFleet is n instances before 40 engines, of which all but a few run as much as they
+// mostlyFullFleet is n instances before 40 engines, of which all but a few run as much as they
 // can, by what all are told.
-func crowdedFleet(n int, idle ...string) []*core {
+func mostlyFullFleet(n int, idle ...string) []*core {
 	var fleet []*core
 	for i := range n {
-		c := inTree(engines(fmt.Sprintf("e%d", i), 20, "a", "b"))
+		c := withIndirectDigests(engines(fmt.Sprintf("e%d", i), 20, "a", "b"))
 		c.random = rand.New(rand.NewPCG(uint64(i), 1))
 		c.view.Classes["draft"].FirstTokenMs = 2000
-		c.pools["llm"].use(c.view.Classes["draft"], epoch)
+		c.pools["llm"].recordUse(c.view.Classes["draft"], epoch)
 		c.Step(epoch, Tick{})
 		loads := loadboard.Loads{}
 		for _, s := range c.pools["llm"].servers {
@@ -27,8 +27,8 @@
 		for _, name := range idle {
 			loads[loadboard.Key(name)] = loadboard.Load{InFlight: uint32(c.servers[name].slots - 8)}
 		}
-		for l := range c.pools["llm"].laneStarts {
-			c.pools["llm"].laneStarts[l] = 10
+		for l := range c.pools["llm"].laneStartRates {
+			c.pools["llm"].laneStartRates[l] = 10
 		}
 		c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: n - 1}})
 		fleet = append(fleet, c)
@@ -38,11 +38,11 @@
 
 // Seventy-five instances heard in the same moment that two engines had room, and sent each
 // forty requests before the next word.
-func TestFewInstancesFillTheRoomOfAnEngine(t *testing.T) {
+func TestFewInstancesUseAnEngineWithFreeSlots(t *testing.T) {
 	is := is.New(t)
 	users := 0
-	for _, c := range crowdedFleet(75, "a-3", "b-4") {
-		if s := c.servers["a-3"]; !s.shunned {
+	for _, c := range mostlyFullFleet(75, "a-3", "b-4") {
+		if s := c.servers["a-3"]; !s.skipped {
 			users++
 		}
 	}
@@ -50,24 +50,24 @@
 }
 
 // Where most engines have room nobody is kept from any.
-func TestEnginesWithRoomAreOpenToAll(t *testing.T) {
+func TestEnginesWithFreeSlotsAreOpenToAllInstances(t *testing.T) {
 	is := is.New(t)
 	var all []string
 	for i := range 20 {
 		all = append(all, fmt.Sprintf("a-%d", i), fmt.Sprintf("b-%d", i))
 	}
-	for _, c := range crowdedFleet(10, all...) {
+	for _, c := range mostlyFullFleet(10, all...) {
 		for _, s := range c.pools["llm"].servers {
-			is.True(!s.shunned)
+			is.True(!s.skipped)
 		}
 	}
 }
 
 // One instance had one of two engines with room open, and sent it all requests that came
 // until the next word.
-func TestAnInstanceStartsItsPartUntilTheNextWord(t *testing.T) {
+func TestInstanceStartsOnlyItsPartBetweenUpdates(t *testing.T) {
 	is := is.New(t)
-	c := crowdedFleet(4)[0]
+	c := mostlyFullFleet(4)[0]
 	s := c.servers["a-3"]
 	full := make(loadboard.Loads)
 	for _, other := range c.pools["llm"].servers {
@@ -76,10 +76,10 @@
 		}
 	}
 	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: full, Instances: 3}})
-	s.shunned = false
+	s.skipped = false
 	for id := range ID(60) {
 		c.Step(epoch, draft(id+1))
 	}
-	is.True(len(s.own) > 0)
-	is.True(len(s.own) <= s.slots/2) // a quarter is its part
+	is.True(len(s.running) > 0)
+	is.True(len(s.running) <= s.slots/2) // a quarter is its part
 }
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -31,64 +31,64 @@
 	laneQuick
 	// laneTight is for answers with short pauses between their tokens.
 	laneTight
-	// lanes counts them.
-	lanes
+	// laneCount counts them.
+	laneCount
 )
 
 const (
 	// longestPrompt is the length of prompt that counts against a target for the first
 	// token, in tokens: an engine reads what it has begun to its end.
 	longestPrompt = 50000
-	// longRead is the time of reading from which a prompt counts as long: it holds up
+	// minLongPrefill is the time of reading from which a prompt counts as long: it holds up
 	// several events of an answer.
-	longRead = 80 * time.Millisecond
-	// besideHold is by what part the gap beside prompts must change before lanes go by the
+	minLongPrefill = 80 * time.Millisecond
+	// gapHysteresis is by what part the gap beside prompts must change before lanes go by the
 	// new one, so that they don't change with each measurement.
-	besideHold = 0.2
-	// laneLearn is the weight of one request in the lanes' shares of all work, where an
+	gapHysteresis = 0.2
+	// laneSampleWeight is the weight of one request in the lanes' shares of all work, where an
 	// instance goes by its own requests.
-	laneLearn = 0.02
-	// firstTightWork and firstWork are the means before any request was seen: a
+	laneSampleWeight = 0.02
+	// initialTightWork and firstWork are the means before any request was seen: a
 	// third, with the weight of 50 requests, so that the first few don't move lanes.
-	firstTightWork = 1000
-	firstWork      = 3000
-	// leastLane is the share of work below which nothing is kept free.
-	leastLane = 0.02
-	// quickLaneFrom is the number of engines in a data centre from which answers that
+	initialTightWork = 1000
+	initialWork      = 3000
+	// minLaneShare is the share of work below which nothing is kept free.
+	minLaneShare = 0.02
+	// minEnginesForQuickLane is the number of engines in a data centre from which answers that
 	// are wanted soon have a lane of their own: below, one engine more or less is too
 	// large a step.
-	quickLaneFrom = 6
-	// laneHold is by how many engines the work must differ from a lane before it
+	minEnginesForQuickLane = 6
+	// laneSizeHysteresis is by how many engines the work must differ from a lane before it
 	// changes: each change moves homes, whose prompts are then read again.
-	laneHold = 0.8
-	// workFor is the time over which the work of all instances is averaged: a burst
+	laneSizeHysteresis = 0.8
+	// workRateWindow is the time over which the work of all instances is averaged: a burst
 	// is seen within it, and some hundred requests settle the shares.
-	workFor = 2 * time.Second
-	// usualFor is the time in which one request of the usual work comes to an idle pool.
-	usualFor = time.Second
+	workRateWindow = 2 * time.Second
+	// baselineWorkInterval is the time in which one request of the usual work comes to an idle pool.
+	baselineWorkInterval = time.Second
 )
 
-// laneOf is the lane that the request belongs to: the one that it wants, where the
+// assignedLane is the lane that the request belongs to: the one that it wants, where the
 // pool has such engines.
-func (r *request) laneOf() lane {
-	if wanted := r.wants(); wanted != laneQuick || r.pool.hasLane[laneQuick] {
+func (r *request) assignedLane() lane {
+	if wanted := r.wantedLane(); wanted != laneQuick || r.pool.hasLane[laneQuick] {
 		return wanted
 	}
 	return laneLong
 }
 
-// wants is the lane that the request's class asks for, whether there is one or not.
-func (r *request) wants() lane { return r.pool.wantedBy(r.class) }
+// wantedLane is the lane that the request's class asks for, whether there is one or not.
+func (r *request) wantedLane() lane { return r.pool.wantedLane(r.class) }
 
-// wantedBy is the lane that the class asks for.
-func (p *pool) wantedBy(class *lilacv1.Class) lane {
+// wantedLane is the lane that the class asks for.
+func (p *pool) wantedLane(class *lilacv1.Class) lane {
 	first := time.Duration(class.GetFirstTokenMs()) * time.Millisecond
 	switch {
 	case p.service || class.GetBetweenTokensMs() == 0:
 		return laneLong
 	case p.isTight(class):
 		return laneTight
-	case first < p.readTime(longestPrompt):
+	case first < p.prefillTime(longestPrompt):
 		return laneQuick
 	}
 	return laneLong
@@ -97,18 +97,18 @@
 // isTight tells whether the class's answers would be late between tokens beside long
 // prompts.
 func (p *pool) isTight(class *lilacv1.Class) bool {
-	return float64(class.GetBetweenTokensMs())/1000 < p.besideLong()
+	return float64(class.GetBetweenTokensMs())/1000 < p.prefillGap()
 }
 
-// besideLong is the gap between tokens beside long prompts that lanes go by.
-func (p *pool) besideLong() float64 {
+// prefillGap is the gap between tokens beside long prompts that lanes go by.
+func (p *pool) prefillGap() float64 {
 	if p.plan.By != "" {
 		return micro * float64(p.plan.Beside)
 	}
-	if now := p.engine.beside(p.slots()); p.beside == 0 || math.Abs(now-p.beside) > besideHold*p.beside {
-		p.beside = now
+	if now := p.engine.prefillGap(p.slots()); p.ownPrefillGap == 0 || math.Abs(now-p.ownPrefillGap) > gapHysteresis*p.ownPrefillGap {
+		p.ownPrefillGap = now
 	}
-	return p.beside
+	return p.ownPrefillGap
 }
 
 // slots is the batch of the pool's engines.
@@ -119,8 +119,8 @@
 	return p.servers[0].slots
 }
 
-// ownPart is the part of the prompt that no other request shares, in tokens.
-func (r *request) ownPart() float64 {
+// uniquePromptTokens is the part of the prompt that no other request shares, in tokens.
+func (r *request) uniquePromptTokens() float64 {
 	if len(r.Prefix) < 2 {
 		return float64(r.PromptTokens)
 	}
@@ -130,52 +130,52 @@
 // laneWork is the work of the instances in each lane.
 type laneWork struct {
 	// means are running means of one own request's work.
-	means [lanes]float64
+	means [laneCount]float64
 	// rates are the own work in tokens a second, told the others'.
-	rates, told [lanes]float64
-	// toldClaims are the slots that the others ask for.
-	toldClaims [lanes]float64
+	rates, otherRates [laneCount]float64
+	// otherLaneDemand are the slots that the others ask for.
+	otherLaneDemand [laneCount]float64
 }
 
 func newLaneWork() laneWork {
-	return laneWork{means: [lanes]float64{laneLong: firstWork - firstTightWork, laneTight: firstTightWork}}
+	return laneWork{means: [laneCount]float64{laneLong: initialWork - initialTightWork, laneTight: initialTightWork}}
 }
 
-// noteWork learns from a request that comes. Its shared parts are left out: while
+// observeWork learns from a request that comes. Its shared parts are left out: while
 // all is cold, long prompts make twenty times the work of short ones for some
 // seconds, and would leave these a single engine.
-func (p *pool) noteWork(r *request) {
+func (p *pool) observeWork(r *request) {
 	if p.service {
 		return
 	}
-	to := r.wants()
-	work := r.ownPart() + p.engine.tokenWork()*r.estimated
+	to := r.wantedLane()
+	work := r.uniquePromptTokens() + p.engine.generatedTokenCost()*r.estimated
 	for l := range p.work.means {
 		sample := 0.0
 		if lane(l) == to {
 			sample = work
 		}
-		p.work.means[l] += laneLearn * (sample - p.work.means[l])
+		p.work.means[l] += laneSampleWeight * (sample - p.work.means[l])
 	}
-	p.work.rates[to] += work / workFor.Seconds()
+	p.work.rates[to] += work / workRateWindow.Seconds()
 }
 
-// fadeWork lets the rates follow the last seconds.
-func (p *pool) fadeWork() {
+// decayWorkRates lets the rates follow the last seconds.
+func (p *pool) decayWorkRates() {
 	for l := range p.work.rates {
-		p.work.rates[l] *= math.Exp(-slowTick.Seconds() / workFor.Seconds())
+		p.work.rates[l] *= math.Exp(-slowTick.Seconds() / workRateWindow.Seconds())
 	}
 }
 
 // laneShares are the parts of all work. Where others tell theirs, theirs count too:
 // one instance in 78 sees five requests a second, and would take 20 s to notice a
 // burst that lasts ten.
-func (p *pool) laneShares(told bool) [lanes]float64 {
+func (p *pool) laneShares(told bool) [laneCount]float64 {
 	shares, sum := p.work.means, 0.0
 	for l := range shares {
 		if told {
 			// Before there is traffic the lanes are those of the usual shares.
-			shares[l] = p.work.rates[l] + p.work.told[l] + p.work.means[l]/usualFor.Seconds()
+			shares[l] = p.work.rates[l] + p.work.otherRates[l] + p.work.means[l]/baselineWorkInterval.Seconds()
 		}
 		sum += shares[l]
 	}
@@ -185,9 +185,9 @@
 	return shares
 }
 
-// formLanes marks the lanes' engines in each data centre among the open ones in
+// assignLanes marks the lanes' engines in each data centre among the open ones in
 // order of a hash: the tight lane at one end, the quick one at the other.
-func (p *pool) formLanes(now time.Time, told bool) {
+func (p *pool) assignLanes(now time.Time, told bool) {
 	if p.service {
 		return
 	}
@@ -195,13 +195,13 @@
 	former := make([]lane, len(p.servers))
 	for i, s := range p.servers {
 		former[i], s.lane = s.lane, laneLong
-		if !s.closed() && !s.cut && !now.Before(s.ejectedUntil) {
+		if !s.closed() && !s.unreachable && !now.Before(s.ejectedUntil) {
 			groups[s.dataCenter] = append(groups[s.dataCenter], s)
 		}
 	}
-	p.hasLane = [lanes]bool{}
+	p.hasLane = [laneCount]bool{}
 	shares := p.laneShares(told)
-	shares[laneTight] = max(shares[laneTight], p.tightNeed(len(p.servers)))
+	shares[laneTight] = max(shares[laneTight], p.tightLaneShare(len(p.servers)))
 	for dataCenter, group := range groups {
 		if len(group) < 2 {
 			continue
@@ -210,65 +210,65 @@
 			return cmp.Compare(xxhash.Sum64String(a.name), xxhash.Sum64String(b.name))
 		})
 		tight, quick := p.laneSizes(dataCenter, len(group), shares)
-		p.mark(group[:tight], laneTight)
-		p.mark(group[len(group)-quick:], laneQuick)
+		p.assignLane(group[:tight], laneTight)
+		p.assignLane(group[len(group)-quick:], laneQuick)
 	}
-	hold := p.tightHold()
+	hold := p.tightAnswerTime()
 	for i, s := range p.servers {
 		if former[i] == laneTight && s.lane != laneTight {
-			s.quietUntil = now.Add(hold)
+			s.noLongPromptsUntil = now.Add(hold)
 		}
 	}
 }
 
-// tightHold is how long the longest of the usual tight answers take.
-func (p *pool) tightHold() time.Duration {
+// tightAnswerTime is how long the longest of the usual tight answers take.
+func (p *pool) tightAnswerTime() time.Duration {
 	step, hold := p.engine.stepAt(float64(p.slots())), 0.0
-	for _, u := range p.uses {
-		if p.wantedBy(u.class) == laneTight {
-			hold = max(hold, u.flow.lasts(step))
+	for _, u := range p.usages {
+		if p.wantedLane(u.class) == laneTight {
+			hold = max(hold, u.traffic.answerTime(step))
 		}
 	}
 	return time.Duration(hold * float64(time.Second))
 }
 
-// quiet tells whether the engine reads no long prompts: it is in the tight lane, or was
+// excludesLongPrompts tells whether the engine reads no long prompts: it is in the tight lane, or was
 // and may still run tight answers from then.
-func (s *server) quiet(now time.Time) bool {
-	return s.lane == laneTight || now.Before(s.quietUntil)
+func (s *server) excludesLongPrompts(now time.Time) bool {
+	return s.lane == laneTight || now.Before(s.noLongPromptsUntil)
 }
 
-// laneFill is the part of a lane's slots that its requests are expected to take.
-const laneFill = 0.8
+// laneUtilization is the part of a lane's slots that its requests are expected to take.
+const laneUtilization = 0.8
 
-// tightNeed is the part of all n engines whose slots tight answers will take, as far as
+// tightLaneShare is the part of all n engines whose slots tight answers will take, as far as
 // the others leave it free; but what they take now, up to a third of the engines, in any
 // case: a burst of long prompts must not take the lane from them. Where engines have few
 // slots, work alone makes the lane too small: answers that find it full are late beside
 // long prompts.
-func (p *pool) tightNeed(n int) float64 {
-	claims, all := p.laneClaims(), 0.0
+func (p *pool) tightLaneShare(n int) float64 {
+	claims, all := p.laneDemand(), 0.0
 	for l := range claims {
-		claims[l] += p.work.toldClaims[l]
+		claims[l] += p.work.otherLaneDemand[l]
 		all += claims[l]
 	}
-	slots, tight := laneFill*float64(n*p.slots()), claims[laneTight]
-	spare, now := slots-(all-tight), min(tight/slowdown, slots/3)
+	slots, tight := laneUtilization*float64(n*p.slots()), claims[laneTight]
+	spare, now := slots-(all-tight), min(tight/holdSlowdown, slots/3)
 	return max(min(tight, spare), now) / max(slots, 1)
 }
 
-// laneClaims is what this instance asks slots for, by lane.
-func (p *pool) laneClaims() (claims [lanes]float64) {
-	claim := p.claim()
-	for _, u := range p.uses {
+// laneDemand is what this instance asks slots for, by lane.
+func (p *pool) laneDemand() (claims [laneCount]float64) {
+	claim := p.slotDemand()
+	for _, u := range p.usages {
 		place := placeOf(u.class)
-		claims[p.wantedBy(u.class)] += claim[place]
+		claims[p.wantedLane(u.class)] += claim[place]
 		claim[place] = 0
 	}
 	return claims
 }
 
-func (p *pool) mark(group []*server, l lane) {
+func (p *pool) assignLane(group []*server, l lane) {
 	for _, s := range group {
 		s.lane = l
 		p.hasLane[l] = true
@@ -278,7 +278,7 @@
 // laneSizes returns how many of a data centre's n engines each lane gets, not all of
 // them: what the instance of the best rank plans, else at least one for each lane that
 // has work.
-func (p *pool) laneSizes(dataCenter string, n int, shares [lanes]float64) (tight, quick int) {
+func (p *pool) laneSizes(dataCenter string, n int, shares [laneCount]float64) (tight, quick int) {
 	size := p.sizes[dataCenter]
 	if planned, known := p.plan.Sizes[loadboard.Key(dataCenter)]; known {
 		size[laneTight], size[laneQuick] = int(planned.Tight), int(planned.Quick)
@@ -296,9 +296,9 @@
 // laneSize is the number of n engines for a lane with the share of all work.
 func laneSize(l lane, size, n int, share float64) int {
 	switch wanted := share * float64(n); {
-	case l == laneLong || l == laneQuick && n < quickLaneFrom || share < leastLane:
+	case l == laneLong || l == laneQuick && n < minEnginesForQuickLane || share < minLaneShare:
 		return 0
-	case size == 0 || math.Abs(wanted-float64(size)) > laneHold:
+	case size == 0 || math.Abs(wanted-float64(size)) > laneSizeHysteresis:
 		return max(int(wanted+0.5), 1)
 	}
 	return size
@@ -306,7 +306,7 @@
 
 // ownPlan is this instance's division into lanes, for the others.
 func (p *pool) ownPlan(self string) loadboard.LanePlan {
-	plan := loadboard.LanePlan{By: self, Beside: uint32(p.besideLong() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
+	plan := loadboard.LanePlan{By: self, Beside: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
 	for dataCenter, size := range p.sizes {
 		plan.Sizes[loadboard.Key(dataCenter)] = loadboard.LaneSizes{Tight: uint32(size[laneTight]), Quick: uint32(size[laneQuick])}
 	}
@@ -314,42 +314,42 @@
 }
 
 const (
-	// strayLong is the price of a long prompt in a lane, strayTight that of an answer
+	// longPromptPenalty is the price of a long prompt in a lane, strayTight that of an answer
 	// outside its lane: a miss of one answer's target, or a likely one.
-	strayLong  = 4 * time.Second
-	strayTight = time.Second
-	// strayShort is the price of a prompt in a lane that is short there: it holds
+	longPromptPenalty  = 4 * time.Second
+	outsideLanePenalty = time.Second
+	// shortPromptPenalty is the price of a prompt in a lane that is short there: it holds
 	// others up by two steps at most.
-	strayShort = 700 * time.Millisecond
+	shortPromptPenalty = 700 * time.Millisecond
 )
 
-// intrudeMost is how long an engine of the tight lane may read for others, in gaps
+// maxIntrusionGaps is how long an engine of the tight lane may read for others, in gaps
 // between tokens of the tightest answers: an event of several tokens bears it.
-const intrudeMost = 2
+const maxIntrusionGaps = 2
 
 // intrudes tells whether the engine is kept for tight answers and the request, which is
 // none, would hold them up: with all that waits there it has too much to read.
 func (s *server) intrudes(now time.Time, r *request, read float64) bool {
-	if !s.quiet(now) || !r.Anchored || r.pool.isTight(r.class) {
+	if !s.excludesLongPrompts(now) || !r.Anchored || r.pool.isTight(r.class) {
 		return false
 	}
-	reading := s.prefill * (read + s.before(levels-1))
-	return reading > intrudeMost*r.pool.tight.Seconds()
+	reading := s.prefill * (read + s.backlogBefore(levels-1))
+	return reading > maxIntrusionGaps*r.pool.minBetween.Seconds()
 }
 
-// stray is the price of the request outside the engines that suit it, where it has
+// lanePenalty is the price of the request outside the engines that suit it, where it has
 // so many tokens to read.
-func (s *server) stray(r *request, h *homes, read float64) time.Duration {
-	belongs := r.laneOf()
+func (s *server) lanePenalty(r *request, h *homes, read float64) time.Duration {
+	belongs := r.assignedLane()
 	switch {
 	case s.service || !r.Anchored:
 		return 0
 	case s.lane == belongs:
-		return h.past(s)
-	case s.lane != laneLong && belongs != laneTight && r.pool.readTime(read) >= longRead:
-		return strayLong
+		return h.penalty(s)
+	case s.lane != laneLong && belongs != laneTight && r.pool.prefillTime(read) >= minLongPrefill:
+		return longPromptPenalty
 	case belongs == laneLong:
-		return strayShort
+		return shortPromptPenalty
 	}
-	return strayTight
+	return outsideLanePenalty
 }
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -27,16 +27,16 @@
 	return c
 }
 
-// others tells that all other instances start so much work in each lane, in tokens a
+// setOtherWork tells that all other instances start so much work in each lane, in tokens a
 // second.
-func others(c *core, now time.Time, long, quick, tight uint32) {
+func setOtherWork(c *core, now time.Time, long, quick, tight uint32) {
 	c.Step(now, LoadsTold{Word: loadboard.Word{
-		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [lanes]uint32{long, quick, tight}}},
+		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [laneCount]uint32{long, quick, tight}}},
 	}})
 }
 
-// sizes counts the engines of each lane.
-func sizes(c *core) (count [lanes]int) {
+// laneSizes counts the engines of each lane.
+func laneSizes(c *core) (count [laneCount]int) {
 	for _, s := range c.pools["llm"].servers {
 		count[s.lane]++
 	}
@@ -46,40 +46,40 @@
 // A burst of drafts comes to 78 instances. Each sees five of them a second; by its
 // own requests alone it would take 20 s to give them more engines, and the burst
 // lasts ten. By the work of all it takes the time of one word.
-func TestLanesFollowTheWorkOfAllInstances(t *testing.T) {
+func TestLaneSizesFollowWorkOfAllInstances(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a", "b")))
-	others(c, epoch, 600000, 200000, 200000)
+	c := withIndirectDigests(withReviews(engines("e1", 15, "a", "b")))
+	setOtherWork(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
-	is.Equal(sizes(c), [lanes]int{laneLong: 18, laneQuick: 6, laneTight: 6})
-	others(c, epoch.Add(time.Second), 600000, 200000, 700000)
+	is.Equal(laneSizes(c), [laneCount]int{laneLong: 18, laneQuick: 6, laneTight: 6})
+	setOtherWork(c, epoch.Add(time.Second), 600000, 200000, 700000)
 	c.Step(epoch.Add(time.Second), Tick{})
-	is.Equal(sizes(c), [lanes]int{laneLong: 12, laneQuick: 4, laneTight: 14})
+	is.Equal(laneSizes(c), [laneCount]int{laneLong: 12, laneQuick: 4, laneTight: 14})
 }
 
 // The work of two lanes differs a little from one word to the next. If each
 // difference moved an engine, the prompts whose home it is would be read again.
-func TestLanesStandStillForSmallChanges(t *testing.T) {
+func TestSmallWorkChangesDoNotResizeLanes(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a")))
-	others(c, epoch, 600000, 200000, 200000)
+	c := withIndirectDigests(withReviews(engines("e1", 15, "a")))
+	setOtherWork(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
-	before := sizes(c)
+	before := laneSizes(c)
 	for i := range 10 {
 		now := epoch.Add(time.Duration(i+1) * time.Second)
-		others(c, now, 600000, 200000, 190000+uint32(i%2)*60000)
+		setOtherWork(c, now, 600000, 200000, 190000+uint32(i%2)*60000)
 		c.Step(now, Tick{})
-		is.Equal(sizes(c), before)
+		is.Equal(laneSizes(c), before)
 	}
 }
 
 // An engine reads a prompt that it has begun to its end. Beside digests of 17,000
 // tokens a review, which is wanted within 0.8 s, waits 0.4 s for the one in progress;
 // so reviews have engines of their own where there are enough.
-func TestQuickAnswersKeepAwayFromLongPrompts(t *testing.T) {
+func TestQuickAnswersAvoidLongPrompts(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a")))
-	others(c, epoch, 600000, 200000, 200000)
+	c := withIndirectDigests(withReviews(engines("e1", 15, "a")))
+	setOtherWork(c, epoch, 600000, 200000, 200000)
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(c.servers[only[Start](t, c.Step(epoch.Add(slowTick), review(1, 5))).Server].lane, laneQuick)
 	is.Equal(c.servers[only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 6))).Server].lane, laneLong)
@@ -91,11 +91,11 @@
 // Memory runs out at an engine, which preempts the least urgent of its requests. A
 // late draft that had been sent as less urgent than the digests beside it would go
 // before them, though its class is more urgent than theirs.
-func TestALateUrgentRequestStaysMoreUrgentThanOthers(t *testing.T) {
+func TestLateUrgentRequestKeepsItsLevel(t *testing.T) {
 	is := is.New(t)
 	c := engines("e1", 1, "a")
 	c.Step(epoch, digest(1, 1))
-	c.servers["a-0"].ahead.add(0, 200000)
+	c.servers["a-0"].ownBacklog.add(0, 200000)
 	start := only[Start](t, c.Step(epoch, draft(2)))
 	is.True(c.requests[2].behind)
 	is.Equal(start.Level, model.Place(1, 0))
@@ -104,16 +104,16 @@
 // Sixty requests of as many new subjects come between two words of the others. All
 // instances see the same engine as the least loaded one; if they went by that, it
 // would have a million tokens to read. Each subject has homes of its own.
-func TestNewPromptsSpreadOverAllEngines(t *testing.T) {
+func TestNewPromptsSpreadOverEngines(t *testing.T) {
 	is := is.New(t)
 	used := make(map[string]int)
 	for i := range 60 {
-		c := inTree(engines("e1", 10, "a", "b", "c", "d"))
-		others(c, epoch, 1000, 0, 0)
+		c := withIndirectDigests(engines("e1", 10, "a", "b", "c", "d"))
+		setOtherWork(c, epoch, 1000, 0, 0)
 		for _, s := range c.ordered {
-			s.toldAhead[5] = 30000
+			s.boardBacklog[5] = 30000
 		}
-		c.servers["a-3"].toldAhead = backlog{}
+		c.servers["a-3"].boardBacklog = backlog{}
 		c.Step(epoch.Add(slowTick), Tick{})
 		used[only[Start](t, c.Step(epoch.Add(slowTick), digest(ID(i+1), uint64(i+1)))).Server]++
 	}
@@ -123,7 +123,7 @@
 
 // Engines preempt the least urgent of their requests first. Queries of a less urgent team
 // were preempted while another team's bulk ran on.
-func TestBulkIsPreemptedBeforeShortWorkOfOtherTiers(t *testing.T) {
+func TestBulkIsPreemptedBeforeShortWork(t *testing.T) {
 	is := is.New(t)
 	bulk := &lilacv1.Class{Tier: 0, Rank: 2}
 	short := &lilacv1.Class{Tier: 1, Rank: 0}
@@ -132,7 +132,7 @@
 
 // An instance that had seen no bulk lately sent late scans as the last of all, behind
 // the bulk of others.
-func TestLateRequestsStayBeforeOthersBulk(t *testing.T) {
+func TestLateRequestsPrecedeBulkOfOtherInstances(t *testing.T) {
 	is := is.New(t)
 	c := engines("e1", 1, "a")
 	c.Step(epoch, draft(1))
@@ -146,7 +146,7 @@
 
 // The engine that reads a prompt became one of the lane for short pauses. Requests of the
 // prompt could go neither there nor, since it must not be read twice, anywhere else.
-func TestAPromptOnALaneEngineIsReadAgain(t *testing.T) {
+func TestPromptCachedInTightLaneIsRecomputed(t *testing.T) {
 	is := is.New(t)
 	c := engines("e1", 2, "a")
 	c.Step(epoch, draft(1))
@@ -154,48 +154,48 @@
 	lane.lane, other.lane = laneTight, laneLong
 	c.pools["llm"].hasLane[laneTight] = true
 	lane.cache.add(7, 13300, epoch.Add(time.Minute))
-	lane.ahead.add(0, 50000)
+	lane.ownBacklog.add(0, 50000)
 	is.Equal(only[Start](t, c.Step(epoch, digest(2, 7))).Server, other.name)
 }
 
 // Engines of 12 slots have time for twice the drafts that they have slots for. Sized by
 // work alone the lane was full, and one draft in four was late beside long prompts.
-func TestTheTightLaneHasTheSlotsThatItsAnswersTake(t *testing.T) {
+func TestTightLaneIsSizedBySlotDemand(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 15, "a", "b")))
+	c := withIndirectDigests(withReviews(engines("e1", 15, "a", "b")))
 	for _, s := range c.ordered {
 		s.slots = 12
 	}
 	c.view.Classes["draft"].BetweenTokensMs = 50
 	c.Step(epoch, draft(1))
 	c.Step(epoch, digest(2, 1))
-	work := loadboard.PoolWork{Rates: [lanes]uint32{800000, 0, 100000}}
+	work := loadboard.PoolWork{Rates: [laneCount]uint32{800000, 0, 100000}}
 	tell := func(now time.Time, drafts, digests float64) {
-		work.LaneClaims = [lanes]float64{laneLong: digests, laneTight: drafts}
+		work.LaneClaims = [laneCount]float64{laneLong: digests, laneTight: drafts}
 		c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
 		c.Step(now, Tick{})
 	}
 	tell(epoch.Add(slowTick), 10, 50)
-	is.Equal(sizes(c)[laneTight], 4) // a ninth of the work
+	is.Equal(laneSizes(c)[laneTight], 4) // a ninth of the work
 	tell(epoch.Add(time.Second), 100, 50)
-	is.Equal(sizes(c)[laneTight], 10) // 101 of 360 slots, four fifths full
+	is.Equal(laneSizes(c)[laneTight], 10) // 101 of 360 slots, four fifths full
 	tell(epoch.Add(2*time.Second), 200, 150)
-	is.Equal(sizes(c)[laneTight], 14) // digests keep the slots that they need
+	is.Equal(laneSizes(c)[laneTight], 14) // digests keep the slots that they need
 	tell(epoch.Add(3*time.Second), 200, 1000)
-	is.Equal(sizes(c)[laneTight], 10) // a burst of digests leaves drafts what they take now
+	is.Equal(laneSizes(c)[laneTight], 10) // a burst of digests leaves drafts what they take now
 	tell(epoch.Add(4*time.Second), 1000, 1000)
-	is.Equal(sizes(c)[laneTight], 10) // and two thirds to the others
+	is.Equal(laneSizes(c)[laneTight], 10) // and two thirds to the others
 }
 
 // Of 194 instances each saw one answer in 194, and took the engines' rate from two or
 // three of them: for one a class was tight, for the next it was none, and one gave
 // short pauses the engine on which the other read long prompts.
-func TestInstancesAgreeOnTheLanes(t *testing.T) {
+func TestInstancesAgreeOnLanes(t *testing.T) {
 	is := is.New(t)
 	names := []string{"e1", "e2"}
 	slices.SortFunc(names, member.CompareRank)
 	leader, other := withReviews(engines(names[0], 15, "a")), withReviews(engines(names[1], 15, "a"))
-	leader.pools["llm"].engine.own.prefill = 2 * firstPrefill
+	leader.pools["llm"].engine.own.prefill = 2 * initialPrefill
 	leader.pools["llm"].engine.blend()
 	now := epoch
 	for i, c := range []*core{leader, other} {
@@ -215,8 +215,8 @@
 	for name, class := range leader.view.Classes {
 		is.Equal(leader.pools["llm"].isTight(class), other.pools["llm"].isTight(other.view.Classes[name]))
 	}
-	is.Equal(sizes(leader), sizes(other))
-	is.True(sizes(leader)[laneTight] > 0)
+	is.Equal(laneSizes(leader), laneSizes(other))
+	is.True(laneSizes(leader)[laneTight] > 0)
 	for i, s := range leader.ordered {
 		is.Equal(s.lane, other.ordered[i].lane)
 	}
@@ -226,10 +226,10 @@
 
 // The tight lane grew smaller, and engines that left it read long prompts beside the drafts
 // that they still ran: these paused for too long.
-func TestEnginesThatLeaveTheTightLaneReadNoLongPromptsYet(t *testing.T) {
+func TestFormerTightLaneEnginesDelayLongPrompts(t *testing.T) {
 	is := is.New(t)
-	c := inTree(withReviews(engines("e1", 6, "a")))
-	others(c, epoch, 100000, 0, 100000)
+	c := withIndirectDigests(withReviews(engines("e1", 6, "a")))
+	setOtherWork(c, epoch, 100000, 0, 100000)
 	c.Step(epoch, draft(1))
 	now := epoch.Add(slowTick)
 	c.Step(now, Tick{})
@@ -237,7 +237,7 @@
 	for _, s := range c.ordered {
 		before[s.name] = s.lane
 	}
-	others(c, now, 500000, 0, 100000)
+	setOtherWork(c, now, 500000, 0, 100000)
 	now = now.Add(slowTick)
 	c.Step(now, Tick{})
 	left := func(s *server) bool { return before[s.name] == laneTight && s.lane != laneTight }
@@ -251,5 +251,5 @@
 		return onLeft
 	}
 	is.Equal(read(now, 100), 0)
-	is.True(read(now.Add(c.pools["llm"].tightHold()), 200) > 0)
+	is.True(read(now.Add(c.pools["llm"].tightAnswerTime()), 200) > 0)
 }
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -31,17 +31,17 @@
 // the word itself is noted.
 func (s *server) noteLeaving(now time.Time) {
 	if !s.leaves(now) {
-		s.leavesAt = now
+		s.leavingNoticeAt = now
 	}
 }
 
 // noteGone learns how long servers stay after the word that they leave.
 func (c *core) noteGone(now time.Time, s *server) {
-	if !s.leaves(now) || s.wentAt.After(s.leavesAt) {
+	if !s.leaves(now) || s.goneAt.After(s.leavingNoticeAt) {
 		return
 	}
-	s.wentAt = now
-	stayed := max(now.Sub(s.leavesAt), leastNotice)
+	s.goneAt = now
+	stayed := max(now.Sub(s.leavingNoticeAt), leastNotice)
 	if stayed > c.notice {
 		stayed = c.notice + time.Duration(noticeLearn*float64(stayed-c.notice))
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	moves := 0
-	for i := 0; i < len(p.running) && moves < maxMoves; i++ {
+	for i := 0; i < len(p.running) && moves < maxMovesPerRound; i++ {
 		if c.moveOff(now, p.running[i]) {
 			moves++
 			i--
@@ -69,8 +69,8 @@
 	if !r.server.leaves(now) || !r.Idempotent || r.Anchored || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaits(r) {
 		return false
 	}
-	s := c.choose(now, r, how{late: true})
-	if s == nil || !c.cutShort(now, r, s) || !c.carries(now, r, s) || !c.budget.Take() {
+	s := c.choose(now, r, chooseOptions{late: true})
+	if s == nil || !c.cutShort(now, r, s) || !c.transferPays(now, r, s) || !c.budget.Take() {
 		return false
 	}
 	c.check(InvariantBudget, c.budget.Holds())
@@ -92,8 +92,8 @@
 // cutShort tells whether the answer is about to be cut off with its server.
 func (c *core) cutShort(now time.Time, r *request, to *server) bool {
 	s := r.server
-	goes := s.leavesAt.Add(c.notice)
+	goes := s.leavingNoticeAt.Add(c.notice)
 	move := c.kv.rate(s, to).expect(now, r.tokensHeld())
-	rest := time.Duration(r.left(c) * float64(s.gapAt(s.load())))
+	rest := time.Duration(r.tokensLeft(c) * float64(s.gapAt(s.load())))
 	return now.Add(moveWindow+move).After(goes) && now.Add(rest).After(goes)
 }
--- a/request/policy/leaving_test.go
+++ b/request/policy/leaving_test.go
@@ -73,7 +73,7 @@
 	c.Step(at.Add(500*time.Millisecond), Tokens{ID: 1, Attempt: start.Attempt, Count: 1})
 	is.Equal(c.Stats().Spared, Spared{})
 	is.True(c.kv.near.expect(at, 2000) > before)
-	is.Equal(c.servers[start.Server].ahead.total(), 0.0)
+	is.Equal(c.servers[start.Server].ownBacklog.total(), 0.0)
 }
 
 // Another server is slow to take KV caches, so that each move is overdue and
@@ -147,7 +147,7 @@
 	k := newKVCost()
 	before := k.near.expect(epoch, 2000)
 	for range 20 {
-		k.near.measured(epoch, 2000, 5*time.Second)
+		k.near.observe(epoch, 2000, 5*time.Second)
 	}
 	is.True(k.near.expect(epoch, 2000) > 20*before)
 	is.Equal(k.far, newKVCost().far)
--- a/request/policy/limit_replay_test.go
+++ b/request/policy/limit_replay_test.go
@@ -42,7 +42,7 @@
 }
 
 // answer gives the instance the header of an answer.
-func (n *needyEngine) answer(r *replay, j *replayJob) {
+func (n *needyEngine) answer(r *replay, j *replayAttempt) {
 	report := LimitReport{Server: j.start.Server, Named: n.names(r.now), PerSecond: n.perSecond}
 	if report.Named {
 		if n.told == nil {
@@ -88,7 +88,7 @@
 func (r *replay) need(perSecond float64, until time.Duration, names ...string) {
 	for _, name := range names {
 		e := r.engines[name]
-		e.need = needyEngine{perSecond: perSecond, from: epoch.Add(2 * time.Second), until: epoch.Add(until)}
+		e.limiter = needyEngine{perSecond: perSecond, from: epoch.Add(2 * time.Second), until: epoch.Add(until)}
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 func largeFleet(seed uint64) *replay {
-	return newReplay(seed, 24, 16, 12, largeWorkshopSpeed, largeWorkshop()).withBoards()
+	return newReplay(seed, 24, 16, 12, largeFleetSpeed, largeFleetKinds()).withBoards()
 }
 
 // Engines in need named two requests a second, and got five: nobody heeded it.
@@ -112,7 +112,7 @@
 				r.need(0.4, time.Minute, "c-2")
 				r.run(14*time.Second, steady)
 				for _, e := range r.engines {
-					is.True(e.need.from.IsZero() || e.need.most() <= e.need.allowed())
+					is.True(e.limiter.from.IsZero() || e.limiter.most() <= e.limiter.allowed())
 				}
 			}
 		})
@@ -130,7 +130,7 @@
 				r.need(2, 12*time.Second, "a-0", "b-1")
 				r.run(17*time.Second, steady)
 				for _, name := range []string{"a-0", "b-1"} {
-					is.True(r.engines[name].need.rate(6*time.Second, 12*time.Second) >= 0.5)
+					is.True(r.engines[name].limiter.rate(6*time.Second, 12*time.Second) >= 0.5)
 					for _, c := range r.cores {
 						is.True(!c.servers[name].limited.Named)
 					}
@@ -152,7 +152,7 @@
 			r.run(until, func(time.Duration) float64 { return 3 })
 			span := (until - from).Seconds()
 			for _, name := range []string{"a-0", "b-1"} {
-				served := r.engines[name].need.rate(from, until) * span
+				served := r.engines[name].limiter.rate(from, until) * span
 				is.True(served > perSecond*span-1.5) // all of it but the one that is saved up
 			}
 		})
@@ -164,21 +164,21 @@
 func TestAPoolWhoseServersAllNameLimitsGoesOn(t *testing.T) {
 	is := is.New(t)
 	r := newReplay(1, 8, 1, 64, workshopSpeed, workshop())
-	r.returns = true
+	r.callersRetry = true
 	r.need(3, time.Minute, "a-0", "b-0", "c-0")
 	slow := 0
-	r.refused = func(refusal Refuse) {
-		end := r.ends[refusal.ID]
+	r.onRefuse = func(refusal Refuse) {
+		end := r.outcomes[refusal.ID]
 		is.True(refusal.RetryAfter > 0)
-		if end.at.After(epoch.Add(6*time.Second)) && !end.returned && r.now.Sub(end.at) > time.Duration(r.kinds[end.kind].class.GetFirstTokenMs())*ms {
+		if end.arrivedAt.After(epoch.Add(6*time.Second)) && !end.retried && r.now.Sub(end.arrivedAt) > time.Duration(r.kinds[end.kind].class.GetFirstTokenMs())*ms {
 			slow++
 		}
 	}
 	r.run(14*time.Second, steady)
 	served := 0.0
 	for _, e := range r.engines {
-		is.True(e.need.most() <= e.need.allowed())
-		served += e.need.rate(6*time.Second, 14*time.Second)
+		is.True(e.limiter.most() <= e.limiter.allowed())
+		served += e.limiter.rate(6*time.Second, 14*time.Second)
 	}
 	is.True(served >= 4.5) // half of what the three take
 	is.Equal(slow, 0)
--- a/request/policy/limitshare.go
+++ b/request/policy/limitshare.go
@@ -147,7 +147,7 @@
 func (p *pool) shut() bool {
 	limited := false
 	for _, s := range p.servers {
-		if s.closed() || s.cut {
+		if s.closed() || s.unreachable {
 			continue
 		}
 		if !s.limited.Named || s.allowed.share > 0 {
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -72,7 +72,7 @@
 // for it rather than have the prompt read elsewhere.
 func TestARequestDoesNotWaitForALimitedHome(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
+	c, home := coreWithCachedPrompt(t)
 	finish(c, epoch.Add(slowTick), home)
 	c.Step(epoch.Add(time.Second), names(home.Server, 0))
 	start := only[Start](t, c.Step(epoch.Add(2*time.Second), digest(2, 7)))
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -43,7 +43,7 @@
 
 func (c *core) refuseLate(now time.Time, p *pool, refused []*request) {
 	for _, r := range refused {
-		p.noteMiss(levelOf(r.class))
+		p.observeMissedStart(levelOf(r.class))
 		c.unqueue(r)
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_LATE, lateMessage, c.retryAfter(p))
 	}
@@ -91,14 +91,14 @@
 // but takes the place of none.
 func (p *pool) withinShare(r *request) bool {
 	waiting := float64(p.queue.ClassLen(r.Class))
-	served := shareOf(r.class) * p.rate * r.first().Seconds()
+	served := guaranteedShare(r.class) * p.tokenRate * r.first().Seconds()
 	return waiting < 1 || (waiting+1)*r.item.Cost <= served
 }
 
 // relieve sheds while the queue takes longer than maxWait: the lowest tier
 // that waits, and only as far as all instances have cut the lower ones off.
 func (c *core) relieve(now time.Time, p *pool) {
-	for p.queue.Len() > minQueue && p.wait() > maxWait {
+	for p.queue.Len() > minQueue && p.queueWait() > maxWait {
 		tier := p.queue.LowestTier()
 		if tier < 0 {
 			return
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -13,15 +13,15 @@
 
 // workshop is a load of short urgent queries, quick scans and long notes on 12
 // engines, which do it with half of their time.
-func workshop() []kindOf {
-	return []kindOf{
+func workshop() []requestKind {
+	return []requestKind{
 		{class: &lilacv1.Class{Name: "query", Tier: 1, Rank: 0, FirstTokenMs: 500, BetweenTokensMs: 41, MaxAttempts: 1, Late: withRoom}, perSecond: 16, shared: 200, own: 630, subjects: 150, answer: 290, deadline: 12 * time.Second},
 		{class: &lilacv1.Class{Name: "scan", Tier: 1, Rank: 1, FirstTokenMs: 600, BetweenTokensMs: 66, MaxAttempts: 1, Late: withRoom}, perSecond: 32, shared: 570, own: 1800, subjects: 300, answer: 23, deadline: 3 * time.Second},
 		{class: &lilacv1.Class{Name: "note", Tier: 1, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 166, MaxAttempts: 1, Late: withRoom}, perSecond: 19, shared: 5400, own: 6600, subjects: 80, answer: 380, deadline: 15 * time.Second},
 	}
 }
 
-var workshopSpeed = speed{step: 3 * ms, each: 150 * time.Microsecond, prefill: 12 * time.Microsecond, fixed: 20 * ms}
+var workshopSpeed = engineSpeed{step: 3 * ms, perRequest: 150 * time.Microsecond, prefill: 12 * time.Microsecond, fixed: 20 * ms}
 
 // steady is a load that doesn't change; surge has so many times the traffic from the
 // second second to the twelfth.
@@ -46,12 +46,12 @@
 		for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
 			for kind := range 2 {
 				span := r.tally(kind, from, from+5*time.Second)
-				is.True(span.nothing < 10 || span.nothing*12 <= span.asked)
+				is.True(span.unanswered < 10 || span.unanswered*12 <= span.arrived)
 			}
 		}
 		notes, queries := r.tally(2, 2*time.Second, 12*time.Second), r.tally(0, 2*time.Second, 12*time.Second)
-		is.True(queries.inTime*4 >= queries.asked*3)
-		is.True((notes.asked-notes.nothing)*4 >= notes.asked) // no kind is starved
+		is.True(queries.inTime*4 >= queries.arrived*3)
+		is.True((notes.arrived-notes.unanswered)*4 >= notes.arrived) // no kind is starved
 	}
 }
 
@@ -63,14 +63,14 @@
 	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
 	r.run(16*time.Second, surge(3.5))
 	refused, soon := 0, 0
-	for _, end := range r.ends {
-		if !end.refused || !end.began.IsZero() {
+	for _, end := range r.outcomes {
+		if !end.refused || !end.startedAt.IsZero() {
 			continue
 		}
 		refused++
 		target := time.Duration(r.kinds[end.kind].class.GetFirstTokenMs()) * ms
-		is.True(end.ended.Sub(end.at) <= target)
-		if end.ended.Sub(end.at) <= target/8 {
+		is.True(end.endedAt.Sub(end.arrivedAt) <= target)
+		if end.endedAt.Sub(end.arrivedAt) <= target/8 {
 			soon++
 		}
 	}
@@ -85,8 +85,8 @@
 	r.run(10*time.Second, steady)
 	for kind := range r.kinds {
 		all := r.tally(kind, time.Second, 8*time.Second)
-		is.Equal(all.nothing, 0)
-		is.True(all.inTime*10 >= all.asked*9)
+		is.Equal(all.unanswered, 0)
+		is.True(all.inTime*10 >= all.arrived*9)
 	}
 }
 
@@ -100,7 +100,7 @@
 		for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
 			for kind := range 2 {
 				span := r.tally(kind, from, from+5*time.Second)
-				is.True(span.nothing < 10 || span.nothing*12 <= span.asked)
+				is.True(span.unanswered < 10 || span.unanswered*12 <= span.arrived)
 			}
 		}
 	}
@@ -115,10 +115,10 @@
 		s := c.servers["a-0"]
 		s.slots = slots
 		c.Step(epoch, digest(1, 1))
-		flow := &c.pools["llm"].used["digest"].flow
+		flow := &c.pools["llm"].usageByClass["digest"].traffic
 		flow.tokens, flow.pace = 300, 0.03
 		c.Step(epoch, draft(2))
-		is.Equal(s.yields(c.requests[2], float64(slots)), want)
+		is.Equal(s.preemptibleSlots(c.requests[2], float64(slots)), want)
 	}
 }
 
@@ -127,7 +127,7 @@
 	is := is.New(t)
 	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
 	seen := make(map[Blocked]int)
-	r.refused = func(refusal Refuse) {
+	r.onRefuse = func(refusal Refuse) {
 		is.True(refusal.Held.Level >= 0)
 		seen[refusal.Held.Blocked]++
 	}
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -51,17 +51,17 @@
 		Revision:    c.view.Revision,
 		Suspects:    c.suspects.Share(now),
 		Spends:      c.spends(now),
-		Readings:    c.toldReadings(now),
+		Readings:    c.advertisedPrefills(now),
 		Work:        c.toldWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
 	for _, p := range c.poolOrder {
-		d.Cutoffs = append(d.Cutoffs, p.tiers.Tell(p.claim(), p.queue.LowestTier()))
+		d.Cutoffs = append(d.Cutoffs, p.tiers.Tell(p.slotDemand(), p.queue.LowestTier()))
 		d.PromiseMs = shorterPromise(d.PromiseMs, p.tiers.Promise())
 	}
 	for _, s := range c.ordered {
-		if len(s.own) > 0 {
-			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.own)), TokensLeft: uint64(s.ahead.total()), Backlog: s.ahead.told(), GapUs: s.gapTold(now)})
+		if len(s.running) > 0 {
+			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.running)), TokensLeft: uint64(s.ownBacklog.total()), Backlog: s.ownBacklog.told(), GapUs: s.advertisedGap(now)})
 		}
 		if s.leaving || s.gone {
 			d.LeavingServers = append(d.LeavingServers, s.name)
@@ -114,7 +114,7 @@
 	p.dataCenter, p.leaving = d.GetDataCenter(), d.GetLeaving()
 	c.takeLoads(now, p, d.GetLoads())
 	c.takeWork(p, d.GetWork())
-	c.hearReadings(now, d.GetReadings())
+	c.observePeerPrefills(now, d.GetReadings())
 	c.hearLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
 	c.takeSuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
@@ -166,20 +166,20 @@
 	c.dropLoads(p)
 	for _, load := range loads {
 		if s := c.servers[load.GetServer()]; s != nil {
-			s.peers += float64(load.GetInFlight())
-			s.peersAhead.merge(load.GetBacklog(), 1)
+			s.peerLoad += float64(load.GetInFlight())
+			s.peerBacklog.merge(load.GetBacklog(), 1)
 			p.loads = append(p.loads, peerLoad{server: s, inFlight: float64(load.GetInFlight()), backlog: load.GetBacklog()})
-			s.join(true)
-			s.hearGap(now, time.Duration(load.GetGapUs())*time.Microsecond)
+			s.estimateOtherLoad(true)
+			s.observePeerGap(now, time.Duration(load.GetGapUs())*time.Microsecond)
 		}
 	}
 }
 
 func (c *core) dropLoads(p *peer) {
 	for _, load := range p.loads {
-		load.server.peers = max(0, load.server.peers-load.inFlight)
-		load.server.peersAhead.merge(load.backlog, -1)
-		load.server.join(true)
+		load.server.peerLoad = max(0, load.server.peerLoad-load.inFlight)
+		load.server.peerBacklog.merge(load.backlog, -1)
+		load.server.estimateOtherLoad(true)
 	}
 	p.loads = p.loads[:0]
 }
@@ -215,7 +215,7 @@
 	c.namePeers()
 	for _, pool := range c.poolOrder {
 		pool.tiers.Gone(name)
-		pool.measure(now)
+		pool.update(now)
 		c.cutoff(now, pool)
 		c.dispatch(now, pool)
 	}
--- a/request/policy/prefix.go
+++ b/request/policy/prefix.go
@@ -6,36 +6,36 @@
 // configuration doesn't say: 4,096 blocks of 16 tokens.
 const defaultCacheTokens = 65536
 
-// prefixSet is what a server's prefix cache is thought to hold: the blocks of
+// prefixCache is what a server's prefix cache is thought to hold: the blocks of
 // own requests sent there, and what its cache events told. The least recently
 // used blocks yield, as they do at the server.
-type prefixSet struct {
-	held     map[uint64]*heldBlock
+type prefixCache struct {
+	blocks   map[uint64]*cachedBlock
 	sequence uint64
 	// newest and oldest end the list in order of use.
-	newest, oldest *heldBlock
-	tokens, most   int
+	newest, oldest    *cachedBlock
+	tokens, maxTokens int
 }
 
-// heldBlock is one block of the cache in the list of use.
-type heldBlock struct {
+// cachedBlock is one block of the cache in the list of use.
+type cachedBlock struct {
 	hash   uint64
 	tokens int
 	// readyAt is when the server is expected to have read it.
 	readyAt      time.Time
-	newer, older *heldBlock
+	newer, older *cachedBlock
 }
 
-// eventBlock is the length of a block that a cache event tells of, in tokens.
-const eventBlock = 16
+// eventBlockTokens is the length of a block that a cache event tells of, in tokens.
+const eventBlockTokens = 16
 
-func newPrefixSet() prefixSet {
-	return prefixSet{held: make(map[uint64]*heldBlock), most: defaultCacheTokens}
+func newPrefixCache() prefixCache {
+	return prefixCache{blocks: make(map[uint64]*cachedBlock), maxTokens: defaultCacheTokens}
 }
 
-// use notes that the blocks of a prompt are read, the new ones by readyAt, the last
+// insert notes that the blocks of a prompt are read, the new ones by readyAt, the last
 // one first, so that the beginnings, which others share, yield last.
-func (p *prefixSet) use(prefix []Block, readyAt time.Time) {
+func (p *prefixCache) insert(prefix []Block, readyAt time.Time) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		begin := 0
 		if i > 0 {
@@ -45,11 +45,11 @@
 	}
 }
 
-func (p *prefixSet) add(hash uint64, tokens int, readyAt time.Time) {
-	b := p.held[hash]
+func (p *prefixCache) add(hash uint64, tokens int, readyAt time.Time) {
+	b := p.blocks[hash]
 	if b == nil {
-		b = &heldBlock{hash: hash, tokens: tokens, readyAt: readyAt}
-		p.held[hash] = b
+		b = &cachedBlock{hash: hash, tokens: tokens, readyAt: readyAt}
+		p.blocks[hash] = b
 		p.tokens += tokens
 	} else {
 		p.unlink(b)
@@ -62,12 +62,12 @@
 	if p.oldest == nil {
 		p.oldest = b
 	}
-	for p.tokens > p.most && p.oldest != b {
-		p.drop(p.oldest.hash)
+	for p.tokens > p.maxTokens && p.oldest != b {
+		p.remove(p.oldest.hash)
 	}
 }
 
-func (p *prefixSet) unlink(b *heldBlock) {
+func (p *prefixCache) unlink(b *cachedBlock) {
 	if b.newer != nil {
 		b.newer.older = b.older
 	} else {
@@ -81,40 +81,40 @@
 	b.newer, b.older = nil, nil
 }
 
-func (p *prefixSet) drop(hash uint64) {
-	if b := p.held[hash]; b != nil {
+func (p *prefixCache) remove(hash uint64) {
+	if b := p.blocks[hash]; b != nil {
 		p.unlink(b)
-		delete(p.held, hash)
+		delete(p.blocks, hash)
 		p.tokens -= b.tokens
 	}
 }
 
-func (p *prefixSet) clear() {
-	clear(p.held)
+func (p *prefixCache) clear() {
+	clear(p.blocks)
 	p.newest, p.oldest, p.tokens = nil, nil, 0
 }
 
 // apply takes in a cache event. Events are hints that come late and with gaps:
 // a gap may hide that blocks were dropped, so what was known is dropped too;
 // at worst a prompt is computed again.
-func (p *prefixSet) apply(e CacheEvent) {
+func (p *prefixCache) apply(e CacheEvent) {
 	if p.sequence != 0 && e.Sequence != p.sequence+1 || e.Cleared {
 		p.clear()
 	}
 	p.sequence = e.Sequence
 	for _, hash := range e.Stored {
-		p.add(hash, eventBlock, time.Time{})
+		p.add(hash, eventBlockTokens, time.Time{})
 	}
 	for _, hash := range e.Dropped {
-		p.drop(hash)
+		p.remove(hash)
 	}
 }
 
-// ready returns how many leading tokens of a prompt are expected to be read by now.
-func (p *prefixSet) ready(now time.Time, prefix []Block) int {
+// readyTokens returns how many leading tokens of a prompt are expected to be read by now.
+func (p *prefixCache) readyTokens(now time.Time, prefix []Block) int {
 	end := 0
 	for _, block := range prefix {
-		b := p.held[block.Hash]
+		b := p.blocks[block.Hash]
 		if b == nil || now.Before(b.readyAt) {
 			break
 		}
@@ -123,13 +123,13 @@
 	return end
 }
 
-// hit returns how many leading tokens are held. Each hash stands for all
+// cachedTokens returns how many leading tokens are held. Each hash stands for all
 // blocks before it too, so a search by halves finds the place.
-func (p *prefixSet) hit(prefix []Block) int {
+func (p *prefixCache) cachedTokens(prefix []Block) int {
 	low, high := 0, len(prefix)
 	for low < high {
 		middle := (low + high) / 2
-		if _, held := p.held[prefix[middle].Hash]; held {
+		if _, held := p.blocks[prefix[middle].Hash]; held {
 			low = middle + 1
 		} else {
 			high = middle
@@ -141,9 +141,9 @@
 	return prefix[low-1].End
 }
 
-// uncached is the prompt work that the request would cause on the server, in tokens.
-func (s *server) uncached(r *request) float64 {
-	return float64(max(r.PromptTokens+r.got-s.cache.hit(r.Prefix), 1))
+// uncachedTokens is the prompt work that the request would cause on the server, in tokens.
+func (s *server) uncachedTokens(r *request) float64 {
+	return float64(max(r.PromptTokens+r.got-s.cache.cachedTokens(r.Prefix), 1))
 }
 
 func (c *core) cacheEvent(e CacheEvent) {
--- a/request/policy/progress.go
+++ b/request/policy/progress.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// current returns the request if attempt is the one that runs now: events of
+// currentAttempt returns the request if attempt is the one that runs now: events of
 // earlier attempts come late and must not touch the present one.
-func (c *core) current(id ID, attempt int) *request {
+func (c *core) currentAttempt(id ID, attempt int) *request {
 	r := c.requests[id]
 	if r == nil || r.server == nil || r.attempt != attempt {
 		return nil
@@ -13,38 +13,38 @@
 }
 
 func (c *core) sent(e Sent) {
-	if r := c.current(e.ID, e.Attempt); r != nil {
+	if r := c.currentAttempt(e.ID, e.Attempt); r != nil {
 		r.sentNow = true
 	}
 }
 
 func (c *core) tokens(now time.Time, e Tokens) {
-	r := c.current(e.ID, e.Attempt)
+	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil || e.Count <= 0 {
 		return
 	}
 	s := r.server
 	r.sentNow, r.sentEver = true, true
 	if r.gotNow == 0 {
-		s.ahead.add(r.level, -r.uncached)
+		s.ownBacklog.add(r.level, -r.uncached)
 		s.decoding++
 		if r.carried > 0 {
-			c.carriedOver(now, r)
+			c.observeTransfer(now, r)
 		} else {
-			s.answered(r, now.Sub(r.started))
+			s.observeResponse(r, now.Sub(r.started))
 		}
-		s.proved()
+		s.endProbing()
 	} else {
 		gap := now.Sub(r.lastAt) / time.Duration(e.Count)
-		s.measured(gap)
-		r.pool.used[r.Class].flow.paced(gap.Seconds())
+		s.observeGap(gap)
+		r.pool.usageByClass[r.Class].traffic.observeGap(gap.Seconds())
 	}
 	if r.got == 0 {
 		r.firstAt = now
 	}
 	r.got += e.Count
 	r.gotNow += e.Count
-	r.lastAt, s.lastToken, s.heardAt = now, now, now
+	r.lastAt, s.lastTokenAt, s.lastResponseAt = now, now, now
 	r.idleSince, r.pool.progressAt, r.rejections = now, now, 0
 	if r.gotNow >= trialTokens {
 		c.passed(now, r)
@@ -52,17 +52,17 @@
 }
 
 func (c *core) finished(now time.Time, e Finished) {
-	r := c.current(e.ID, e.Attempt)
+	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil {
 		return
 	}
 	s := r.server
 	if r.pool.service && r.gotNow == 0 {
-		s.answered(r, now.Sub(r.started))
+		s.observeResponse(r, now.Sub(r.started))
 	}
-	s.proved()
-	s.heardAt = now
-	s.trouble -= troubleLearn * s.trouble
+	s.endProbing()
+	s.lastResponseAt = now
+	s.failureRate -= failureSampleWeight * s.failureRate
 	r.pool.progressAt = now
 	c.passed(now, r)
 	c.leave(now, r)
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -7,8 +7,8 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// tellWhoLives names each instance the others.
-func (r *replay) tellWhoLives() {
+// updateMembership names each instance the others.
+func (r *replay) updateMembership() {
 	for i, c := range r.cores {
 		var others []Instance
 		for j, other := range r.cores {
@@ -34,8 +34,8 @@
 	return r
 }
 
-// tellLoads has each instance take its loads anew and say what is due.
-func (r *replay) tellLoads() {
+// exchangeLoads has each instance take its loads anew and say what is due.
+func (r *replay) exchangeLoads() {
 	byName := make(map[string]int, len(r.cores))
 	for i, c := range r.cores {
 		byName[c.options.Instance] = i
@@ -54,15 +54,15 @@
 	}
 }
 
-// comeBack sends the requests again whose time to return has come, to any instance.
-func (r *replay) comeBack() {
-	for i := 0; i < len(r.returning); {
-		if r.now.Before(r.dueBack[i]) {
+// sendDueRetries sends the requests again whose time to return has come, to any instance.
+func (r *replay) sendDueRetries() {
+	for i := 0; i < len(r.retries); {
+		if r.now.Before(r.retryAt[i]) {
 			i++
 			continue
 		}
-		a := r.returning[i]
-		r.returning, r.dueBack = slices.Delete(r.returning, i, i+1), slices.Delete(r.dueBack, i, i+1)
+		a := r.retries[i]
+		r.retries, r.retryAt = slices.Delete(r.retries, i, i+1), slices.Delete(r.retryAt, i, i+1)
 		r.send(a)
 	}
 }
@@ -76,20 +76,20 @@
 
 // refuse ends a request, unless its caller comes back.
 func (r *replay) refuse(a Refuse) {
-	end, arrival := r.ends[a.ID], r.arrived[a.ID]
-	if r.refused != nil {
-		r.refused(a)
+	end, arrival := r.outcomes[a.ID], r.arrived[a.ID]
+	if r.onRefuse != nil {
+		r.onRefuse(a)
 	}
-	if r.returns && !end.returned && a.RetryAfter > 0 && a.RetryAfter <= arrival.Deadline.Sub(r.now)/3 {
-		r.attempts++
-		end.returned = true
-		arrival.ID = returnedIDs + r.attempts
-		r.ends[arrival.ID] = end
-		r.returning, r.dueBack = append(r.returning, arrival), append(r.dueBack, r.now.Add(a.RetryAfter))
+	if r.callersRetry && !end.retried && a.RetryAfter > 0 && a.RetryAfter <= arrival.Deadline.Sub(r.now)/3 {
+		r.lastRetry++
+		end.retried = true
+		arrival.ID = retryIDBase + r.lastRetry
+		r.outcomes[arrival.ID] = end
+		r.retries, r.retryAt = append(r.retries, arrival), append(r.retryAt, r.now.Add(a.RetryAfter))
 		return
 	}
-	end.refused, end.ended = true, r.now
+	end.refused, end.endedAt = true, r.now
 }
 
-// returnedIDs are above those of first attempts.
-const returnedIDs ID = 1 << 32
+// retryIDBase are above those of first attempts.
+const retryIDBase ID = 1 << 32
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -16,14 +16,14 @@
 // continuously, in steps of simulated time.
 
 const (
-	replayStep   = time.Millisecond
-	replayStride = 6 // tokens in an event
-	replayChunk  = 2048
-	digestEvery  = 300 * time.Millisecond
+	replayStep     = time.Millisecond
+	replayStride   = 6 // tokens in an event
+	replayChunk    = 2048
+	digestInterval = 300 * time.Millisecond
 )
 
-// kindOf is one kind of request of a replay.
-type kindOf struct {
+// requestKind is one kind of request of a replay.
+type requestKind struct {
 	class       *lilacv1.Class
 	perSecond   float64
 	shared, own int
@@ -32,42 +32,42 @@
 	deadline    time.Duration
 }
 
-// outcome is how a request of a replay ended.
-type outcome struct {
-	kind              int
-	at, began, first  time.Time
-	ended             time.Time
-	refused, finished bool
-	paused            time.Duration
-	last              time.Time
-	returned          bool
+// replayOutcome is how a request of a replay ended.
+type replayOutcome struct {
+	kind                               int
+	arrivedAt, startedAt, firstTokenAt time.Time
+	endedAt                            time.Time
+	refused, finished                  bool
+	maxPause                           time.Duration
+	lastTokenAt                        time.Time
+	retried                            bool
 }
 
 // replay holds one run.
 type replay struct {
-	kinds   []kindOf
-	cores   []*core
-	engines map[string]*replayEngine
-	ends    map[ID]*outcome
-	arrived map[ID]Arrival
-	random  *rand.Rand
-	now     time.Time
-	// refused hears of refusals; nil for none.
-	refused func(Refuse)
+	kinds    []requestKind
+	cores    []*core
+	engines  map[string]*replayEngine
+	outcomes map[ID]*replayOutcome
+	arrived  map[ID]Arrival
+	random   *rand.Rand
+	now      time.Time
+	// onRefuse hears of refusals; nil for none.
+	onRefuse func(Refuse)
 	// boards tell loads between the instances of large fleets; nil for small ones.
 	boards []*loadboard.Board
-	// returns is true where callers come back once after a refusal, at the time that they
+	// callersRetry is true where callers come back once after a refusal, at the time that they
 	// were told; returning are those that will.
-	returns   bool
-	returning []Arrival
-	dueBack   []time.Time
-	// first and attempts count the requests, and those of them that came back.
-	first, attempts ID
+	callersRetry bool
+	retries      []Arrival
+	retryAt      []time.Time
+	// lastID and attempts count the requests, and those of them that came back.
+	lastID, lastRetry ID
 }
 
-func newReplay(seed uint64, instances, perCentre, slots int, speed speed, kinds []kindOf) *replay {
+func newReplay(seed uint64, instances, perCentre, slots int, speed engineSpeed, kinds []requestKind) *replay {
 	r := &replay{
-		kinds: kinds, engines: make(map[string]*replayEngine), ends: make(map[ID]*outcome),
+		kinds: kinds, engines: make(map[string]*replayEngine), outcomes: make(map[ID]*replayOutcome),
 		arrived: make(map[ID]Arrival), random: rand.New(rand.NewPCG(seed, 1)), now: epoch,
 	}
 	centres := []string{"a", "b", "c"}
@@ -104,7 +104,7 @@
 			r.engines[name].advance(r)
 		}
 		if at%(500*ms) == 0 {
-			r.tellWhoLives()
+			r.updateMembership()
 		}
 		if at%TickInterval == 0 {
 			for _, c := range r.cores {
@@ -112,10 +112,10 @@
 			}
 		}
 		if r.boards != nil && at%loadboard.Interval == 0 {
-			r.tellLoads()
+			r.exchangeLoads()
 		}
-		if r.boards == nil && at%digestEvery == 0 {
-			r.exchange()
+		if r.boards == nil && at%digestInterval == 0 {
+			r.exchangeDigests()
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	return names
 }
 
-func (r *replay) exchange() {
+func (r *replay) exchangeDigests() {
 	for i, from := range r.cores {
 		digest := from.Digest(r.now)
 		digest.BindsMs = 1200
@@ -142,13 +142,13 @@
 }
 
 func (r *replay) arrivals(times float64) {
-	r.comeBack()
+	r.sendDueRetries()
 	for kind, k := range r.kinds {
 		if r.random.Float64() >= times*k.perSecond*replayStep.Seconds() {
 			continue
 		}
-		r.first++
-		id := r.first
+		r.lastID++
+		id := r.lastID
 		a := Arrival{
 			ID: id, Class: k.class.GetName(), Team: "a", Target: "llm", Digest: fmt.Sprint(id), Anchored: true,
 			PromptTokens: k.shared + k.own, Deadline: r.now.Add(k.deadline), Hint: k.answer,
@@ -157,7 +157,7 @@
 				{Hash: 1<<50 + uint64(id), End: k.shared + k.own},
 			},
 		}
-		r.ends[id] = &outcome{kind: kind, at: r.now}
+		r.outcomes[id] = &replayOutcome{kind: kind, arrivedAt: r.now}
 		r.send(a)
 	}
 }
@@ -178,41 +178,41 @@
 
 func (r *replay) begin(c *core, start Start) {
 	a, e := r.arrived[start.ID], r.engines[start.Server]
-	end := r.ends[start.ID]
-	if end.began.IsZero() {
-		end.began = r.now
+	end := r.outcomes[start.ID]
+	if end.startedAt.IsZero() {
+		end.startedAt = r.now
 	}
 	read := a.PromptTokens
 	if e.held[a.Prefix[0].Hash] || start.FetchFrom != "" {
 		read -= a.Prefix[0].End
 	}
 	e.held[a.Prefix[0].Hash] = true
-	job := &replayJob{core: c, start: start, prompt: a.PromptTokens, read: read, left: r.kinds[end.kind].answer, rank: r.kinds[end.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
+	job := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, unread: read, left: r.kinds[end.kind].answer, rank: r.kinds[end.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
 	e.waiting = append(e.waiting, job)
-	e.need.got(r.now, c)
+	e.limiter.got(r.now, c)
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
 }
 
 // tally counts a kind's requests of a span of time: those that came, had their first
 // token in time and their pauses within bounds, and had no answer begun.
-type tally struct{ asked, inTime, nothing, begun int }
+type tally struct{ arrived, inTime, unanswered, started int }
 
 func (r *replay) tally(kind int, from, to time.Duration) (t tally) {
 	k := r.kinds[kind]
-	for id, end := range r.ends {
-		if id > returnedIDs || end.kind != kind || end.at.Before(epoch.Add(from)) || !end.at.Before(epoch.Add(to)) {
+	for id, end := range r.outcomes {
+		if id > retryIDBase || end.kind != kind || end.arrivedAt.Before(epoch.Add(from)) || !end.arrivedAt.Before(epoch.Add(to)) {
 			continue
 		}
-		t.asked++
-		if !end.began.IsZero() {
-			t.begun++
+		t.arrived++
+		if !end.startedAt.IsZero() {
+			t.started++
 		}
 		target := time.Duration(k.class.GetFirstTokenMs()) * ms
 		between := time.Duration(k.class.GetBetweenTokensMs()) * ms * replayStride
 		switch {
-		case end.first.IsZero():
-			t.nothing++
-		case end.first.Sub(end.at) <= target && end.paused <= between:
+		case end.firstTokenAt.IsZero():
+			t.unanswered++
+		case end.firstTokenAt.Sub(end.arrivedAt) <= target && end.maxPause <= between:
 			t.inTime++
 		}
 	}
--- a/request/policy/silent.go
+++ b/request/policy/silent.go
@@ -21,8 +21,8 @@
 			continue
 		}
 		since := oldest.started
-		if s.heardAt.After(since) {
-			since = s.heardAt
+		if s.lastResponseAt.After(since) {
+			since = s.lastResponseAt
 		}
 		if now.Sub(since) < silentFor+2*oldest.expected {
 			continue
@@ -42,7 +42,7 @@
 // oldestUnanswered is the request that waits longest for its answer to begin.
 func (s *server) oldestUnanswered() *request {
 	var oldest *request
-	for _, r := range s.own {
+	for _, r := range s.running {
 		if r.gotNow == 0 && (oldest == nil || r.started.Before(oldest.started)) {
 			oldest = r
 		}
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -198,7 +198,7 @@
 
 // mayTry tells whether no other suspect holds the server, and whether it is up.
 func (c *core) mayTry(now time.Time, s *server, e *suspect.Entry, holder string) bool {
-	return !s.barred(now) && s.trial == holder && s.peerTrials == 0 && !slices.Contains(e.Servers, s.name)
+	return !s.unavailable(now) && s.trial == holder && s.peerTrials == 0 && !slices.Contains(e.Servers, s.name)
 }
 
 func (c *core) endTrial(now time.Time, r *request, s *server) {
--- a/request/policy/told.go
+++ b/request/policy/told.go
@@ -20,40 +20,40 @@
 	c.told = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
-		s.toldLoad, s.toldYielding = float64(load.InFlight), float64(load.Yielding)
+		s.boardLoad, s.boardBulk = float64(load.InFlight), float64(load.Yielding)
 		for level, units := range load.Backlog {
-			s.toldAhead[level] = float64(units) * loadboard.Unit
+			s.boardBacklog[level] = float64(units) * loadboard.Unit
 		}
-		s.join(c.told || len(c.peers) > 0)
+		s.estimateOtherLoad(c.told || len(c.peers) > 0)
 	}
 	for _, read := range e.Word.Readings {
-		c.hearReading(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
+		c.observePeerPrefill(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
 	}
 	c.hearLimits(now, e.Word.Limits)
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
 		p.hear(c.options.Instance, work, c.told)
 		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
-		c.spreadStarts(p)
+		c.drawStartBudgets(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
 }
 
 // Work is told by lane, claims by place: both packages count the same ones.
 var (
-	_ [loadboard.Lanes]uint32   = [lanes]uint32{}
+	_ [loadboard.Lanes]uint32   = [laneCount]uint32{}
 	_ [loadboard.Places]float64 = tiers.Demand{}
 )
 
 // hear takes in what others do in the pool and know of it; told is false while they tell
 // nothing.
 func (p *pool) hear(self string, work loadboard.PoolWork, told bool) {
-	p.toldWork = told
+	p.otherWorkKnown = told
 	for l, rate := range work.Rates {
-		p.work.told[l] = float64(rate)
+		p.work.otherRates[l] = float64(rate)
 	}
-	p.work.toldClaims = work.LaneClaims
-	p.engine.hear(work.Engine)
+	p.work.otherLaneDemand = work.LaneClaims
+	p.engine.setOthers(work.Engine)
 	p.plan = loadboard.LanePlan{}
 	if work.Plan.Before(loadboard.LanePlan{By: self}) {
 		p.plan = work.Plan
@@ -62,7 +62,7 @@
 
 // ownWork is what this instance does in the pool and knows of it, for the others.
 func (p *pool) ownWork(self string) loadboard.PoolWork {
-	work := loadboard.PoolWork{Engine: p.engine.sums(), Plan: p.ownPlan(self), LaneClaims: p.laneClaims()}
+	work := loadboard.PoolWork{Engine: p.engine.sums(), Plan: p.ownPlan(self), LaneClaims: p.laneDemand()}
 	for l, rate := range p.work.rates {
 		work.Rates[l] = uint32(rate)
 	}
@@ -118,20 +118,20 @@
 	word := loadboard.Word{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
 	for _, p := range c.poolOrder {
 		work := p.ownWork(c.options.Instance)
-		work.Claims = p.claim()
+		work.Claims = p.slotDemand()
 		word.Work[loadboard.Key(p.name)] = work
 	}
 	for _, s := range c.ordered {
-		if len(s.own) == 0 {
+		if len(s.running) == 0 {
 			continue
 		}
-		load := loadboard.Load{InFlight: uint32(len(s.own)), Yielding: uint32(s.ownYielding())}
-		for level, tokens := range s.ahead {
+		load := loadboard.Load{InFlight: uint32(len(s.running)), Yielding: uint32(s.ownBulk())}
+		for level, tokens := range s.ownBacklog {
 			load.Backlog[level] = uint32(tokens/loadboard.Unit + 0.5)
 		}
 		word.Loads[s.key] = load
 	}
-	for _, read := range c.recentReadings(now) {
+	for _, read := range c.recentPrefills(now) {
 		word.Readings = append(word.Readings, loadboard.Reading{
 			Server: loadboard.Key(read.server), Hash: read.block.Hash, Tokens: uint32(read.tokens),
 		})
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leastGain is the time that moving a KV cache must save: for less, a short
+// minTransferGain is the time that moving a KV cache must save: for less, a short
 // prompt's answer would take another server's slot sooner than it needs.
-const leastGain = 30 * time.Millisecond
+const minTransferGain = 30 * time.Millisecond
 
 // transfer stops an answer at its server and starts it at another one, where it
 // goes on with its KV cache.
@@ -14,19 +14,19 @@
 	c.startWith(now, r, to, from)
 }
 
-// carries tells whether moving the answer's KV cache takes less than computing
+// transferPays tells whether moving the answer's KV cache takes less than computing
 // it again. There is none before the first token, none to be had across a cut,
 // and none left of an engine that crashed.
-func (c *core) carries(now time.Time, r *request, to *server) bool {
+func (c *core) transferPays(now time.Time, r *request, to *server) bool {
 	from := r.server
-	if r.gotNow == 0 || from.cut || now.Before(from.ejectedUntil) {
+	if r.gotNow == 0 || from.unreachable || now.Before(from.ejectedUntil) {
 		return false
 	}
-	return c.kv.rate(from, to).expect(now, r.tokensHeld())+leastGain < to.prefillTime(to.uncached(r))
+	return c.kv.rate(from, to).expect(now, r.tokensHeld())+minTransferGain < to.prefillTime(to.uncachedTokens(r))
 }
 
-// carry notes that the attempt's KV cache comes from another server.
-func (c *core) carry(now time.Time, r *request, to, from *server) {
+// setCarried notes that the attempt's KV cache comes from another server.
+func (c *core) setCarried(now time.Time, r *request, to, from *server) {
 	r.carried, r.carriedAt = 0, nil
 	if from == nil {
 		return
@@ -44,33 +44,33 @@
 	return time.Duration(s.prefill * tokens * float64(time.Second))
 }
 
-// carriedOver takes in how long a move by KV cache took until its first token.
-func (c *core) carriedOver(now time.Time, r *request) {
+// observeTransfer takes in how long a move by KV cache took until its first token.
+func (c *core) observeTransfer(now time.Time, r *request) {
 	took := now.Sub(r.started) - r.server.gapAt(r.server.load())
-	r.carriedAt.measured(now, r.carried, took)
+	r.carriedAt.observe(now, r.carried, took)
 	c.stats.MovedByKV++
 	c.stats.Spared.Moved += uint64(r.carried)
 }
 
-// gaveUpCarried learns from a move that ended before its first token: it takes
+// observeAbandonedTransfer learns from a move that ended before its first token: it takes
 // at least as long as was waited. Without it an engine that moves slowly would
 // never be found out, since its moves are overdue and go elsewhere.
-func (c *core) gaveUpCarried(now time.Time, r *request) {
+func (c *core) observeAbandonedTransfer(now time.Time, r *request) {
 	if took := now.Sub(r.started); took > r.expected {
-		r.carriedAt.measured(now, r.carried, took)
+		r.carriedAt.observe(now, r.carried, took)
 	}
 }
 
 // recomputed takes in that the move failed: its time was lost, and the prefix
 // is computed after all.
 func (c *core) recomputed(now time.Time, e Recomputed) {
-	r := c.current(e.ID, e.Attempt)
+	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil || r.carriedAt == nil || r.gotNow > 0 {
 		return
 	}
 	s := r.server
-	r.uncached = s.uncached(r)
-	s.ahead.add(r.level, r.uncached)
-	r.carriedAt.measured(now, r.carried, now.Sub(r.started)+s.prefillTime(r.uncached))
+	r.uncached = s.uncachedTokens(r)
+	s.ownBacklog.add(r.level, r.uncached)
+	r.carriedAt.observe(now, r.carried, now.Sub(r.started)+s.prefillTime(r.uncached))
 	r.carried, r.carriedAt = 0, nil
 }
--- a/request/policy/verdict.go
+++ b/request/policy/verdict.go
@@ -37,11 +37,11 @@
 
 // noteCrash takes in any word of a server's crash, its own or a peer's.
 func (c *core) noteCrash(now time.Time, s *server) {
-	if s.fellAt.IsZero() || now.Sub(s.fellHeard) > fallFor {
-		s.fellAt = now
+	if s.crashFirstReportedAt.IsZero() || now.Sub(s.crashLastReportedAt) > fallFor {
+		s.crashFirstReportedAt = now
 		c.lastFall = now
 	}
-	s.fellHeard = now
+	s.crashLastReportedAt = now
 	c.blameStopped(now, s)
 }
 
@@ -55,7 +55,7 @@
 	}
 	fell := 0
 	for _, s := range c.ordered {
-		if !s.fellAt.IsZero() && now.Sub(s.fellAt) < outageWindow {
+		if !s.crashFirstReportedAt.IsZero() && now.Sub(s.crashFirstReportedAt) < outageWindow {
 			fell++
 		}
 	}
@@ -131,12 +131,12 @@
 func (c *core) othersFell(e *suspect.Entry) (others int, goesOn bool) {
 	last := e.CrashedAt[len(e.CrashedAt)-1]
 	for _, s := range c.ordered {
-		if s.fellAt.IsZero() || e.Blamed(s.name) {
+		if s.crashFirstReportedAt.IsZero() || e.Blamed(s.name) {
 			continue
 		}
-		if slices.ContainsFunc(e.CrashedAt, func(at time.Time) bool { return s.fellAt.Sub(at).Abs() <= outageWindow }) {
+		if slices.ContainsFunc(e.CrashedAt, func(at time.Time) bool { return s.crashFirstReportedAt.Sub(at).Abs() <= outageWindow }) {
 			others++
-			goesOn = goesOn || last.Sub(s.fellAt) <= sameCrash
+			goesOn = goesOn || last.Sub(s.crashFirstReportedAt) <= sameCrash
 		}
 	}
 	return others, goesOn
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -22,7 +22,7 @@
 
 // homesFull is an instance before 40 engines of which the request's homes are full.
 func homesFull(a Arrival) *core {
-	c := inTree(engines("e1", 20, "a", "b"))
+	c := withIndirectDigests(engines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
 	crowd(c, epoch)
 	r := &request{Arrival: a, class: c.view.Classes[a.Class], pool: c.pools[a.Target]}
@@ -45,7 +45,7 @@
 // whose engines were idle.
 func TestARequestThatWaitsForItsHomeHoldsNobodyUp(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 20, "a", "b"))
+	c := withIndirectDigests(engines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
 	crowd(c, epoch)
 	start := only[Start](t, c.Step(epoch, digest(1, 1)))
@@ -53,7 +53,7 @@
 	c.Step(epoch.Add(start.Why.Expected), Tokens{ID: 1, Attempt: 1, Count: 3})
 	now := epoch.Add(start.Why.Expected)
 	for _, s := range c.pools["llm"].servers {
-		s.cacheToken = 0 // the prompt can't be fetched
+		s.fetchPerToken = 0 // the prompt can't be fetched
 	}
 	crowd(c, now, c.servers[start.Server])
 	c.Step(now, digest(2, 1))
@@ -65,7 +65,7 @@
 // though the other came first.
 func TestTheMoreUrgentRankOfATierStartsFirst(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 1, "a"))
+	c := withIndirectDigests(engines("e1", 1, "a"))
 	c.Step(epoch, Tick{})
 	crowd(c, epoch, c.servers["a-0"])
 	c.Step(epoch, digest(1, 1))
@@ -91,13 +91,13 @@
 // fleetOfTwelves is an instance before engines of 12 slots, to which drafts and reviews of a
 // usual team and digests of an urgent one come.
 func fleetOfTwelves(n int) *core {
-	c := inTree(withReviews(engines("e1", n, "a")))
+	c := withIndirectDigests(withReviews(engines("e1", n, "a")))
 	c.view.Classes["urgent-digest"] = &lilacv1.Class{Name: "urgent-digest", Tier: 0, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 266, MaxAttempts: 1}
 	for _, s := range c.ordered {
 		s.slots = 12
 	}
 	for _, name := range []string{"draft", "review", "urgent-digest"} {
-		c.pools["llm"].use(c.view.Classes[name], epoch)
+		c.pools["llm"].recordUse(c.view.Classes[name], epoch)
 	}
 	c.Step(epoch, Tick{})
 	return c
@@ -151,7 +151,7 @@
 // its deadline and was told neither that it did not run nor when to come back.
 func TestALateRequestIsRefusedOnceThePoolIsFull(t *testing.T) {
 	is := is.New(t)
-	c := inTree(engines("e1", 1, "a"))
+	c := withIndirectDigests(engines("e1", 1, "a"))
 	c.view.Classes["draft"].Late, c.view.Classes["draft"].FirstTokenMs = withRoom, 300
 	c.Step(epoch, Tick{})
 	crowd(c, epoch, c.servers["a-0"])
@@ -202,17 +202,17 @@
 	is := is.New(t)
 	c := fleetOfTwelves(4)
 	for id, name := range []string{"draft", "review", "digest"} {
-		c.pools["llm"].use(c.view.Classes[name], epoch)
-		c.pools["llm"].used[name].flow.tokens, c.pools["llm"].used[name].flow.pace = 300, 0.05
+		c.pools["llm"].recordUse(c.view.Classes[name], epoch)
+		c.pools["llm"].usageByClass[name].traffic.tokens, c.pools["llm"].usageByClass[name].traffic.pace = 300, 0.05
 		a := digest(ID(id+1), uint64(id+1))
 		a.Class = name
 		c.Step(epoch, a)
 	}
 	p := c.pools["llm"]
-	p.tighten(epoch)
-	p.split = tiers.Demand{}
-	p.split[placeOf(c.view.Classes["draft"])] = 10
+	p.updateClassUse(epoch)
+	p.slotSplit = tiers.Demand{}
+	p.slotSplit[placeOf(c.view.Classes["draft"])] = 10
 	for id, want := range []bool{true, true, false} {
-		is.Equal(p.leavesRoom(c.requests[ID(id+1)]), want)
+		is.Equal(p.withinSplit(c.requests[ID(id+1)]), want)
 	}
 }
