--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -55,31 +55,31 @@
 // homesOf ranks the open engines by the request's last shared part.
 func (c *core) homesOf(now time.Time, r *request) homes {
 	h := homes{assumeCached: c.peers[member.Others] != nil && !c.told}
-	shared := len(r.Prefix) - 2
-	if !r.Anchored || shared < 0 {
+	lastShared := len(r.Prefix) - 2
+	if !r.Anchored || lastShared < 0 {
 		return h
 	}
-	remote := c.options.Weights.RemoteCost.Duration.Seconds()
-	part := strconv.FormatUint(r.Prefix[shared].Hash, 36)
-	belongs := r.assignedLane()
+	remoteCost := c.options.Weights.RemoteCost.Duration.Seconds()
+	prefix := strconv.FormatUint(r.Prefix[lastShared].Hash, 36)
+	assigned := r.assignedLane()
 	for _, s := range r.pool.servers {
 		if s.servesFetches(now) {
-			h.updateHolders(now, s, r, shared)
+			h.updateHolders(now, s, r, lastShared)
 		}
 		if s.closed() || s.unreachable || s.limited.Named && s.allowed.share == 0 {
 			continue
 		}
-		rank := xxhash.Sum64String(part + s.name)
-		if s.lane != belongs || belongs != laneTight && s.excludesLongPrompts(now) {
+		rank := xxhash.Sum64String(prefix + s.name)
+		if s.lane != assigned || assigned != laneTight && s.excludesLongPrompts(now) {
 			continue
 		}
 		// A remote engine is worth its price where that buys more time of reading.
-		if s.remote && r.pool.medianPrefill*float64(r.Prefix[shared].End) < remote {
+		if s.remote && r.pool.medianPrefill*float64(r.Prefix[lastShared].End) < remoteCost {
 			continue
 		}
 		h.insert(s, rank)
 	}
-	h.assumeHeldAtHome(now, r, shared)
+	h.assumeHeldAtHome(now, r, lastShared)
 	return h
 }
 
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -18,8 +18,8 @@
 		return c
 	}
 	n := c.Load + 1
-	if yields := s.preemptibleSlots(r, c.Limit); yields > 0 {
-		c.Limit += yields
+	if preemptible := s.preemptibleSlots(r, c.Limit); preemptible > 0 {
+		c.Limit += preemptible
 		n = min(n, float64(s.slots))
 	}
 	s.fillCosts(&c, r, now, h, n)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -77,18 +77,18 @@
 	anchored := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
 	late := []choose.Filter{choose.Open{}, choose.Room{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
-	apart := append(slices.Clone(late), choose.Unintruded{})
-	once := append(slices.Clone(apart), choose.Once{})
-	firstOnTime := append(slices.Clone(once), choose.FirstOnTime{})
+	unintruded := append(slices.Clone(late), choose.Unintruded{})
+	noDuplicate := append(slices.Clone(unintruded), choose.Once{})
+	firstOnTime := append(slices.Clone(noDuplicate), choose.FirstOnTime{})
 	picker := choose.Near{First: nearFirst, Second: nearSecond, Share: nearShare}
 	return chooser{
 		reserves:       tierReserves(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
 		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.Least{}},
-		anchoredLate:   choose.Chooser{Filters: apart, Scorers: anchored, Picker: choose.Least{}},
-		anchoredOnce:   choose.Chooser{Filters: once, Scorers: anchored, Picker: choose.Least{}},
-		displacingLate: choose.Chooser{Filters: once, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
+		anchoredLate:   choose.Chooser{Filters: unintruded, Scorers: anchored, Picker: choose.Least{}},
+		anchoredOnce:   choose.Chooser{Filters: noDuplicate, Scorers: anchored, Picker: choose.Least{}},
+		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 	}
 }
@@ -99,8 +99,8 @@
 func (c *core) collectCandidates(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
-	if at := slices.Index(servers, c.identical.joins(now, r)); at >= 0 {
-		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
+	if index := slices.Index(servers, c.identical.joins(now, r)); index >= 0 {
+		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 		return false
 	}
 	if len(servers) <= choose.Sample+choose.Sample/2 {
@@ -117,8 +117,8 @@
 	start := c.random.IntN(len(servers))
 	step := 1 + c.random.IntN(len(servers)-1)
 	for i := range choose.Sample {
-		at := (start + i*step) % len(servers)
-		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
+		index := (start + i*step) % len(servers)
+		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 	}
 	return false
 }
@@ -158,31 +158,31 @@
 // choose returns the server for the request, or nil while none has room. Where the
 // engines that suit it are full it looks at others, as soon as that costs less than to
 // wait.
-func (c *core) choose(now time.Time, r *request, h chooseOptions) *server {
-	narrow := c.collectCandidates(now, r, h.late)
-	s := c.pick(now, r, h)
+func (c *core) choose(now time.Time, r *request, opts chooseOptions) *server {
+	narrow := c.collectCandidates(now, r, opts.late)
+	s := c.pick(now, r, opts)
 	if s == nil && narrow && r.mayLeaveHomes(now) {
 		c.collectCandidates(now, r, true)
-		s = c.pick(now, r, h)
+		s = c.pick(now, r, opts)
 	}
 	if s == nil && r.mayDisplace() {
-		s = c.displace(now, r, h)
+		s = c.displace(now, r, opts)
 	}
 	return s
 }
 
 // displace returns an engine on which the request starts in the place of bulk, or nil.
-func (c *core) displace(now time.Time, r *request, h chooseOptions) *server {
-	homes := c.homesOf(now, r)
+func (c *core) displace(now time.Time, r *request, opts chooseOptions) *server {
+	h := c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
 	for i, s := range r.pool.servers {
 		if s.displaceBudget >= 1 {
-			c.choice.candidates = append(c.choice.candidates, s.displacingCandidate(r, now, i, &homes))
+			c.choice.candidates = append(c.choice.candidates, s.displacingCandidate(r, now, i, &h))
 		}
 	}
-	s := c.pickWith(&c.choice.displacing, now, r, h)
+	s := c.pickWith(&c.choice.displacing, now, r, opts)
 	if s == nil {
-		s = c.pickWith(&c.choice.displacingLate, now, r, h)
+		s = c.pickWith(&c.choice.displacingLate, now, r, opts)
 		r.behind = s != nil
 	}
 	if s != nil {
@@ -200,41 +200,41 @@
 }
 
 // pick returns the best of the servers that were described.
-func (c *core) pick(now time.Time, r *request, h chooseOptions) *server {
-	way := &c.choice.onTime
+func (c *core) pick(now time.Time, r *request, opts chooseOptions) *server {
+	selector := &c.choice.onTime
 	anchored := r.Anchored && !r.pool.service
 	if anchored {
-		way = &c.choice.anchored
+		selector = &c.choice.anchored
 	}
-	if h.late || !c.gapAchievable(r) {
-		way = &c.choice.late
+	if opts.late || !c.gapAchievable(r) {
+		selector = &c.choice.late
 		if anchored {
-			way = &c.choice.anchoredLate
+			selector = &c.choice.anchoredLate
 		}
 	}
-	s := c.pickWith(way, now, r, h)
-	if s == nil && way == &c.choice.anchored {
+	s := c.pickWith(selector, now, r, opts)
+	if s == nil && selector == &c.choice.anchored {
 		// No engine is in time: it waits where its prompt is.
-		s = c.pickWith(&c.choice.anchoredOnce, now, r, h)
+		s = c.pickWith(&c.choice.anchoredOnce, now, r, opts)
 		r.behind = s != nil
 	}
 	return s
 }
 
 // pickWith returns the best of the described servers in one way of choosing.
-func (c *core) pickWith(way *choose.Chooser, now time.Time, r *request, h chooseOptions) *server {
-	asked := choose.Request{
+func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
+	req := choose.Request{
 		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
-		Left: r.tokensLeft(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
+		Left: r.tokensLeft(c), Reserve: opts.reserve, Over: opts.over, Alone: opts.alone,
 	}
 	if len(r.pool.servers) == 1 {
-		asked.Avoid = ""
+		req.Avoid = ""
 	}
-	at := way.Choose(&asked, c.choice.candidates, c.random)
-	if at < 0 {
+	index := selector.Choose(&req, c.choice.candidates, c.random)
+	if index < 0 {
 		return nil
 	}
-	return r.pool.servers[c.choice.candidates[at].Index]
+	return r.pool.servers[c.choice.candidates[index].Index]
 }
 
 // gapAchievable tells whether any server that is looked at keeps the gap between
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -78,20 +78,20 @@
 		r.blocked = BlockedByShare
 		return false
 	}
-	h := chooseOptions{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
+	opts := chooseOptions{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
 	if item.Late {
-		h.reserve += lateReserve
+		opts.reserve += lateReserve
 	}
 	if r.Anchored && !p.service {
-		h.reserve += rankReserve * float64(item.Rank*p.slots())
+		opts.reserve += rankReserve * float64(item.Rank*p.slots())
 		if c.told {
-			h.reserve += staleLoadReserve
+			opts.reserve += staleLoadReserve
 		}
 	}
 	if !urgent && float64(len(p.running)) >= p.quota {
-		h.reserve += overQuotaReserve
+		opts.reserve += overQuotaReserve
 	}
-	s := c.choose(now, r, h)
+	s := c.choose(now, r, opts)
 	if s == nil && c.identical.joins(now, r) != nil {
 		c.park(r)
 		return true
--- a/request/policy/displace.go
+++ b/request/policy/displace.go
@@ -25,8 +25,8 @@
 // preemptibleSlots is how many of this instance's requests on a full engine give way to the
 // request, where the engine takes up to limit.
 func (s *server) preemptibleSlots(r *request, limit float64) float64 {
-	most := maxPreemptibleShare * float64(s.slots)
-	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || most < minPreemptibleSlots {
+	maxSlots := maxPreemptibleShare * float64(s.slots)
+	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || maxSlots < minPreemptibleSlots {
 		return 0
 	}
 	rank, bulk := r.class.GetRank(), 0.0
@@ -35,7 +35,7 @@
 			bulk++
 		}
 	}
-	return min(bulk, most)
+	return min(bulk, maxSlots)
 }
 
 // holdsSlotsLong tells whether the request's class holds its slots for long.
--- a/request/policy/engine.go
+++ b/request/policy/engine.go
@@ -100,8 +100,8 @@
 func speedPower(prefill float64) float64 { return math.Pow(milli/prefill, 4) }
 
 // setOthers takes in the others' estimates.
-func (e *engineModel) setOthers(told loadboard.EngineSums) {
-	e.others = told
+func (e *engineModel) setOthers(others loadboard.EngineSums) {
+	e.others = others
 	e.blend()
 }
 
@@ -112,11 +112,11 @@
 	if w+e.others.Weight == 0 {
 		w = 1
 	}
-	all := w + e.others.Weight
-	speed := math.Pow((w*speedPower(e.own.prefill)+e.others.Speed)/all, 0.25)
+	totalWeight := w + e.others.Weight
+	speed := math.Pow((w*speedPower(e.own.prefill)+e.others.Speed)/totalWeight, 0.25)
 	e.prefill = min(max(milli/max(speed, 1), minPrefill), maxPrefill)
-	e.step = (w*e.own.step + micro*e.others.Step) / all
-	e.perRequest = (w*e.own.perRequest + micro*e.others.Each) / all
+	e.step = (w*e.own.step + micro*e.others.Step) / totalWeight
+	e.perRequest = (w*e.own.perRequest + micro*e.others.Each) / totalWeight
 }
 
 // milli and micro are a millisecond and a microsecond in seconds.
@@ -155,9 +155,9 @@
 
 // observeFixed takes in the rest of a short prompt's time to a first token. It goes by a low
 // quantile too.
-func (e *engineModel) observeFixed(s *server, rest float64) {
+func (e *engineModel) observeFixed(s *server, sample float64) {
 	fixed := e.fixed(s)
-	*fixed = max(moveToQuantile(*fixed, rest, fixedStep, prefillQuantile), minFixed)
+	*fixed = max(moveToQuantile(*fixed, sample, fixedStep, prefillQuantile), minFixed)
 }
 
 // generatedTokenCost is the engine's time for one more generated token in a large batch, as
@@ -179,8 +179,8 @@
 // quantile: what other instances sent there, and more urgent prompts that came
 // later, are in the time to a first token but not in the work known here, and would
 // make an idle engine seem ten times slower than it is.
-func (e *engineModel) observePrefill(s *server, reading, work float64) {
-	sample := min(max(reading/work, minPrefill), maxPrefill)
+func (e *engineModel) observePrefill(s *server, elapsed, work float64) {
+	sample := min(max(elapsed/work, minPrefill), maxPrefill)
 	s.prefillRatio = moveToQuantile(s.prefillRatio, sample/e.prefill, prefillRatioStep, prefillQuantile)
 	s.prefillRatio = min(max(s.prefillRatio, 1/maxPrefillRatio), maxPrefillRatio)
 	longest := min(work, maxSampleTokens)
@@ -206,9 +206,9 @@
 	count           int
 }
 
-func newSampleWindow(first float64) *sampleWindow {
+func newSampleWindow(initial float64) *sampleWindow {
 	w := &sampleWindow{}
-	w.add(first, windowPriorWeight)
+	w.add(initial, windowPriorWeight)
 	return w
 }
 
@@ -226,9 +226,9 @@
 	for _, sample := range sorted {
 		sum += sample.weight
 	}
-	below := 0.0
+	cumulative := 0.0
 	for _, sample := range sorted {
-		if below += sample.weight; below >= q*sum {
+		if cumulative += sample.weight; cumulative >= q*sum {
 			return sample.value
 		}
 	}
@@ -279,13 +279,13 @@
 // stand for an empty and a full batch are scaled to the measured gaps: a full batch of quick
 // engines beside small batches of slow ones would make the step seem independent of the
 // batch.
-func (f *stepFit) solve(slots float64) (step, each float64) {
+func (f *stepFit) solve(slots float64) (step, perRequest float64) {
 	empty, full := initialStep, initialStep+slots*initialPerRequest
-	level := (f.wg + fitPrior*(empty+full)) / (initialStep*f.w + initialPerRequest*f.wn + fitPrior*(empty+full))
-	empty, full = level*empty, level*full
+	scale := (f.wg + fitPrior*(empty+full)) / (initialStep*f.w + initialPerRequest*f.wn + fitPrior*(empty+full))
+	empty, full = scale*empty, scale*full
 	w, wn, wnn := f.w+2*fitPrior, f.wn+fitPrior*slots, f.wnn+fitPrior*slots*slots
 	wg, wng := f.wg+fitPrior*(empty+full), f.wng+fitPrior*slots*full
-	each = max((w*wng-wn*wg)/(w*wnn-wn*wn), minPerRequest)
-	step = max((wg-each*wn)/w, each)
-	return step, each
+	perRequest = max((w*wng-wn*wg)/(w*wnn-wn*wn), minPerRequest)
+	step = max((wg-perRequest*wn)/w, perRequest)
+	return step, perRequest
 }
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -14,12 +14,12 @@
 
 // scaledReplay is the workshop on engines that take so many times as long, with so much
 // less traffic.
-func scaledReplay(slots int, times float64) *replay {
-	by := func(d time.Duration) time.Duration { return time.Duration(times * float64(d)) }
-	s := engineSpeed{step: by(workshopSpeed.step), perRequest: by(workshopSpeed.perRequest), prefill: by(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
+func scaledReplay(slots int, slowdown float64) *replay {
+	scale := func(d time.Duration) time.Duration { return time.Duration(slowdown * float64(d)) }
+	s := engineSpeed{step: scale(workshopSpeed.step), perRequest: scale(workshopSpeed.perRequest), prefill: scale(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
 	kinds := workshop()
 	for i := range kinds {
-		kinds[i].perSecond /= max(times, 1)
+		kinds[i].perSecond /= max(slowdown, 1)
 	}
 	return newReplay(2, 8, 4, slots, s, kinds)
 }
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -61,11 +61,13 @@
 
 // answerTime is for how long an answer of the usual length is made, in seconds, where a token
 // takes so long at least.
-func (f *classTraffic) answerTime(least float64) float64 { return f.tokens * max(f.pace, least) }
+func (f *classTraffic) answerTime(minStep float64) float64 { return f.tokens * max(f.pace, minStep) }
 
 // slotHoldTime is for how long an answer will hold its slot, in seconds, where a token takes
 // so long at least.
-func (f *classTraffic) slotHoldTime(least float64) float64 { return holdSlowdown * f.answerTime(least) }
+func (f *classTraffic) slotHoldTime(minStep float64) float64 {
+	return holdSlowdown * f.answerTime(minStep)
+}
 
 // expectSlots brings the slots that each place's requests will occupy up to date.
 func (p *pool) expectSlots(now time.Time) {
@@ -73,12 +75,12 @@
 	if p.service {
 		return
 	}
-	full := p.engine.stepAt(float64(p.slots()))
+	fullBatchStep := p.engine.stepAt(float64(p.slots()))
 	var growth tiers.Demand
 	for _, u := range p.usages {
 		u.traffic.decayRate()
 		if now.Sub(u.lastAt) < classUseWindow {
-			p.expectedSlots[placeOf(u.class)] += u.traffic.rate * u.traffic.slotHoldTime(full)
+			p.expectedSlots[placeOf(u.class)] += u.traffic.rate * u.traffic.slotHoldTime(fullBatchStep)
 			growth[placeOf(u.class)] += u.traffic.rate * growthWindow.Seconds()
 		}
 	}
@@ -89,11 +91,11 @@
 
 // slotDemand is what this instance asks slots for: what runs and waits, and what is expected.
 func (p *pool) slotDemand() tiers.Demand {
-	claim := p.demand()
-	for place := range claim {
-		claim[place] = max(claim[place], p.expectedSlots[place])
+	demand := p.demand()
+	for place := range demand {
+		demand[place] = max(demand[place], p.expectedSlots[place])
 	}
-	return claim
+	return demand
 }
 
 // splitSlots works out this instance's part of the pool's slots.
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -42,15 +42,15 @@
 
 // sourceAt says how the server would come by the request's prompt.
 func (h *homes) sourceAt(s *server, r *request) promptSource {
-	p := promptSource{prefill: h.uncachedAt(s, r)}
-	held := float64(r.PromptTokens+r.got) - p.prefill
-	more := h.heldTokens - held
-	if h.holder != nil && s != h.holder && s.fetchPerToken > 0 && r.pool.prefillTime(more) >= minFetchGain {
-		p.prefill, p.fetched, p.from = p.prefill-more, more, h.holder
-		held += more
+	source := promptSource{prefill: h.uncachedAt(s, r)}
+	held := float64(r.PromptTokens+r.got) - source.prefill
+	fetched := h.heldTokens - held
+	if h.holder != nil && s != h.holder && s.fetchPerToken > 0 && r.pool.prefillTime(fetched) >= minFetchGain {
+		source.prefill, source.fetched, source.from = source.prefill-fetched, fetched, h.holder
+		held += fetched
 	}
-	p.duplicate = max(0, h.assignedTokens-held)
-	return p
+	source.duplicate = max(0, h.assignedTokens-held)
+	return source
 }
 
 // leavingFetchWindow is how long a leaving engine still passes its cache on: it stays for
@@ -68,25 +68,25 @@
 
 // updateHolders keeps the engine that holds the most of the request's shared parts.
 // Where others' requests are not known, the first home is taken for it.
-func (h *homes) updateHolders(now time.Time, s *server, r *request, shared int) {
-	if kept := float64(s.cache.cachedTokens(r.Prefix[:shared+1])); kept > h.assignedTokens && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
-		h.assigned, h.assignedTokens = s, kept
+func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
+	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
+		h.assigned, h.assignedTokens = s, assignedTokens
 	}
-	held := float64(s.cache.readyTokens(now, r.Prefix[:shared+1]))
-	if held > h.heldTokens {
-		h.holder, h.heldTokens = s, held
+	heldTokens := float64(s.cache.readyTokens(now, r.Prefix[:lastShared+1]))
+	if heldTokens > h.heldTokens {
+		h.holder, h.heldTokens = s, heldTokens
 	}
 }
 
 // assumeHeldAtHome takes the first home for the holder where it is assumed to be one and
 // has not failed just now.
-func (h *homes) assumeHeldAtHome(now time.Time, r *request, shared int) {
+func (h *homes) assumeHeldAtHome(now time.Time, r *request, lastShared int) {
 	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
 		return
 	}
-	all := float64(r.Prefix[shared].End)
-	h.assigned, h.assignedTokens = h.first(), all
-	if h.heldTokens < all {
-		h.holder, h.heldTokens = h.first(), all
+	sharedTokens := float64(r.Prefix[lastShared].End)
+	h.assigned, h.assignedTokens = h.first(), sharedTokens
+	if h.heldTokens < sharedTokens {
+		h.holder, h.heldTokens = h.first(), sharedTokens
 	}
 }
--- a/request/policy/fleet_replay_test.go
+++ b/request/policy/fleet_replay_test.go
@@ -76,10 +76,10 @@
 	is.True(r.priorityInversions() < 10)
 }
 
-func runLargeFleet(seed uint64, length time.Duration, times func(time.Duration) float64) *replay {
+func runLargeFleet(seed uint64, length time.Duration, loadFactor func(time.Duration) float64) *replay {
 	r := newReplay(seed, 24, 16, 12, largeFleetSpeed, largeFleetKinds()).withBoards()
 	r.callersRetry = true
-	r.run(length, times)
+	r.run(length, loadFactor)
 	return r
 }
 
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -49,8 +49,8 @@
 		return
 	}
 	// Only news of a much slower server is worth it: small differences are noise.
-	if heard := gap.Seconds() / (s.load() + s.stepOffset); heard > outlierRatio*s.gapPerRequest/2 {
+	if sample := gap.Seconds() / (s.load() + s.stepOffset); sample > outlierRatio*s.gapPerRequest/2 {
 		s.peerGapAt = now
-		s.gapPerRequest += peerGapWeight * (heard - s.gapPerRequest)
+		s.gapPerRequest += peerGapWeight * (sample - s.gapPerRequest)
 	}
 }
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -21,15 +21,15 @@
 	if p.service {
 		return
 	}
-	var engines, open [laneCount]float64
+	var engineCount, openCount [laneCount]float64
 	for _, s := range p.servers {
 		s.skipped, s.startBudget, s.displaceBudget = false, math.Inf(1), 0
 		if s.closed() || s.unreachable {
 			continue
 		}
-		engines[s.lane]++
+		engineCount[s.lane]++
 		if s.freeSlots(p) >= 1 {
-			open[s.lane]++
+			openCount[s.lane]++
 		}
 	}
 	if !c.told {
@@ -38,27 +38,27 @@
 	instances := float64(p.tiers.Instances())
 	for _, s := range p.servers {
 		s.displaceBudget = roundRandomly(c.random, s.bulkLoad()/instances)
-		if open[s.lane] == 0 {
+		if openCount[s.lane] == 0 {
 			continue
 		}
 		starts := p.laneStartRates[s.lane] * instances * boardLoadAge.Seconds()
 		// What ends meanwhile makes room too.
-		room := max(s.freeSlots(p), 0) + starts/engines[s.lane]
-		come := starts / open[s.lane]
-		if come > room {
-			s.skipped = c.random.Float64() >= room/come
+		freeSlots := max(s.freeSlots(p), 0) + starts/engineCount[s.lane]
+		expectedStarts := starts / openCount[s.lane]
+		if expectedStarts > freeSlots {
+			s.skipped = c.random.Float64() >= freeSlots/expectedStarts
 		}
-		s.startBudget = max(1, math.Ceil(max(room, come)/instances))
+		s.startBudget = max(1, math.Ceil(max(freeSlots, expectedStarts)/instances))
 	}
 }
 
 // roundRandomly rounds up or down by chance, so that the mean stays the same.
-func roundRandomly(random *rand.Rand, part float64) float64 {
-	whole := math.Floor(part)
-	if random.Float64() < part-whole {
-		whole++
+func roundRandomly(random *rand.Rand, x float64) float64 {
+	floor := math.Floor(x)
+	if random.Float64() < x-floor {
+		floor++
 	}
-	return whole
+	return floor
 }
 
 // freeSlots is how many more requests the engine takes, by what is known of its load.
--- a/request/policy/kvcost.go
+++ b/request/policy/kvcost.go
@@ -61,7 +61,7 @@
 // observe takes in one move.
 func (k *kvRate) observe(now time.Time, held float64, took time.Duration) {
 	sample := min(max(took.Seconds(), 0)/(held+kvFixedTokens), kvMaxSampleRatio*k.initial)
-	before := k.perToken(now)
-	k.offset = before + kvSampleWeight*(sample-before) - k.initial
+	previous := k.perToken(now)
+	k.offset = previous + kvSampleWeight*(sample-previous) - k.initial
 	k.at = now
 }
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -105,8 +105,8 @@
 	if p.plan.By != "" {
 		return micro * float64(p.plan.Beside)
 	}
-	if now := p.engine.prefillGap(p.slots()); p.ownPrefillGap == 0 || math.Abs(now-p.ownPrefillGap) > gapHysteresis*p.ownPrefillGap {
-		p.ownPrefillGap = now
+	if current := p.engine.prefillGap(p.slots()); p.ownPrefillGap == 0 || math.Abs(current-p.ownPrefillGap) > gapHysteresis*p.ownPrefillGap {
+		p.ownPrefillGap = current
 	}
 	return p.ownPrefillGap
 }
@@ -170,10 +170,10 @@
 // laneShares are the parts of all work. Where others tell theirs, theirs count too:
 // one instance in 78 sees five requests a second, and would take 20 s to notice a
 // burst that lasts ten.
-func (p *pool) laneShares(told bool) [laneCount]float64 {
+func (p *pool) laneShares(othersKnown bool) [laneCount]float64 {
 	shares, sum := p.work.means, 0.0
 	for l := range shares {
-		if told {
+		if othersKnown {
 			// Before there is traffic the lanes are those of the usual shares.
 			shares[l] = p.work.rates[l] + p.work.otherRates[l] + p.work.means[l]/baselineWorkInterval.Seconds()
 		}
@@ -187,20 +187,20 @@
 
 // assignLanes marks the lanes' engines in each data centre among the open ones in
 // order of a hash: the tight lane at one end, the quick one at the other.
-func (p *pool) assignLanes(now time.Time, told bool) {
+func (p *pool) assignLanes(now time.Time, othersKnown bool) {
 	if p.service {
 		return
 	}
 	groups := make(map[string][]*server)
-	former := make([]lane, len(p.servers))
+	previous := make([]lane, len(p.servers))
 	for i, s := range p.servers {
-		former[i], s.lane = s.lane, laneLong
+		previous[i], s.lane = s.lane, laneLong
 		if !s.closed() && !s.unreachable && !now.Before(s.ejectedUntil) {
 			groups[s.dataCenter] = append(groups[s.dataCenter], s)
 		}
 	}
 	p.hasLane = [laneCount]bool{}
-	shares := p.laneShares(told)
+	shares := p.laneShares(othersKnown)
 	shares[laneTight] = max(shares[laneTight], p.tightLaneShare(len(p.servers)))
 	for dataCenter, group := range groups {
 		if len(group) < 2 {
@@ -213,23 +213,23 @@
 		p.assignLane(group[:tight], laneTight)
 		p.assignLane(group[len(group)-quick:], laneQuick)
 	}
-	hold := p.tightAnswerTime()
+	answerTime := p.tightAnswerTime()
 	for i, s := range p.servers {
-		if former[i] == laneTight && s.lane != laneTight {
-			s.noLongPromptsUntil = now.Add(hold)
+		if previous[i] == laneTight && s.lane != laneTight {
+			s.noLongPromptsUntil = now.Add(answerTime)
 		}
 	}
 }
 
 // tightAnswerTime is how long the longest of the usual tight answers take.
 func (p *pool) tightAnswerTime() time.Duration {
-	step, hold := p.engine.stepAt(float64(p.slots())), 0.0
+	step, longest := p.engine.stepAt(float64(p.slots())), 0.0
 	for _, u := range p.usages {
 		if p.wantedLane(u.class) == laneTight {
-			hold = max(hold, u.traffic.answerTime(step))
+			longest = max(longest, u.traffic.answerTime(step))
 		}
 	}
-	return time.Duration(hold * float64(time.Second))
+	return time.Duration(longest * float64(time.Second))
 }
 
 // excludesLongPrompts tells whether the engine reads no long prompts: it is in the tight lane, or was
@@ -247,25 +247,25 @@
 // slots, work alone makes the lane too small: answers that find it full are late beside
 // long prompts.
 func (p *pool) tightLaneShare(n int) float64 {
-	claims, all := p.laneDemand(), 0.0
-	for l := range claims {
-		claims[l] += p.work.otherLaneDemand[l]
-		all += claims[l]
+	demand, total := p.laneDemand(), 0.0
+	for l := range demand {
+		demand[l] += p.work.otherLaneDemand[l]
+		total += demand[l]
 	}
-	slots, tight := laneUtilization*float64(n*p.slots()), claims[laneTight]
-	spare, now := slots-(all-tight), min(tight/holdSlowdown, slots/3)
-	return max(min(tight, spare), now) / max(slots, 1)
+	slots, tight := laneUtilization*float64(n*p.slots()), demand[laneTight]
+	spare, current := slots-(total-tight), min(tight/holdSlowdown, slots/3)
+	return max(min(tight, spare), current) / max(slots, 1)
 }
 
 // laneDemand is what this instance asks slots for, by lane.
-func (p *pool) laneDemand() (claims [laneCount]float64) {
-	claim := p.slotDemand()
+func (p *pool) laneDemand() (byLane [laneCount]float64) {
+	demand := p.slotDemand()
 	for _, u := range p.usages {
 		place := placeOf(u.class)
-		claims[p.wantedLane(u.class)] += claim[place]
-		claim[place] = 0
+		byLane[p.wantedLane(u.class)] += demand[place]
+		demand[place] = 0
 	}
-	return claims
+	return byLane
 }
 
 func (p *pool) assignLane(group []*server, l lane) {
@@ -295,18 +295,18 @@
 
 // laneSize is the number of n engines for a lane with the share of all work.
 func laneSize(l lane, size, n int, share float64) int {
-	switch wanted := share * float64(n); {
+	switch target := share * float64(n); {
 	case l == laneLong || l == laneQuick && n < minEnginesForQuickLane || share < minLaneShare:
 		return 0
-	case size == 0 || math.Abs(wanted-float64(size)) > laneSizeHysteresis:
-		return max(int(wanted+0.5), 1)
+	case size == 0 || math.Abs(target-float64(size)) > laneSizeHysteresis:
+		return max(int(target+0.5), 1)
 	}
 	return size
 }
 
 // ownPlan is this instance's division into lanes, for the others.
-func (p *pool) ownPlan(self string) loadboard.LanePlan {
-	plan := loadboard.LanePlan{By: self, Beside: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
+func (p *pool) ownPlan(instance string) loadboard.LanePlan {
+	plan := loadboard.LanePlan{By: instance, Beside: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
 	for dataCenter, size := range p.sizes {
 		plan.Sizes[loadboard.Key(dataCenter)] = loadboard.LaneSizes{Tight: uint32(size[laneTight]), Quick: uint32(size[laneQuick])}
 	}
@@ -329,26 +329,26 @@
 
 // intrudes tells whether the engine is kept for tight answers and the request, which is
 // none, would hold them up: with all that waits there it has too much to read.
-func (s *server) intrudes(now time.Time, r *request, read float64) bool {
+func (s *server) intrudes(now time.Time, r *request, prefillTokens float64) bool {
 	if !s.excludesLongPrompts(now) || !r.Anchored || r.pool.isTight(r.class) {
 		return false
 	}
-	reading := s.prefill * (read + s.backlogBefore(levels-1))
-	return reading > maxIntrusionGaps*r.pool.minBetween.Seconds()
+	prefillSeconds := s.prefill * (prefillTokens + s.backlogBefore(levels-1))
+	return prefillSeconds > maxIntrusionGaps*r.pool.minBetween.Seconds()
 }
 
 // lanePenalty is the price of the request outside the engines that suit it, where it has
 // so many tokens to read.
-func (s *server) lanePenalty(r *request, h *homes, read float64) time.Duration {
-	belongs := r.assignedLane()
+func (s *server) lanePenalty(r *request, h *homes, prefillTokens float64) time.Duration {
+	assigned := r.assignedLane()
 	switch {
 	case s.service || !r.Anchored:
 		return 0
-	case s.lane == belongs:
+	case s.lane == assigned:
 		return h.penalty(s)
-	case s.lane != laneLong && belongs != laneTight && r.pool.prefillTime(read) >= minLongPrefill:
+	case s.lane != laneLong && assigned != laneTight && r.pool.prefillTime(prefillTokens) >= minLongPrefill:
 		return longPromptPenalty
-	case belongs == laneLong:
+	case assigned == laneLong:
 		return shortPromptPenalty
 	}
 	return outsideLanePenalty
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -207,8 +207,8 @@
 		for _, c := range []*core{leader, other} {
 			c.Step(now, Tick{})
 			for _, to := range []*core{leader, other} {
-				digest := c.Digest(now)
-				to.Step(now, PeerDigest{Digest: digest, At: now})
+				message := c.Digest(now)
+				to.Step(now, PeerDigest{Digest: message, At: now})
 			}
 		}
 	}
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -52,13 +52,13 @@
 
 // findVictim finds the request of the lowest tier that is furthest ahead of its pace.
 func (c *core) findVictim(now time.Time, r *request) *request {
-	lowest := r.pool.lowestRunningTier()
-	if lowest <= r.tier() {
+	lowestTier := r.pool.lowestRunningTier()
+	if lowestTier <= r.tier() {
 		return nil
 	}
 	var best *request
 	for _, v := range r.pool.running {
-		if v.tier() != lowest || !c.pausable(now, v) || !c.meetsTargets(now, r, v.server) {
+		if v.tier() != lowestTier || !c.pausable(now, v) || !c.meetsTargets(now, r, v.server) {
 			continue
 		}
 		if best == nil || v.firstBy(now) > best.firstBy(now) {
@@ -78,9 +78,9 @@
 	if s.unavailable(now) || s.trial != "" && r.trial {
 		return false
 	}
-	n := s.load()
-	return n <= s.limit(r.pool.minBetween, r.between()) &&
-		(r.between() == 0 || s.gapAt(n) <= r.between()) && s.firstToken(n, s.uncachedTokens(r), r.levelOf()) <= r.firstBy(now)
+	load := s.load()
+	return load <= s.limit(r.pool.minBetween, r.between()) &&
+		(r.between() == 0 || s.gapAt(load) <= r.between()) && s.firstToken(load, s.uncachedTokens(r), r.levelOf()) <= r.firstBy(now)
 }
 
 // moveStragglers takes requests off servers that fell behind, where another
@@ -139,11 +139,11 @@
 
 // move takes the request to another server if that one would be in time.
 func (c *core) move(now time.Time, r *request) bool {
-	before, avoid := r.server, r.failedOn
-	r.failedOn = before.name
-	s := c.choose(now, r, chooseOptions{late: before.unreachable})
-	if s == nil || !before.unreachable && !c.improves(now, r, s) || !c.budget.Take() {
-		r.failedOn = avoid
+	from, failedOn := r.server, r.failedOn
+	r.failedOn = from.name
+	s := c.choose(now, r, chooseOptions{late: from.unreachable})
+	if s == nil || !from.unreachable && !c.improves(now, r, s) || !c.budget.Take() {
+		r.failedOn = failedOn
 		return false
 	}
 	c.check(InvariantBudget, c.budget.Holds())
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -176,13 +176,13 @@
 	p.updateMedianPrefill()
 	p.assignLanes(now, p.otherWorkKnown)
 	p.capacity, p.tokenRate, p.meanGap = 0, 0, 0
-	open, norms := 0, 0.0
+	open, gapsPerRequest := 0, 0.0
 	for _, s := range p.servers {
 		if s.closed() || s.unreachable || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) {
 			continue
 		}
 		open++
-		norms += s.gapPerRequest
+		gapsPerRequest += s.gapPerRequest
 		n := s.limit(s.gapTarget(p, 0), p.minBetween)
 		if s.limited.Named {
 			n = min(n, s.limited.PerSecond*limitedHold.Seconds())
@@ -194,7 +194,7 @@
 	if open > 0 {
 		p.meanGap /= time.Duration(open)
 		for _, s := range p.servers {
-			s.decayGap(now, norms/float64(open))
+			s.decayGap(now, gapsPerRequest/float64(open))
 		}
 	}
 	p.splitSlots()
--- a/request/policy/prefills.go
+++ b/request/policy/prefills.go
@@ -36,13 +36,13 @@
 	if !r.Anchored {
 		return
 	}
-	begin := 0
+	start := 0
 	for i := range len(r.Prefix) - 1 {
 		block := r.Prefix[i]
 		if s.cache.blocks[block.Hash] == nil && len(c.readings) < maxPrefillRecords {
-			c.readings = append(c.readings, prefillRecord{server: s.name, block: block, tokens: block.End - begin, at: now})
+			c.readings = append(c.readings, prefillRecord{server: s.name, block: block, tokens: block.End - start, at: now})
 		}
-		begin = block.End
+		start = block.End
 	}
 }
 
@@ -55,16 +55,16 @@
 // advertisedPrefills lists what the digest tells.
 func (c *core) advertisedPrefills(now time.Time) []*lilacv1.Reading {
 	var list []*lilacv1.Reading
-	for _, read := range c.recentPrefills(now) {
-		list = append(list, &lilacv1.Reading{Server: read.server, Hash: read.block.Hash, Tokens: uint32(read.tokens)})
+	for _, record := range c.recentPrefills(now) {
+		list = append(list, &lilacv1.Reading{Server: record.server, Hash: record.block.Hash, Tokens: uint32(record.tokens)})
 	}
 	return list
 }
 
 // observePeerPrefills takes in what a peer's digest tells.
 func (c *core) observePeerPrefills(now time.Time, readings []*lilacv1.Reading) {
-	for _, read := range readings {
-		c.observePeerPrefill(now, c.servers[read.GetServer()], read.GetHash(), int(read.GetTokens()))
+	for _, record := range readings {
+		c.observePeerPrefill(now, c.servers[record.GetServer()], record.GetHash(), int(record.GetTokens()))
 	}
 }
 
--- a/request/policy/prefix.go
+++ b/request/policy/prefix.go
@@ -37,11 +37,11 @@
 // one first, so that the beginnings, which others share, yield last.
 func (p *prefixCache) insert(prefix []Block, readyAt time.Time) {
 	for i := len(prefix) - 1; i >= 0; i-- {
-		begin := 0
+		start := 0
 		if i > 0 {
-			begin = prefix[i-1].End
+			start = prefix[i-1].End
 		}
-		p.add(prefix[i].Hash, prefix[i].End-begin, readyAt)
+		p.add(prefix[i].Hash, prefix[i].End-start, readyAt)
 	}
 }
 
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -41,10 +41,10 @@
 }
 
 func (e *replayEngine) stop(c *core, id ID) {
-	gone := func(j *replayAttempt) bool { return j.core == c && j.start.ID == id }
-	e.running = slices.DeleteFunc(e.running, gone)
-	e.waiting = slices.DeleteFunc(e.waiting, gone)
-	if e.prefilling != nil && gone(e.prefilling) {
+	matches := func(j *replayAttempt) bool { return j.core == c && j.start.ID == id }
+	e.running = slices.DeleteFunc(e.running, matches)
+	e.waiting = slices.DeleteFunc(e.waiting, matches)
+	if e.prefilling != nil && matches(e.prefilling) {
 		e.prefilling = nil
 	}
 }
@@ -136,16 +136,16 @@
 	if j.generated != 1 && j.generated%replayStride != 0 && j.left > 0 {
 		return
 	}
-	end := r.outcomes[j.start.ID]
+	outcome := r.outcomes[j.start.ID]
 	if j.generated == 1 {
 		e.limiter.answer(r, j)
 	}
-	if end.firstTokenAt.IsZero() {
-		end.firstTokenAt = r.now
+	if outcome.firstTokenAt.IsZero() {
+		outcome.firstTokenAt = r.now
 	} else {
-		end.maxPause = max(end.maxPause, r.now.Sub(end.lastTokenAt))
+		outcome.maxPause = max(outcome.maxPause, r.now.Sub(outcome.lastTokenAt))
 	}
-	end.lastTokenAt = r.now
+	outcome.lastTokenAt = r.now
 	count := replayStride
 	if j.generated == 1 {
 		count = 1
@@ -153,7 +153,7 @@
 	r.apply(j.core, j.core.Step(r.now, Tokens{ID: j.start.ID, Attempt: j.start.Attempt, Count: count}))
 	if j.left <= 0 {
 		e.stop(j.core, j.start.ID)
-		end.finished, end.endedAt = true, r.now
+		outcome.finished, outcome.endedAt = true, r.now
 		r.apply(j.core, j.core.Step(r.now, Finished{ID: j.start.ID, Attempt: j.start.Attempt}))
 	}
 }
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -46,9 +46,9 @@
 	}
 	for i, board := range r.boards {
 		own := r.cores[i].options
-		for _, ask := range board.Due(r.now) {
-			answer := r.boards[byName[ask.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, ask.Word)
-			board.Answered(r.now, ask.Peer, answer)
+		for _, due := range board.Due(r.now) {
+			answer := r.boards[byName[due.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, due.Word)
+			board.Answered(r.now, due.Peer, answer)
 		}
 		board.Forget(r.now)
 	}
@@ -75,20 +75,20 @@
 }
 
 // refuse ends a request, unless its caller comes back.
-func (r *replay) refuse(a Refuse) {
-	end, arrival := r.outcomes[a.ID], r.arrived[a.ID]
+func (r *replay) refuse(refusal Refuse) {
+	outcome, a := r.outcomes[refusal.ID], r.arrived[refusal.ID]
 	if r.onRefuse != nil {
-		r.onRefuse(a)
+		r.onRefuse(refusal)
 	}
-	if r.callersRetry && !end.retried && a.RetryAfter > 0 && a.RetryAfter <= arrival.Deadline.Sub(r.now)/3 {
+	if r.callersRetry && !outcome.retried && refusal.RetryAfter > 0 && refusal.RetryAfter <= a.Deadline.Sub(r.now)/3 {
 		r.lastRetry++
-		end.retried = true
-		arrival.ID = retryIDBase + r.lastRetry
-		r.outcomes[arrival.ID] = end
-		r.retries, r.retryAt = append(r.retries, arrival), append(r.retryAt, r.now.Add(a.RetryAfter))
+		outcome.retried = true
+		a.ID = retryIDBase + r.lastRetry
+		r.outcomes[a.ID] = outcome
+		r.retries, r.retryAt = append(r.retries, a), append(r.retryAt, r.now.Add(refusal.RetryAfter))
 		return
 	}
-	end.refused, end.endedAt = true, r.now
+	outcome.refused, outcome.endedAt = true, r.now
 }
 
 // retryIDBase are above those of first attempts.
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -65,28 +65,28 @@
 	lastID, lastRetry ID
 }
 
-func newReplay(seed uint64, instances, perCentre, slots int, speed engineSpeed, kinds []requestKind) *replay {
+func newReplay(seed uint64, instances, perDataCenter, slots int, speed engineSpeed, kinds []requestKind) *replay {
 	r := &replay{
 		kinds: kinds, engines: make(map[string]*replayEngine), outcomes: make(map[ID]*replayOutcome),
 		arrived: make(map[ID]Arrival), random: rand.New(rand.NewPCG(seed, 1)), now: epoch,
 	}
-	centres := []string{"a", "b", "c"}
+	dataCenters := []string{"a", "b", "c"}
 	snapshot := &lilacv1.Snapshot{Revision: 1, Teams: []*lilacv1.Team{{Name: "a"}}}
 	for _, k := range kinds {
 		snapshot.Classes = append(snapshot.Classes, k.class)
 	}
-	for _, centre := range centres {
-		for i := range perCentre {
-			name := fmt.Sprintf("%s-%d", centre, i)
+	for _, dataCenter := range dataCenters {
+		for i := range perDataCenter {
+			name := fmt.Sprintf("%s-%d", dataCenter, i)
 			snapshot.Servers = append(snapshot.Servers, &lilacv1.Server{
-				Name: name, DataCenter: centre, Serves: []string{"llm"}, Slots: uint32(slots), CacheTokens: 600000,
+				Name: name, DataCenter: dataCenter, Serves: []string{"llm"}, Slots: uint32(slots), CacheTokens: 600000,
 				CacheTokenNs: 300, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE,
 			})
 			r.engines[name] = &replayEngine{speed: speed, slots: slots, held: make(map[uint64]bool)}
 		}
 	}
 	for i := range instances {
-		c := New(Options{Instance: fmt.Sprintf("e%d", i), DataCenter: centres[i%3], Seed: seed + uint64(i), Incarnation: "1", Weights: settings.Policy{
+		c := New(Options{Instance: fmt.Sprintf("e%d", i), DataCenter: dataCenters[i%3], Seed: seed + uint64(i), Incarnation: "1", Weights: settings.Policy{
 			RetryShare: 0.2, RemoteCost: settings.Duration{Duration: 100 * ms},
 		}}).(*core)
 		c.Step(r.now, Configured{View: model.NewView(snapshot)})
@@ -96,10 +96,10 @@
 }
 
 // run plays the load for some time, with so many times the traffic by the moment.
-func (r *replay) run(length time.Duration, times func(time.Duration) float64) {
+func (r *replay) run(length time.Duration, loadFactor func(time.Duration) float64) {
 	for at := time.Duration(0); at < length; at += replayStep {
 		r.now = epoch.Add(at)
-		r.arrivals(times(at))
+		r.arrivals(loadFactor(at))
 		for _, name := range sortedKeys(r.engines) {
 			r.engines[name].advance(r)
 		}
@@ -141,10 +141,10 @@
 	}
 }
 
-func (r *replay) arrivals(times float64) {
+func (r *replay) arrivals(loadFactor float64) {
 	r.sendDueRetries()
 	for kind, k := range r.kinds {
-		if r.random.Float64() >= times*k.perSecond*replayStep.Seconds() {
+		if r.random.Float64() >= loadFactor*k.perSecond*replayStep.Seconds() {
 			continue
 		}
 		r.lastID++
@@ -178,16 +178,16 @@
 
 func (r *replay) begin(c *core, start Start) {
 	a, e := r.arrived[start.ID], r.engines[start.Server]
-	end := r.outcomes[start.ID]
-	if end.startedAt.IsZero() {
-		end.startedAt = r.now
+	outcome := r.outcomes[start.ID]
+	if outcome.startedAt.IsZero() {
+		outcome.startedAt = r.now
 	}
-	read := a.PromptTokens
+	unread := a.PromptTokens
 	if e.held[a.Prefix[0].Hash] || start.FetchFrom != "" {
-		read -= a.Prefix[0].End
+		unread -= a.Prefix[0].End
 	}
 	e.held[a.Prefix[0].Hash] = true
-	job := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, unread: read, left: r.kinds[end.kind].answer, rank: r.kinds[end.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
+	job := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, unread: unread, left: r.kinds[outcome.kind].answer, rank: r.kinds[outcome.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
 	e.waiting = append(e.waiting, job)
 	e.limiter.got(r.now, c)
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
@@ -199,20 +199,20 @@
 
 func (r *replay) tally(kind int, from, to time.Duration) (t tally) {
 	k := r.kinds[kind]
-	for id, end := range r.outcomes {
-		if id > retryIDBase || end.kind != kind || end.arrivedAt.Before(epoch.Add(from)) || !end.arrivedAt.Before(epoch.Add(to)) {
+	for id, outcome := range r.outcomes {
+		if id > retryIDBase || outcome.kind != kind || outcome.arrivedAt.Before(epoch.Add(from)) || !outcome.arrivedAt.Before(epoch.Add(to)) {
 			continue
 		}
 		t.arrived++
-		if !end.startedAt.IsZero() {
+		if !outcome.startedAt.IsZero() {
 			t.started++
 		}
 		target := time.Duration(k.class.GetFirstTokenMs()) * ms
 		between := time.Duration(k.class.GetBetweenTokensMs()) * ms * replayStride
 		switch {
-		case end.firstTokenAt.IsZero():
+		case outcome.firstTokenAt.IsZero():
 			t.unanswered++
-		case end.firstTokenAt.Sub(end.arrivedAt) <= target && end.maxPause <= between:
+		case outcome.firstTokenAt.Sub(outcome.arrivedAt) <= target && outcome.maxPause <= between:
 			t.inTime++
 		}
 	}
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -169,22 +169,22 @@
 
 // limit is how many requests the server takes: what keeps the tightest target
 // in the pool, or where it can't keep that at all, the asking class's own.
-func (s *server) limit(tight, own time.Duration) float64 {
+func (s *server) limit(poolTarget, classTarget time.Duration) float64 {
 	if s.service {
 		return float64(s.slots) * serviceOvercommit
 	}
-	n := s.maxBatch(tight)
+	n := s.maxBatch(poolTarget)
 	if n < minStrictBatch {
-		n = s.maxBatch(own)
+		n = s.maxBatch(classTarget)
 	}
 	return max(n, 1)
 }
 
 // gapTarget is the gap between tokens that the server's batch is kept within for a request
 // with the given one: beside a tight lane, its answers need not be thought of elsewhere.
-func (s *server) gapTarget(p *pool, own time.Duration) time.Duration {
+func (s *server) gapTarget(p *pool, classTarget time.Duration) time.Duration {
 	if s.engine != nil && p.hasLane[laneTight] && s.lane != laneTight {
-		return own
+		return classTarget
 	}
 	return p.minBetween
 }
@@ -198,12 +198,12 @@
 )
 
 // decayGap lets a gap that nobody measures any more return to the pool's.
-func (s *server) decayGap(now time.Time, poolNorm float64) {
+func (s *server) decayGap(now time.Time, poolGapPerRequest float64) {
 	if s.engine != nil {
-		poolNorm = s.engine.perRequest
+		poolGapPerRequest = s.engine.perRequest
 	}
-	if now.Sub(s.lastTokenAt) > gapMaxAge && now.Sub(s.peerGapAt) > gapMaxAge && s.gapPerRequest > poolNorm {
-		s.gapPerRequest += gapDecay * (poolNorm - s.gapPerRequest)
+	if now.Sub(s.lastTokenAt) > gapMaxAge && now.Sub(s.peerGapAt) > gapMaxAge && s.gapPerRequest > poolGapPerRequest {
+		s.gapPerRequest += gapDecay * (poolGapPerRequest - s.gapPerRequest)
 	}
 }
 
@@ -232,12 +232,12 @@
 // in which the token was made is the engine's usual one: the server's own gaps include
 // those beside long prompts.
 func (s *server) observePrefill(took time.Duration, work float64) {
-	reading := took.Seconds() - s.engine.stepAt(s.load())
+	elapsed := took.Seconds() - s.engine.stepAt(s.load())
 	if work < minPrefillSample {
-		s.engine.observeFixed(s, reading-s.prefill*work)
+		s.engine.observeFixed(s, elapsed-s.prefill*work)
 		return
 	}
-	s.engine.observePrefill(s, max(reading-s.engine.farDelay(s), 0), work)
+	s.engine.observePrefill(s, max(elapsed-s.engine.farDelay(s), 0), work)
 }
 
 // backlogBefore is the prompt work of all instances before a request of the level.
@@ -254,8 +254,8 @@
 	if s.engine != nil {
 		first += time.Duration(*s.engine.fixed(s) * float64(time.Second))
 	}
-	if over := n - float64(s.slots); over > 0 {
-		first += time.Duration(over * slotWaitGaps * float64(s.gapAt(n)))
+	if excess := n - float64(s.slots); excess > 0 {
+		first += time.Duration(excess * slotWaitGaps * float64(s.gapAt(n)))
 	}
 	return first
 }
@@ -296,11 +296,11 @@
 
 // runningAgo returns how many own requests the server ran some time ago.
 func (s *server) runningAgo(age time.Duration) float64 {
-	back := int(age / slowTick)
-	if back >= historyLength {
-		back = historyLength - 1
+	steps := int(age / slowTick)
+	if steps >= historyLength {
+		steps = historyLength - 1
 	}
-	return float64(s.history[(s.historyIndex-back+historyLength)%historyLength])
+	return float64(s.history[(s.historyIndex-steps+historyLength)%historyLength])
 }
 
 // estimateOtherLoad weighs what peers tell against what the server reported, by age.
@@ -313,13 +313,13 @@
 		s.otherLoad = s.reportedLoad
 		return
 	}
-	report := 1 / (reportAgeScale + s.reportAge)
+	reportWeight := 1 / (reportAgeScale + s.reportAge)
 	// Reports older than a few seconds describe other requests than today's.
 	if s.reportAge > 2 {
-		report = 0
+		reportWeight = 0
 	}
-	digest := 1 / (reportAgeScale + typicalDigestAge)
-	s.otherLoad = (report*s.reportedLoad + digest*(s.peerLoad+s.boardLoad)) / (report + digest)
+	digestWeight := 1 / (reportAgeScale + typicalDigestAge)
+	s.otherLoad = (reportWeight*s.reportedLoad + digestWeight*(s.peerLoad+s.boardLoad)) / (reportWeight + digestWeight)
 }
 
 // eject keeps new work away after a failure, for longer each time.
