--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -10,36 +10,37 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// Requests that share a long part of their prompt cost a quarter of a second
-// less each on an engine that holds the part. So all instances rank the engines
-// alike by a hash of the part, its homes. The first gets all requests of the part,
-// whichever instance they come to; the others take what is too much for it.
+// A request that shares a long part of its prompt with others costs a quarter of a second less on
+// an engine that has the part in its cache. All instances therefore rank the engines by the same
+// hash of the shared part; the first few are its homes. The first home gets all requests of the
+// part, from all instances; the others take what exceeds its capacity.
 
-// homeCount is how many engines a shared part has for homes: some choice by load, and
-// few enough that the requests of one moment spread over all engines.
+// homeCount is the number of homes of a shared part: enough for some choice by load, and few
+// enough that concurrent requests spread over all engines.
 const homeCount = 4
 
-// homes are the engines that a request's shared parts belong to; empty where the
+// homes are the preferred engines of a request by its shared prompt parts; empty where the
 // request shares too little.
 type homes struct {
-	// ranked are in order of rank; those that don't exist are nil.
+	// ranked holds the homes in order of rank; nil where there are fewer engines.
 	ranked [homeCount]*server
 	ranks  [homeCount]uint64
-	// assumeCached is true where the first one is taken to hold the parts.
+	// assumeCached is true if the first home is assumed to have the parts in its cache.
 	assumeCached bool
-	// holder is the engine that holds the most of the shared parts, held how many
-	// of their tokens; nil where none is known to.
+	// holder is the engine with the most cached tokens of the shared parts, heldTokens their
+	// number; nil if none is known.
 	holder     *server
 	heldTokens float64
-	// assigned and kept are the same for engines that may not have read it yet.
+	// assigned and assignedTokens are the same including parts that were sent to an engine but
+	// may not be prefilled yet.
 	assigned       *server
 	assignedTokens float64
 }
 
-// first is the first home; nil where the request has none.
+// first returns the first home; nil if the request has none.
 func (h *homes) first() *server { return h.ranked[0] }
 
-// insert puts the server at its place among the homes.
+// insert adds the server to the homes if its rank is high enough.
 func (h *homes) insert(s *server, rank uint64) {
 	for i := range h.ranked {
 		if h.ranked[i] == nil || rank > h.ranks[i] {
@@ -52,7 +53,7 @@
 	}
 }
 
-// homesOf ranks the open engines by the request's last shared part.
+// homesOf ranks the available engines by the request's last shared part.
 func (c *core) homesOf(now time.Time, r *request) homes {
 	h := homes{assumeCached: c.peers[member.Others] != nil && !c.told}
 	lastShared := len(r.Prefix) - 2
@@ -73,7 +74,7 @@
 		if s.lane != assigned || assigned != laneTight && s.excludesLongPrompts(now) {
 			continue
 		}
-		// A remote engine is worth its price where that buys more time of reading.
+		// A remote engine is worth its cost only if the cache saves more prefill time than that.
 		if s.remote && r.pool.medianPrefill*float64(r.Prefix[lastShared].End) < remoteCost {
 			continue
 		}
@@ -83,11 +84,11 @@
 	return h
 }
 
-// uncachedAt is the prompt work on the server, by what is known of its cache. Where
-// instances exchange their digests directly, all know within one exchange what
-// was sent where. In a tree that takes seconds, and an instance sees a small part
-// of the requests itself: there the first home is taken to hold the prompt. By what
-// is known, shared parts were read again 2.7 times as often at 76 instances.
+// uncachedAt returns the number of prompt tokens to prefill on the server, by what is known of
+// its cache. Instances that exchange digests directly learn within one exchange what was sent
+// where. Through a tree of digests that takes seconds, and an instance sees few of the requests
+// itself, so the first home is assumed to have the prompt. Without the assumption, 76 instances
+// prefilled shared parts 2.7 times as often.
 func (h *homes) uncachedAt(s *server, r *request) float64 {
 	uncached := s.uncachedTokens(r)
 	if !h.assumeCached || s != h.first() {
@@ -97,20 +98,20 @@
 }
 
 const (
-	// secondHomePenalty is the price of the second home: more than a way between regions,
-	// so that instances everywhere begin with the same engine.
+	// secondHomePenalty is the cost of the second home: more than the latency between regions, so
+	// that instances everywhere start with the same engine.
 	secondHomePenalty = 250 * time.Millisecond
-	// otherEnginePenalty is the price of the homes after it and of other engines, so that
-	// what leaves the first home meets on the second, and is read there once.
+	// otherEnginePenalty is the cost of all other engines, so that requests that leave the first
+	// home meet on the second and their prompt is prefilled there once.
 	otherEnginePenalty = 500 * time.Millisecond
 )
 
-// position is the home's place from 1 on, else 0.
+// position returns the server's position among the homes, from 1 on, or 0.
 func (h *homes) position(s *server) int {
 	return 1 + slices.Index(h.ranked[:], s)
 }
 
-// penalty is the price of an engine that is not the first home.
+// penalty returns the cost of a server that is not the first home.
 func (h *homes) penalty(s *server) time.Duration {
 	switch {
 	case h.first() == nil || s == h.first():
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -8,7 +8,7 @@
 	"github.com/lilacbridge/lilacbridge/request/choose"
 )
 
-// candidate describes the server with the request on it.
+// candidate describes the server as it would be with the request on it.
 func (s *server) candidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.baseCandidate(r, now, index)
 	if s.skipped || s.startBudget < 1 {
@@ -26,7 +26,7 @@
 	return c
 }
 
-// displacingCandidate describes the engine with the request on it in the place of bulk.
+// displacingCandidate describes the engine as it would be if the request displaced bulk.
 func (s *server) displacingCandidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.baseCandidate(r, now, index)
 	if s.displaceBudget < 1 {
@@ -42,7 +42,7 @@
 	return c
 }
 
-// baseCandidate is what is known of the server without looking at the request's prompt.
+// baseCandidate returns what does not depend on the request's prompt.
 func (s *server) baseCandidate(r *request, now time.Time, index int) choose.Candidate {
 	return choose.Candidate{
 		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.unavailable(now),
@@ -51,7 +51,7 @@
 	}
 }
 
-// fillCosts fills in what the request would meet on the server as one of n.
+// fillCosts fills in the expected latencies and costs of the request as one of n on the server.
 func (s *server) fillCosts(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
 	source := h.sourceAt(s, r)
 	c.First = s.firstToken(n, source.prefill, r.levelOf()) + s.fetchTime(source.fetched)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-
 	"time"
 
 	"github.com/lilacbridge/lilacbridge/process/settings"
@@ -11,41 +10,42 @@
 )
 
 const (
-	// lateReserve is what late requests leave free besides: what can still be on
-	// time shall not have to wait for them.
+	// lateReserve is the additional number of slots that late requests leave free for requests
+	// that can still be on time.
 	lateReserve = 2
-	// overQuotaReserve is what requests above the quota leave free besides: there are
-	// more of them than the split counts on, and tier 0 shall not feel it.
+	// overQuotaReserve is the additional number of slots that requests above the quota leave
+	// free: the split does not account for them, and they must not delay tier 0.
 	overQuotaReserve = 0.5
-	// tierReserve and stepReserve are the slots of each server that tier 1
-	// leaves free for tier 0, and what each further tier leaves besides.
+	// tierReserve is the number of slots of each server that tier 1 leaves free for tier 0,
+	// tierReserveStep what each further tier leaves in addition.
 	tierReserve     = 1
 	tierReserveStep = 0.5
-	// rankReserve is the part of each large engine's slots that a class leaves free for
-	// each rank of its tier that is more urgent: long answers hold their slots for many
-	// seconds, and a burst of urgent ones would wait for their ends.
+	// rankReserve is the fraction of each large engine's slots that a class leaves free for each
+	// more urgent rank of its tier: long answers hold their slots for many seconds, and a burst
+	// of urgent requests would wait for them to end.
 	rankReserve = 0.08
-	// staleLoadReserve is what requests leave free besides of each large engine where loads are
-	// told in steps: many instances start requests between two words.
+	// staleLoadReserve is the additional number of slots of each large engine that requests leave
+	// free while loads come from the load board: many instances start requests between two
+	// updates.
 	staleLoadReserve = 1
-	// crowdWeight is the weight of what a request adds to others' gaps.
+	// crowdWeight is the weight of the longer gaps that a request causes for others.
 	crowdWeight = 0.5
-	// workWeight keeps requests with their shared prompt until its engine is about
-	// to miss their target: 13,000 tokens weigh as much as a wait of 0.9 of it.
+	// workWeight keeps requests with the engine that has their shared prompt until it is about to
+	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
 	workWeight = 6
-	// paceWeight is the share at which the pace of an anchored answer counts.
+	// paceWeight is the weight of the gap between tokens of an anchored answer.
 	paceWeight = 0.2
-	// nearFirst, nearSecond and nearShare are how much more than the least a
-	// server may cost to be taken for the sake of copies elsewhere: the first and
-	// second by rendezvous hash, and others; see docs/notes/crashing-requests.md.
+	// nearFirst, nearSecond and nearShare are how much more than the cheapest server another one
+	// may cost and still be chosen so that copies of a request meet on it: the first and second
+	// by rendezvous hash, and others; see docs/notes/crashing-requests.md.
 	nearFirst  = 1.0
 	nearSecond = 0.5
 	nearShare  = 0.1
 )
 
-// tierReserves returns what each tier leaves free of each server. Free slots
-// keep urgent first tokens on time and cost throughput, so a fleet that weighs
-// attainment higher against wasted and lost work keeps up to one more.
+// tierReserves returns the slots that each tier leaves free on each server. Free slots keep first
+// tokens of urgent requests on time but cost throughput, so the reserve grows by up to one slot
+// with the weight of attainment against wasted and lost work.
 func tierReserves(weights settings.Policy) (reserves [model.Tiers]float64) {
 	attainment := 0.5
 	if sum := weights.AttainmentWeight + weights.WasteWeight; sum > 0 {
@@ -57,16 +57,16 @@
 	return reserves
 }
 
-// chooser holds the ways of choosing and the memory that they share.
+// chooser holds the selectors for the kinds of requests and the buffers they share.
 type chooser struct {
+	// onTime requires a server to meet the targets, late does not.
 	onTime choose.Chooser
 	late   choose.Chooser
-	// anchored and anchoredLate are the same for anchored requests, whose homes
-	// take the place of the rank.
-	// anchoredOnce takes a late first token before a prompt read twice.
+	// anchored and anchoredLate are the same for anchored requests, which have homes instead of
+	// the rendezvous rank. anchoredOnce allows a late first token but no duplicate prefill.
 	anchored, anchoredLate, anchoredOnce choose.Chooser
-	// displacing is for urgent requests that start in the place of bulk, displacingLate for
-	// those that can't be in time.
+	// displacing is for urgent requests that displace bulk, displacingLate for those that cannot
+	// be in time.
 	displacing, displacingLate choose.Chooser
 	candidates                 []choose.Candidate
 	reserves                   [model.Tiers]float64
@@ -93,9 +93,8 @@
 	}
 }
 
-// collectCandidates fills in the candidates for a request; a large pool is sampled. It returns
-// true where only the engines that suit the request were looked at, and a wide look
-// would find others.
+// collectCandidates lists the candidates for a request; it samples a large pool. It returns true
+// if it listed only the engines that suit the request and a call with wide set would list others.
 func (c *core) collectCandidates(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
@@ -123,8 +122,8 @@
 	return false
 }
 
-// collectLimited looks at the servers in need that this instance may send a request to now.
-// Few instances may, and what one of them doesn't send nobody else does.
+// collectLimited lists the rate-limited servers that this instance may send a request to now.
+// Only a few instances may send to them, and capacity that one of these leaves unused is lost.
 func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
 		if s.limited.Named && !s.held(now) {
@@ -133,13 +132,11 @@
 	}
 }
 
-// collectHomes looks at the request's homes and at the engines that hold its
-// prompt.
+// collectHomes lists the request's homes and the engines that have its prompt.
 //
-// It guards against a herd: 78 instances that see the same loads, half a second
-// old, all send to the engine that was the least loaded then. It shows as engines
-// with 5 s of prompts to read beside idle ones. It holds because each shared part has
-// homes of its own, spread over all engines.
+// Instances that see the same loads, half a second old, would otherwise all send to the engine
+// that was the least loaded then: with 78 instances, some engines had 5 s of prompts to prefill
+// beside idle ones. Here each shared part has its own homes, spread over all engines.
 func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
 		if h.position(s) > 0 || s == h.holder || s == h.assigned {
@@ -148,16 +145,16 @@
 	}
 }
 
-// chooseOptions says how a request looks for a server.
+// chooseOptions are constraints on the choice of a server.
 type chooseOptions struct {
 	reserve, over float64
 	late          bool
 	alone         bool
 }
 
-// choose returns the server for the request, or nil while none has room. Where the
-// engines that suit it are full it looks at others, as soon as that costs less than to
-// wait.
+// choose returns the server for the request, or nil if none has a free slot. Where the engines
+// that suit the request are full, it considers others, after some wait, and then engines with
+// bulk to displace.
 func (c *core) choose(now time.Time, r *request, opts chooseOptions) *server {
 	narrow := c.collectCandidates(now, r, opts.late)
 	s := c.pick(now, r, opts)
@@ -171,7 +168,7 @@
 	return s
 }
 
-// displace returns an engine on which the request starts in the place of bulk, or nil.
+// displace returns an engine on which the request can displace bulk, or nil.
 func (c *core) displace(now time.Time, r *request, opts chooseOptions) *server {
 	h := c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
@@ -192,14 +189,14 @@
 	return s
 }
 
-// mayLeaveHomes tells whether the request goes to engines that don't hold its prompt: at
-// once where others share little of it, else after half of the time that it may wait.
+// mayLeaveHomes reports whether the request may go to engines that do not have its prompt: at
+// once if it shares little of it, else after half of the time that it may wait.
 func (r *request) mayLeaveHomes(now time.Time) bool {
 	shared := r.Prefix[len(r.Prefix)-2].End
 	return shared < minDuplicatePrefill || now.Sub(r.item.Arrived) >= r.item.Due.Sub(r.item.Arrived)/2
 }
 
-// pick returns the best of the servers that were described.
+// pick returns the best of the collected candidates, or nil.
 func (c *core) pick(now time.Time, r *request, opts chooseOptions) *server {
 	selector := &c.choice.onTime
 	anchored := r.Anchored && !r.pool.service
@@ -214,14 +211,14 @@
 	}
 	s := c.pickWith(selector, now, r, opts)
 	if s == nil && selector == &c.choice.anchored {
-		// No engine is in time: it waits where its prompt is.
+		// No engine is in time: prefer the wait at an engine that has the prompt.
 		s = c.pickWith(&c.choice.anchoredOnce, now, r, opts)
 		r.behind = s != nil
 	}
 	return s
 }
 
-// pickWith returns the best of the described servers in one way of choosing.
+// pickWith returns the best of the collected candidates by the selector, or nil.
 func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
 	req := choose.Request{
 		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
@@ -237,8 +234,8 @@
 	return r.pool.servers[c.choice.candidates[index].Index]
 }
 
-// gapAchievable tells whether any server that is looked at keeps the gap between
-// tokens at all, empty; if none does, waiting for one would help nobody.
+// gapAchievable reports whether any candidate keeps the target between tokens even when idle; if
+// none does, waiting would not help.
 func (c *core) gapAchievable(r *request) bool {
 	between := r.between()
 	if between == 0 || r.pool.service {
@@ -254,14 +251,14 @@
 	return false
 }
 
-// tokensLeft is the expected number of tokens to come.
+// tokensLeft returns the expected number of tokens still to come.
 func (r *request) tokensLeft(c *core) float64 {
 	if r.pool.service {
 		return 0
 	}
 	left := c.estimates.Left(r.key(), r.got)
 	if r.Hint > r.got {
-		// Callers' guesses are right at the median, a class's lengths differ thirtyfold.
+		// A caller's hint is right at the median; answer lengths of a class differ thirtyfold.
 		left = float64(r.Hint - r.got)
 	}
 	if r.MaxTokens > 0 {
--- a/request/policy/displace.go
+++ b/request/policy/displace.go
@@ -1,29 +1,29 @@
 package policy
 
-// Engines preempt the least urgent of their requests for a more urgent one where no
-// slot is free, and read its prompt again later; its answer goes on where it was. In a
-// burst that nobody foresaw, long answers of the least urgent rank hold slots for
-// seconds. A short urgent request may start in the place of one of them.
+// An engine without a free slot preempts its least urgent request for a more urgent one, prefills
+// it again later and continues its answer. In an unexpected burst, long answers of the least
+// urgent rank (bulk) hold slots for seconds; a short urgent request may displace one of them.
 //
-// In a large fleet all know how much bulk the others run on each engine. Engines that bulk
-// fills have room for urgent requests then: without it these would all go to the few engines
-// that no bulk fills. What is put back is read again, so all instances take the engines in
-// the same order, and as few as they need.
+// In a large fleet all instances know how much bulk the others run on each engine. To urgent
+// requests, an engine full of bulk has free slots; otherwise they would all go to the few engines
+// that are not full of bulk. Preempted bulk is prefilled again, so all instances displace it on
+// the same engines first, and on as few as they need.
 
 const (
-	// maxPreemptibleShare is the part of an engine's slots that may be taken in this way by one
-	// instance, beside what others take.
+	// maxPreemptibleShare is the fraction of an engine's slots that one instance may displace its
+	// own bulk from, regardless of other instances.
 	maxPreemptibleShare = 0.125
-	// minPreemptibleSlots is the number of slots below which none is taken: small engines stand
-	// before many instances, which would all take one in the same moment.
+	// minPreemptibleSlots is the number of slots below which none is displaced: many instances
+	// share a small engine, and all would displace one at the same moment.
 	minPreemptibleSlots = 2
-	// displaceOvercommit is the part of an engine's slots beyond which requests that displace bulk
-	// wait there: a slot that is free for a moment goes back to bulk, which is read again.
+	// displaceOvercommit is the fraction of an engine's slots that displacing requests may exceed
+	// the limit by, waiting there: a slot that is free for a moment would go back to bulk, which
+	// is prefilled again.
 	displaceOvercommit = 1.0 / 3
 )
 
-// preemptibleSlots is how many of this instance's requests on a full engine give way to the
-// request, where the engine takes up to limit.
+// preemptibleSlots returns how many of this instance's requests on a full engine, which runs up
+// to limit, the request can displace.
 func (s *server) preemptibleSlots(r *request, limit float64) float64 {
 	maxSlots := maxPreemptibleShare * float64(s.slots)
 	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || maxSlots < minPreemptibleSlots {
@@ -38,26 +38,26 @@
 	return min(bulk, maxSlots)
 }
 
-// holdsSlotsLong tells whether the request's class holds its slots for long.
+// holdsSlotsLong reports whether answers of the request's class hold their slots for long.
 func (p *pool) holdsSlotsLong(r *request) bool {
 	return p.usageByClass[r.Class].traffic.slotHoldTime(0) >= maxBriefHold.Seconds()
 }
 
-// isBulk tells whether engines put the request back for any more urgent one.
+// isBulk reports whether engines preempt the request for any more urgent one.
 func (r *request) isBulk() bool {
 	rank := int(r.class.GetRank())
 	return r.Anchored && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsSlotsLong(r)
 }
 
-// mayDisplace tells whether the request may start in the place of bulk.
+// mayDisplace reports whether the request may displace bulk.
 func (r *request) mayDisplace() bool {
 	return r.Anchored && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
 }
 
-// bulkLoad counts all instances' bulk on the engine.
+// bulkLoad returns the number of all instances' bulk requests on the engine.
 func (s *server) bulkLoad() float64 { return s.boardBulk + s.ownBulk() }
 
-// ownBulk counts this instance's bulk on the engine.
+// ownBulk returns the number of this instance's bulk requests on the engine.
 func (s *server) ownBulk() float64 {
 	if s.engine == nil {
 		return 0
@@ -71,8 +71,9 @@
 	return count
 }
 
-// displaceOrder is the engine's place, 0 to 2, in the order in which bulk is displaced: at
-// random, but alike for all instances of a region, and near engines first.
+// displaceOrder returns the engine's position, from 0 to 2, in the order in which bulk is
+// displaced: pseudo-random, the same for all instances of a region, with the region's own engines
+// first.
 func (s *server) displaceOrder() float64 {
 	order := float64(s.key) / (1 << 32)
 	if s.remote {
--- a/request/policy/engine.go
+++ b/request/policy/engine.go
@@ -8,74 +8,73 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// Engines with large batches differ tenfold in how fast they read prompts and make
-// tokens, and no configuration says so. What the policy must know of them is
-// learned from the answers of the pool's engines together, since one instance may
-// see few answers of each.
+// Engines with large batches differ tenfold in prefill and decode speed, and the configuration
+// does not state it. The policy learns both from the answers of all engines of a pool together,
+// since one instance may see few answers of each.
 
 const (
-	// initialPrefill is the time for a prompt token before anything was measured, in
-	// seconds: 50 tokens a millisecond.
+	// initialPrefill is the initial estimate of the prefill time of one prompt token, in seconds:
+	// 50 tokens a millisecond.
 	initialPrefill = 0.00002
-	// initialStep and firstEach are the time of an empty batch's step, and what each
-	// request adds to it, before anything was measured, in seconds.
+	// initialStep and initialPerRequest are the initial estimates of the step time of an empty
+	// batch and of what each request adds to it, in seconds.
 	initialStep       = 0.0056
 	initialPerRequest = 0.000056
-	// initialFixed is the part of the time to a first token that doesn't grow with the
-	// prompt before anything was measured, in seconds; leastFixed bounds it from below.
+	// initialFixed is the initial estimate of the part of the time to a first token that does not
+	// depend on the prompt, in seconds; minFixed is its lower bound.
 	initialFixed = 0.01
 	minFixed     = 0.001
-	// minPrefill and mostPrefill bound the learned time for a prompt token, in seconds.
+	// minPrefill and maxPrefill bound the learned prefill time of one prompt token, in seconds.
 	minPrefill = 1e-6
 	maxPrefill = 0.003
 
-	// minPrefillSample is the least prompt work, in tokens, from which the rate is learned:
-	// below, the fixed time of a request weighs more. It must not depend on the rate
-	// itself: taken for too fast, an engine would have no prompts left to learn from.
+	// minPrefillSample is the number of prompt tokens from which a first token is a sample of the
+	// prefill time; for fewer, the fixed time dominates. It must not depend on the estimate: with
+	// one that is too fast, no prompt would be long enough to correct it.
 	minPrefillSample = prefillChunk
-	// maxSampleTokens bounds the weight of a sample, which grows with the square of the
-	// prompt: the part of the fixed time in it falls with the length.
+	// maxSampleTokens bounds the weight of a sample, which grows with the square of the prompt
+	// length since the relative error from the fixed time falls with it.
 	maxSampleTokens = 16384
-	// prefillQuantile is the part of the samples that lies below the pool's rate, and
-	// slowStep how far one sample moves a server's own against it.
+	// prefillQuantile is the quantile of the samples that is taken for the pool's prefill time;
+	// prefillRatioStep is the step by which one sample moves a server's ratio to it.
 	prefillQuantile  = 0.25
 	prefillRatioStep = 0.05
-	// maxBacklogRatio is how much may wait before a prompt, in times of the prompt, for its
-	// time to tell the rate: what is known of others' prompts is old.
+	// maxBacklogRatio is the largest backlog, relative to the prompt, with which a first token is
+	// a sample of the prefill time: the backlog of other instances is known late.
 	maxBacklogRatio = 0.5
-	// maxPrefillRatio bounds how much slower or faster than its pool one server is taken for.
+	// maxPrefillRatio bounds a server's prefill ratio in both directions.
 	maxPrefillRatio = 16.0
 
-	// quantileTolerance is how close to an estimate a sample confirms it.
+	// quantileTolerance is the relative distance within which a sample leaves an estimate
+	// unchanged.
 	quantileTolerance = 0.02
-	// fixedStep is how far one sample moves the fixed part.
+	// fixedStep is the step by which one sample moves the fixed time.
 	fixedStep = 0.1
 
-	// prefillChunk is how many prompt tokens engines read in one step, beside the tokens
-	// of other answers: what engines commonly do.
+	// prefillChunk is the number of prompt tokens that an engine prefills in one step beside
+	// decoding, a common value for engines with chunked prefill.
 	prefillChunk = 2048
-	// chunkMargin is how much longer a chunk far into a prompt takes than its share of
-	// the whole.
+	// chunkMargin is the time of a chunk late in a prompt relative to the mean chunk.
 	chunkMargin = 1.4
 )
 
-// engineModel is what was learned of a pool's engines. Times are in seconds.
+// engineModel is the learned performance of a pool's engines. Times are in seconds.
 type engineModel struct {
-	// prefill is the time for a prompt token, step that of an empty batch's step, each
-	// what one more request adds to it: own and told estimates by their weights.
+	// prefill is the time for a prompt token, step that of an empty batch's step, perRequest what
+	// each request adds to a step: the weighted means of own and others.
 	prefill, step, perRequest float64
-	// own is what this instance's answers say, told what the others' do.
+	// own is estimated from this instance's answers, others from those of other instances.
 	own    engineEstimates
 	others loadboard.EngineSums
-	// prefillSamples are the own samples of prefill.
+	// prefillSamples are this instance's samples of the prefill time.
 	prefillSamples *sampleWindow
-	// nearFixed and far are the fixed part of the time to a first token of engines in this
-	// region and in others.
+	// nearFixed and farFixed are the part of the time to a first token that does not depend on
+	// the prompt, for engines in this region and in others.
 	nearFixed, farFixed float64
 	fit                 stepFit
 }
 
-// engineEstimates are an instance's own, in seconds.
+// engineEstimates are one instance's estimates, in seconds.
 type engineEstimates struct{ prefill, step, perRequest float64 }
 
 func newEngineModel() *engineModel {
@@ -84,29 +83,29 @@
 	return e
 }
 
-// weight is that of the own estimates: the number of prompts that they come from.
+// weight returns the number of prompts behind the own estimates.
 func (e *engineModel) weight() float64 {
 	return float64(min(e.prefillSamples.count, windowSamples) - 1)
 }
 
-// sums are the own estimates, for the others.
+// sums returns the own estimates, weighted, for other instances to add up.
 func (e *engineModel) sums() loadboard.EngineSums {
 	w := e.weight()
 	return loadboard.EngineSums{Weight: w, Speed: w * speedPower(e.own.prefill), Step: w * e.own.step / micro, Each: w * e.own.perRequest / micro}
 }
 
-// speedPower is the fourth power of the prompt tokens read in a millisecond, at the time
-// for one.
+// speedPower returns the fourth power of the prefill speed in tokens per millisecond. The mean of
+// fourth powers gives most weight to the fastest estimates; the others include queueing.
 func speedPower(prefill float64) float64 { return math.Pow(milli/prefill, 4) }
 
-// setOthers takes in the others' estimates.
+// setOthers replaces the estimates of other instances.
 func (e *engineModel) setOthers(others loadboard.EngineSums) {
 	e.others = others
 	e.blend()
 }
 
-// blend weighs the own estimates against the others'. An instance that has none of its own
-// goes by the others' alone.
+// blend computes the weighted mean of the own estimates and the others'. An instance without own
+// samples uses the others' alone.
 func (e *engineModel) blend() {
 	w := e.weight()
 	if w+e.others.Weight == 0 {
@@ -125,19 +124,20 @@
 	micro = 1e-6
 )
 
-// stepAt is the time of a step in a batch of n.
+// stepAt returns the step time at batch size n.
 func (e *engineModel) stepAt(n float64) float64 { return e.step + n*e.perRequest }
 
-// stepOffset is the batch at which a step costs twice what an empty one does.
+// stepOffset returns the batch size at which a step takes twice as long as with an empty batch.
 func (e *engineModel) stepOffset() float64 { return e.step / e.perRequest }
 
-// prefillGap is the gap between two tokens of an answer while its engine, half full,
-// reads long prompts.
+// prefillGap returns the gap between tokens on an engine at half of its slots that prefills long
+// prompts.
 func (e *engineModel) prefillGap(slots int) float64 {
 	return chunkMargin * (e.step + float64(slots)/2*e.perRequest + prefillChunk*e.prefill)
 }
 
-// fixed is the part of the time to a first token that doesn't grow with the prompt.
+// fixed returns the part of the time to a first token that does not depend on the prompt, for the
+// server's region.
 func (e *engineModel) fixed(s *server) *float64 {
 	if s.remote {
 		return &e.farFixed
@@ -145,7 +145,7 @@
 	return &e.nearFixed
 }
 
-// farDelay is how much longer a first token takes from engines as far away as the server.
+// farDelay returns the additional time to a first token that is due to the server's region.
 func (e *engineModel) farDelay(s *server) float64 {
 	if s.remote {
 		return max(e.farFixed-e.nearFixed, 0)
@@ -153,18 +153,17 @@
 	return 0
 }
 
-// observeFixed takes in the rest of a short prompt's time to a first token. It goes by a low
-// quantile too.
+// observeFixed records a short prompt's time to the first token less step and prefill. The
+// estimate is a low quantile, as for the prefill time.
 func (e *engineModel) observeFixed(s *server, sample float64) {
 	fixed := e.fixed(s)
 	*fixed = max(moveToQuantile(*fixed, sample, fixedStep, prefillQuantile), minFixed)
 }
 
-// generatedTokenCost is the engine's time for one more generated token in a large batch, as
-// prompt tokens read in the same time.
+// generatedTokenCost returns the cost of one generated token in a large batch, in prompt tokens.
 func (e *engineModel) generatedTokenCost() float64 { return e.perRequest / e.prefill }
 
-// moveToQuantile moves an estimate towards the quantile q of its samples.
+// moveToQuantile moves an estimate one step towards quantile q of its samples.
 func moveToQuantile(estimate, sample, step, q float64) float64 {
 	switch {
 	case math.Abs(sample-estimate) <= quantileTolerance*estimate:
@@ -175,10 +174,10 @@
 	return estimate * (1 - step*(1-q))
 }
 
-// observePrefill takes in the time in which a server read so many prompt tokens. It goes by a low
-// quantile: what other instances sent there, and more urgent prompts that came
-// later, are in the time to a first token but not in the work known here, and would
-// make an idle engine seem ten times slower than it is.
+// observePrefill records the time in which a server prefilled work prompt tokens. The estimate is
+// a low quantile: the time to a first token includes prompts that other instances sent and more
+// urgent prompts that came later, which are not in work and would make an idle engine seem ten
+// times slower than it is.
 func (e *engineModel) observePrefill(s *server, elapsed, work float64) {
 	sample := min(max(elapsed/work, minPrefill), maxPrefill)
 	s.prefillRatio = moveToQuantile(s.prefillRatio, sample/e.prefill, prefillRatioStep, prefillQuantile)
@@ -191,16 +190,15 @@
 }
 
 const (
-	// windowSamples is how many samples a window holds, windowPrior the weight of the
-	// first estimate among them: that of one prompt of 4,096 tokens.
+	// windowSamples is the capacity of a window, windowPriorWeight the weight of its initial
+	// value: that of one prompt of 4,096 tokens.
 	windowSamples     = 40
 	windowPriorWeight = 4096 * 4096
 )
 
-// weightedSample is a sample with its weight.
 type weightedSample struct{ value, weight float64 }
 
-// sampleWindow holds the last samples of a quantity.
+// sampleWindow holds the last weighted samples of a quantity.
 type sampleWindow struct {
 	samples, sorted [windowSamples]weightedSample
 	count           int
@@ -217,7 +215,8 @@
 	w.count++
 }
 
-// quantile is the least sample such that the part q of all weight is at or below it.
+// quantile returns the least sample that has at least the fraction q of all weight at or below
+// it.
 func (w *sampleWindow) quantile(q float64) float64 {
 	sorted := w.sorted[:min(w.count, windowSamples)]
 	copy(sorted, w.samples[:])
@@ -235,33 +234,33 @@
 	return sorted[len(sorted)-1].value
 }
 
-// observeStep takes in one gap between tokens in a batch of n, of an engine that isn't
-// known to read prompts.
+// observeStep records a gap between tokens at batch size n, from an engine without a known
+// prefill backlog.
 func (e *engineModel) observeStep(n, gap float64) { e.fit.add(n, gap, e.stepAt(n)) }
 
-// refit brings step and each up to date with what was measured.
+// refit updates step and perRequest from the samples.
 func (e *engineModel) refit(slots float64) {
 	e.own.step, e.own.perRequest = e.fit.solve(slots)
 	e.blend()
 }
 
 const (
-	// fitWindow is how many gaps the fit of the step remembers, by their weights.
+	// fitWindow is the number of samples after which the fit forgets, by exponential decay.
 	fitWindow = 2000.0
-	// fitPrior is the weight of each of the two points, an empty and a full batch, that
-	// hold the fit before enough was measured.
+	// fitPrior is the weight of each of two points, an empty and a full batch, that stabilize the
+	// fit while there are few samples.
 	fitPrior = 10.0
-	// slowGapWeight is the weight of a gap above the fit: prompts that are not known of
-	// lengthen gaps, and nothing shortens them.
+	// slowGapWeight is the weight of a gap above the fit: prompts that are not known lengthen
+	// gaps, and nothing shortens them.
 	slowGapWeight = 0.1
-	// minPerRequest keeps the fit of a step from falling with the batch, in seconds.
+	// minPerRequest keeps the fitted step time from falling with the batch size, in seconds.
 	minPerRequest = 1e-6
 )
 
-// stepFit is a weighted linear fit of the gap between tokens by the batch.
+// stepFit is a weighted linear regression of the gap between tokens on batch size.
 type stepFit struct{ w, wn, wnn, wg, wng float64 }
 
-// add takes in a gap at batch n, where the fit expects the given one.
+// add records a gap at batch size n, for which the fit predicts expected.
 func (f *stepFit) add(n, gap, expected float64) {
 	weight := 1.0
 	if gap > expected {
@@ -275,10 +274,9 @@
 	f.wng = f.wng*keep + weight*n*gap
 }
 
-// solve returns the step of an empty batch and what each request adds. The two points that
-// stand for an empty and a full batch are scaled to the measured gaps: a full batch of quick
-// engines beside small batches of slow ones would make the step seem independent of the
-// batch.
+// solve returns the step time of an empty batch and what each request adds to it. The two prior
+// points are scaled to the measured gaps: unscaled, the point of a full batch of fast engines
+// would make the step time of slow engines with small batches seem independent of the batch.
 func (f *stepFit) solve(slots float64) (step, perRequest float64) {
 	empty, full := initialStep, initialStep+slots*initialPerRequest
 	scale := (f.wg + fitPrior*(empty+full)) / (initialStep*f.w + initialPerRequest*f.wn + fitPrior*(empty+full))
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -8,68 +8,67 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Long answers of less urgent classes hold their slots for many seconds. In a burst
-// that grows they would fill the engines before the more urgent requests come that
-// need the slots, and running answers are not stopped. So each place asks for the slots
-// that its requests will occupy at the rate at which they come now, by Little's law,
-// and later places get what is left.
+// Long answers of less urgent classes hold their slots for many seconds. As a burst grows they
+// would fill the engines before the more urgent requests arrive, and running answers are not
+// stopped. Each place therefore asks for the slots that its requests will occupy at the current
+// arrival rate, by Little's law, and less urgent places get what is left.
 
 const (
-	// lengthSampleWeight is the weight of one request in its class's usual length, paceLearn
-	// that of one event of an answer in the class's pace.
+	// lengthSampleWeight is the weight of one request in the mean answer length of its class,
+	// paceSampleWeight that of one token event in the class's mean gap.
 	lengthSampleWeight = 0.05
 	paceSampleWeight   = 0.02
-	// holdSlowdown is how much longer than now answers are expected to hold their slots:
-	// until slots are scarce, batches fill up and prompts wait to be read.
+	// holdSlowdown is how much longer than now answers are expected to hold their slots: until
+	// slots are scarce, batches fill up and prompts queue for prefill.
 	holdSlowdown = 2.0
-	// growthWindow bounds what is expected by what can come in so long: a class that occupies
-	// what it needs would else keep as much again from less urgent ones.
+	// growthWindow limits the expected growth of a place to the arrivals of this time: a class
+	// that already occupies what it needs would otherwise keep as much again from less urgent
+	// ones.
 	growthWindow = 4 * time.Second
-	// maxBriefHold is the time within which a slot that is lent out comes back before the
-	// requests that it is kept for have all come.
+	// maxBriefHold is the longest time for which a lent slot may be held and still be free again
+	// before all the requests it is kept for have arrived.
 	maxBriefHold = growthWindow
 )
 
-// classTraffic is what is known of a class's requests at this instance.
+// classTraffic describes the requests of a class at this instance.
 type classTraffic struct {
-	// rate is at how many a second they come, tokens the usual length of their answers,
-	// pace the time between two tokens, in seconds.
+	// rate is the arrivals a second, tokens the mean answer length, pace the mean gap between
+	// tokens in seconds.
 	rate, tokens, pace float64
 }
 
-// observeArrival takes in a request that is expected to be answered by so many tokens.
-func (f *classTraffic) observeArrival(tokens float64) {
-	f.rate += 1 / workRateWindow.Seconds()
-	if f.tokens == 0 {
-		f.tokens = tokens
+// observeArrival records a request with the expected answer length.
+func (t *classTraffic) observeArrival(tokens float64) {
+	t.rate += 1 / workRateWindow.Seconds()
+	if t.tokens == 0 {
+		t.tokens = tokens
 	}
-	f.tokens += lengthSampleWeight * (tokens - f.tokens)
+	t.tokens += lengthSampleWeight * (tokens - t.tokens)
 }
 
-// observeGap takes in the gap between two tokens of an answer, in seconds.
-func (f *classTraffic) observeGap(gap float64) {
-	if f.pace == 0 {
-		f.pace = gap
+// observeGap records a gap between tokens, in seconds.
+func (t *classTraffic) observeGap(gap float64) {
+	if t.pace == 0 {
+		t.pace = gap
 	}
-	f.pace += paceSampleWeight * (gap - f.pace)
+	t.pace += paceSampleWeight * (gap - t.pace)
 }
 
-// decayRate lets the rate follow the last seconds.
-func (f *classTraffic) decayRate() {
-	f.rate *= math.Exp(-slowTick.Seconds() / workRateWindow.Seconds())
+// decayRate applies one slowTick of exponential decay to the arrival rate.
+func (t *classTraffic) decayRate() {
+	t.rate *= math.Exp(-slowTick.Seconds() / workRateWindow.Seconds())
 }
 
-// answerTime is for how long an answer of the usual length is made, in seconds, where a token
-// takes so long at least.
-func (f *classTraffic) answerTime(minStep float64) float64 { return f.tokens * max(f.pace, minStep) }
+// answerTime returns the duration of a mean answer in seconds, with gaps of at least minStep.
+func (t *classTraffic) answerTime(minStep float64) float64 { return t.tokens * max(t.pace, minStep) }
 
-// slotHoldTime is for how long an answer will hold its slot, in seconds, where a token takes
-// so long at least.
-func (f *classTraffic) slotHoldTime(minStep float64) float64 {
-	return holdSlowdown * f.answerTime(minStep)
+// slotHoldTime returns for how long an answer is expected to hold its slot, in seconds, with gaps
+// of at least minStep.
+func (t *classTraffic) slotHoldTime(minStep float64) float64 {
+	return holdSlowdown * t.answerTime(minStep)
 }
 
-// expectSlots brings the slots that each place's requests will occupy up to date.
+// expectSlots updates the number of slots that each place's requests are expected to occupy.
 func (p *pool) expectSlots(now time.Time) {
 	p.expectedSlots = tiers.Demand{}
 	if p.service {
@@ -89,7 +88,8 @@
 	}
 }
 
-// slotDemand is what this instance asks slots for: what runs and waits, and what is expected.
+// slotDemand returns the slots that this instance asks for: the larger of what runs and waits and
+// of what is expected, by place.
 func (p *pool) slotDemand() tiers.Demand {
 	demand := p.demand()
 	for place := range demand {
@@ -98,14 +98,14 @@
 	return demand
 }
 
-// splitSlots works out this instance's part of the pool's slots.
+// splitSlots updates this instance's part of the pool's slots.
 func (p *pool) splitSlots() {
 	p.slotSplit, p.quota = p.tiers.Split(p.capacity, p.slotDemand(), p.shares)
 }
 
-// withinSplit tells whether the request leaves the slots free that are kept for more
-// urgent ones. All but long answers of the least urgent rank may borrow them: engines put
-// these back first, and others must not get nothing beside slots that nobody uses.
+// withinSplit reports whether the request leaves free the slots that are kept for more urgent
+// ones. Any request but a long answer of the least urgent rank may borrow those: engines preempt
+// the long answers first, and other requests must not go without while slots stand idle.
 func (p *pool) withinSplit(r *request) bool {
 	place := placeOf(r.class)
 	if p.service || !r.Anchored {
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// A shared prompt of 13,300 tokens takes an engine a quarter of a second to read,
-// and all answers that it runs meanwhile get their tokens seven times slower. An
-// engine can fetch the part from another one that holds it, in half the time and
-// beside its own work. So a request that finds the engine of its prompt busy goes
-// to another one without the prompt being read there again.
+// A shared prompt of 13,300 tokens takes an engine a quarter of a second to prefill, and
+// meanwhile all its running answers get their tokens seven times slower. An engine can instead
+// fetch the KV cache of the part from one that holds it, in half the time and in parallel with
+// its own work. So if the engine that holds the prompt is busy, a request can go to another one
+// without a second prefill.
 
 const (
-	// minFetchGain is the least time of reading that a fetch spares: some 5 ms pass
-	// before a fetch begins.
+	// minFetchGain is the least prefill time that a fetch must save: about 5 ms pass before a
+	// fetch begins.
 	minFetchGain = 6 * time.Millisecond
-	// minDuplicatePrefill is the least part of a prompt, in tokens, for whose sake a request
-	// stays at the engine that reads it already: one chunk. While all engines are
-	// busy, a prompt read twice delays all others, and who does so to be in time makes
-	// more than one of them late.
+	// minDuplicatePrefill is the least part of a prompt, in tokens, that keeps a request at the
+	// engine that already prefills it: one chunk. While all engines are busy, a second prefill
+	// that lets one request be in time makes more than one other late.
 	minDuplicatePrefill = prefillChunk
-	// fetchCostRatio is what a fetched token costs of what a read one does: it takes the
-	// links' time and volume in place of the engine's.
+	// fetchCostRatio is the cost of a fetched token relative to a prefilled one: a fetch uses
+	// network bandwidth instead of the engine's time.
 	fetchCostRatio = 0.5
 )
 
-// promptSource is how an engine comes by a request's prompt.
+// promptSource is how an engine would obtain a request's prompt.
 type promptSource struct {
-	// prefill is what it must read, fetched what it takes from another engine, in tokens.
+	// prefill is the number of tokens to prefill, fetched the number to fetch from another
+	// engine.
 	prefill, fetched float64
-	// from is the engine that holds the fetched part; nil for none.
+	// from is the engine that the fetched part comes from; nil for none.
 	from *server
-	// duplicate is the part of read that another engine holds or reads already.
+	// duplicate is the part of prefill that another engine holds or already prefills.
 	duplicate float64
 }
 
-// cost is the supply's cost, as tokens to be read.
-func (p promptSource) cost() float64 { return p.prefill + fetchCostRatio*p.fetched }
+// cost returns the cost of the prompt in prefilled tokens.
+func (s promptSource) cost() float64 { return s.prefill + fetchCostRatio*s.fetched }
 
-// fetchTime is how long the fetched part takes on its way.
+// fetchTime returns the time to fetch so many tokens.
 func (s *server) fetchTime(tokens float64) time.Duration {
 	return time.Duration(tokens * float64(s.fetchPerToken))
 }
 
-// sourceAt says how the server would come by the request's prompt.
+// sourceAt returns how the server would obtain the request's prompt.
 func (h *homes) sourceAt(s *server, r *request) promptSource {
 	source := promptSource{prefill: h.uncachedAt(s, r)}
 	held := float64(r.PromptTokens+r.got) - source.prefill
@@ -53,12 +53,12 @@
 	return source
 }
 
-// leavingFetchWindow is how long a leaving engine still passes its cache on: it stays for
-// some seconds after the word that it leaves, and its prompts, once fetched, need not
-// be read again by those who take its place.
+// leavingFetchWindow is how long a leaving engine still serves fetches: it stays for some seconds
+// after the announcement, and what is fetched from it need not be prefilled again by the engines
+// that take over.
 const leavingFetchWindow = 2 * time.Second
 
-// servesFetches tells whether others may fetch from the engine.
+// servesFetches reports whether other engines may fetch from the engine.
 func (s *server) servesFetches(now time.Time) bool {
 	if s.gone || s.unreachable || now.Before(s.ejectedUntil) {
 		return false
@@ -66,8 +66,8 @@
 	return !s.closed() || now.Sub(s.closedAt) < leavingFetchWindow
 }
 
-// updateHolders keeps the engine that holds the most of the request's shared parts.
-// Where others' requests are not known, the first home is taken for it.
+// updateHolders updates the engines that hold, or were sent, the most of the request's shared
+// parts.
 func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
 	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
 		h.assigned, h.assignedTokens = s, assignedTokens
@@ -78,8 +78,8 @@
 	}
 }
 
-// assumeHeldAtHome takes the first home for the holder where it is assumed to be one and
-// has not failed just now.
+// assumeHeldAtHome makes the first home the holder of all shared parts if that is assumed and the
+// home has not just failed.
 func (h *homes) assumeHeldAtHome(now time.Time, r *request, lastShared int) {
 	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
 		return
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -8,26 +8,25 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// A burst beyond what the servers can do fills the queue faster than it drains. A
-// request that waits its whole target and starts late then serves nobody: its
-// caller had no answer in time, and the server's place went to it in place of one
-// that could still be in time. So while a pool is full, a request that will not
-// start in time is refused at once where its class's setting says so, and its caller
-// is told when to come back.
+// A burst beyond the capacity of the servers fills the queue faster than it drains. A request
+// that waits for its whole target and then starts late is of no use: its caller had no answer in
+// time, and it took the slot of a request that could still have been in time. While a pool is
+// full, a request that will not start in time is therefore refused at once if its class is
+// configured so, with the time after which to retry.
 
 const (
-	// fullAfter is how long requests wait for room until a pool counts as full: a
-	// few words of other instances' loads, so that a moment's lack of news is none.
+	// fullAfter is how long requests must have waited for a slot until a pool counts as full: a
+	// few load updates from other instances, so that a short gap in the updates does not count.
 	fullAfter = 400 * time.Millisecond
-	// startRateWindow is the time over which the rate of starts is averaged.
+	// startRateWindow is the time constant of the average start rate.
 	startRateWindow = 2 * time.Second
-	// maxQueueBound is the most that may wait of one level, boundCut what is left of the
-	// number after one waited in vain.
+	// maxQueueBound is the upper limit of the queue bound of a level, queueBoundDecrease the
+	// factor applied to the queue length when a request was not started in time.
 	maxQueueBound      = 256
 	queueBoundDecrease = 0.7
 )
 
-// updateFullSince remembers since when requests wait for want of room, by place.
+// updateFullSince records, by place, since when requests have waited for a slot.
 func (p *pool) updateFullSince(now time.Time) {
 	waiting := false
 	for place := range p.fullSince {
@@ -42,14 +41,15 @@
 	}
 }
 
-// full tells whether requests as urgent as this one, or more, have waited for room for some
-// time. Less urgent ones that wait take nothing from it.
+// full reports whether requests at least as urgent as this one have waited for a slot for
+// fullAfter. Less urgent ones do not count, since they take nothing from it.
 func (p *pool) full(now time.Time, r *request) bool {
 	since := p.fullSince[placeOf(r.class)]
 	return !since.IsZero() && now.Sub(since) >= fullAfter
 }
 
-// observeStart takes in a start: where it came in good time, one more may wait.
+// observeStart records a start. One in the first half of the permitted wait raises the queue
+// bound by one.
 func (p *pool) observeStart(now time.Time, r *request, s *server) {
 	p.startRate += 1 / startRateWindow.Seconds()
 	p.laneStartRates[s.lane] += 1 / startRateWindow.Seconds()
@@ -59,19 +59,20 @@
 	}
 }
 
-// observeMissedStart takes in that a request of the level waited in vain: fewer may wait.
+// observeMissedStart records that a request of the level did not start in time, and lowers the
+// queue bound.
 func (p *pool) observeMissedStart(level int) {
 	waiting, _ := p.queue.LevelLen(level)
 	p.queueBounds[level] = max(queueBoundDecrease*min(p.queueBounds[level], float64(waiting)), 1)
 }
 
-// queueBoundReached tells whether as many requests of the level wait as start in time.
+// queueBoundReached reports whether as many requests of the level wait as can start in time.
 func (p *pool) queueBoundReached(level int) bool {
 	waiting, late := p.queue.LevelLen(level)
 	return float64(waiting-late) >= p.queueBounds[level]
 }
 
-// decayStartRates lets the rate follow the last seconds.
+// decayStartRates applies one slowTick of exponential decay to the start rates.
 func (p *pool) decayStartRates() {
 	keep := math.Exp(-slowTick.Seconds() / startRateWindow.Seconds())
 	p.startRate *= keep
@@ -80,16 +81,16 @@
 	}
 }
 
-// expectedStartWait is when the request would start, by the rate at which requests start
-// now and those that go before it.
+// expectedStartWait returns the time until the request would start, from the start rate and the
+// requests ahead of it.
 func (p *pool) expectedStartWait(r *request) time.Duration {
 	before := float64(p.queue.Before(&r.item) + 1)
 	return time.Duration(before / max(p.startRate, 1) * float64(time.Second))
 }
 
-// refuseWhenFull refuses an arrival that would not start in time in a full pool, unless
-// it is within its class's guaranteed share. It takes nobody's place and nobody less
-// urgent takes its place: only what is as urgent or more counts before it.
+// refuseWhenFull refuses an arrival that would not start in time in a full pool, unless it is
+// within the guaranteed share of its class. This does not violate the order of tiers: only
+// requests at least as urgent count as ahead of it, and no less urgent request gets its place.
 func (c *core) refuseWhenFull(now time.Time, r *request) bool {
 	p := r.pool
 	if p.shut() {
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// observeGap takes in one gap between tokens.
+// observeGap records a gap between two tokens.
 func (s *server) observeGap(gap time.Duration) {
 	sample := gap.Seconds() / (s.load() + s.stepOffset)
 	if s.engine != nil && s.backlogBefore(levels-1) == 0 {
@@ -14,7 +14,7 @@
 	switch {
 	case sample <= outlierRatio*s.gapPerRequest:
 	case s.engine != nil:
-		// A gap beside a long prompt says nothing of the step: many in a row do.
+		// A single gap beside a long prompt says nothing about the step time; many in a row do.
 		sample = outlierRatio * s.gapPerRequest
 	default:
 		weight = outlierWeight
@@ -23,18 +23,18 @@
 }
 
 const (
-	// ownGapMaxAge is how long own measurements outweigh what peers tell.
+	// ownGapMaxAge is how long the own samples take precedence over what peers report.
 	ownGapMaxAge = 500 * time.Millisecond
-	// peerGapWeight is the weight of a peer's gap.
+	// peerGapWeight is the weight of a gap reported by a peer.
 	peerGapWeight = 0.5
-	// gapMaxAge is when a gap that nobody measures any more begins to fade to
-	// the pool's own, by forgetting at each slowTick: a straggler that nobody
-	// uses would otherwise never be tried again.
+	// gapMaxAge is the age from which a gap without new samples decays towards the pool's, by
+	// gapDecay at each slowTick: otherwise a straggler that nobody uses would never be tried
+	// again.
 	gapMaxAge = 3 * time.Second
 	gapDecay  = 0.02
 )
 
-// advertisedGap is the gap that peers are told of, in microseconds; 0 if none is fresh.
+// advertisedGap returns the gap to report to peers, in microseconds; 0 without a fresh sample.
 func (s *server) advertisedGap(now time.Time) uint32 {
 	if s.service || now.Sub(s.lastTokenAt) > ownGapMaxAge {
 		return 0
@@ -42,13 +42,13 @@
 	return uint32(s.gapAt(s.load()) / time.Microsecond)
 }
 
-// observePeerGap learns from a peer's gap where there is none of one's own, so that a
-// straggler need not be found out by each instance at a request's cost.
+// observePeerGap records a gap reported by a peer, unless there is a fresh sample of this
+// instance, so that not every instance has to discover a straggler at the cost of a request.
 func (s *server) observePeerGap(now time.Time, gap time.Duration) {
 	if gap <= 0 || now.Sub(s.lastTokenAt) < ownGapMaxAge {
 		return
 	}
-	// Only news of a much slower server is worth it: small differences are noise.
+	// Smaller differences are within the noise.
 	if sample := gap.Seconds() / (s.load() + s.stepOffset); sample > outlierRatio*s.gapPerRequest/2 {
 		s.peerGapAt = now
 		s.gapPerRequest += peerGapWeight * (sample - s.gapPerRequest)
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// In a large fleet all instances know the same loads, three quarters of a second old. While
-// most engines are full, those few that seem to have room get what all instances start
-// until the next word, many times their slots, and are avoided for seconds afterwards. So
-// each word opens an engine to as many instances, by chance, as together fill its room, and
-// bounds what each of them starts there until the next.
+// In a large fleet all instances see the same loads, 750 ms old. While most engines are full, the
+// few that seem to have free slots would get everything that all instances start until the next
+// update, many times their slots, and then be avoided for seconds. Each update therefore opens an
+// engine to a random set of instances, as many as together fill its free slots, and bounds how
+// many requests each of them starts there until the next update.
 
-// boardLoadAge is the usual age of loads that are told beside digests.
+// boardLoadAge is the typical age of loads on the load board.
 const boardLoadAge = 750 * time.Millisecond
 
-// drawStartBudgets draws which engines this instance uses until the next word, and how much of
-// each.
+// drawStartBudgets draws which engines this instance uses until the next load update, and how
+// many requests it may start on each.
 func (c *core) drawStartBudgets(p *pool) {
 	if p.service {
 		return
@@ -42,7 +42,7 @@
 			continue
 		}
 		starts := p.laneStartRates[s.lane] * instances * boardLoadAge.Seconds()
-		// What ends meanwhile makes room too.
+		// Requests that end before the next update also free slots.
 		freeSlots := max(s.freeSlots(p), 0) + starts/engineCount[s.lane]
 		expectedStarts := starts / openCount[s.lane]
 		if expectedStarts > freeSlots {
@@ -52,7 +52,7 @@
 	}
 }
 
-// roundRandomly rounds up or down by chance, so that the mean stays the same.
+// roundRandomly rounds x up or down at random such that the expected value is x.
 func roundRandomly(random *rand.Rand, x float64) float64 {
 	floor := math.Floor(x)
 	if random.Float64() < x-floor {
@@ -61,7 +61,8 @@
 	return floor
 }
 
-// freeSlots is how many more requests the engine takes, by what is known of its load.
+// freeSlots returns how many more requests the engine can take at its known load; negative above
+// its limit.
 func (s *server) freeSlots(p *pool) float64 {
 	return s.limit(s.gapTarget(p, 0), p.minBetween) - staleLoadReserve - s.load()
 }
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -12,64 +12,66 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// Reading a long prompt delays the tokens of all answers on its engine, by several
-// times an empty step each while it lasts. An answer whose class wants less than that
-// between two tokens is late then, however few requests the engine runs. An engine
-// also reads a prompt that it has begun to its end, and an answer that is wanted soon
-// is late behind a long one. So in each data centre some engines are kept for either,
-// their lanes, and long prompts are read on the others. All instances rank the
-// engines alike, and follow the lanes' sizes of the instance of the best rank: an engine
-// that is in a lane for some and not for others is in none.
-
-// lane is what an engine is kept for, or the one that a request belongs to.
+// Prefilling a long prompt lengthens the gaps between tokens of all answers on the engine to
+// several times an empty step. A class with a shorter target than that misses it however few
+// requests the engine runs. Engines also finish a prompt that they have begun, so an answer with
+// a short target for the first token is late behind a long prompt. Therefore some engines of each
+// data centre are dedicated to either kind, in lanes, and long prompts go to the others. All
+// instances rank the engines by the same hash and take the lane sizes from the instance with the
+// best rank: if instances disagreed about an engine, it would serve both kinds.
+
+// lane is the kind of request that an engine is dedicated to, or that a request belongs to.
 type lane int
 
 const (
-	// laneLong takes long prompts, and all that has no other lane.
+	// laneLong is for long prompts and for everything without a lane of its own.
 	laneLong lane = iota
-	// laneQuick is for answers that are wanted before a long prompt is read.
+	// laneQuick is for requests whose target for the first token is shorter than the prefill of a
+	// long prompt.
 	laneQuick
-	// laneTight is for answers with short pauses between their tokens.
+	// laneTight is for requests whose target for the gap between tokens is shorter than the gap
+	// beside a long prompt.
 	laneTight
-	// laneCount counts them.
+	// laneCount is the number of lanes.
 	laneCount
 )
 
 const (
-	// longestPrompt is the length of prompt that counts against a target for the first
-	// token, in tokens: an engine reads what it has begun to its end.
+	// longestPrompt is the prompt length, in tokens, whose prefill time is compared with targets
+	// for the first token: engines finish a prompt that they have begun.
 	longestPrompt = 50000
-	// minLongPrefill is the time of reading from which a prompt counts as long: it holds up
-	// several events of an answer.
+	// minLongPrefill is the prefill time from which a prompt counts as long: it delays several
+	// token events of each answer on the engine.
 	minLongPrefill = 80 * time.Millisecond
-	// gapHysteresis is by what part the gap beside prompts must change before lanes go by the
-	// new one, so that they don't change with each measurement.
+	// gapHysteresis is the relative change of the gap beside long prompts from which lanes use
+	// the new value, so that they do not change with each sample.
 	gapHysteresis = 0.2
-	// laneSampleWeight is the weight of one request in the lanes' shares of all work, where an
-	// instance goes by its own requests.
+	// laneSampleWeight is the weight of one request in the lanes' shares of work, for an instance
+	// that knows only its own requests.
 	laneSampleWeight = 0.02
-	// initialTightWork and firstWork are the means before any request was seen: a
-	// third, with the weight of 50 requests, so that the first few don't move lanes.
+	// initialTightWork and initialWork are the initial means of the work in the tight lane and in
+	// all: a third for the tight lane, with the weight of 50 requests, so that the first few do
+	// not move lanes.
 	initialTightWork = 1000
 	initialWork      = 3000
-	// minLaneShare is the share of work below which nothing is kept free.
+	// minLaneShare is the share of work below which a lane gets no engine.
 	minLaneShare = 0.02
-	// minEnginesForQuickLane is the number of engines in a data centre from which answers that
-	// are wanted soon have a lane of their own: below, one engine more or less is too
-	// large a step.
+	// minEnginesForQuickLane is the number of engines in a data centre from which there is a
+	// quick lane: with fewer, one engine more or less is too large a step.
 	minEnginesForQuickLane = 6
-	// laneSizeHysteresis is by how many engines the work must differ from a lane before it
-	// changes: each change moves homes, whose prompts are then read again.
+	// laneSizeHysteresis is the difference between work and lane size, in engines, from which the
+	// size changes: each change moves homes, whose prompts are then prefilled again.
 	laneSizeHysteresis = 0.8
-	// workRateWindow is the time over which the work of all instances is averaged: a burst
-	// is seen within it, and some hundred requests settle the shares.
+	// workRateWindow is the time constant of the average work rate of all instances: short enough
+	// to show a burst, long enough for some hundred requests to settle the shares.
 	workRateWindow = 2 * time.Second
-	// baselineWorkInterval is the time in which one request of the usual work comes to an idle pool.
+	// baselineWorkInterval is the interval at which the baseline work, one mean request, is added
+	// to an idle pool.
 	baselineWorkInterval = time.Second
 )
 
-// assignedLane is the lane that the request belongs to: the one that it wants, where the
-// pool has such engines.
+// assignedLane returns the lane that the request belongs to. Where the pool has no quick lane,
+// its requests belong to laneLong.
 func (r *request) assignedLane() lane {
 	if wanted := r.wantedLane(); wanted != laneQuick || r.pool.hasLane[laneQuick] {
 		return wanted
@@ -77,10 +79,10 @@
 	return laneLong
 }
 
-// wantedLane is the lane that the request's class asks for, whether there is one or not.
+// wantedLane returns the lane of the request's class, whether or not the pool has that lane.
 func (r *request) wantedLane() lane { return r.pool.wantedLane(r.class) }
 
-// wantedLane is the lane that the class asks for.
+// wantedLane returns the lane that suits the targets of the class.
 func (p *pool) wantedLane(class *lilacv1.Class) lane {
 	first := time.Duration(class.GetFirstTokenMs()) * time.Millisecond
 	switch {
@@ -94,13 +96,14 @@
 	return laneLong
 }
 
-// isTight tells whether the class's answers would be late between tokens beside long
+// isTight reports whether answers of the class would miss their target between tokens beside long
 // prompts.
 func (p *pool) isTight(class *lilacv1.Class) bool {
 	return float64(class.GetBetweenTokensMs())/1000 < p.prefillGap()
 }
 
-// prefillGap is the gap between tokens beside long prompts that lanes go by.
+// prefillGap returns the gap between tokens beside long prompts, in seconds, that lanes are
+// formed by.
 func (p *pool) prefillGap() float64 {
 	if p.plan.By != "" {
 		return micro * float64(p.plan.Beside)
@@ -111,7 +114,7 @@
 	return p.ownPrefillGap
 }
 
-// slots is the batch of the pool's engines.
+// slots returns the number of slots of each of the pool's engines.
 func (p *pool) slots() int {
 	if len(p.servers) == 0 {
 		return defaultSlots
@@ -119,7 +122,7 @@
 	return p.servers[0].slots
 }
 
-// uniquePromptTokens is the part of the prompt that no other request shares, in tokens.
+// uniquePromptTokens returns the length of the prompt after its last shared block.
 func (r *request) uniquePromptTokens() float64 {
 	if len(r.Prefix) < 2 {
 		return float64(r.PromptTokens)
@@ -127,13 +130,13 @@
 	return float64(r.PromptTokens - r.Prefix[len(r.Prefix)-2].End)
 }
 
-// laneWork is the work of the instances in each lane.
+// laneWork is the work of all instances by lane, in prompt tokens.
 type laneWork struct {
-	// means are running means of one own request's work.
+	// means are the moving averages of the work of one request of this instance.
 	means [laneCount]float64
-	// rates are the own work in tokens a second, told the others'.
+	// rates is the work of this instance, otherRates that of the others, in tokens a second.
 	rates, otherRates [laneCount]float64
-	// otherLaneDemand are the slots that the others ask for.
+	// otherLaneDemand is the number of slots that other instances ask for.
 	otherLaneDemand [laneCount]float64
 }
 
@@ -141,9 +144,9 @@
 	return laneWork{means: [laneCount]float64{laneLong: initialWork - initialTightWork, laneTight: initialTightWork}}
 }
 
-// observeWork learns from a request that comes. Its shared parts are left out: while
-// all is cold, long prompts make twenty times the work of short ones for some
-// seconds, and would leave these a single engine.
+// observeWork records the work of an arriving request. It leaves out the shared part of the
+// prompt: while no cache is warm, long prompts would make twenty times the work of short ones for
+// some seconds and leave these a single engine.
 func (p *pool) observeWork(r *request) {
 	if p.service {
 		return
@@ -160,21 +163,21 @@
 	p.work.rates[to] += work / workRateWindow.Seconds()
 }
 
-// decayWorkRates lets the rates follow the last seconds.
+// decayWorkRates applies one slowTick of exponential decay to the own rates.
 func (p *pool) decayWorkRates() {
 	for l := range p.work.rates {
 		p.work.rates[l] *= math.Exp(-slowTick.Seconds() / workRateWindow.Seconds())
 	}
 }
 
-// laneShares are the parts of all work. Where others tell theirs, theirs count too:
-// one instance in 78 sees five requests a second, and would take 20 s to notice a
-// burst that lasts ten.
+// laneShares returns each lane's share of all work. It includes the work of other instances where
+// that is known: one of 78 instances sees five requests a second, and alone would take 20 s to
+// notice a burst that lasts ten.
 func (p *pool) laneShares(othersKnown bool) [laneCount]float64 {
 	shares, sum := p.work.means, 0.0
 	for l := range shares {
 		if othersKnown {
-			// Before there is traffic the lanes are those of the usual shares.
+			// The baseline work gives the initial shares before there is traffic.
 			shares[l] = p.work.rates[l] + p.work.otherRates[l] + p.work.means[l]/baselineWorkInterval.Seconds()
 		}
 		sum += shares[l]
@@ -185,8 +188,8 @@
 	return shares
 }
 
-// assignLanes marks the lanes' engines in each data centre among the open ones in
-// order of a hash: the tight lane at one end, the quick one at the other.
+// assignLanes assigns the available engines of each data centre to lanes, in the order of a hash:
+// the tight lane from one end, the quick lane from the other.
 func (p *pool) assignLanes(now time.Time, othersKnown bool) {
 	if p.service {
 		return
@@ -221,7 +224,8 @@
 	}
 }
 
-// tightAnswerTime is how long the longest of the usual tight answers take.
+// tightAnswerTime returns the duration of a typical answer of the tight class with the longest
+// answers.
 func (p *pool) tightAnswerTime() time.Duration {
 	step, longest := p.engine.stepAt(float64(p.slots())), 0.0
 	for _, u := range p.usages {
@@ -232,20 +236,20 @@
 	return time.Duration(longest * float64(time.Second))
 }
 
-// excludesLongPrompts tells whether the engine reads no long prompts: it is in the tight lane, or was
-// and may still run tight answers from then.
+// excludesLongPrompts reports whether the engine gets no long prompts: it is in the tight lane,
+// or left it and may still run tight answers.
 func (s *server) excludesLongPrompts(now time.Time) bool {
 	return s.lane == laneTight || now.Before(s.noLongPromptsUntil)
 }
 
-// laneUtilization is the part of a lane's slots that its requests are expected to take.
+// laneUtilization is the fraction of a lane's slots that its requests are expected to occupy.
 const laneUtilization = 0.8
 
-// tightLaneShare is the part of all n engines whose slots tight answers will take, as far as
-// the others leave it free; but what they take now, up to a third of the engines, in any
-// case: a burst of long prompts must not take the lane from them. Where engines have few
-// slots, work alone makes the lane too small: answers that find it full are late beside
-// long prompts.
+// tightLaneShare returns the fraction of all n engines that tight answers need by their slot
+// demand, as far as the others' demand leaves it free, but at least what they occupy now, up to a
+// third of the engines: a burst of long prompts must not take the lane from them. Where engines
+// have few slots, a lane sized by work alone is too small, and answers that find it full are late
+// beside long prompts.
 func (p *pool) tightLaneShare(n int) float64 {
 	demand, total := p.laneDemand(), 0.0
 	for l := range demand {
@@ -257,7 +261,7 @@
 	return max(min(tight, spare), current) / max(slots, 1)
 }
 
-// laneDemand is what this instance asks slots for, by lane.
+// laneDemand returns this instance's slot demand by lane.
 func (p *pool) laneDemand() (byLane [laneCount]float64) {
 	demand := p.slotDemand()
 	for _, u := range p.usages {
@@ -275,9 +279,9 @@
 	}
 }
 
-// laneSizes returns how many of a data centre's n engines each lane gets, not all of
-// them: what the instance of the best rank plans, else at least one for each lane that
-// has work.
+// laneSizes returns how many of a data centre's n engines each lane gets, always fewer than n:
+// the plan of the instance with the best rank, or without one at least one engine for each lane
+// that has work.
 func (p *pool) laneSizes(dataCenter string, n int, shares [laneCount]float64) (tight, quick int) {
 	size := p.sizes[dataCenter]
 	if planned, known := p.plan.Sizes[loadboard.Key(dataCenter)]; known {
@@ -293,7 +297,7 @@
 	return tight, quick
 }
 
-// laneSize is the number of n engines for a lane with the share of all work.
+// laneSize returns how many of n engines a lane with the given share of all work gets.
 func laneSize(l lane, size, n int, share float64) int {
 	switch target := share * float64(n); {
 	case l == laneLong || l == laneQuick && n < minEnginesForQuickLane || share < minLaneShare:
@@ -304,7 +308,7 @@
 	return size
 }
 
-// ownPlan is this instance's division into lanes, for the others.
+// ownPlan returns this instance's lane sizes, to be shared with other instances.
 func (p *pool) ownPlan(instance string) loadboard.LanePlan {
 	plan := loadboard.LanePlan{By: instance, Beside: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
 	for dataCenter, size := range p.sizes {
@@ -314,21 +318,23 @@
 }
 
 const (
-	// longPromptPenalty is the price of a long prompt in a lane, strayTight that of an answer
-	// outside its lane: a miss of one answer's target, or a likely one.
+	// longPromptPenalty is the cost of a long prompt in a quick or tight lane, outsideLanePenalty
+	// that of an answer outside its lane: a missed target of another answer, or a likely one of
+	// its own.
 	longPromptPenalty  = 4 * time.Second
 	outsideLanePenalty = time.Second
-	// shortPromptPenalty is the price of a prompt in a lane that is short there: it holds
-	// others up by two steps at most.
+	// shortPromptPenalty is the cost of a short prompt in a quick or tight lane: it delays the
+	// answers there by two steps at most.
 	shortPromptPenalty = 700 * time.Millisecond
 )
 
-// maxIntrusionGaps is how long an engine of the tight lane may read for others, in gaps
-// between tokens of the tightest answers: an event of several tokens bears it.
+// maxIntrusionGaps is how long an engine of the tight lane may prefill prompts of other lanes, in
+// multiples of the strictest target between tokens: token events carry several tokens and absorb
+// that.
 const maxIntrusionGaps = 2
 
-// intrudes tells whether the engine is kept for tight answers and the request, which is
-// none, would hold them up: with all that waits there it has too much to read.
+// intrudes reports whether the engine excludes long prompts and the request, which is not tight,
+// would delay its tight answers, given the backlog there.
 func (s *server) intrudes(now time.Time, r *request, prefillTokens float64) bool {
 	if !s.excludesLongPrompts(now) || !r.Anchored || r.pool.isTight(r.class) {
 		return false
@@ -337,8 +343,8 @@
 	return prefillSeconds > maxIntrusionGaps*r.pool.minBetween.Seconds()
 }
 
-// lanePenalty is the price of the request outside the engines that suit it, where it has
-// so many tokens to read.
+// lanePenalty returns the cost of running the request outside its lane or homes, where
+// prefillTokens of its prompt are not cached.
 func (s *server) lanePenalty(r *request, h *homes, prefillTokens float64) time.Duration {
 	assigned := r.assignedLane()
 	switch {
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// preemptSlack is the slack at which a request may take a lower one's slot.
+	// preemptSlack is the time before its latest start at which a request may take the slot of a
+	// less urgent one.
 	preemptSlack = 120 * time.Millisecond
-	// stragglerFactor is how many times slower than the pool a straggler is.
+	// stragglerFactor is the ratio of a server's gap to the pool's from which the server is a
+	// straggler.
 	stragglerFactor = 1.8
-	// maxMovesPerRound bounds the moves of one round.
+	// maxMovesPerRound bounds the moves per pool at each slowTick.
 	maxMovesPerRound = 4
-	// overdueFactor is how many times the expected time a first token may take.
+	// overdueFactor and overdueFloor give the time for a first token, overdueFactor times the
+	// expected time plus overdueFloor, after which it is overdue.
 	overdueFactor = 2
 	overdueFloor  = 50 * time.Millisecond
-	// lateServerPause is how long a server gets nothing after a late first token.
+	// lateServerPause is how long a server gets no new requests after an overdue first token.
 	lateServerPause = 300 * time.Millisecond
 )
 
-// preempt makes room for a request that would be late, by pausing one of the
-// lowest tier that runs here. The paused answer goes on later from where it
-// stood; its caller keeps all it has.
+// preempt frees a slot for a request that would be late by pausing one of the least urgent
+// running tier, and returns its server. The paused answer continues later from where it stopped;
+// its caller keeps what it has received.
 func (c *core) preempt(now time.Time, r *request) *server {
 	if r.item.Late || r.pool.service || r.item.Due.Sub(now) > preemptSlack {
 		return nil
@@ -39,7 +42,7 @@
 	return s
 }
 
-// lowestRunningTier returns the least urgent tier that runs here, or -1.
+// lowestRunningTier returns the least urgent tier of the running requests, or -1.
 func (p *pool) lowestRunningTier() int {
 	lowest := -1
 	for place, running := range p.runningByPlace {
@@ -50,7 +53,8 @@
 	return lowest
 }
 
-// findVictim finds the request of the lowest tier that is furthest ahead of its pace.
+// findVictim returns the request of the least urgent running tier that is furthest ahead of its
+// pace and whose slot would help, or nil.
 func (c *core) findVictim(now time.Time, r *request) *request {
 	lowestTier := r.pool.lowestRunningTier()
 	if lowestTier <= r.tier() {
@@ -68,12 +72,14 @@
 	return best
 }
 
-// pausable requests are idempotent, well ahead of their pace, and no suspects.
+// pausable reports whether the request can be paused: it is idempotent, well ahead of its pace
+// and no suspect.
 func (c *core) pausable(now time.Time, v *request) bool {
 	return v.Idempotent && !v.Anchored && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
 }
 
-// meetsTargets tells whether the server would be on time for the request with one request less.
+// meetsTargets reports whether the server, with one request less, would meet the targets of the
+// request.
 func (c *core) meetsTargets(now time.Time, r *request, s *server) bool {
 	if s.unavailable(now) || s.trial != "" && r.trial {
 		return false
@@ -83,8 +89,8 @@
 		(r.between() == 0 || s.gapAt(load) <= r.between()) && s.firstToken(load, s.uncachedTokens(r), r.levelOf()) <= r.firstBy(now)
 }
 
-// moveStragglers takes requests off servers that fell behind, where another
-// server would still meet the target that this one misses.
+// moveStragglers moves requests off stragglers that miss their target there and would meet it on
+// another server.
 func (c *core) moveStragglers(now time.Time, p *pool) {
 	if p.service || p.meanGap == 0 {
 		return
@@ -116,8 +122,8 @@
 	return r.between() > 0 && r.meanGap(c.estimates.Left(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
 }
 
-// overdue tells whether the first token is later than it should be: the
-// server holds more than this instance knows of. It gets no more for a moment.
+// overdue reports whether the first token is overdue: the server has more work than this instance
+// knows of. It then gets no new requests for lateServerPause.
 func (c *core) overdue(now time.Time, r *request) bool {
 	if now.Sub(r.started) < overdueFactor*r.expected+overdueFloor {
 		return false
@@ -126,18 +132,18 @@
 	return true
 }
 
-// straggling tells whether the server is far slower than its pool.
+// straggling reports whether the server's gap is far longer than its pool's.
 func (s *server) straggling(p *pool) bool {
 	return s.gapAt(s.load()) > time.Duration(stragglerFactor*float64(p.meanGap))
 }
 
-// meanGap is the mean gap that the whole answer would have with the given gap from now on.
+// meanGap returns the mean gap of the whole answer if the remaining tokens come at the given gap.
 func (r *request) meanGap(left float64, gap time.Duration, now time.Time) time.Duration {
 	past := now.Sub(r.firstAt)
 	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.got) + left))
 }
 
-// move takes the request to another server if that one would be in time.
+// move moves the request to another server that would be in time, and reports whether it did.
 func (c *core) move(now time.Time, r *request) bool {
 	from, failedOn := r.server, r.failedOn
 	r.failedOn = from.name
@@ -153,7 +159,7 @@
 	return true
 }
 
-// improves tells whether the answer would still keep its targets on the server.
+// improves reports whether the answer would still meet its targets on the server.
 func (c *core) improves(now time.Time, r *request, s *server) bool {
 	n := s.load() + 1
 	first := s.firstToken(n, s.uncachedTokens(r), r.levelOf())
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -11,72 +11,73 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// classUseWindow is how long a class's target and share bind the pool after its last request.
+// classUseWindow is how long a class counts as in use after its last request.
 const classUseWindow = time.Minute
 
-// pool is a model or service with its servers and what waits for it.
+// pool is a model or service with its servers and queue.
 type pool struct {
 	name    string
 	service bool
 	servers []*server
 	queue   *queue.Queue
 	tiers   *tiers.Table
-	// running are the requests that this instance runs in the pool.
+	// running holds the requests that this instance runs in the pool.
 	running        []*request
 	runningByPlace tiers.Demand
-	// quarantine holds suspects that wait for their trial.
+	// quarantine holds suspects that wait for a trial.
 	quarantine []*request
-	// parked holds copies that may only join the first; see identical.
+	// parked holds copies of a running request that may only join it; see identical.go.
 	parked []*request
-	// minBetween is the tightest target between tokens of the classes in use.
+	// minBetween is the strictest target between tokens of the classes in use.
 	minBetween time.Duration
-	// lastLevel is the last of the levels that any instance's requests have at engines.
+	// lastLevel is the least urgent engine priority of any instance's requests.
 	lastLevel int
-	// lastTier and lastRank are the least urgent ones of the classes in use anywhere.
+	// lastTier and lastRank are the least urgent ones of the classes in use at any instance.
 	lastTier, lastRank int
-	// shares are the guaranteed ones of the same classes.
+	// shares are the guaranteed shares of the classes in use, by place.
 	shares       tiers.Shares
 	usageByClass map[string]*classUsage
 	usages       []*classUsage
-	// capacity is how many requests the pool runs within targets, quota this
-	// instance's part of it, rate its tokens a second, gap its mean gap.
+	// capacity is how many requests the pool runs within their targets, quota this instance's
+	// part of it, tokenRate its tokens a second, meanGap the mean gap of the servers.
 	capacity, quota, tokenRate float64
 	meanGap                    time.Duration
-	// engine is what was learned of engines with large batches.
+	// engine is the learned performance of engines with large batches.
 	engine *engineModel
-	// medianPrefill is the usual time for a prompt token, in seconds: the median of the
-	// servers. What a prompt is worth where it is held goes by this one, since the
-	// servers' own rates differ more by chance than they do.
+	// medianPrefill is the median of the servers' prefill times of one token, in seconds. The
+	// value of a cached prompt is computed from it, since the servers' own estimates differ
+	// mostly by chance.
 	medianPrefill float64
-	// prefillScratch is kept to spare an allocation each time.
+	// prefillScratch is reused to avoid an allocation for each update.
 	prefillScratch []float64
-	// work is what the lanes are sized by, sizes their engines by data centre, and
-	// hasLane tells which there are; see lanes.
+	// work determines the lane sizes, sizes holds them by data centre, and hasLane tells which
+	// lanes have engines; see lanes.go.
 	work    laneWork
 	sizes   map[string][laneCount]int
 	hasLane [laneCount]bool
-	// otherWorkKnown is true while others tell their work.
+	// otherWorkKnown is true while other instances report their work.
 	otherWorkKnown bool
-	// plan is the division into lanes of another instance that goes before the own one;
-	// empty for none. beside is the own gap beside long prompts, in seconds.
+	// plan is the lane plan of another instance that takes precedence; empty for none.
+	// ownPrefillGap is this instance's estimate of the gap beside long prompts, in seconds.
 	plan          loadboard.LanePlan
 	ownPrefillGap float64
-	// openAt is when a server was last open, progressAt when one last sent
-	// anything to this instance, rejectedAt when an attempt last failed.
+	// openAt is when a server was last available, progressAt when one last sent anything to this
+	// instance, rejectedAt when an attempt last failed.
 	openAt, progressAt, rejectedAt time.Time
-	// fullSince is since when requests of a place or of those before it wait for want of
-	// room; zero while none do.
+	// fullSince is since when requests of a place, or of those before it, have waited for a free
+	// slot; zero if none do.
 	fullSince [model.Places]time.Time
-	// queueBounds is how many requests of each level may wait while the pool is full; see full.
+	// queueBounds is how many requests of each level may wait while the pool is full; see
+	// full.go.
 	queueBounds [model.Levels]float64
-	// startRate is the rate at which requests start here, a second; laneStarts the same by the
-	// lane of their engine.
+	// startRate is how many requests start here, a second; laneStartRates is the same by the lane
+	// of the engine.
 	startRate      float64
 	laneStartRates [laneCount]float64
-	// expectedSlots is how many slots the requests of each place will occupy, split how many
-	// those of this instance may; see expected.go.
+	// expectedSlots is how many slots the requests of each place are expected to occupy,
+	// slotSplit how many this instance's requests may; see expected.go.
 	expectedSlots, slotSplit tiers.Demand
-	// dirty is true while waiting requests may have found room.
+	// dirty is true if a waiting request may have become able to start.
 	dirty bool
 }
 
@@ -94,7 +95,7 @@
 	return p
 }
 
-// recordUse notes that a class's requests come to the pool.
+// recordUse records that a request of the class came to the pool.
 func (p *pool) recordUse(class *lilacv1.Class, now time.Time) {
 	u := p.usageByClass[class.GetName()]
 	if u == nil {
@@ -117,7 +118,7 @@
 	return float64(class.GetSharePermille()) / 1000
 }
 
-// updateClassUse brings what the classes in use ask of the pool up to date.
+// updateClassUse recomputes what depends on the classes in use.
 func (p *pool) updateClassUse(now time.Time) {
 	p.minBetween, p.shares = 0, tiers.Shares{}
 	others := p.tiers.Others()
@@ -138,14 +139,14 @@
 	}
 }
 
-// lateSlots is how many slots the late requests of one place ask for together.
+// lateSlots is the most slots that the late waiting requests of one place ask for together.
 const lateSlots = 4
 
-// demand is what this instance asks slots for. What waits and is late asks for
-// few: it can't meet its target any more, and starts in what others leave. A
-// burst's late requests would otherwise hold slots back from requests of lower
-// tiers, and of other instances, that still can. The few keep an instance
-// without the burst from losing its place to it.
+// demand returns the slots that this instance asks for, by place. Waiting requests that are late
+// ask for few: they cannot meet their target any more and start in slots that others leave. All
+// late requests of a burst would otherwise hold slots back from lower tiers and other instances
+// whose requests can still be in time. The few keep an instance without the burst from losing its
+// part to one with it.
 func (p *pool) demand() tiers.Demand {
 	demand := p.runningByPlace
 	for level := range model.Levels {
@@ -155,12 +156,12 @@
 	return demand
 }
 
-// runningUpTo is how many requests of the place and of those before it this instance
-// runs. Only these count against the quota for a request of the place. While a
-// burst of a later place waits elsewhere the quota holds few slots; if answers of
-// that place that run here counted, an urgent request would wait seconds for their
-// ends, although its own demand won it a slot. What runs above the quota is at
-// most what ran of later places, and the servers' limits hold in any case.
+// runningUpTo returns how many requests of the place and of more urgent places this instance
+// runs. Only these count against the quota for a request of the place. While a burst of a less
+// urgent place at other instances keeps the quota small, this instance's running answers of that
+// place would otherwise make an urgent request wait seconds for their end, although its own
+// demand won it a slot. The excess over the quota is at most the answers of less urgent places
+// that ran before, and the servers' limits hold in any case.
 func (p *pool) runningUpTo(place int) float64 {
 	sum := 0.0
 	for _, running := range p.runningByPlace[:place+1] {
@@ -169,7 +170,7 @@
 	return sum
 }
 
-// update works out capacity, quota and rate from what is known of the servers.
+// update recomputes lanes, capacity, quota and rates from the state of the servers.
 func (p *pool) update(now time.Time) {
 	p.updateClassUse(now)
 	p.updateEngineModel()
@@ -204,7 +205,7 @@
 	p.tokenRate = max(p.tokenRate, 1)
 }
 
-// updateEngineModel brings the engines' estimates up to date with what was measured.
+// updateEngineModel refits the engine model and applies it to the servers.
 func (p *pool) updateEngineModel() {
 	for i, s := range p.servers {
 		if s.engine == nil {
@@ -217,7 +218,7 @@
 	}
 }
 
-// prefillTime is the usual time for prompt tokens in the pool.
+// prefillTime returns the typical prefill time of so many prompt tokens in the pool.
 func (p *pool) prefillTime(tokens float64) time.Duration {
 	return time.Duration(p.medianPrefill * tokens * float64(time.Second))
 }
@@ -233,7 +234,8 @@
 	}
 }
 
-// tokenRateAt is the tokens a second, or a service's answers, at load n.
+// tokenRateAt returns the tokens a second at load n, or the responses a second of a plain
+// service.
 func (s *server) tokenRateAt(n float64) float64 {
 	if s.service {
 		return float64(s.slots) / s.serviceTime
@@ -241,7 +243,7 @@
 	return n / s.gapAt(n).Seconds()
 }
 
-// queueWait is how long the queue takes at this instance's rate.
+// queueWait returns the time to serve the queue at this instance's rate.
 func (p *pool) queueWait() time.Duration {
 	return time.Duration(p.queue.Cost() / p.tokenRate * float64(time.Second))
 }
--- a/request/policy/prefills.go
+++ b/request/policy/prefills.go
@@ -7,12 +7,12 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// An instance sees a small part of the requests that share a prompt. Without the
-// others' word it takes each first one of its own for work on its engine, or, at
-// a prompt's home, none for any: while everything is cold an engine seemed idle
-// that had 8 s to read, and got more. So what was sent where is told: in digests
-// between instances that exchange them directly, beside them in larger fleets (see
-// told). Where neither works, a part's home is taken to hold it.
+// An instance sees few of the requests that share a prompt. Without reports from the others it
+// would count the first one it sends itself as work for the engine, or none at all at the
+// prompt's home: with cold caches an engine with 8 s of prefill seemed idle and got more.
+// Instances therefore report which shared parts they sent where: in digests where they exchange
+// these directly, on the load board in larger fleets (see told.go). Where neither works, the
+// first home of a part is assumed to hold it.
 
 // prefillRecord is a shared part that was sent to a server that was not known to hold it.
 type prefillRecord struct {
@@ -23,15 +23,15 @@
 }
 
 const (
-	// prefillRecordTTL is how long a reading is told: some exchanges, for those that lose
-	// one.
+	// prefillRecordTTL is how long a record is reported: for several exchanges, since some get
+	// lost.
 	prefillRecordTTL = 2 * time.Second
-	// maxPrefillRecords bounds what one instance tells, at most 3 KB.
+	// maxPrefillRecords bounds what one instance reports to 3 KB.
 	maxPrefillRecords = 64
 )
 
-// recordPrefills remembers the shared parts of a request that starts on the server
-// and that it is not known to hold. Called before they count as held.
+// recordPrefills records the shared parts of a request that starts on the server which the server
+// is not known to hold. It must be called before they are inserted into the server's cache.
 func (c *core) recordPrefills(now time.Time, r *request, s *server) {
 	if !r.Anchored {
 		return
@@ -46,13 +46,13 @@
 	}
 }
 
-// recentPrefills are those that others must hear of; older ones are forgotten.
+// recentPrefills returns the records to report, and deletes older ones.
 func (c *core) recentPrefills(now time.Time) []prefillRecord {
 	c.readings = slices.DeleteFunc(c.readings, func(r prefillRecord) bool { return now.Sub(r.at) > prefillRecordTTL })
 	return c.readings
 }
 
-// advertisedPrefills lists what the digest tells.
+// advertisedPrefills returns the records for the digest.
 func (c *core) advertisedPrefills(now time.Time) []*lilacv1.Reading {
 	var list []*lilacv1.Reading
 	for _, record := range c.recentPrefills(now) {
@@ -61,15 +61,15 @@
 	return list
 }
 
-// observePeerPrefills takes in what a peer's digest tells.
+// observePeerPrefills processes the records in a peer's digest.
 func (c *core) observePeerPrefills(now time.Time, readings []*lilacv1.Reading) {
 	for _, record := range readings {
 		c.observePeerPrefill(now, c.servers[record.GetServer()], record.GetHash(), int(record.GetTokens()))
 	}
 }
 
-// observePeerPrefill takes in what another instance sent to the server. A part that is held
-// already keeps its place in the order of use: it is told of again and again.
+// observePeerPrefill records that another instance sent the part to the server. A part that is
+// already known keeps its position in the order of use, since records are repeated.
 func (c *core) observePeerPrefill(now time.Time, s *server, hash uint64, tokens int) {
 	if s != nil && s.cache.blocks[hash] == nil {
 		s.cache.add(hash, tokens, now.Add(s.firstToken(s.load(), float64(tokens), levels-1)))
--- a/request/policy/prefix.go
+++ b/request/policy/prefix.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// defaultCacheTokens is what a server's prefix cache is taken to hold where the
-// configuration doesn't say: 4,096 blocks of 16 tokens.
+// defaultCacheTokens is the assumed size of a server's prefix cache if the configuration does not
+// state one: 4,096 blocks of 16 tokens.
 const defaultCacheTokens = 65536
 
-// prefixCache is what a server's prefix cache is thought to hold: the blocks of
-// own requests sent there, and what its cache events told. The least recently
-// used blocks yield, as they do at the server.
+// prefixCache estimates the contents of a server's prefix cache from the requests sent there and
+// from its cache events. It evicts the least recently used blocks, as the server does.
 type prefixCache struct {
 	blocks   map[uint64]*cachedBlock
 	sequence uint64
-	// newest and oldest end the list in order of use.
+	// newest and oldest are the ends of the list in order of use.
 	newest, oldest    *cachedBlock
 	tokens, maxTokens int
 }
 
-// cachedBlock is one block of the cache in the list of use.
+// cachedBlock is a block of the cache, linked in order of use.
 type cachedBlock struct {
 	hash   uint64
 	tokens int
-	// readyAt is when the server is expected to have read it.
+	// readyAt is when the server is expected to have prefilled the block.
 	readyAt      time.Time
 	newer, older *cachedBlock
 }
 
-// eventBlockTokens is the length of a block that a cache event tells of, in tokens.
+// eventBlockTokens is the length of the blocks that cache events refer to, in tokens.
 const eventBlockTokens = 16
 
 func newPrefixCache() prefixCache {
 	return prefixCache{blocks: make(map[uint64]*cachedBlock), maxTokens: defaultCacheTokens}
 }
 
-// insert notes that the blocks of a prompt are read, the new ones by readyAt, the last
-// one first, so that the beginnings, which others share, yield last.
+// insert records the use of a prompt's blocks, which are prefilled by readyAt if they are new. It
+// goes from the last to the first, so that the leading blocks, which other prompts share, are
+// evicted last.
 func (p *prefixCache) insert(prefix []Block, readyAt time.Time) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		start := 0
@@ -94,9 +94,8 @@
 	p.newest, p.oldest, p.tokens = nil, nil, 0
 }
 
-// apply takes in a cache event. Events are hints that come late and with gaps:
-// a gap may hide that blocks were dropped, so what was known is dropped too;
-// at worst a prompt is computed again.
+// apply processes a cache event. Events may be late or lost: a gap in the sequence may hide
+// evictions, so the known contents are cleared too; at worst a prompt is prefilled again.
 func (p *prefixCache) apply(e CacheEvent) {
 	if p.sequence != 0 && e.Sequence != p.sequence+1 || e.Cleared {
 		p.clear()
@@ -110,7 +109,7 @@
 	}
 }
 
-// readyTokens returns how many leading tokens of a prompt are expected to be read by now.
+// readyTokens returns how many leading tokens of a prompt are expected to be prefilled by now.
 func (p *prefixCache) readyTokens(now time.Time, prefix []Block) int {
 	end := 0
 	for _, block := range prefix {
@@ -123,8 +122,8 @@
 	return end
 }
 
-// cachedTokens returns how many leading tokens are held. Each hash stands for all
-// blocks before it too, so a search by halves finds the place.
+// cachedTokens returns how many leading tokens are in the cache or being prefilled. Each hash
+// also covers all blocks before it, which allows a binary search.
 func (p *prefixCache) cachedTokens(prefix []Block) int {
 	low, high := 0, len(prefix)
 	for low < high {
@@ -141,7 +140,8 @@
 	return prefix[low-1].End
 }
 
-// uncachedTokens is the prompt work that the request would cause on the server, in tokens.
+// uncachedTokens returns the number of tokens that the server would have to prefill for the
+// request.
 func (s *server) uncachedTokens(r *request) float64 {
 	return float64(max(r.PromptTokens+r.got-s.cache.cachedTokens(r.Prefix), 1))
 }
--- a/request/policy/progress.go
+++ b/request/policy/progress.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// currentAttempt returns the request if attempt is the one that runs now: events of
-// earlier attempts come late and must not touch the present one.
+// currentAttempt returns the request if attempt is its running one, else nil: late events of
+// earlier attempts must not affect the running one.
 func (c *core) currentAttempt(id ID, attempt int) *request {
 	r := c.requests[id]
 	if r == nil || r.server == nil || r.attempt != attempt {
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -8,82 +8,91 @@
 )
 
 const (
-	// defaultSlots is how many requests a server runs at once if it doesn't say.
+	// defaultSlots is the number of concurrent requests of a server whose configuration does not
+	// state one.
 	defaultSlots = 8
-	// minOverloadBackoff is how long a server that refused for load gets nothing, at least.
+	// minOverloadBackoff is the least time for which a server that refused a request for load
+	// gets no new ones.
 	minOverloadBackoff = 100 * time.Millisecond
-	// initialEjection is how long a failed server gets nothing; it doubles up to ejectMost.
+	// initialEjection is how long a failed server gets no new requests; the time doubles with
+	// each failure up to maxEjection.
 	initialEjection = time.Second
 	maxEjection     = 8 * time.Second
-	// defaultStepOffset is the size of a batch at which a step costs twice what an empty
-	// one would: engines' steps take a fixed time and some for each request.
+	// defaultStepOffset is the batch size at which a step takes twice as long as with an empty
+	// batch: a step takes a fixed time plus some for each request.
 	defaultStepOffset = 6
-	// defaultGapPerRequest is the gap between tokens over batch size plus batchBase, in
-	// seconds, before anything was measured.
+	// defaultGapPerRequest is the initial estimate of the gap between tokens divided by batch
+	// size plus step offset, in seconds.
 	defaultGapPerRequest = 0.0018
-	// defaultPrefill is the time for a prompt token before anything was measured, in seconds.
+	// defaultPrefill is the initial estimate of the prefill time of one prompt token, in seconds.
 	defaultPrefill = 0.00015
-	// defaultServiceTime is the time of a plain service's answer before anything was measured, in seconds.
+	// defaultServiceTime is the initial estimate of the response time of a plain service, in
+	// seconds.
 	defaultServiceTime = 0.08
-	// sampleWeight is the weight of one measurement; jumpLearn where it is far off.
+	// sampleWeight is the weight of one sample in a moving average; outlierWeight that of a
+	// sample of more than outlierRatio times the average.
 	sampleWeight  = 0.05
 	outlierWeight = 0.2
 	outlierRatio  = 2.5
-	// headroom keeps the gap between tokens below its target.
+	// headroom is the fraction of a target for the gap between tokens that batches are sized for.
 	headroom = 0.93
-	// historyLength times slowTick is how far back own load is remembered.
+	// historyLength is the number of samples of the own load kept, one for each slowTick.
 	historyLength = 64
-	// leavingGrace is within what time a leaving server's news must take effect.
+	// leavingGrace is the time within which news that a server is leaving must take effect.
 	leavingGrace = 3 * time.Second
-	// reportAgeScale is the age at which a report of load counts half, in seconds.
+	// reportAgeScale is the age in seconds at which the weight of a load report has fallen to
+	// half.
 	reportAgeScale = 0.4
-	// typicalDigestAge is the usual age of what peers tell, in seconds.
+	// typicalDigestAge is the typical age of peer digests, in seconds.
 	typicalDigestAge = 0.35
 )
 
-// server is a backend server as this instance sees it.
+// server is the state of a backend server as known to this instance.
 type server struct {
 	name string
-	// key is its name in told loads.
+	// key identifies the server on the load board.
 	key        uint32
 	dataCenter string
-	// remote is true for servers of other regions.
+	// remote is true for servers in another region.
 	remote  bool
 	service bool
-	// largeBatch is true for engines whose configuration tells the size of their cache.
+	// largeBatch is true for engines whose configuration states a cache size.
 	largeBatch bool
 	slots      int
-	// configLeaving is the operators' word, leaving and gone membership's.
+	// configLeaving is set by the configuration; leaving and gone are set by the membership of
+	// servers.
 	configLeaving, leaving, gone bool
 	closedAt                     time.Time
 
 	running []*request
-	// ownBacklog is the prompt work of own requests that have no first token yet.
+	// ownBacklog is the prompt tokens of this instance's requests that have no first token yet.
 	ownBacklog backlog
-	// peerBacklog is the same of other instances, by their digests.
+	// peerBacklog is the same for other instances, from their digests.
 	peerBacklog backlog
-	// peerLoad is what other instances run here, by their digests.
+	// peerLoad is the number of requests of other instances, from their digests.
 	peerLoad float64
-	// boardLoad and toldAhead are the same of all others together, where they tell
-	// their loads beside their digests.
+	// boardLoad and boardBacklog are the same for all other instances together, from the load
+	// board.
 	boardLoad    float64
 	boardBacklog backlog
-	// boardBulk counts those of the others' requests that give way to more urgent ones.
+	// boardBulk is the number of bulk requests of other instances, which engines preempt for more
+	// urgent ones, from the load board.
 	boardBulk float64
-	// otherLoad joins peers with reports.
+	// otherLoad is the estimate of the other instances' requests from digests, load board and
+	// load reports.
 	otherLoad float64
 
-	// engine is what was learned of the pool's engines; nil for servers with small
-	// batches and plain services.
+	// engine is the pool's shared engine model; nil for engines with small batches and for plain
+	// services.
 	engine *engineModel
-	// prefillRatio is how much longer than its pool the server reads a prompt token.
+	// prefillRatio is the server's prefill time per token relative to its pool's.
 	prefillRatio float64
-	// stepOffset is the batch at which a step costs twice what an empty one does.
+	// stepOffset is the batch size at which a step takes twice as long as with an empty batch.
 	stepOffset    float64
 	gapPerRequest float64
 	prefill       float64
-	// fetchPerToken is how long a token of KV cache takes from another engine; 0 where
-	// it can't be fetched.
+	// fetchPerToken is the time to fetch the KV cache of one token from another engine; 0 if the
+	// server cannot fetch.
 	fetchPerToken time.Duration
 	serviceTime   float64
 	decoding      int
@@ -98,37 +107,40 @@
 
 	ejectedUntil time.Time
 	ejectFor     time.Duration
-	// probing allows one request at a time until the server has proved itself.
+	// probing limits the server to one request at a time until it has answered one after a
+	// failure.
 	probing   bool
 	crashedAt time.Time
-	// crashFirstReportedAt is the first word of the last crash, fellHeard the latest, from anyone.
+	// crashFirstReportedAt and crashLastReportedAt are the first and the latest report of the
+	// last crash, from any instance.
 	crashFirstReportedAt, crashLastReportedAt time.Time
 	busyUntil                                 time.Time
 
-	// leavingUntil is how long a peer's word that the server leaves holds.
+	// leavingUntil is when a peer's report that the server is leaving expires.
 	leavingUntil time.Time
-	// leavingNoticeAt is the first word of the platform that it leaves, wentAt when it
-	// was seen to have gone.
+	// leavingNoticeAt is when the platform first announced that the server is leaving, goneAt
+	// when it was found gone.
 	leavingNoticeAt, goneAt time.Time
-	// lastResponseAt is the last answer or token of any own request.
+	// lastResponseAt is the time of the last response or token for any request of this instance.
 	lastResponseAt time.Time
-	// failureRate is the share of requests that failed here lately.
+	// failureRate is the moving average of the share of requests that failed here.
 	failureRate float64
-	// lane is what an engine is kept for; see lanes.
+	// lane is the kind of request that the engine is dedicated to; see lanes.go.
 	lane lane
-	// noLongPromptsUntil is how long an engine that left the tight lane reads no long prompts.
+	// noLongPromptsUntil is until when an engine that left the tight lane gets no long prompts.
 	noLongPromptsUntil time.Time
-	// unreachable is true while the server's data centre is out of reach.
+	// unreachable is true while the server's data centre is cut off.
 	unreachable bool
-	// skipped is true while others fill the server's room; see herd.
+	// skipped is true if this instance starts nothing on the server until the next load update;
+	// see herd.go.
 	skipped bool
-	// startBudget is how many more requests than end here this instance starts until the next
-	// word of loads, displaceLeft how many it starts in the place of others.
+	// startBudget is how many requests, net of those that end, this instance may still start
+	// until the next load update; displaceBudget is how many of them may displace bulk.
 	startBudget, displaceBudget float64
-	// fullUntil is how long the server counts as full after a late first token.
+	// fullUntil is until when the server counts as full after a late first token.
 	fullUntil time.Time
 
-	// limited is how many requests a second the server says that it takes.
+	// limited is the request rate limit that the server states.
 	limited serverLimit
 	allowed allowance
 
@@ -150,16 +162,16 @@
 	return s.probing && len(s.running) > 0
 }
 
-// load is the estimated number of requests of all instances on the server.
+// load returns the estimated number of requests of all instances on the server.
 func (s *server) load() float64 { return float64(len(s.running)) + s.otherLoad }
 
-// gapAt is the expected gap between tokens in a batch of n.
+// gapAt returns the expected gap between tokens at batch size n.
 func (s *server) gapAt(n float64) time.Duration {
 	gap := time.Duration(s.gapPerRequest * (n + s.stepOffset) * float64(time.Second))
 	return max(gap, s.stall)
 }
 
-// maxBatch is the batch size that keeps the gap within the target.
+// maxBatch returns the largest batch that keeps the gap between tokens within target.
 func (s *server) maxBatch(target time.Duration) float64 {
 	if target <= 0 {
 		return float64(s.slots)
@@ -167,8 +179,8 @@
 	return min(float64(s.slots), headroom*target.Seconds()/s.gapPerRequest-s.stepOffset)
 }
 
-// limit is how many requests the server takes: what keeps the tightest target
-// in the pool, or where it can't keep that at all, the asking class's own.
+// limit returns how many requests the server may run: the batch that keeps poolTarget, or if that
+// is smaller than minStrictBatch, the one that keeps classTarget.
 func (s *server) limit(poolTarget, classTarget time.Duration) float64 {
 	if s.service {
 		return float64(s.slots) * serviceOvercommit
@@ -180,8 +192,9 @@
 	return max(n, 1)
 }
 
-// gapTarget is the gap between tokens that the server's batch is kept within for a request
-// with the given one: beside a tight lane, its answers need not be thought of elsewhere.
+// gapTarget returns the gap between tokens to which the server's batch is limited for a request
+// whose class allows classTarget. Where the pool has a tight lane, servers outside the lane need
+// not keep the pool's strictest target.
 func (s *server) gapTarget(p *pool, classTarget time.Duration) time.Duration {
 	if s.engine != nil && p.hasLane[laneTight] && s.lane != laneTight {
 		return classTarget
@@ -190,14 +203,15 @@
 }
 
 const (
-	// serviceOvercommit lets calls to plain services wait at the service a little:
-	// they are shorter than the age of what is known of its load.
+	// serviceOvercommit lets a few calls queue at plain services: they take less time than the
+	// load information is old.
 	serviceOvercommit = 1.5
-	// minStrictBatch is the batch below which a server is left to looser classes.
+	// minStrictBatch is the batch size below which a server is left to classes with looser
+	// targets.
 	minStrictBatch = 3
 )
 
-// decayGap lets a gap that nobody measures any more return to the pool's.
+// decayGap returns a gap estimate without recent samples to the pool's average.
 func (s *server) decayGap(now time.Time, poolGapPerRequest float64) {
 	if s.engine != nil {
 		poolGapPerRequest = s.engine.perRequest
@@ -207,7 +221,7 @@
 	}
 }
 
-// observeResponse takes in the time to a first token, or to a service's answer.
+// observeResponse records the time to the first token, or to the response of a plain service.
 func (s *server) observeResponse(r *request, took time.Duration) {
 	if s.service {
 		s.serviceTime += sampleWeight * (took.Seconds() - s.serviceTime)
@@ -228,9 +242,9 @@
 	s.prefill += sampleWeight * (sample - s.prefill)
 }
 
-// observePrefill takes in the time to a first token after so much prompt work. The step
-// in which the token was made is the engine's usual one: the server's own gaps include
-// those beside long prompts.
+// observePrefill records the time to the first token after work prompt tokens. It subtracts the
+// step time of the engine model, since the server's own gap estimate includes steps that also
+// prefill long prompts.
 func (s *server) observePrefill(took time.Duration, work float64) {
 	elapsed := took.Seconds() - s.engine.stepAt(s.load())
 	if work < minPrefillSample {
@@ -240,12 +254,14 @@
 	s.engine.observePrefill(s, max(elapsed-s.engine.farDelay(s), 0), work)
 }
 
-// backlogBefore is the prompt work of all instances before a request of the level.
+// backlogBefore returns the prompt tokens, of all instances, that are prefilled before a request
+// of the level.
 func (s *server) backlogBefore(level int) float64 {
 	return s.ownBacklog.before(level) + s.peerBacklog.before(level) + s.boardBacklog.before(level)
 }
 
-// firstToken is the expected time to the first token of a prompt on top of load n.
+// firstToken returns the expected time to the first token for a prompt with so many uncached
+// tokens, as one of n requests.
 func (s *server) firstToken(n, uncached float64, level int) time.Duration {
 	if s.service {
 		return time.Duration(s.serviceTime * max(1, n/float64(s.slots)) * float64(time.Second))
@@ -261,19 +277,18 @@
 }
 
 const (
-	// failureSampleWeight is the weight of one request's end in a server's share of
-	// failures.
+	// failureSampleWeight is the weight of one request in the server's failure rate.
 	failureSampleWeight = 0.15
-	// failureDecay is what the share loses at each slowTick: half in 4.6 s, so that
-	// a server that failed is tried again.
+	// failureDecay is the part of the failure rate that is lost at each slowTick. It halves the
+	// rate in 4.6 s, so that a server that failed is tried again.
 	failureDecay = 0.015
 )
 
-// slotWaitGaps is how many gaps it takes until one of a full batch ends.
+// slotWaitGaps is the expected wait for a slot of a full batch, in gaps between tokens.
 const slotWaitGaps = 12
 
-// sampleLoad remembers own load and notices a server that fell silent: its own
-// requests have begun their answers, and no token came for several gaps.
+// sampleLoad records the own load and detects a stall: running answers that have had no token for
+// several gaps.
 func (s *server) sampleLoad(now time.Time) {
 	s.historyIndex = (s.historyIndex + 1) % historyLength
 	s.history[s.historyIndex] = int16(len(s.running))
@@ -289,12 +304,12 @@
 }
 
 const (
-	// stallGaps is how many gaps of silence make a stall, stallFloor the least time.
+	// stallGaps is the number of gaps without a token that make a stall, minStall the least time.
 	stallGaps = 5
 	minStall  = 250 * time.Millisecond
 )
 
-// runningAgo returns how many own requests the server ran some time ago.
+// runningAgo returns how many requests of this instance the server ran at the given age.
 func (s *server) runningAgo(age time.Duration) float64 {
 	steps := int(age / slowTick)
 	if steps >= historyLength {
@@ -303,7 +318,7 @@
 	return float64(s.history[(s.historyIndex-steps+historyLength)%historyLength])
 }
 
-// estimateOtherLoad weighs what peers tell against what the server reported, by age.
+// estimateOtherLoad combines what peers say with the server's load report, weighted by age.
 func (s *server) estimateOtherLoad(peersKnown bool) {
 	if s.reportAge < 0 {
 		s.otherLoad = s.peerLoad + s.boardLoad
@@ -314,7 +329,7 @@
 		return
 	}
 	reportWeight := 1 / (reportAgeScale + s.reportAge)
-	// Reports older than a few seconds describe other requests than today's.
+	// After a few seconds most of the requests in a report have ended.
 	if s.reportAge > 2 {
 		reportWeight = 0
 	}
@@ -322,7 +337,7 @@
 	s.otherLoad = (reportWeight*s.reportedLoad + digestWeight*(s.peerLoad+s.boardLoad)) / (reportWeight + digestWeight)
 }
 
-// eject keeps new work away after a failure, for longer each time.
+// eject keeps new requests away after a failure, for longer with each failure in a row.
 func (s *server) eject(now time.Time) {
 	if now.Before(s.ejectedUntil) {
 		return
@@ -332,7 +347,7 @@
 	s.probing = true
 }
 
-// endProbing ends the server's probation.
+// endProbing ends probing and resets the ejection time.
 func (s *server) endProbing() {
 	s.probing = false
 	s.ejectFor = 0
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// minTransferGain is the time that moving a KV cache must save: for less, a short
-// prompt's answer would take another server's slot sooner than it needs.
+// minTransferGain is the least time that moving a KV cache must save: below it, the answer of a
+// short prompt would take another server's slot earlier than necessary.
 const minTransferGain = 30 * time.Millisecond
 
-// transfer stops an answer at its server and starts it at another one, where it
-// goes on with its KV cache.
+// transfer moves an answer to another server, where it continues with its KV cache.
 func (c *core) transfer(now time.Time, r *request, to *server) {
 	from := r.server
 	c.stop(now, r)
 	c.startWith(now, r, to, from)
 }
 
-// transferPays tells whether moving the answer's KV cache takes less than computing
-// it again. There is none before the first token, none to be had across a cut,
-// and none left of an engine that crashed.
+// transferPays reports whether moving the answer's KV cache takes less time than a new prefill.
+// There is no cache before the first token, and none can be had from an unreachable or crashed
+// server.
 func (c *core) transferPays(now time.Time, r *request, to *server) bool {
 	from := r.server
 	if r.gotNow == 0 || from.unreachable || now.Before(from.ejectedUntil) {
@@ -25,7 +24,8 @@
 	return c.kv.rate(from, to).expect(now, r.tokensHeld())+minTransferGain < to.prefillTime(to.uncachedTokens(r))
 }
 
-// setCarried notes that the attempt's KV cache comes from another server.
+// setCarried records that the attempt gets its KV cache from another server; from is nil for
+// none.
 func (c *core) setCarried(now time.Time, r *request, to, from *server) {
 	r.carried, r.carriedAt = 0, nil
 	if from == nil {
@@ -36,15 +36,15 @@
 	r.expected = to.gapAt(to.load()+1) + r.carriedAt.expect(now, r.carried)
 }
 
-// tokensHeld is the length of prompt and answer so far.
+// tokensHeld returns the length of the prompt and of the answer so far.
 func (r *request) tokensHeld() float64 { return float64(r.PromptTokens + r.got) }
 
-// prefillTime is how long the server takes for prompt tokens.
+// prefillTime returns the time to prefill so many tokens.
 func (s *server) prefillTime(tokens float64) time.Duration {
 	return time.Duration(s.prefill * tokens * float64(time.Second))
 }
 
-// observeTransfer takes in how long a move by KV cache took until its first token.
+// observeTransfer records the time from the start of a move to its first token.
 func (c *core) observeTransfer(now time.Time, r *request) {
 	took := now.Sub(r.started) - r.server.gapAt(r.server.load())
 	r.carriedAt.observe(now, r.carried, took)
@@ -52,17 +52,17 @@
 	c.stats.Spared.Moved += uint64(r.carried)
 }
 
-// observeAbandonedTransfer learns from a move that ended before its first token: it takes
-// at least as long as was waited. Without it an engine that moves slowly would
-// never be found out, since its moves are overdue and go elsewhere.
+// observeAbandonedTransfer learns from a move that ended before its first token: it would have
+// taken at least this long. Without it, slow moves would never be measured, since they become
+// overdue and the request goes elsewhere.
 func (c *core) observeAbandonedTransfer(now time.Time, r *request) {
 	if took := now.Sub(r.started); took > r.expected {
 		r.carriedAt.observe(now, r.carried, took)
 	}
 }
 
-// recomputed takes in that the move failed: its time was lost, and the prefix
-// is computed after all.
+// recomputed handles a move that failed, after which the server prefills the prompt and answer
+// itself. The lost time counts as that of the move.
 func (c *core) recomputed(now time.Time, e Recomputed) {
 	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil || r.carriedAt == nil || r.gotNow > 0 {
