--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-
 	"time"
 
 	"github.com/lilacbridge/lilacbridge/process/settings"
@@ -11,62 +10,63 @@
 )
 
 const (
-	// lateReserve is what late requests leave free besides: what can still be on
-	// time shall not have to wait for them.
+	// lateReserve is the additional number of slots that late requests leave free for requests
+	// that can still be on time.
 	lateReserve = 2
-	// overReserve is what requests above the quota leave free besides: there are
-	// more of them than the split counts on, and tier 0 shall not feel it.
-	overReserve = 0.5
-	// firstReserve and stepReserve are the slots of each server that tier 1
-	// leaves free for tier 0, and what each further tier leaves besides.
-	firstReserve = 1
-	stepReserve  = 0.5
-	// rankReserve is the part of each large engine's slots that a class leaves free for
-	// each rank of its tier that is more urgent: long answers hold their slots for many
-	// seconds, and a burst of urgent ones would wait for their ends.
+	// overQuotaReserve is the additional number of slots that requests above the quota leave
+	// free: the split does not account for them, and they must not delay tier 0.
+	overQuotaReserve = 0.5
+	// tierReserve is the number of slots of each server that tier 1 leaves free for tier 0,
+	// tierReserveStep what each further tier leaves in addition.
+	tierReserve     = 1
+	tierReserveStep = 0.5
+	// rankReserve is the fraction of each large engine's slots that a class leaves free for each
+	// more urgent rank of its tier: long answers hold their slots for many seconds, and a burst
+	// of urgent requests would wait for them to end.
 	rankReserve = 0.08
-	// toldReserve is what requests leave free besides of each large engine where loads are
-	// told in steps: many instances start requests between two words.
-	toldReserve = 1
-	// crowdWeight is the weight of what a request adds to others' gaps.
+	// staleLoadReserve is the additional number of slots of each large engine that requests leave
+	// free while loads come from the load board: many instances start requests between two
+	// updates.
+	staleLoadReserve = 1
+	// crowdWeight is the weight of the longer gaps that a request causes for others.
 	crowdWeight = 0.5
-	// workWeight keeps requests with their shared prompt until its engine is about
-	// to miss their target: 13,000 tokens weigh as much as a wait of 0.9 of it.
+	// workWeight keeps requests with the engine that has their shared prompt until it is about to
+	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
 	workWeight = 6
-	// paceWeight is the share at which the pace of an anchored answer counts.
+	// paceWeight is the weight of the gap between tokens of an anchored answer.
 	paceWeight = 0.2
-	// nearFirst, nearSecond and nearShare are how much more than the least a
-	// server may cost to be taken for the sake of copies elsewhere: the first and
-	// second by rendezvous hash, and others; see docs/notes/crashing-requests.md.
+	// nearFirst, nearSecond and nearShare are how much more than the cheapest server another one
+	// may cost and still be chosen so that copies of a request meet on it: the first and second
+	// by rendezvous hash, and others; see docs/notes/crashing-requests.md.
 	nearFirst  = 1.0
 	nearSecond = 0.5
 	nearShare  = 0.1
 )
 
-// reservesOf returns what each tier leaves free of each server. Free slots
-// keep urgent first tokens on time and cost throughput, so a fleet that weighs
-// attainment higher against wasted and lost work keeps up to one more.
-func reservesOf(weights settings.Policy) (reserves [model.Tiers]float64) {
+// tierReserves returns the slots that each tier leaves free on each server. Free slots keep first
+// tokens of urgent requests on time but cost throughput, so the reserve grows by up to one slot
+// with the weight of attainment against wasted and lost work.
+func tierReserves(weights settings.Policy) (reserves [model.Tiers]float64) {
 	attainment := 0.5
 	if sum := weights.AttainmentWeight + weights.WasteWeight; sum > 0 {
 		attainment = weights.AttainmentWeight / sum
 	}
 	for tier := 1; tier < len(reserves); tier++ {
-		reserves[tier] = firstReserve + attainment + stepReserve*float64(tier-1)
+		reserves[tier] = tierReserve + attainment + tierReserveStep*float64(tier-1)
 	}
 	return reserves
 }
 
-// chooser holds the ways of choosing and the memory that they share.
+// chooser holds the selectors for the kinds of requests and the buffers they share.
 type chooser struct {
+	// onTime requires a server to meet the targets, late does not.
 	onTime choose.Chooser
 	late   choose.Chooser
-	// anchored and anchoredLate are the same for anchored requests, whose homes
-	// take the place of the rank.
-	// anchoredOnce takes a late first token before a prompt read twice.
+	// anchored and anchoredLate are the same for anchored requests, which have homes instead of
+	// the rendezvous rank. anchoredOnce allows a late first token but no duplicate prefill.
 	anchored, anchoredLate, anchoredOnce choose.Chooser
-	// displacing is for urgent requests that start in the place of bulk, displacingLate for
-	// those that can't be in time.
+	// displacing is for urgent requests that displace bulk, displacingLate for those that cannot
+	// be in time.
 	displacing, displacingLate choose.Chooser
 	candidates                 []choose.Candidate
 	reserves                   [model.Tiers]float64
@@ -77,30 +77,29 @@
 	anchored := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
 	late := []choose.Filter{choose.Open{}, choose.Room{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
-	apart := append(slices.Clone(late), choose.Unintruded{})
-	once := append(slices.Clone(apart), choose.Once{})
-	firstOnTime := append(slices.Clone(once), choose.FirstOnTime{})
+	unintruded := append(slices.Clone(late), choose.Unintruded{})
+	noDuplicate := append(slices.Clone(unintruded), choose.Once{})
+	firstOnTime := append(slices.Clone(noDuplicate), choose.FirstOnTime{})
 	picker := choose.Near{First: nearFirst, Second: nearSecond, Share: nearShare}
 	return chooser{
-		reserves:       reservesOf(weights),
+		reserves:       tierReserves(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
 		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.Least{}},
-		anchoredLate:   choose.Chooser{Filters: apart, Scorers: anchored, Picker: choose.Least{}},
-		anchoredOnce:   choose.Chooser{Filters: once, Scorers: anchored, Picker: choose.Least{}},
-		displacingLate: choose.Chooser{Filters: once, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
+		anchoredLate:   choose.Chooser{Filters: unintruded, Scorers: anchored, Picker: choose.Least{}},
+		anchoredOnce:   choose.Chooser{Filters: noDuplicate, Scorers: anchored, Picker: choose.Least{}},
+		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 	}
 }
 
-// describe fills in the candidates for a request; a large pool is sampled. It returns
-// true where only the engines that suit the request were looked at, and a wide look
-// would find others.
-func (c *core) describe(now time.Time, r *request, wide bool) (narrow bool) {
+// collectCandidates lists the candidates for a request; it samples a large pool. It returns true
+// if it listed only the engines that suit the request and a call with wide set would list others.
+func (c *core) collectCandidates(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
-	if at := slices.Index(servers, c.identical.serverToJoin(now, r)); at >= 0 {
-		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
+	if index := slices.Index(servers, c.identical.serverToJoin(now, r)); index >= 0 {
+		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 		return false
 	}
 	if len(servers) <= choose.Sample+choose.Sample/2 {
@@ -109,23 +108,23 @@
 		}
 		return false
 	}
-	c.describeLimited(now, r, &h)
+	c.collectLimited(now, r, &h)
 	if r.Pinned && h.first() != nil && !wide {
-		c.describeHomes(now, r, &h)
+		c.collectHomes(now, r, &h)
 		return true
 	}
 	start := c.random.IntN(len(servers))
 	step := 1 + c.random.IntN(len(servers)-1)
 	for i := range choose.Sample {
-		at := (start + i*step) % len(servers)
-		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
+		index := (start + i*step) % len(servers)
+		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 	}
 	return false
 }
 
-// describeLimited looks at the servers in need that this instance may send a request to now.
-// Few instances may, and what one of them doesn't send nobody else does.
-func (c *core) describeLimited(now time.Time, r *request, h *homes) {
+// collectLimited lists the rate-limited servers that this instance may send a request to now.
+// Only a few instances may send to them, and capacity that one of these leaves unused is lost.
+func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
 		if s.limited.Named && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
@@ -133,113 +132,111 @@
 	}
 }
 
-// describeHomes looks at the request's homes and at the engines that hold its
-// prompt.
+// collectHomes lists the request's homes and the engines that have its prompt.
 //
-// It guards against a herd: 78 instances that see the same loads, half a second
-// old, all send to the engine that was the least loaded then. It shows as engines
-// with 5 s of prompts to read beside idle ones. It holds because each shared part has
-// homes of its own, spread over all engines.
-func (c *core) describeHomes(now time.Time, r *request, h *homes) {
+// Instances that see the same loads, half a second old, would otherwise all send to the engine
+// that was the least loaded then: with 78 instances, some engines had 5 s of prompts to prefill
+// beside idle ones. Here each shared part has its own homes, spread over all engines.
+func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if h.place(s) > 0 || s == h.holder || s == h.keeper {
+		if h.position(s) > 0 || s == h.holder || s == h.assigned {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
 }
 
-// how says how a request looks for a server.
-type how struct {
+// chooseOptions are constraints on the choice of a server.
+type chooseOptions struct {
 	reserve, over float64
 	late          bool
 	alone         bool
 }
 
-// choose returns the server for the request, or nil while none has room. Where the
-// engines that suit it are full it looks at others, as soon as that costs less than to
-// wait.
-func (c *core) choose(now time.Time, r *request, h how) *server {
-	narrow := c.describe(now, r, h.late)
-	s := c.pick(now, r, h)
-	if s == nil && narrow && r.leavesHomes(now) {
-		c.describe(now, r, true)
-		s = c.pick(now, r, h)
+// choose returns the server for the request, or nil if none has a free slot. Where the engines
+// that suit the request are full, it considers others, after some wait, and then engines with
+// bulk to displace.
+func (c *core) choose(now time.Time, r *request, opts chooseOptions) *server {
+	narrow := c.collectCandidates(now, r, opts.late)
+	s := c.pick(now, r, opts)
+	if s == nil && narrow && r.mayLeaveHomes(now) {
+		c.collectCandidates(now, r, true)
+		s = c.pick(now, r, opts)
 	}
 	if s == nil && r.mayDisplace() {
-		s = c.displace(now, r, h)
+		s = c.displace(now, r, opts)
 	}
 	return s
 }
 
-// displace returns an engine on which the request starts in the place of bulk, or nil.
-func (c *core) displace(now time.Time, r *request, h how) *server {
-	homes := c.homesOf(now, r)
+// displace returns an engine on which the request can displace bulk, or nil.
+func (c *core) displace(now time.Time, r *request, opts chooseOptions) *server {
+	h := c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
 	for i, s := range r.pool.servers {
-		if s.displaceLeft >= 1 {
-			c.choice.candidates = append(c.choice.candidates, s.displaced(r, now, i, &homes))
+		if s.displaceBudget >= 1 {
+			c.choice.candidates = append(c.choice.candidates, s.displacingCandidate(r, now, i, &h))
 		}
 	}
-	s := c.pickBy(&c.choice.displacing, now, r, h)
+	s := c.pickWith(&c.choice.displacing, now, r, opts)
 	if s == nil {
-		s = c.pickBy(&c.choice.displacingLate, now, r, h)
+		s = c.pickWith(&c.choice.displacingLate, now, r, opts)
 		r.expectedLate = s != nil
 	}
 	if s != nil {
-		s.displaceLeft--
+		s.displaceBudget--
 		r.displacing = true
 	}
 	return s
 }
 
-// leavesHomes tells whether the request goes to engines that don't hold its prompt: at
-// once where others share little of it, else after half of the time that it may wait.
-func (r *request) leavesHomes(now time.Time) bool {
+// mayLeaveHomes reports whether the request may go to engines that do not have its prompt: at
+// once if it shares little of it, else after half of the time that it may wait.
+func (r *request) mayLeaveHomes(now time.Time) bool {
 	shared := r.Prefix[len(r.Prefix)-2].End
-	return shared < leastAgain || now.Sub(r.item.Arrived) >= r.item.Due.Sub(r.item.Arrived)/2
+	return shared < minDuplicatePrefill || now.Sub(r.item.Arrived) >= r.item.Due.Sub(r.item.Arrived)/2
 }
 
-// pick returns the best of the servers that were described.
-func (c *core) pick(now time.Time, r *request, h how) *server {
-	way := &c.choice.onTime
+// pick returns the best of the collected candidates, or nil.
+func (c *core) pick(now time.Time, r *request, opts chooseOptions) *server {
+	selector := &c.choice.onTime
 	anchored := r.Pinned && !r.pool.service
 	if anchored {
-		way = &c.choice.anchored
+		selector = &c.choice.anchored
 	}
-	if h.late || !c.possible(r) {
-		way = &c.choice.late
+	if opts.late || !c.gapAchievable(r) {
+		selector = &c.choice.late
 		if anchored {
-			way = &c.choice.anchoredLate
+			selector = &c.choice.anchoredLate
 		}
 	}
-	s := c.pickBy(way, now, r, h)
-	if s == nil && way == &c.choice.anchored {
-		// No engine is in time: it waits where its prompt is.
-		s = c.pickBy(&c.choice.anchoredOnce, now, r, h)
+	s := c.pickWith(selector, now, r, opts)
+	if s == nil && selector == &c.choice.anchored {
+		// No engine is in time: prefer the wait at an engine that has the prompt.
+		s = c.pickWith(&c.choice.anchoredOnce, now, r, opts)
 		r.expectedLate = s != nil
 	}
 	return s
 }
 
-// pickBy returns the best of the described servers in one way of choosing.
-func (c *core) pickBy(way *choose.Chooser, now time.Time, r *request, h how) *server {
-	asked := choose.Request{
+// pickWith returns the best of the collected candidates by the selector, or nil.
+func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
+	req := choose.Request{
 		FirstBy: r.slack(now), Target: r.firstTokenTarget(), Between: r.tokenGapTarget(), Avoid: r.failedOn,
-		Left: r.left(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
+		Left: r.tokensLeft(c), Reserve: opts.reserve, Over: opts.over, Alone: opts.alone,
 	}
 	if len(r.pool.servers) == 1 {
-		asked.Avoid = ""
+		req.Avoid = ""
 	}
-	at := way.Choose(&asked, c.choice.candidates, c.random)
-	if at < 0 {
+	index := selector.Choose(&req, c.choice.candidates, c.random)
+	if index < 0 {
 		return nil
 	}
-	return r.pool.servers[c.choice.candidates[at].Index]
+	return r.pool.servers[c.choice.candidates[index].Index]
 }
 
-// possible tells whether any server that is looked at keeps the gap between
-// tokens at all, empty; if none does, waiting for one would help nobody.
-func (c *core) possible(r *request) bool {
+// gapAchievable reports whether any candidate keeps the target between tokens even when idle; if
+// none does, waiting would not help.
+func (c *core) gapAchievable(r *request) bool {
 	between := r.tokenGapTarget()
 	if between == 0 || r.pool.service {
 		return true
@@ -254,14 +251,14 @@
 	return false
 }
 
-// left is the expected number of tokens to come.
-func (r *request) left(c *core) float64 {
+// tokensLeft returns the expected number of tokens still to come.
+func (r *request) tokensLeft(c *core) float64 {
 	if r.pool.service {
 		return 0
 	}
 	left := c.estimates.Left(r.key(), r.tokens)
 	if r.Hint > r.tokens {
-		// Callers' guesses are right at the median, a class's lengths differ thirtyfold.
+		// A caller's hint is right at the median; answer lengths of a class differ thirtyfold.
 		left = float64(r.Hint - r.tokens)
 	}
 	if r.MaxTokens > 0 {
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -20,7 +20,7 @@
 		}
 	}
 	p.queue.Restore()
-	p.noteRoom(now)
+	p.updateFullSince(now)
 }
 
 func (c *core) startGuaranteed(now time.Time, p *pool) bool {
@@ -29,7 +29,7 @@
 		return false
 	}
 	r := c.requests[ID(item.ID)]
-	s := c.choose(now, r, how{late: true})
+	s := c.choose(now, r, chooseOptions{late: true})
 	if s == nil {
 		return false
 	}
@@ -74,24 +74,24 @@
 func (c *core) tryStart(now time.Time, p *pool, item *queue.Item) bool {
 	urgent := item.Tier == 0 && item.Rank == 0 && !item.Late
 	r := c.requests[ID(item.ID)]
-	if !urgent && (p.runs(placeOf(r.class)) >= p.quota || !p.leavesRoom(r)) {
+	if !urgent && (p.runningUpTo(placeOf(r.class)) >= p.quota || !p.withinSplit(r)) {
 		r.blocked = BlockedByShare
 		return false
 	}
-	h := how{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
+	opts := chooseOptions{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
 	if item.Late {
-		h.reserve += lateReserve
+		opts.reserve += lateReserve
 	}
 	if r.Pinned && !p.service {
-		h.reserve += rankReserve * float64(item.Rank*p.slots())
+		opts.reserve += rankReserve * float64(item.Rank*p.slots())
 		if c.boardActive {
-			h.reserve += toldReserve
+			opts.reserve += staleLoadReserve
 		}
 	}
 	if !urgent && float64(len(p.running)) >= p.quota {
-		h.reserve += overReserve
+		opts.reserve += overQuotaReserve
 	}
-	s := c.choose(now, r, h)
+	s := c.choose(now, r, opts)
 	if s == nil && c.identical.serverToJoin(now, r) != nil {
 		c.park(r)
 		return true
@@ -123,7 +123,7 @@
 	if r.pool.queue.Before(&r.item) > r.pool.onTimeWaiting(r) {
 		c.stats.PriorityInversions++
 	}
-	r.pool.noteStart(now, r, s)
+	r.pool.observeStart(now, r, s)
 	r.pool.queue.Served(r.Class, r.item.Cost, now)
 	c.start(now, r, s)
 }
@@ -148,7 +148,7 @@
 	c.check(InvariantDeadline, r.Deadline.IsZero() || now.Before(r.Deadline))
 	c.check(InvariantLimit, !s.limitReached(now))
 	s.takeAllowance(now)
-	s.startsLeft--
+	s.startBudget--
 	r.attempt++
 	r.server = s
 	r.attemptSent = false
@@ -156,18 +156,18 @@
 	r.started, r.lastAt = now, now
 	r.level = r.engineLevel()
 	h := c.homesOf(now, r)
-	supply := h.supplyAt(s, r)
-	r.uncached, r.fetched, r.workAhead = supply.read, supply.fetched, s.before(r.level)
+	source := h.sourceAt(s, r)
+	r.uncached, r.fetched, r.workAhead = source.prefill, source.fetched, s.backlogBefore(r.level)
 	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
-	c.carry(now, r, s, from)
+	c.setCarried(now, r, s, from)
 	why := c.decision(now, r, s)
-	why.Home = h.place(s)
+	why.Home = h.position(s)
 	s.attach(r)
 	c.identical.add(r)
-	s.ahead.add(r.level, r.uncached)
+	s.ownBacklog.add(r.level, r.uncached)
 	r.pool.attach(r)
-	c.noteReadings(now, r, s)
-	s.cache.use(r.Prefix, now.Add(r.expectedFirst))
+	c.recordPrefills(now, r, s)
+	s.cache.insert(r.Prefix, now.Add(r.expectedFirst))
 	c.running++
 	c.stats.Starts++
 	if r.attempt == 1 {
@@ -177,8 +177,8 @@
 		c.stats.Continued++
 	}
 	fetch := ""
-	if supply.from != nil {
-		fetch = supply.from.name
+	if source.from != nil {
+		fetch = source.from.name
 	}
 	resume := ""
 	if from != nil {
@@ -190,9 +190,9 @@
 // why notes what speaks for the server before the request is on it.
 func (c *core) decision(now time.Time, r *request, s *server) Decision {
 	return Decision{
-		Waited: now.Sub(r.item.Arrived), Own: len(s.own), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
+		Waited: now.Sub(r.item.Arrived), Own: len(s.running), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
 		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.workAhead, Expected: r.expectedFirst, Remote: s.remote, Lane: s.lane != laneLong,
-		Displaces: r.displacing, Bulk: s.yielding(),
+		Displaces: r.displacing, Bulk: s.bulkLoad(),
 	}
 }
 
@@ -204,17 +204,17 @@
 	}
 	r.everSent = r.everSent || r.attemptSent
 	if r.attemptTokens == 0 {
-		s.ahead.add(r.level, -r.uncached)
+		s.ownBacklog.add(r.level, -r.uncached)
 		if r.kvTransferRate != nil {
-			c.gaveUpCarried(now, r)
+			c.observeAbandonedTransfer(now, r)
 		}
 	} else {
 		s.decoding--
 	}
 	s.detach(r)
-	s.startsLeft++
+	s.startBudget++
 	if r.displacing {
-		s.displaceLeft++
+		s.displaceBudget++
 		r.displacing = false
 	}
 	r.pool.detach(r)
