--- a/connection/gossip/gossip.go
+++ b/connection/gossip/gossip.go
@@ -119,7 +119,7 @@
 
 // SetEntries names the entries to try, as a list of the platform would.
 func (g *Gossip) SetEntries(entries []settings.Peer) {
-	var event member.Platform
+	var event member.PlatformList
 	for _, entry := range entries {
 		event.Entries = append(event.Entries, member.Peer{Name: entry.Name, Address: entry.Address.Value, DataCenter: entry.DataCenter})
 	}
@@ -162,7 +162,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stats.Bytes += uint64(proto.Size(d))
-	g.step(member.Received{From: peer.Process, Digest: d})
+	g.step(member.DigestReceived{From: peer.Process, Digest: d})
 	reply := &lilacv1.DigestReply{Digest: g.core.Reply(g.options.Now(), peer.Process)}
 	g.stats.Bytes += uint64(proto.Size(reply))
 	return reply, nil
@@ -221,7 +221,7 @@
 	d.Instance, d.DataCenter = g.options.Self.Name, g.options.Self.DataCenter
 	d.Incarnation, d.Sequence = g.incarnation, g.sequence
 	d.Leaving = d.GetLeaving() || g.leaving
-	return member.Tick{Own: d, Asked: asked}
+	return member.Tick{Own: d, RequestedAt: asked}
 }
 
 // step runs the core and does what it says; g.mu is held.
@@ -230,15 +230,15 @@
 		switch a := action.(type) {
 		case member.Exchange:
 			g.exchange(a)
-		case member.Digest:
+		case member.PolicyDigest:
 			g.options.OnDigest(a.Digest, a.At)
-		case member.Gone:
+		case member.DigestExpired:
 			g.options.Logger.Info("entry no longer heard", "entry", a.Instance)
 			g.options.OnGone(a.Instance)
-		case member.Server:
+		case member.ServerState:
 			g.options.Logger.Info("backend server", "server", a.Name, "leaving", a.Leaving)
 			g.options.OnServer(a.Name, a.Leaving)
-		case member.Live:
+		case member.LivePeers:
 			g.options.OnLive(peersOf(a.Peers))
 		}
 	}
@@ -276,9 +276,9 @@
 		}
 		if err != nil {
 			g.stats.Failures++
-			g.step(member.Failed{Peer: name})
+			g.step(member.ExchangeFailed{Peer: name})
 			return
 		}
-		g.step(member.Answered{Peer: name, Digest: reply.GetDigest()})
+		g.step(member.ReplyReceived{Peer: name, Digest: reply.GetDigest()})
 	})
 }
--- a/connection/gossip/list.go
+++ b/connection/gossip/list.go
@@ -101,8 +101,8 @@
 	return body.Instances, resp.Header.Get("ETag"), len(data), nil
 }
 
-func platformEvent(list []listedInstance) member.Platform {
-	var event member.Platform
+func platformEvent(list []listedInstance) member.PlatformList {
+	var event member.PlatformList
 	for _, item := range list {
 		leaving := item.State == stateLeaving
 		switch item.Role {
@@ -112,7 +112,7 @@
 				event.Leaving = append(event.Leaving, item.Name)
 			}
 		case roleServer:
-			event.Servers = append(event.Servers, member.Listed{Name: item.Name, Leaving: leaving})
+			event.Servers = append(event.Servers, member.ListedServer{Name: item.Name, Leaving: leaving})
 		}
 	}
 	return event
--- a/connection/loadlink/loadlink.go
+++ b/connection/loadlink/loadlink.go
@@ -30,10 +30,10 @@
 	Dial func(address string) link.Caller
 	// Own returns the own loads and the shared parts sent lately; false where they
 	// are not known now.
-	Own func() (loadboard.Word, bool)
+	Own func() (loadboard.Report, bool)
 	// OnLoads is given what all others run and sent, each Interval; once with empty
 	// Loads when that isn't known any more.
-	OnLoads func(loadboard.Word)
+	OnLoads func(loadboard.Report)
 }
 
 // Link runs one board.
@@ -65,7 +65,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	answer := l.board.Receive(now, peer.Process, peer.DataCenter, loadboard.DecodeWord(now, w))
+	answer := l.board.Receive(now, peer.Process, peer.DataCenter, loadboard.DecodeReport(now, w))
 	return answer.Encode(now, l.options.Self.DataCenter), nil
 }
 
@@ -102,7 +102,7 @@
 	if known {
 		l.board.SetOwn(now, own)
 	}
-	l.board.Forget(now)
+	l.board.Expire(now)
 }
 
 func (l *Link) active() bool {
@@ -120,7 +120,7 @@
 	case fresh:
 		l.options.OnLoads(others)
 	case known:
-		l.options.OnLoads(loadboard.Word{})
+		l.options.OnLoads(loadboard.Report{})
 	}
 	return fresh
 }
@@ -133,7 +133,7 @@
 			continue
 		}
 		l.busy[ask.Peer.Name] = true
-		word := ask.Word.Encode(now, l.options.Self.DataCenter)
+		word := ask.Report.Encode(now, l.options.Self.DataCenter)
 		l.wg.Go(func() { l.call(ctx, ask.Peer, word) })
 	}
 }
@@ -152,8 +152,8 @@
 	}
 	now := time.Now()
 	if err != nil {
-		l.board.Failed(now, peer)
+		l.board.MarkFailed(now, peer)
 		return
 	}
-	l.board.Answered(now, peer, loadboard.DecodeWord(now, answer))
+	l.board.HandleReply(now, peer, loadboard.DecodeReport(now, answer))
 }
--- a/connection/loadlink/loadlink_test.go
+++ b/connection/loadlink/loadlink_test.go
@@ -24,7 +24,7 @@
 	links map[string]*Link
 	peers map[string]member.Peer
 	// heard is what each was last told, cut names those who answer nothing.
-	heard map[string]loadboard.Word
+	heard map[string]loadboard.Report
 	cut   map[string]bool
 }
 
@@ -56,7 +56,7 @@
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{links: make(map[string]*Link), peers: make(map[string]member.Peer), heard: make(map[string]loadboard.Word), cut: make(map[string]bool)}
+	f := &fleet{links: make(map[string]*Link), peers: make(map[string]member.Peer), heard: make(map[string]loadboard.Report), cut: make(map[string]bool)}
 	var peers []member.Peer
 	for i := range n {
 		name := fmt.Sprint("entry-", i)
@@ -67,10 +67,10 @@
 		l := New(Options{
 			Self: self,
 			Dial: func(address string) link.Caller { return caller{f, name, address} },
-			Own: func() (loadboard.Word, bool) {
-				return loadboard.Word{Loads: loadboard.Loads{7: {InFlight: 1}}}, true
+			Own: func() (loadboard.Report, bool) {
+				return loadboard.Report{Loads: loadboard.Loads{7: {InFlight: 1}}}, true
 			},
-			OnLoads: func(word loadboard.Word) {
+			OnLoads: func(word loadboard.Report) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.heard[name] = word
--- a/connection/orders/bench_test.go
+++ b/connection/orders/bench_test.go
@@ -67,7 +67,7 @@
 func (h *holder) run(b *testing.B, seconds int) {
 	for range seconds * int(time.Second/tick) {
 		h.now = h.now.Add(tick)
-		h.step(b, orders.Leased{Fencing: 1})
+		h.step(b, orders.LeaseHeld{Fencing: 1})
 	}
 }
 
@@ -85,7 +85,7 @@
 			for i := range count {
 				address := fmt.Sprintf("127.%d.%d.%d:%d", 1+i>>16, i>>8&255, i&255, port)
 				list = append(list, orders.Engine{Name: fmt.Sprint("r", i), Address: address, ChecksFencing: true,
-					Wishes: map[orders.Model]bool{{Name: "asistente-lm"}: true}})
+					Desired: map[orders.Model]bool{{Name: "asistente-lm"}: true}})
 			}
 			h := &holder{core: orders.NewCore(defaultLoads, orders.OrderTimeout), now: time.Unix(1, 0),
 				engines: newEngines(client, func(uint64) bool { return true }, time.Second)}
--- a/connection/orders/engines.go
+++ b/connection/orders/engines.go
@@ -62,7 +62,7 @@
 // read asks an engine what it has.
 func (e engines) read(ctx context.Context, r orders.Read) orders.ReadDone {
 	has, err := e.loaded(ctx, r.Engine)
-	return orders.ReadDone{Engine: r.Engine.Name, Fencing: r.Fencing, Has: has, Err: err}
+	return orders.ReadDone{Engine: r.Engine.Name, Fencing: r.Fencing, Loaded: has, Err: err}
 }
 
 func (e engines) loaded(ctx context.Context, engine orders.Engine) ([]orders.Model, error) {
@@ -91,7 +91,7 @@
 // adapters without their model.
 func has(engine orders.Engine, body loadedBody) []orders.Model {
 	var list []orders.Model
-	for m := range engine.Wishes {
+	for m := range engine.Desired {
 		if m.Adapter == "" && slices.Contains(body.Models, m.Name) || m.Adapter != "" && slices.Contains(body.Adapters, m.Adapter) {
 			list = append(list, m)
 		}
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -61,7 +61,7 @@
 	moved    chan struct{}
 
 	mu      sync.Mutex
-	holding lease.Holding
+	holding lease.Grant
 }
 
 // New returns a Giver that does nothing until Run.
@@ -134,9 +134,9 @@
 // standing tells the core whether the lease holds at this moment.
 func (g *Giver) standing() orders.Event {
 	if fencing, holds := g.Holds(); holds {
-		return orders.Leased{Fencing: fencing}
+		return orders.LeaseHeld{Fencing: fencing}
 	}
-	return orders.Lost{}
+	return orders.LeaseLost{}
 }
 
 func (g *Giver) act(ctx context.Context, work *sync.WaitGroup, action orders.Action) {
@@ -146,9 +146,9 @@
 	case orders.Order:
 		g.options.Logger.Info("order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
 		work.Go(func() { g.send(ctx, g.engines.order(ctx, a)) })
-	case orders.GiveUp:
+	case orders.AbandonLease:
 		g.mu.Lock()
-		g.holding = lease.Holding{}
+		g.holding = lease.Grant{}
 		g.mu.Unlock()
 	}
 }
@@ -197,7 +197,7 @@
 	for {
 		wait := lease.RenewInterval(g.options.LeaseTime)
 		if !holds {
-			wait = lease.AskInterval(g.options.LeaseTime, int(g.position.Load()), part)
+			wait = lease.RequestInterval(g.options.LeaseTime, int(g.position.Load()), part)
 		}
 		timer := time.NewTimer(time.Until(began.Add(wait)))
 		select {
@@ -223,7 +223,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.holding.Granted(sent, reply)
+	g.holding.Update(sent, reply)
 }
 
 // giveBack lets another begin at once, unless an order may still be in flight:
@@ -233,7 +233,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.holding = lease.Holding{}
+	g.holding = lease.Grant{}
 	g.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), lease.RenewInterval(g.options.LeaseTime))
 	defer cancel()
@@ -251,11 +251,11 @@
 		}
 		e := byName[o.GetServer()]
 		if e == nil {
-			e = &orders.Engine{Name: server.GetName(), Address: server.GetAddress(), ChecksFencing: server.GetChecksFencing(), Wishes: make(map[orders.Model]bool)}
+			e = &orders.Engine{Name: server.GetName(), Address: server.GetAddress(), ChecksFencing: server.GetChecksFencing(), Desired: make(map[orders.Model]bool)}
 			byName[o.GetServer()] = e
 			names = append(names, o.GetServer())
 		}
-		e.Wishes[orders.Model{Name: o.GetModel(), Adapter: o.GetAdapter()}] = o.GetLoaded()
+		e.Desired[orders.Model{Name: o.GetModel(), Adapter: o.GetAdapter()}] = o.GetLoaded()
 	}
 	list := make([]orders.Engine, 0, len(names))
 	for _, name := range names {
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -129,11 +129,11 @@
 			server := httptest.NewServer(c.answer)
 			defer server.Close()
 			target := orders.Engine{Name: "r1", Address: strings.TrimPrefix(server.URL, "http://"),
-				Wishes: map[orders.Model]bool{{Name: "large"}: true, {Name: "large", Adapter: "fr"}: true, {Name: "large", Adapter: "wo"}: true}}
+				Desired: map[orders.Model]bool{{Name: "large"}: true, {Name: "large", Adapter: "fr"}: true, {Name: "large", Adapter: "wo"}: true}}
 			e := newEngines(upstream.NewClient(), func(uint64) bool { return true }, orders.OrderTimeout)
 			read := e.read(t.Context(), orders.Read{Engine: target})
 			is.Equal(read.Err != nil, c.readFails)
-			is.Equal(len(read.Has) == 2, !c.readFails)
+			is.Equal(len(read.Loaded) == 2, !c.readFails)
 			done := e.order(t.Context(), orders.Order{Engine: target, Model: orders.Model{Name: "large"}, Load: true, Fencing: 1})
 			is.Equal(done.Refused, c.refused)
 			is.Equal(done.Err != nil, c.orderFails)
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -19,7 +19,7 @@
 
 func (s scripted) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
 func (s scripted) Digest(time.Time) *lilacv1.Digest                     { return &lilacv1.Digest{} }
-func (s scripted) Loads(time.Time) loadboard.Word                       { return loadboard.Word{} }
+func (s scripted) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
 func (s scripted) Stats() policy.Stats                                  { return policy.Stats{} }
 
 // An engine is drained in the middle of an answer. Its KV cache moves to another
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -16,18 +16,18 @@
 		Self:    member.Peer{Name: d.settings.Name, Address: d.settings.LinkForOthers().Value, DataCenter: d.settings.DataCenter},
 		Dial:    d.dialer.dial,
 		Own:     d.ownLoads,
-		OnLoads: func(word loadboard.Word) { d.entry.relay.Post(policy.LoadsTold{Word: word}) },
+		OnLoads: func(word loadboard.Report) { d.entry.relay.Post(policy.LoadsTold{Word: word}) },
 	})
 }
 
 // ownLoads asks the core; false where it doesn't answer in time.
-func (d *Daemon) ownLoads() (loadboard.Word, bool) {
+func (d *Daemon) ownLoads() (loadboard.Report, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), digestTimeout)
 	defer cancel()
 	word, err := d.entry.relay.Loads(ctx)
 	if err != nil {
 		d.logger.Warn("own loads not known in time; the last ones are told again", "error", err)
-		return loadboard.Word{}, false
+		return loadboard.Report{}, false
 	}
 	return word, true
 }
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -74,7 +74,7 @@
 		reply, err := m.ledger.Outcome(op.Outcome)
 		return &lilacv1.CommandResult{Status: fault.ToStatus(err), Reply: &lilacv1.CommandResult_Outcome{Outcome: reply}}
 	case *lilacv1.Command_Gone:
-		m.ledger.Gone(op.Gone)
+		m.ledger.MarkGone(op.Gone)
 		return &lilacv1.CommandResult{}
 	case *lilacv1.Command_Lease:
 		return m.lease(op.Lease)
@@ -258,8 +258,8 @@
 		OpenClaims:   m.ledger.OpenClaims(),
 		Tombstones:   m.ledger.Tombstones(),
 		LateOutcomes: m.ledger.LateOutcomes(),
-		Doubted:      m.ledger.Doubted(),
-		Broken:       m.ledger.Broken(),
+		Doubted:      m.ledger.InDoubtClaims(),
+		Broken:       m.ledger.BrokenInvariants(),
 	}
 }
 
@@ -267,7 +267,7 @@
 func (m *Machine) FinalClaim(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ledger.Final(r)
+	return m.ledger.FinalReply(r)
 }
 
 // Incarnations returns those that have claimed and are not known to be gone.
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -112,7 +112,7 @@
 func (b *baseline) Digest(time.Time) *lilacv1.Digest { return &lilacv1.Digest{} }
 
 // Loads implements policy.Core; baselines tell nothing.
-func (b *baseline) Loads(time.Time) loadboard.Word { return loadboard.Word{} }
+func (b *baseline) Loads(time.Time) loadboard.Report { return loadboard.Report{} }
 
 // Stats implements policy.Core.
 func (b *baseline) Stats() policy.Stats { return policy.Stats{} }
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -41,7 +41,7 @@
 	members     *member.Core
 	follower    *spread.Core
 	holder      *config.Holder
-	holding     lease.Holding
+	holding     lease.Grant
 	busy        map[string]bool
 	live        []string
 	// life and epoch tell answers to an earlier life or target.
@@ -96,7 +96,7 @@
 	e.life++
 	e.epoch++
 	e.members, e.follower, e.holder = member.NewCore(e.self, seeds), spread.NewCore(e.name), config.NewHolder()
-	e.holding, e.busy, e.live, e.known, e.knownAt = lease.Holding{}, map[string]bool{}, nil, 0, -time.Hour
+	e.holding, e.busy, e.live, e.known, e.knownAt = lease.Grant{}, map[string]bool{}, nil, 0, -time.Hour
 	life := e.life
 	for _, peer := range seeds {
 		if peer.DataCenter == e.self.DataCenter {
@@ -175,11 +175,11 @@
 		switch a := action.(type) {
 		case member.Exchange:
 			e.exchange(all, a)
-		case member.Digest:
+		case member.PolicyDigest:
 			e.tellPlain(policy.PeerDigest{Digest: a.Digest})
-		case member.Gone:
+		case member.DigestExpired:
 			e.tellPlain(policy.PeerGone{Instance: a.Instance})
-		case member.Live:
+		case member.LivePeers:
 			e.live = nil
 			for _, peer := range a.Peers {
 				if peer.DataCenter == e.self.DataCenter {
@@ -218,13 +218,13 @@
 		if !to.runs() {
 			return
 		}
-		to.step(all, member.Received{From: e.name, Digest: digest})
+		to.step(all, member.DigestReceived{From: e.name, Digest: digest})
 		reply := proto.CloneOf(to.members.Reply(to.clock(), e.name))
-		e.sim.reachOnline(all.rng, name, e.name, func() { finish(member.Answered{Peer: name, Digest: reply}) })
+		e.sim.reachOnline(all.rng, name, e.name, func() { finish(member.ReplyReceived{Peer: name, Digest: reply}) })
 	})
 	e.sim.after(callWait, func() {
 		delete(e.busy, name)
-		finish(member.Failed{Peer: name})
+		finish(member.ExchangeFailed{Peer: name})
 	})
 }
 
@@ -378,7 +378,7 @@
 				// A frozen holder reads the answer when it wakes.
 				e.sim.after(max(0, e.frozenUntil-e.sim.now), func() {
 					if e.life == life {
-						e.holding.Granted(sent, reply)
+						e.holding.Update(sent, reply)
 						e.act(all)
 					}
 				})
--- a/process/lease/holding.go
+++ b/process/lease/holding.go
@@ -12,7 +12,7 @@
 
 // Holding is what a holder knows of its own lease. Its times are readings of
 // the holder's monotonic clock.
-type Holding struct {
+type Grant struct {
 	fencing uint64
 	until   time.Time
 }
@@ -22,9 +22,9 @@
 // It guards against a holder that believes in its lease longer than the leader
 // does, as when the answer was long on the way: the lease counts from before
 // the request was sent, and the leader counts from when it was applied, later.
-func (h *Holding) Granted(sent time.Time, r *lilacv1.LeaseReply) {
+func (h *Grant) Update(sent time.Time, r *lilacv1.LeaseReply) {
 	if !r.GetGranted() {
-		*h = Holding{}
+		*h = Grant{}
 		return
 	}
 	length := time.Duration(r.GetDurationMs()) * time.Millisecond
@@ -36,9 +36,9 @@
 }
 
 // Fencing returns the number of the holding; 0 for none.
-func (h *Holding) Fencing() uint64 { return h.fencing }
+func (h *Grant) Fencing() uint64 { return h.fencing }
 
 // Valid tells whether the holder may act at the time now. It is asked right
 // before each act: a process that was frozen in between wakes with a lease that
 // has run out.
-func (h *Holding) Valid(now time.Time) bool { return h.fencing != 0 && now.Before(h.until) }
+func (h *Grant) Valid(now time.Time) bool { return h.fencing != 0 && now.Before(h.until) }
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -74,13 +74,13 @@
 func TestHoldingCountsFromBeforeTheRequest(t *testing.T) {
 	is := is.New(t)
 	sent := time.Unix(1_764_700_000, 0)
-	h := &Holding{}
+	h := &Grant{}
 	is.True(!h.Valid(sent))
-	h.Granted(sent, &lilacv1.LeaseReply{Granted: true, Fencing: 4, DurationMs: 1000})
+	h.Update(sent, &lilacv1.LeaseReply{Granted: true, Fencing: 4, DurationMs: 1000})
 	is.True(h.Valid(sent.Add(899 * time.Millisecond)))
 	is.True(!h.Valid(sent.Add(900 * time.Millisecond)))
-	h.Granted(sent.Add(-time.Second), &lilacv1.LeaseReply{Granted: true, Fencing: 4, DurationMs: 1000})
+	h.Update(sent.Add(-time.Second), &lilacv1.LeaseReply{Granted: true, Fencing: 4, DurationMs: 1000})
 	is.True(h.Valid(sent.Add(899 * time.Millisecond)))
-	h.Granted(sent.Add(time.Second), &lilacv1.LeaseReply{Holder: "b", Fencing: 5})
+	h.Update(sent.Add(time.Second), &lilacv1.LeaseReply{Holder: "b", Fencing: 5})
 	is.True(!h.Valid(sent))
 }
--- a/process/lease/turn.go
+++ b/process/lease/turn.go
@@ -15,7 +15,7 @@
 // so on: the requests grow with the logarithm of the fleet. Nobody stays silent
 // for good, so a lease is also taken over where all the first are taken for
 // alive but can't reach the leader.
-func AskInterval(length time.Duration, position int, part float64) time.Duration {
+func RequestInterval(length time.Duration, position int, part float64) time.Duration {
 	once := RenewInterval(length) + time.Duration(part*float64(length))
 	return once * time.Duration(1+position/candidates)
 }
--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -104,7 +104,7 @@
 
 // Gone marks incarnations as gone: their open claims become unknown and later
 // claims of theirs are refused.
-func (l *Ledger) Gone(g *lilacv1.IncarnationsGone) {
+func (l *Ledger) MarkGone(g *lilacv1.IncarnationsGone) {
 	l.advance(g.GetNowUnixMs())
 	for _, incarnation := range g.GetIncarnations() {
 		l.instances.gone(incarnation, l.endOpenClaims)
--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -114,11 +114,11 @@
 func (l *Ledger) LateOutcomes() uint64 { return l.late }
 
 // Doubted counts claims refused since a lost majority may have known the key.
-func (l *Ledger) Doubted() uint64 { return l.doubted }
+func (l *Ledger) InDoubtClaims() uint64 { return l.doubted }
 
 // Broken counts broken invariants: steps that would have moved a state backwards
 // or granted a key twice. They were refused; the count must stay 0.
-func (l *Ledger) Broken() uint64 { return l.broken }
+func (l *Ledger) BrokenInvariants() uint64 { return l.broken }
 
 // advance moves the ledger's time; a command with an older time changes nothing.
 func (l *Ledger) advance(nowUnixMs int64) {
@@ -167,7 +167,7 @@
 // anything: the key has ended as ran or unknown. It is right on every process,
 // however far behind, since those states are final; so a data centre that is cut
 // off still answers what it has seen end.
-func (l *Ledger) Final(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
+func (l *Ledger) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	old, ok := l.entries[id{r.GetTeam(), r.GetKey()}]
 	if !ok || checkClaim(r) != nil {
 		return nil, false
--- a/process/ledger/ledger_test.go
+++ b/process/ledger/ledger_test.go
@@ -71,7 +71,7 @@
 				_, err := l.Outcome(outcome("k", "a1", c.end, "filed"))
 				is.NoErr(err)
 			}
-			final, isFinal := l.Final(claim("k", "a2", start))
+			final, isFinal := l.FinalReply(claim("k", "a2", start))
 			is.Equal(isFinal, c.end == ran || c.end == unknown)
 			is.True(!final.GetGranted())
 			other := claim("k", "a2", start)
@@ -94,7 +94,7 @@
 func TestClaimOfADeadInstanceBecomesUnknown(t *testing.T) {
 	for name, die := range map[string]func(l *Ledger) error{
 		"declared gone": func(l *Ledger) error {
-			l.Gone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}, NowUnixMs: start})
+			l.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}, NowUnixMs: start})
 			return nil
 		},
 		"restarted": func(l *Ledger) error {
@@ -211,7 +211,7 @@
 	for i := range 20 {
 		grant(t, l, claim(fmt.Sprint(i), fmt.Sprint(i), start+int64(i)*hour/8))
 	}
-	l.Gone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}})
+	l.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}})
 	restored := New(Limits{Retention: time.Hour})
 	restored.Restore(proto.CloneOf(l.Snapshot()))
 	is.True(proto.Equal(l.Snapshot(), restored.Snapshot()))
--- a/process/ledger/random_test.go
+++ b/process/ledger/random_test.go
@@ -48,7 +48,7 @@
 	case 9:
 		instance := h.random.IntN(len(h.lives))
 		if h.random.IntN(3) == 0 {
-			h.ledger.Gone(&lilacv1.IncarnationsGone{Incarnations: []string{h.incarnation(instance)}, NowUnixMs: h.now})
+			h.ledger.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{h.incarnation(instance)}, NowUnixMs: h.now})
 		}
 		h.lives[instance]++
 	case 10:
@@ -140,7 +140,7 @@
 				}
 			}
 		}
-		is.Equal(h.ledger.Broken(), uint64(0))
+		is.Equal(h.ledger.BrokenInvariants(), uint64(0))
 		is.True(h.ledger.Len() <= limits.Entries)
 		is.True(h.ledger.tombstones.untimedSize()+h.ledger.untimed <= limits.Tombstones)
 		total += h.grants
--- a/process/ledger/recover_test.go
+++ b/process/ledger/recover_test.go
@@ -79,7 +79,7 @@
 		is.True(!reply.GetGranted())
 		is.Equal(reply.GetState(), state)
 	}
-	is.Equal(l.Broken(), uint64(0))
+	is.Equal(l.BrokenInvariants(), uint64(0))
 }
 
 // One attempt at a request ran by a claim that is lost; another one, which never
--- a/process/loadboard/board.go
+++ b/process/loadboard/board.go
@@ -26,7 +26,7 @@
 	// older ones keep requests from engines that are idle again.
 	Lifetime = 1200 * time.Millisecond
 	// Avoidance is how long a collector that failed is passed over.
-	Avoidance = 3 * time.Second
+	AvoidPeriod = 3 * time.Second
 	// answerBudget is how many bytes a second a collector may answer with, a fifth of a
 	// link of 10 Mbit/s. Words come more seldom where that takes longer than Interval.
 	answerBudget = 250_000
@@ -45,7 +45,7 @@
 	// data centre, servers how many backend servers there are.
 	peers               []member.Peer
 	neighbours, servers int
-	own                 Word
+	own                 Report
 	news                news
 	// parts are the loads of this data centre's other instances, where this one
 	// collects them, sums those of other data centres.
@@ -58,15 +58,15 @@
 
 // word is what was heard, and when; its readings are kept as news.
 type word struct {
-	Word
+	Report
 	at time.Time
 }
 
 func (w word) fresh(now time.Time) bool { return w.Loads != nil && now.Sub(w.at) <= Lifetime }
 
 // heard keeps a word's sums.
-func heard(now time.Time, w Word) word {
-	w.Readings = nil
+func heard(now time.Time, w Report) word {
+	w.CachedPrefixes = nil
 	return word{w, now}
 }
 
@@ -89,13 +89,13 @@
 }
 
 // SetOwn gives the own loads, and the shared parts that were sent lately.
-func (b *Board) SetOwn(now time.Time, own Word) {
+func (b *Board) SetOwn(now time.Time, own Report) {
 	if own.Servers > 0 {
 		b.servers = own.Servers
 	}
 	own.Instances = 1
 	b.own = own
-	b.news.add(now, own.Readings, origin{b.self.Name, b.self.DataCenter})
+	b.news.add(now, own.CachedPrefixes, origin{b.self.Name, b.self.DataCenter})
 }
 
 // Active tells whether the fleet is of the size for a board.
@@ -125,13 +125,13 @@
 }
 
 // Ask is a word to be sent to a peer.
-type Ask struct {
-	Peer member.Peer
-	Word Word
+type Outgoing struct {
+	Peer   member.Peer
+	Report Report
 }
 
 // Due returns the words that are to be sent now.
-func (b *Board) Due(now time.Time) []Ask {
+func (b *Board) Due(now time.Time) []Outgoing {
 	if !b.Active() {
 		return nil
 	}
@@ -140,18 +140,18 @@
 	if own.Name != b.self.Name {
 		if b.due(now, own.Name) {
 			word := b.own
-			word.Readings = b.news.of(now, origin{b.self.Name, b.self.DataCenter})
-			return []Ask{{own, word}}
+			word.CachedPrefixes = b.news.of(now, origin{b.self.Name, b.self.DataCenter})
+			return []Outgoing{{own, word}}
 		}
 		return nil
 	}
-	var asks []Ask
+	var asks []Outgoing
 	for _, dataCenter := range slices.Sorted(maps.Keys(collectors)) {
 		peer := collectors[dataCenter]
 		// One of the two begins; the other does where it heard nothing.
 		begins := member.CompareRank(b.self.Name, peer.Name) < 0 || !b.sums[dataCenter].fresh(now)
 		if dataCenter != b.self.DataCenter && begins && b.due(now, peer.Name) {
-			asks = append(asks, Ask{peer, b.ofDataCenter(now)})
+			asks = append(asks, Outgoing{peer, b.ofDataCenter(now)})
 		}
 	}
 	return asks
@@ -166,30 +166,30 @@
 }
 
 // collected is what this data centre's instances run, but for the one named.
-func (b *Board) collected(now time.Time, without string) Word {
+func (b *Board) collected(now time.Time, without string) Report {
 	sum := newWord(b.servers)
 	if without != b.self.Name {
 		sum.add(b.own)
 	}
 	for name, part := range b.parts {
 		if name != without && part.fresh(now) {
-			sum.add(part.Word)
+			sum.add(part.Report)
 		}
 	}
 	return sum
 }
 
 // ofDataCenter is the word of this data centre for another one.
-func (b *Board) ofDataCenter(now time.Time) Word {
+func (b *Board) ofDataCenter(now time.Time) Report {
 	sum := b.collected(now, "")
-	sum.Readings = b.news.ofDataCenter(now, b.self.DataCenter)
+	sum.CachedPrefixes = b.news.ofDataCenter(now, b.self.DataCenter)
 	return sum
 }
 
 // Receive takes a word and returns the answer: to an instance of the own data
 // centre what all others run, to a foreign collector what this one's run.
-func (b *Board) Receive(now time.Time, from, dataCenter string, w Word) Word {
-	b.news.add(now, w.Readings, origin{from, dataCenter})
+func (b *Board) Receive(now time.Time, from, dataCenter string, w Report) Report {
+	b.news.add(now, w.CachedPrefixes, origin{from, dataCenter})
 	if dataCenter != b.self.DataCenter {
 		b.sums[dataCenter] = heard(now, w)
 		return b.ofDataCenter(now)
@@ -199,20 +199,20 @@
 }
 
 // without is what all but the instance named run and sent.
-func (b *Board) without(now time.Time, name string) Word {
+func (b *Board) without(now time.Time, name string) Report {
 	sum := b.collected(now, name)
 	for _, foreign := range b.sums {
 		if foreign.fresh(now) {
-			sum.add(foreign.Word)
+			sum.add(foreign.Report)
 		}
 	}
-	sum.Readings = b.news.without(now, name)
+	sum.CachedPrefixes = b.news.without(now, name)
 	return sum
 }
 
 // Answered takes the answer of a peer.
-func (b *Board) Answered(now time.Time, peer member.Peer, w Word) {
-	b.news.add(now, w.Readings, origin{peer.Name, peer.DataCenter})
+func (b *Board) HandleReply(now time.Time, peer member.Peer, w Report) {
+	b.news.add(now, w.CachedPrefixes, origin{peer.Name, peer.DataCenter})
 	if peer.DataCenter != b.self.DataCenter {
 		b.sums[peer.DataCenter] = heard(now, w)
 		return
@@ -221,24 +221,26 @@
 }
 
 // Failed passes the peer over for some time.
-func (b *Board) Failed(now time.Time, peer member.Peer) { b.avoided[peer.Name] = now.Add(Avoidance) }
+func (b *Board) MarkFailed(now time.Time, peer member.Peer) {
+	b.avoided[peer.Name] = now.Add(AvoidPeriod)
+}
 
 // Others is what all other instances run and sent lately; false while that isn't
 // known.
-func (b *Board) Others(now time.Time) (Word, bool) {
+func (b *Board) Others(now time.Time) (Report, bool) {
 	if !b.Active() {
-		return Word{}, false
+		return Report{}, false
 	}
 	if b.collectors(now)[b.self.DataCenter].Name == b.self.Name {
 		return b.without(now, b.self.Name), true
 	}
-	others := b.others.Word
-	others.Readings = b.news.without(now, b.self.Name)
+	others := b.others.Report
+	others.CachedPrefixes = b.news.without(now, b.self.Name)
 	return others, b.others.fresh(now)
 }
 
 // Forget drops what no longer counts.
-func (b *Board) Forget(now time.Time) {
+func (b *Board) Expire(now time.Time) {
 	stale := func(_ string, w word) bool { return !w.fresh(now) }
 	maps.DeleteFunc(b.parts, stale)
 	maps.DeleteFunc(b.sums, stale)
--- a/process/loadboard/board_test.go
+++ b/process/loadboard/board_test.go
@@ -62,24 +62,24 @@
 }
 
 func (f *fleet) send(name string, board *Board) {
-	board.Forget(f.now)
+	board.Expire(f.now)
 	for _, ask := range board.Due(f.now) {
 		f.words++
 		if f.dead[ask.Peer.Name] {
-			board.Failed(f.now, ask.Peer)
+			board.MarkFailed(f.now, ask.Peer)
 			continue
 		}
-		answer := f.boards[ask.Peer.Name].Receive(f.now, name, f.peers[name].DataCenter, DecodeWord(f.now, ask.Word.Encode(f.now, "")))
+		answer := f.boards[ask.Peer.Name].Receive(f.now, name, f.peers[name].DataCenter, DecodeReport(f.now, ask.Report.Encode(f.now, "")))
 		told := answer.Encode(f.now, "")
 		f.answered += proto.Size(told)
-		board.Answered(f.now, ask.Peer, DecodeWord(f.now, told))
+		board.HandleReply(f.now, ask.Peer, DecodeReport(f.now, told))
 	}
 }
 
 // burst has each instance run n requests on the one engine.
 func (f *fleet) burst(n uint32) {
 	for _, board := range f.boards {
-		board.SetOwn(f.now, Word{Loads: Loads{7: {InFlight: n, Backlog: [Levels]uint32{4: 10 * n}}}})
+		board.SetOwn(f.now, Report{Loads: Loads{7: {InFlight: n, Backlog: [Levels]uint32{4: 10 * n}}}})
 	}
 }
 
@@ -117,15 +117,15 @@
 	is := is.New(t)
 	f := newFleet(6, 13)
 	f.run(time.Second)
-	read := Reading{Server: 7, Hash: 1 << 40, Tokens: 13300}
-	f.boards["entry-2-3"].SetOwn(f.now, Word{Readings: []Reading{read}})
+	read := CachedPrefix{Server: 7, Hash: 1 << 40, Tokens: 13300}
+	f.boards["entry-2-3"].SetOwn(f.now, Report{CachedPrefixes: []CachedPrefix{read}})
 	heard := make(map[string]int)
 	for range 16 {
 		f.run(Interval)
 		for name, board := range f.boards {
 			others, known := board.Others(f.now)
 			is.True(known)
-			for _, r := range others.Readings {
+			for _, r := range others.CachedPrefixes {
 				is.Equal(r, read)
 				heard[name]++
 			}
@@ -184,7 +184,7 @@
 	is := is.New(t)
 	small, large := newFleet(3, 3), newFleet(2, 220)
 	for _, board := range large.boards {
-		board.SetOwn(large.now, Word{Servers: 5900})
+		board.SetOwn(large.now, Report{Servers: 5900})
 	}
 	for _, f := range []*fleet{small, large} {
 		f.burst(1)
@@ -201,7 +201,7 @@
 	is := is.New(t)
 	f := newFleet(6, 40)
 	for _, board := range f.boards {
-		board.SetOwn(f.now, Word{Servers: 160})
+		board.SetOwn(f.now, Report{Servers: 160})
 	}
 	f.run(time.Second)
 	f.burst(2)
@@ -214,9 +214,9 @@
 	is := is.New(t)
 	f := newFleet(2, 120)
 	for _, board := range f.boards {
-		board.SetOwn(f.now, Word{Servers: 100})
+		board.SetOwn(f.now, Report{Servers: 100})
 	}
-	own := Word{Loads: make(Loads), Work: make(Work)}
+	own := Report{Loads: make(Loads), Work: make(Work)}
 	for key := range uint32(100) {
 		own.Loads[key<<24] = Load{InFlight: 100, Backlog: [Levels]uint32{1: 400}}
 	}
@@ -238,7 +238,7 @@
 	for _, board := range f.boards {
 		var work PoolWork
 		work.Claims[9] = 0.75
-		board.SetOwn(f.now, Word{Loads: Loads{}, Work: Work{3: work}})
+		board.SetOwn(f.now, Report{Loads: Loads{}, Work: Work{3: work}})
 	}
 	f.run(2 * time.Second)
 	for _, board := range f.boards {
@@ -254,13 +254,13 @@
 func TestLoadsSurviveTheWire(t *testing.T) {
 	is := is.New(t)
 	loads := Loads{1: {InFlight: 3, Backlog: [Levels]uint32{0, 2}}, 9: {Backlog: [Levels]uint32{9: 4}}}
-	told := Word{Loads: loads}.Encode(time.Time{}, "")
-	is.Equal(DecodeWord(time.Time{}, told).Loads, loads)
+	told := Report{Loads: loads}.Encode(time.Time{}, "")
+	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
 	is.Equal(len(told.Backlog), 2)
 	told.BacklogAt = append(told.BacklogAt, 1<<levelBits|15, 40<<levelBits, 3)
 	told.Backlog = append(told.Backlog, 5, 6)
 	told.Servers = append(told.Servers, 11)
-	is.Equal(DecodeWord(time.Time{}, told).Loads, loads)
+	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
 }
 
 // Each instance divided the engines into lanes by what it had seen itself, and an engine
@@ -271,29 +271,29 @@
 	f := newFleet(3, 5)
 	names := slices.SortedFunc(maps.Keys(f.boards), member.CompareRank)
 	for name, board := range f.boards {
-		plan := LanePlan{By: name, Beside: 70000, Sizes: map[uint32]LaneSizes{4: {Tight: 2}}}
-		board.SetOwn(f.now, Word{Loads: Loads{}, Work: Work{3: {Plan: plan, Engine: EngineSums{Weight: 2, Speed: 40}}}})
+		plan := LanePlan{Author: name, InterTokenGapUs: 70000, Sizes: map[uint32]LaneSizes{4: {Tight: 2}}}
+		board.SetOwn(f.now, Report{Loads: Loads{}, Work: Work{3: {Plan: plan, Engine: EngineSums{Weight: 2, Speed: 40}}}})
 	}
 	f.run(2 * time.Second)
 	for _, name := range names[1:] {
 		others, known := f.boards[name].Others(f.now)
 		is.True(known)
-		is.Equal(others.Work[3].Plan.By, names[0])
+		is.Equal(others.Work[3].Plan.Author, names[0])
 		is.Equal(others.Work[3].Plan.Sizes[4].Tight, uint32(2))
 		is.Equal(others.Work[3].Engine.Speed, 14*40.0)
 	}
 	f.dead[names[0]] = true
 	f.run(2*Lifetime + 4*Interval)
 	others, _ := f.boards[names[2]].Others(f.now)
-	is.Equal(others.Work[3].Plan.By, names[1])
+	is.Equal(others.Work[3].Plan.Author, names[1])
 }
 
 // Sums that are no numbers would make every engine seem infinitely slow for good.
 func TestSumsThatAreNoNumbersAreLeftOut(t *testing.T) {
 	is := is.New(t)
 	for _, bad := range []float32{float32(math.NaN()), float32(math.Inf(1)), -1} {
-		told := (&PoolWork{Engine: EngineSums{Weight: 1, Speed: 20, Step: 5000, Each: 50}}).Encode(3)
-		is.Equal(DecodeWork(told).Engine.Step, 5000.0)
+		told := (&PoolWork{Engine: EngineSums{Weight: 1, Speed: 20, EmptyStep: 5000, PerRequest: 50}}).Encode(3)
+		is.Equal(DecodeWork(told).Engine.EmptyStep, 5000.0)
 		told.Engine[1] = bad
 		is.Equal(DecodeWork(told).Engine, EngineSums{})
 	}
@@ -303,11 +303,11 @@
 // way.
 func TestWordsWithoutBulkAreRead(t *testing.T) {
 	is := is.New(t)
-	loads := Loads{1: {InFlight: 3, Yielding: 2}, 9: {InFlight: 1}}
-	told := Word{Loads: loads}.Encode(time.Time{}, "")
-	is.Equal(DecodeWord(time.Time{}, told).Loads, loads)
+	loads := Loads{1: {InFlight: 3, Preemptible: 2}, 9: {InFlight: 1}}
+	told := Report{Loads: loads}.Encode(time.Time{}, "")
+	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
 	told.Yielding = nil
-	is.Equal(DecodeWord(time.Time{}, told).Loads, Loads{1: {InFlight: 3}, 9: {InFlight: 1}})
+	is.Equal(DecodeReport(time.Time{}, told).Loads, Loads{1: {InFlight: 3}, 9: {InFlight: 1}})
 }
 
 // Engines filled with bulk were told as if nothing on them gave way.
@@ -315,12 +315,12 @@
 	is := is.New(t)
 	f := newFleet(3, 11)
 	for _, board := range f.boards {
-		board.SetOwn(f.now, Word{Loads: Loads{7: {InFlight: 3, Yielding: 2}}})
+		board.SetOwn(f.now, Report{Loads: Loads{7: {InFlight: 3, Preemptible: 2}}})
 	}
 	f.run(2 * time.Second)
 	for _, board := range f.boards {
 		others, known := board.Others(f.now)
 		is.True(known)
-		is.Equal(others.Loads[7], Load{InFlight: 3 * 32, Yielding: 2 * 32})
+		is.Equal(others.Loads[7], Load{InFlight: 3 * 32, Preemptible: 2 * 32})
 	}
 }
--- a/process/loadboard/limits.go
+++ b/process/loadboard/limits.go
@@ -14,7 +14,7 @@
 	// PerSecond is in requests a second, of all instances together.
 	PerSecond float64
 	// Named is false where its answers name no limit any more.
-	Named bool
+	Advertised bool
 	// At is when it said so, by the clock of who holds the word.
 	At time.Time
 }
@@ -37,7 +37,7 @@
 	for _, key := range slices.Sorted(maps.Keys(l)) {
 		limit := l[key]
 		age := max(now.Sub(limit.At), 0)
-		told = append(told, &lilacv1.ServerLimit{Server: key, PerSecond: limit.PerSecond, Named: limit.Named, AgeMs: uint32(age.Milliseconds())})
+		told = append(told, &lilacv1.ServerLimit{Server: key, PerSecond: limit.PerSecond, Named: limit.Advertised, AgeMs: uint32(age.Milliseconds())})
 	}
 	return told
 }
@@ -51,7 +51,7 @@
 			continue
 		}
 		limits.add(Limits{limit.GetServer(): {
-			PerSecond: perSecond, Named: limit.GetNamed(), At: now.Add(-time.Duration(limit.GetAgeMs()) * time.Millisecond),
+			PerSecond: perSecond, Advertised: limit.GetNamed(), At: now.Add(-time.Duration(limit.GetAgeMs()) * time.Millisecond),
 		}})
 	}
 	return limits
--- a/process/loadboard/loads.go
+++ b/process/loadboard/loads.go
@@ -11,7 +11,7 @@
 
 // Unit is how many prompt tokens one unit of a told backlog stands for: a load
 // needs no more than the time of one step of an engine.
-const Unit = 64
+const BacklogUnit = 64
 
 // Key is how a backend server is named in loads: 4 bytes in place of 20. Two
 // servers of one key would share their loads; among 256 that is one fleet in 130,000.
@@ -21,7 +21,7 @@
 const Lanes = 3
 
 // Places is the number of positions at which classes are given slots.
-const Places = 12
+const Positions = 12
 
 // claimUnit is the part of a slot that one unit of a told claim stands for: an
 // instance of a large fleet often asks for less than one.
@@ -43,7 +43,7 @@
 	// InFlight counts requests.
 	InFlight uint32
 	// Yielding counts those of them that the server puts back for more urgent ones.
-	Yielding uint32
+	Preemptible uint32
 	// Backlog is the prompt work that waits, in units, by priority.
 	Backlog [Levels]uint32
 }
@@ -59,7 +59,7 @@
 	for key, load := range other {
 		sum := l[key]
 		sum.InFlight += load.InFlight
-		sum.Yielding += load.Yielding
+		sum.Preemptible += load.Preemptible
 		for level, units := range load.Backlog {
 			sum.Backlog[level] += units
 		}
@@ -76,7 +76,7 @@
 		load := l[key]
 		told.Servers = append(told.Servers, key)
 		told.InFlight = append(told.InFlight, load.InFlight)
-		told.Yielding = append(told.Yielding, load.Yielding)
+		told.Yielding = append(told.Yielding, load.Preemptible)
 		for level, units := range load.Backlog {
 			if units > 0 {
 				told.BacklogAt = append(told.BacklogAt, uint32(index<<levelBits|level))
@@ -94,7 +94,7 @@
 	for i, key := range servers[:known] {
 		load := Load{InFlight: inFlight[i]}
 		if yielding := told.GetYielding(); i < len(yielding) {
-			load.Yielding = min(yielding[i], inFlight[i])
+			load.Preemptible = min(yielding[i], inFlight[i])
 		}
 		loads[key] = load
 	}
--- a/process/loadboard/news.go
+++ b/process/loadboard/news.go
@@ -10,7 +10,7 @@
 
 // Reading is a shared part of a prompt that was sent to a server, which holds it
 // from then on.
-type Reading struct {
+type CachedPrefix struct {
 	// Server is the server's key.
 	Server uint32
 	// Hash is that of the part and all before it.
@@ -20,10 +20,10 @@
 }
 
 // Word is what instances tell each other.
-type Word struct {
-	Loads    Loads
-	Work     Work
-	Readings []Reading
+type Report struct {
+	Loads          Loads
+	Work           Work
+	CachedPrefixes []CachedPrefix
 	// Limits are those that servers named or denied lately.
 	Limits Limits
 	// Instances is how many the word speaks for.
@@ -32,12 +32,12 @@
 	Servers int
 }
 
-func newWord(servers int) Word {
-	return Word{Loads: make(Loads, servers), Work: make(Work), Limits: make(Limits)}
+func newWord(servers int) Report {
+	return Report{Loads: make(Loads, servers), Work: make(Work), Limits: make(Limits)}
 }
 
 // add puts other's sums on top of w's; readings are told apart.
-func (w *Word) add(other Word) {
+func (w *Report) add(other Report) {
 	w.Loads.add(other.Loads)
 	w.Work.add(other.Work)
 	w.Limits.add(other.Limits)
@@ -45,27 +45,27 @@
 }
 
 // Encode makes the message of the word as of now.
-func (w Word) Encode(now time.Time, dataCenter string) *lilacv1.LoadWord {
+func (w Report) Encode(now time.Time, dataCenter string) *lilacv1.LoadWord {
 	told := &lilacv1.LoadWord{DataCenter: dataCenter, Instances: uint32(w.Instances), Limits: w.Limits.Encode(now)}
 	w.Loads.encode(told)
 	for _, key := range slices.Sorted(maps.Keys(w.Work)) {
 		work := w.Work[key]
 		told.Work = append(told.Work, work.Encode(key))
 	}
-	for _, r := range w.Readings {
+	for _, r := range w.CachedPrefixes {
 		told.Readings = append(told.Readings, &lilacv1.EngineReading{Server: r.Server, Hash: r.Hash, Tokens: r.Tokens})
 	}
 	return told
 }
 
 // DecodeWord reads the message of a word that came now.
-func DecodeWord(now time.Time, told *lilacv1.LoadWord) Word {
-	w := Word{Loads: decode(told), Work: make(Work), Limits: DecodeLimits(now, told.GetLimits()), Instances: int(told.GetInstances())}
+func DecodeReport(now time.Time, told *lilacv1.LoadWord) Report {
+	w := Report{Loads: decode(told), Work: make(Work), Limits: DecodeLimits(now, told.GetLimits()), Instances: int(told.GetInstances())}
 	for _, work := range told.GetWork() {
 		w.Work[work.GetPool()] = DecodeWork(work)
 	}
 	for _, r := range told.GetReadings() {
-		w.Readings = append(w.Readings, Reading{Server: r.GetServer(), Hash: r.GetHash(), Tokens: r.GetTokens()})
+		w.CachedPrefixes = append(w.CachedPrefixes, CachedPrefix{Server: r.GetServer(), Hash: r.GetHash(), Tokens: r.GetTokens()})
 	}
 	return w
 }
@@ -98,7 +98,7 @@
 // news are the readings of the last seconds.
 type news map[place]item
 
-func (n news) add(now time.Time, readings []Reading, from origin) {
+func (n news) add(now time.Time, readings []CachedPrefix, from origin) {
 	for _, r := range readings {
 		at := place{r.Server, r.Hash}
 		if _, known := n[at]; !known {
@@ -116,24 +116,24 @@
 }
 
 // pick lists what is to be told of the readings that fit.
-func (n news) pick(now time.Time, fits func(origin) bool) []Reading {
-	var list []Reading
+func (n news) pick(now time.Time, fits func(origin) bool) []CachedPrefix {
+	var list []CachedPrefix
 	for at, i := range n {
 		if now.Sub(i.at) <= newsTold && fits(i.from) {
-			list = append(list, Reading{at.server, at.hash, i.tokens})
+			list = append(list, CachedPrefix{at.server, at.hash, i.tokens})
 		}
 	}
 	return list
 }
 
-func (n news) of(now time.Time, from origin) []Reading {
+func (n news) of(now time.Time, from origin) []CachedPrefix {
 	return n.pick(now, func(o origin) bool { return o == from })
 }
 
-func (n news) ofDataCenter(now time.Time, dataCenter string) []Reading {
+func (n news) ofDataCenter(now time.Time, dataCenter string) []CachedPrefix {
 	return n.pick(now, func(o origin) bool { return o.dataCenter == dataCenter })
 }
 
-func (n news) without(now time.Time, instance string) []Reading {
+func (n news) without(now time.Time, instance string) []CachedPrefix {
 	return n.pick(now, func(o origin) bool { return o.instance != instance })
 }
--- a/process/loadboard/work.go
+++ b/process/loadboard/work.go
@@ -15,7 +15,7 @@
 	// Rates are the prompt tokens a second that they start, by lane.
 	Rates [Lanes]uint32
 	// Claims are the slots that they ask for, by place, LaneClaims the same by lane.
-	Claims     [Places]float64
+	Claims     [Positions]float64
 	LaneClaims [Lanes]float64
 	// Engine is what they learned of the pool's engines.
 	Engine EngineSums
@@ -33,22 +33,22 @@
 	Speed float64
 	// Step is the time of an empty batch's step, Each what one more request adds to it,
 	// in microseconds.
-	Step, Each float64
+	EmptyStep, PerRequest float64
 }
 
 func (e *EngineSums) add(other EngineSums) {
 	e.Weight += other.Weight
 	e.Speed += other.Speed
-	e.Step += other.Step
-	e.Each += other.Each
+	e.EmptyStep += other.EmptyStep
+	e.PerRequest += other.PerRequest
 }
 
 // LanePlan is how an instance divides a pool's engines into lanes.
 type LanePlan struct {
 	// By is the instance; empty for no plan.
-	By string
+	Author string
 	// Beside is the gap between tokens beside long prompts, in microseconds.
-	Beside uint32
+	InterTokenGapUs uint32
 	// Sizes are the numbers of engines by the key of their data centre.
 	Sizes map[uint32]LaneSizes
 }
@@ -58,8 +58,8 @@
 type LaneSizes struct{ Tight, Quick uint32 }
 
 // Before tells whether the plan goes before another one.
-func (p LanePlan) Before(other LanePlan) bool {
-	return p.By != "" && (other.By == "" || member.CompareRank(p.By, other.By) < 0)
+func (p LanePlan) Precedes(other LanePlan) bool {
+	return p.Author != "" && (other.Author == "" || member.CompareRank(p.Author, other.Author) < 0)
 }
 
 // Add puts what other instances do on top.
@@ -74,7 +74,7 @@
 		w.LaneClaims[lane] += slots
 	}
 	w.Engine.add(other.Engine)
-	if other.Plan.Before(w.Plan) {
+	if other.Plan.Precedes(w.Plan) {
 		w.Plan = other.Plan
 	}
 }
@@ -84,10 +84,10 @@
 	told := &lilacv1.PoolWork{Pool: pool, Rates: slices.Clone(w.Rates[:])}
 	told.Claims, told.LaneClaims = encodeClaims(w.Claims[:]), encodeClaims(w.LaneClaims[:])
 	if e := w.Engine; e.Weight > 0 {
-		told.Engine = []float32{float32(e.Weight), float32(e.Speed), float32(e.Step), float32(e.Each)}
+		told.Engine = []float32{float32(e.Weight), float32(e.Speed), float32(e.EmptyStep), float32(e.PerRequest)}
 	}
-	if w.Plan.By != "" {
-		told.Plan = &lilacv1.LanePlan{By: w.Plan.By, BesideUs: w.Plan.Beside}
+	if w.Plan.Author != "" {
+		told.Plan = &lilacv1.LanePlan{By: w.Plan.Author, BesideUs: w.Plan.InterTokenGapUs}
 		for _, key := range slices.Sorted(maps.Keys(w.Plan.Sizes)) {
 			size := w.Plan.Sizes[key]
 			told.Plan.Sizes = append(told.Plan.Sizes, &lilacv1.LaneSizes{DataCenter: key, Tight: size.Tight, Quick: size.Quick})
@@ -107,7 +107,7 @@
 		w.Engine = EngineSums{float64(e[0]), float64(e[1]), float64(e[2]), float64(e[3])}
 	}
 	if plan := told.GetPlan(); plan.GetBy() != "" {
-		w.Plan = LanePlan{By: plan.GetBy(), Beside: plan.GetBesideUs(), Sizes: make(map[uint32]LaneSizes)}
+		w.Plan = LanePlan{Author: plan.GetBy(), InterTokenGapUs: plan.GetBesideUs(), Sizes: make(map[uint32]LaneSizes)}
 		for _, size := range plan.GetSizes() {
 			w.Plan.Sizes[size.GetDataCenter()] = LaneSizes{size.GetTight(), size.GetQuick()}
 		}
--- a/process/member/core.go
+++ b/process/member/core.go
@@ -50,7 +50,7 @@
 type Peer struct{ Name, Address, DataCenter string }
 
 // Listed is a backend server as the platform's list has it.
-type Listed struct {
+type ListedServer struct {
 	Name    string
 	Leaving bool
 }
@@ -135,7 +135,7 @@
 
 // ranked brings the cache of ranks up to date.
 func (c *Core) ranked() {
-	c.above = Above(c.self.Name, c.names(c.self.DataCenter))
+	c.above = HigherRanked(c.self.Name, c.names(c.self.DataCenter))
 	c.peersChanged = true
 }
 
@@ -162,16 +162,16 @@
 		c.born = now
 	}
 	switch e := event.(type) {
-	case Platform:
+	case PlatformList:
 		c.platform(now, e)
 		return slices.Concat(c.servers(now), c.alive())
-	case Received:
+	case DigestReceived:
 		c.brief[e.From] = e.Digest.GetPartial()
 		return c.take(now, e.From, e.Digest)
-	case Answered:
+	case ReplyReceived:
 		delete(c.open, e.Peer)
 		return c.take(now, e.Peer, e.Digest)
-	case Failed:
+	case ExchangeFailed:
 		c.failed(now, e.Peer)
 	case Tick:
 		return c.tick(now, e)
@@ -196,7 +196,7 @@
 
 // platform takes the list as a hint: it adds entries to try, and drops those
 // that it no longer names and that are silent too.
-func (c *Core) platform(now time.Time, e Platform) {
+func (c *Core) platform(now time.Time, e PlatformList) {
 	entries := make(map[string]bool)
 	for _, peer := range e.Entries {
 		entries[peer.Name] = true
@@ -276,7 +276,7 @@
 	var actions []Action
 	if !c.Tree() {
 		c.told[name] = true
-		actions = append(actions, Digest{c.given(now, d, word), now})
+		actions = append(actions, PolicyDigest{c.given(now, d, word), now})
 	}
 	return slices.Concat(actions, c.servers(now), c.alive())
 }
@@ -284,8 +284,8 @@
 func (c *Core) tick(now time.Time, e Tick) []Action {
 	if e.Own != nil {
 		c.notePressing(c.own, e.Own)
-		c.own, c.ownAt = e.Own, e.Asked
-		if e.Asked.IsZero() {
+		c.own, c.ownAt = e.Own, e.RequestedAt
+		if e.RequestedAt.IsZero() {
 			c.ownAt = now
 		}
 		c.heardNews = true
@@ -302,7 +302,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.told)) {
 		if c.Tree() != (name == Others) {
 			delete(c.told, name)
-			actions = append(actions, Gone{name})
+			actions = append(actions, DigestExpired{name})
 		}
 	}
 	return actions
@@ -321,7 +321,7 @@
 	}
 	c.summed, c.said[Others] = now, sum
 	c.told[Others] = true
-	return []Action{Digest{c.given(now, sum, heard{}), now}}
+	return []Action{PolicyDigest{c.given(now, sum, heard{}), now}}
 }
 
 // forget drops what has not been heard for its lifetime.
@@ -337,7 +337,7 @@
 		c.heardNews = true
 		if c.told[name] {
 			delete(c.told, name)
-			actions = append(actions, Gone{name})
+			actions = append(actions, DigestExpired{name})
 		}
 	}
 	for name, until := range c.avoided {
@@ -372,7 +372,7 @@
 		return nil
 	}
 	c.live, c.started = list, true
-	return []Action{Live{list}}
+	return []Action{LivePeers{list}}
 }
 
 func comparePeers(a, b Peer) int {
--- a/process/member/member_test.go
+++ b/process/member/member_test.go
@@ -76,13 +76,13 @@
 		switch a := action.(type) {
 		case Exchange:
 			f.exchange(name, a)
-		case Digest:
+		case PolicyDigest:
 			f.given[name][a.Digest.GetInstance()] = a.Digest
-		case Gone:
+		case DigestExpired:
 			delete(f.given[name], a.Instance)
-		case Server:
+		case ServerState:
 			f.leaving[name][a.Name] = a.Leaving
-		case Live:
+		case LivePeers:
 			f.live[name] = a.Peers
 		}
 	}
@@ -93,19 +93,19 @@
 	size := proto.Size(a.Digest)
 	f.bytes[from] += size
 	if f.cores[to] == nil || f.cut(from, to) {
-		f.step(from, Failed{to})
+		f.step(from, ExchangeFailed{to})
 		return
 	}
 	f.bytes[to] += size
-	f.step(to, Received{from, proto.CloneOf(a.Digest)})
+	f.step(to, DigestReceived{from, proto.CloneOf(a.Digest)})
 	reply := f.cores[to].Reply(f.now, from)
 	f.bytes[to] += proto.Size(reply)
 	if f.cut(to, from) {
-		f.step(from, Failed{to})
+		f.step(from, ExchangeFailed{to})
 		return
 	}
 	f.bytes[from] += proto.Size(reply)
-	f.step(from, Answered{to, proto.CloneOf(reply)})
+	f.step(from, ReplyReceived{to, proto.CloneOf(reply)})
 }
 
 func (f *fleet) cutoff(name string, held, admitted uint32) {
@@ -181,7 +181,7 @@
 				for _, core := range f.cores {
 					peers = append(peers, core.self)
 				}
-				f.step(f.names[3], Platform{Entries: peers, Servers: []Listed{{"r7", leaving}}})
+				f.step(f.names[3], PlatformList{Entries: peers, Servers: []ListedServer{{"r7", leaving}}})
 			},
 		} {
 			t.Run(fmt.Sprint(source, size.entries), func(t *testing.T) {
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -274,12 +274,12 @@
 	var actions []Action
 	for _, server := range slices.Sorted(maps.Keys(leaving)) {
 		if !c.toldLeave[server] {
-			actions = append(actions, Server{server, true})
+			actions = append(actions, ServerState{server, true})
 		}
 	}
 	for _, server := range slices.Sorted(maps.Keys(c.toldLeave)) {
 		if !leaving[server] {
-			actions = append(actions, Server{server, false})
+			actions = append(actions, ServerState{server, false})
 		}
 	}
 	c.toldLeave = leaving
--- a/process/member/promise_test.go
+++ b/process/member/promise_test.go
@@ -26,8 +26,8 @@
 	partial := false
 	heard := func(sequence, echo uint64) *lilacv1.Digest {
 		word := &lilacv1.Digest{Instance: "b", Incarnation: "1", Sequence: sequence, Echo: echo, BindsMs: 4000, Partial: partial, Incomplete: partial}
-		for _, action := range core.Step(now.Add(3*time.Second), Received{From: "b", Digest: word}) {
-			if given, ok := action.(Digest); ok {
+		for _, action := range core.Step(now.Add(3*time.Second), DigestReceived{From: "b", Digest: word}) {
+			if given, ok := action.(PolicyDigest); ok {
 				return given.Digest
 			}
 		}
--- a/process/member/tree.go
+++ b/process/member/tree.go
@@ -16,7 +16,7 @@
 }
 
 // Above returns the names of a rank above self, best rank first, each once.
-func Above(self string, names []string) []string {
+func HigherRanked(self string, names []string) []string {
 	var above []string
 	for _, name := range names {
 		if name != self && CompareRank(name, self) < 0 {
@@ -28,7 +28,7 @@
 }
 
 // Position returns how many of the names rank above self.
-func Position(self string, names []string) int { return len(Above(self, names)) }
+func Position(self string, names []string) int { return len(HigherRanked(self, names)) }
 
 // Parent returns the place above one's own in a tree of the given fanout, where
 // above holds the usable names of a better rank, best first; "" at the root.
--- a/process/orders/core.go
+++ b/process/orders/core.go
@@ -31,7 +31,7 @@
 	Address string
 	// ChecksFencing engines refuse orders with an old number by themselves.
 	ChecksFencing bool
-	Wishes        map[Model]bool
+	Desired       map[Model]bool
 }
 
 // Event is something that happened; see the types below.
@@ -42,17 +42,17 @@
 
 // Leased tells that this instance holds the lease under the number; the same
 // number again changes nothing.
-type Leased struct{ Fencing uint64 }
+type LeaseHeld struct{ Fencing uint64 }
 
 // Lost tells that this instance does not hold the lease.
-type Lost struct{}
+type LeaseLost struct{}
 
 // ReadDone is what an engine said that it has; Err is set where it said nothing.
 type ReadDone struct {
 	Engine string
 	// Fencing is the number under which the reading was asked for.
 	Fencing uint64
-	Has     []Model
+	Loaded  []Model
 	Err     error
 }
 
@@ -70,8 +70,8 @@
 type Tick struct{}
 
 func (Configured) event() {}
-func (Leased) event()     {}
-func (Lost) event()       {}
+func (LeaseHeld) event()  {}
+func (LeaseLost) event()  {}
 func (ReadDone) event()   {}
 func (OrderDone) event()  {}
 func (Tick) event()       {}
@@ -95,11 +95,11 @@
 }
 
 // GiveUp tells the shell that the lease is another's: it must not renew it.
-type GiveUp struct{}
+type AbandonLease struct{}
 
-func (Read) action()   {}
-func (Order) action()  {}
-func (GiveUp) action() {}
+func (Read) action()         {}
+func (Order) action()        {}
+func (AbandonLease) action() {}
 
 // engine is what the core knows of one engine.
 type engine struct {
@@ -145,16 +145,16 @@
 	switch e := event.(type) {
 	case Configured:
 		c.configure(now, e.Engines)
-	case Leased:
+	case LeaseHeld:
 		c.lease(now, e.Fencing)
-	case Lost:
+	case LeaseLost:
 		c.fencing = 0
 	case ReadDone:
 		c.read(now, e)
 	case OrderDone:
 		if e.Refused && e.Fencing == c.fencing {
 			c.fencing = 0
-			return []Action{GiveUp{}}
+			return []Action{AbandonLease{}}
 		}
 		c.ordered(now, e)
 	}
@@ -250,8 +250,8 @@
 	}
 	c.needs.change(e, func() {
 		e.known = true
-		e.has = make(map[Model]bool, len(r.Has))
-		for _, m := range r.Has {
+		e.has = make(map[Model]bool, len(r.Loaded))
+		for _, m := range r.Loaded {
 			e.has[m] = true
 		}
 	})
--- a/process/orders/large_test.go
+++ b/process/orders/large_test.go
@@ -17,7 +17,7 @@
 	}
 	x.loaded = loaded
 	x.step(Configured{list})
-	x.step(Leased{1})
+	x.step(LeaseHeld{1})
 	return x
 }
 
@@ -39,7 +39,7 @@
 			if x.loaded {
 				has = []Model{large}
 			}
-			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Has: has})
+			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has})
 		case Order:
 			x.orders++
 			x.step(OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing})
@@ -51,7 +51,7 @@
 func (x *largeFleet) run(seconds int) {
 	for range 2 * seconds {
 		x.now = x.now.Add(time.Second / 2)
-		x.step(Leased{1})
+		x.step(LeaseHeld{1})
 	}
 }
 
@@ -92,12 +92,12 @@
 	is := is.New(t)
 	core := NewCore(600, OrderTimeout)
 	core.Step(start, Configured{[]Engine{engineOf("r1", true, true)}})
-	is.Equal(len(core.Step(start, Leased{1})), 1)
+	is.Equal(len(core.Step(start, LeaseHeld{1})), 1)
 	core.Step(start, ReadDone{Engine: "r1", Fencing: 1})
 	now := start.Add(time.Second)
 	order := core.Step(now, Tick{})[0].(Order)
-	core.Step(now, Lost{})
-	is.Equal(core.Step(now, Leased{3})[0].(Read).Fencing, uint64(3))
+	core.Step(now, LeaseLost{})
+	is.Equal(core.Step(now, LeaseHeld{3})[0].(Read).Fencing, uint64(3))
 	is.Equal(len(core.Step(now, OrderDone{Engine: "r1", Fencing: order.Fencing})), 0)
 	again := core.Step(now, ReadDone{Engine: "r1", Fencing: 3})
 	is.Equal(len(again), 1)
--- a/process/orders/needs.go
+++ b/process/orders/needs.go
@@ -40,7 +40,7 @@
 }
 
 func (n *needs) count(e *engine, by int) {
-	for m, load := range e.Wishes {
+	for m, load := range e.Desired {
 		if load {
 			n.wished[m] += by
 		}
@@ -56,7 +56,7 @@
 	if !e.known {
 		return
 	}
-	for m, load := range e.Wishes {
+	for m, load := range e.Desired {
 		switch {
 		case load && !e.has[m]:
 			n.lacking[e.Name] = e
@@ -100,8 +100,8 @@
 
 // missing adds the loads or the unloads that the engine needs.
 func (e *engine) missing(list []wanted, load bool) []wanted {
-	for _, m := range slices.SortedFunc(maps.Keys(e.Wishes), compareModels) {
-		if e.Wishes[m] == load && e.has[m] != load {
+	for _, m := range slices.SortedFunc(maps.Keys(e.Desired), compareModels) {
+		if e.Desired[m] == load && e.has[m] != load {
 			list = append(list, wanted{e, m, load})
 		}
 	}
--- a/process/orders/orders_test.go
+++ b/process/orders/orders_test.go
@@ -39,7 +39,7 @@
 					has = append(has, m)
 				}
 			}
-			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Has: has})
+			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has})
 		case Order:
 			x.orders = append(x.orders, a)
 			if x.delay {
@@ -48,7 +48,7 @@
 			}
 			x.carryOut(a)
 			x.step(OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing})
-		case GiveUp:
+		case AbandonLease:
 			x.lost = true
 		}
 	}
@@ -70,7 +70,7 @@
 var large = Model{Name: "large"}
 
 func engineOf(name string, checks bool, load bool) Engine {
-	return Engine{Name: name, Address: "10.0.0.1:80", ChecksFencing: checks, Wishes: map[Model]bool{large: load}}
+	return Engine{Name: name, Address: "10.0.0.1:80", ChecksFencing: checks, Desired: map[Model]bool{large: load}}
 }
 
 // The holder orders an engine, which ignores numbers, to unload; the order is
@@ -85,14 +85,14 @@
 			old.has["r1"] = map[Model]bool{large: true}
 			old.delay = true
 			old.step(Configured{[]Engine{engineOf("r1", checks, false)}})
-			old.step(Leased{1})
+			old.step(LeaseHeld{1})
 			old.run(OrderTimeout + time.Second)
 			is.Equal(len(old.late), 1)
 
 			next := newEngines(NewCore(600, OrderTimeout))
 			next.has, next.now = old.has, old.now
 			next.step(Configured{[]Engine{engineOf("r1", checks, true)}})
-			next.step(Leased{2})
+			next.step(LeaseHeld{2})
 			next.run(OrderTimeout - time.Second)
 			if checks {
 				// The engine has seen number 2 and refuses the late order itself.
@@ -113,7 +113,7 @@
 	is := is.New(t)
 	x := newEngines(NewCore(600, OrderTimeout))
 	x.step(Configured{[]Engine{engineOf("r1", true, true)}})
-	x.step(Leased{2})
+	x.step(LeaseHeld{2})
 	x.run(5 * time.Second)
 	is.True(x.has["r1"][large])
 	x.carryOut(Order{Engine: engineOf("r1", true, true), Model: large, Load: false, Fencing: 1})
@@ -126,7 +126,7 @@
 	x := newEngines(NewCore(600, OrderTimeout))
 	x.delay = true
 	x.step(Configured{[]Engine{engineOf("r1", true, true), engineOf("r2", true, true)}})
-	x.step(Leased{2})
+	x.step(LeaseHeld{2})
 	x.run(5 * time.Second)
 	given := len(x.orders)
 	x.step(OrderDone{Engine: "r1", Fencing: 2, Refused: true})
@@ -142,7 +142,7 @@
 	x := newEngines(NewCore(600, OrderTimeout))
 	x.delay = true
 	x.step(Configured{[]Engine{engineOf("r1", true, true)}})
-	x.step(Leased{1})
+	x.step(LeaseHeld{1})
 	x.run(5 * time.Second)
 	is.Equal(len(x.orders), 1)
 	x.carryOut(x.late[0])
@@ -162,14 +162,14 @@
 	for i := range 40 {
 		e := engineOf(fmt.Sprint("r", i), true, true)
 		if i >= 20 {
-			e.Wishes = map[Model]bool{small: true}
+			e.Desired = map[Model]bool{small: true}
 			x.has[e.Name] = map[Model]bool{small: i >= 30}
 		}
 		list = append(list, e)
 	}
 	x.step(Configured{list})
 	for holding := range 5 {
-		x.step(Leased{uint64(holding + 1)})
+		x.step(LeaseHeld{uint64(holding + 1)})
 		x.run(time.Minute)
 		is.True(len(x.orders) <= 6*(holding+1))
 	}
--- a/process/orders/random_test.go
+++ b/process/orders/random_test.go
@@ -27,7 +27,7 @@
 type holder struct {
 	name    string
 	core    *Core
-	holding lease.Holding
+	holding lease.Grant
 	asks    time.Time
 	frozen  time.Time
 }
@@ -82,7 +82,7 @@
 // wish changes what one engine should have, and tells the holders one by one.
 func (w *world) wish() {
 	e := w.engines[w.names[w.random.IntN(len(w.names))]]
-	e.Wishes = map[Model]bool{large: w.random.IntN(2) == 0, {Name: "small"}: w.random.IntN(2) == 0}
+	e.Desired = map[Model]bool{large: w.random.IntN(2) == 0, {Name: "small"}: w.random.IntN(2) == 0}
 	var list []Engine
 	for _, name := range w.names {
 		list = append(list, w.engines[name].Engine)
@@ -99,8 +99,8 @@
 			w.after(h, w.delay(time.Second), func() { w.read(h, a) })
 		case Order:
 			w.after(h, w.delay(time.Second), func() { w.send(h, a) })
-		case GiveUp:
-			h.holding = lease.Holding{}
+		case AbandonLease:
+			h.holding = lease.Grant{}
 		}
 	}
 }
@@ -112,7 +112,7 @@
 			has = append(has, m)
 		}
 	}
-	w.after(h, w.delay(time.Second), func() { w.step(h, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Has: has}) })
+	w.after(h, w.delay(time.Second), func() { w.step(h, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has}) })
 }
 
 // send is the moment at which the body is written: the lease is checked, and the
@@ -176,7 +176,7 @@
 		w.renewed = w.now
 		w.holds[reply.GetFencing()] = true
 	}
-	w.after(h, w.delay(2*time.Second), func() { h.holding.Granted(sent, reply) })
+	w.after(h, w.delay(2*time.Second), func() { h.holding.Update(sent, reply) })
 }
 
 func (w *world) advance() {
@@ -197,9 +197,9 @@
 			w.ask(h)
 		}
 		if h.holding.Valid(w.now) {
-			w.step(h, Leased{h.holding.Fencing()})
+			w.step(h, LeaseHeld{h.holding.Fencing()})
 		} else {
-			w.step(h, Lost{})
+			w.step(h, LeaseLost{})
 		}
 		w.step(h, Tick{})
 	}
@@ -228,7 +228,7 @@
 func (w *world) settled() string {
 	for _, name := range w.names {
 		e := w.engines[name]
-		for m, load := range e.Wishes {
+		for m, load := range e.Desired {
 			if e.has[m] != load {
 				return fmt.Sprintf("%s: %v should be loaded: %v", name, m, load)
 			}
--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -66,7 +66,7 @@
 		if s.canGive(now) {
 			h.noteHolder(now, s, r, shared)
 		}
-		if s.closed() || s.cut || s.limited.Named && s.allowed.share == 0 {
+		if s.closed() || s.cut || s.limited.Advertised && s.allowed.share == 0 {
 			continue
 		}
 		rank := xxhash.Sum64String(part + s.name)
--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -302,7 +302,7 @@
 	// Digest returns what the other instances must know, as of now.
 	Digest(now time.Time) *lilacv1.Digest
 	// Loads is what this instance runs on each server and sent there lately.
-	Loads(now time.Time) loadboard.Word
+	Loads(now time.Time) loadboard.Report
 	// Stats returns the counters and the invariants that were seen broken.
 	Stats() Stats
 }
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -127,7 +127,7 @@
 // Few instances may, and what one of them doesn't send nobody else does.
 func (c *core) describeLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Named && !s.held(now) {
+		if s.limited.Advertised && !s.held(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -31,9 +31,9 @@
 func tellBulk(c *core, now time.Time, bulk uint32, instances int) {
 	loads := loadboard.Loads{}
 	for _, s := range c.pools["llm"].servers {
-		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots), Yielding: bulk}
+		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots), Preemptible: bulk}
 	}
-	c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: instances - 1}})
+	c.Step(now, LoadsTold{Word: loadboard.Report{Loads: loads, Instances: instances - 1}})
 }
 
 // Digests filled the engines, which put them back for any review. Reviews counted them as
--- a/request/policy/engine.go
+++ b/request/policy/engine.go
@@ -90,7 +90,7 @@
 // sums are the own estimates, for the others.
 func (e *engineModel) sums() loadboard.EngineSums {
 	w := e.weight()
-	return loadboard.EngineSums{Weight: w, Speed: w * speedPower(e.own.prefill), Step: w * e.own.step / micro, Each: w * e.own.each / micro}
+	return loadboard.EngineSums{Weight: w, Speed: w * speedPower(e.own.prefill), EmptyStep: w * e.own.step / micro, PerRequest: w * e.own.each / micro}
 }
 
 // speedPower is the fourth power of the prompt tokens read in a millisecond, at the time
@@ -113,8 +113,8 @@
 	all := w + e.told.Weight
 	speed := math.Pow((w*speedPower(e.own.prefill)+e.told.Speed)/all, 0.25)
 	e.prefill = min(max(milli/max(speed, 1), leastPrefill), mostPrefill)
-	e.step = (w*e.own.step + micro*e.told.Step) / all
-	e.each = (w*e.own.each + micro*e.told.Each) / all
+	e.step = (w*e.own.step + micro*e.told.EmptyStep) / all
+	e.each = (w*e.own.each + micro*e.told.PerRequest) / all
 }
 
 // milli and micro are a millisecond and a microsecond in seconds.
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	e := newEngineModel()
 	const w = 500
-	e.hear(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), Step: w * 9000, Each: w * 200})
+	e.hear(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), EmptyStep: w * 9000, PerRequest: w * 200})
 	is.True(math.Abs(e.prefill-60e-6) < 1e-9)
 	is.True(math.Abs(e.step-0.009) < 1e-9)
 	s := newServer("a-0")
@@ -146,7 +146,7 @@
 	is := is.New(t)
 	var told loadboard.PoolWork
 	for _, prefill := range []float64{20e-6, 40e-6, 40e-6, 40e-6} {
-		told.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), Step: 50000, Each: 500}})
+		told.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), EmptyStep: 50000, PerRequest: 500}})
 	}
 	e := newEngineModel()
 	e.hear(told.Engine)
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -40,8 +40,8 @@
 func told(c *core, server string, tokens uint32) {
 	var load loadboard.Load
 	load.InFlight = 10
-	load.Backlog[lateLevel-1] = tokens / loadboard.Unit
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{loadboard.Key(server): load}}})
+	load.Backlog[lateLevel-1] = tokens / loadboard.BacklogUnit
+	c.Step(epoch, LoadsTold{Word: loadboard.Report{Loads: loadboard.Loads{loadboard.Key(server): load}}})
 }
 
 // In a burst of one kind of request the engine that holds a prompt has four
@@ -84,7 +84,7 @@
 	is := is.New(t)
 	c, home := withDigestAtHome(t)
 	finish(c, epoch.Add(slowTick), home)
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}}})
+	c.Step(epoch, LoadsTold{Word: loadboard.Report{Loads: loadboard.Loads{}}})
 	leaves := epoch.Add(2 * time.Second)
 	c.Step(leaves, ServerState{Server: home.Server, Leaving: true})
 	away := only[Start](t, c.Step(leaves.Add(time.Second), digest(2, 7)))
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -30,7 +30,7 @@
 		for l := range c.pools["llm"].laneStarts {
 			c.pools["llm"].laneStarts[l] = 10
 		}
-		c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: n - 1}})
+		c.Step(epoch, LoadsTold{Word: loadboard.Report{Loads: loads, Instances: n - 1}})
 		fleet = append(fleet, c)
 	}
 	return fleet
@@ -75,7 +75,7 @@
 			full[other.key] = loadboard.Load{InFlight: uint32(other.slots)}
 		}
 	}
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: full, Instances: 3}})
+	c.Step(epoch, LoadsTold{Word: loadboard.Report{Loads: full, Instances: 3}})
 	s.shunned = false
 	for id := range ID(60) {
 		c.Step(epoch, draft(id+1))
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -102,8 +102,8 @@
 
 // besideLong is the gap between tokens beside long prompts that lanes go by.
 func (p *pool) besideLong() float64 {
-	if p.plan.By != "" {
-		return micro * float64(p.plan.Beside)
+	if p.plan.Author != "" {
+		return micro * float64(p.plan.InterTokenGapUs)
 	}
 	if now := p.engine.beside(p.slots()); p.beside == 0 || math.Abs(now-p.beside) > besideHold*p.beside {
 		p.beside = now
@@ -306,7 +306,7 @@
 
 // ownPlan is this instance's division into lanes, for the others.
 func (p *pool) ownPlan(self string) loadboard.LanePlan {
-	plan := loadboard.LanePlan{By: self, Beside: uint32(p.besideLong() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
+	plan := loadboard.LanePlan{Author: self, InterTokenGapUs: uint32(p.besideLong() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
 	for dataCenter, size := range p.sizes {
 		plan.Sizes[loadboard.Key(dataCenter)] = loadboard.LaneSizes{Tight: uint32(size[laneTight]), Quick: uint32(size[laneQuick])}
 	}
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -30,7 +30,7 @@
 // others tells that all other instances start so much work in each lane, in tokens a
 // second.
 func others(c *core, now time.Time, long, quick, tight uint32) {
-	c.Step(now, LoadsTold{Word: loadboard.Word{
+	c.Step(now, LoadsTold{Word: loadboard.Report{
 		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [lanes]uint32{long, quick, tight}}},
 	}})
 }
@@ -172,7 +172,7 @@
 	work := loadboard.PoolWork{Rates: [lanes]uint32{800000, 0, 100000}}
 	tell := func(now time.Time, drafts, digests float64) {
 		work.LaneClaims = [lanes]float64{laneLong: digests, laneTight: drafts}
-		c.Step(now, LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
+		c.Step(now, LoadsTold{Word: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
 		c.Step(now, Tick{})
 	}
 	tell(epoch.Add(slowTick), 10, 50)
@@ -221,7 +221,7 @@
 		is.Equal(s.lane, other.ordered[i].lane)
 	}
 	other.Step(now, PeerGone{Instance: names[0]})
-	is.Equal(other.pools["llm"].plan.By, "") // it plans itself again
+	is.Equal(other.pools["llm"].plan.Author, "") // it plans itself again
 }
 
 // The tight lane grew smaller, and engines that left it read long prompts beside the drafts
--- a/request/policy/limit_replay_test.go
+++ b/request/policy/limit_replay_test.go
@@ -132,7 +132,7 @@
 				for _, name := range []string{"a-0", "b-1"} {
 					is.True(r.engines[name].need.rate(6*time.Second, 12*time.Second) >= 0.5)
 					for _, c := range r.cores {
-						is.True(!c.servers[name].limited.Named)
+						is.True(!c.servers[name].limited.Advertised)
 					}
 				}
 			}
--- a/request/policy/limitshare.go
+++ b/request/policy/limitshare.go
@@ -111,7 +111,7 @@
 
 // shareLimit works out this instance's part of the server's limit.
 func (c *core) shareLimit(now time.Time, s *server) {
-	if !s.limited.Named {
+	if !s.limited.Advertised {
 		s.allowed = allowance{}
 		return
 	}
@@ -127,7 +127,7 @@
 
 // held tells whether the server's limit leaves no request to this instance now.
 func (s *server) held(now time.Time) bool {
-	if !s.limited.Named {
+	if !s.limited.Advertised {
 		return false
 	}
 	s.allowed.refresh(now)
@@ -136,7 +136,7 @@
 
 // spend takes a request that starts on the server out of its allowance.
 func (s *server) spend(now time.Time) {
-	if s.limited.Named {
+	if s.limited.Advertised {
 		s.allowed.refresh(now)
 		s.allowed.credit--
 	}
@@ -150,7 +150,7 @@
 		if s.closed() || s.cut {
 			continue
 		}
-		if !s.limited.Named || s.allowed.share > 0 {
+		if !s.limited.Advertised || s.allowed.share > 0 {
 			return false
 		}
 		limited = true
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -35,7 +35,7 @@
 				c := &core{options: Options{Instance: view.self.Name}, fleet: view}
 				s := newServer("i-1")
 				s.dataCenter = "b"
-				s.limited.Limit = loadboard.Limit{Named: true, PerSecond: perSecond}
+				s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: perSecond}
 				c.shareLimit(epoch, s)
 				if s.allowed.share > 0 {
 					s.allowed.credit = 1e9
@@ -58,7 +58,7 @@
 	views := fleetViews(8)
 	s := newServer("i-1")
 	s.dataCenter = "b"
-	s.limited.Limit = loadboard.Limit{Named: true, PerSecond: 1}
+	s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: 1}
 	before := views[0].senders(s)
 	is.Equal(len(before), 3)
 	views[0].alive(epoch.Add(time.Minute), nil)
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -116,7 +116,7 @@
 	}
 	copied.Limited = make(map[string]float64)
 	for _, s := range c.ordered {
-		if s.limited.Named {
+		if s.limited.Advertised {
 			copied.Limited[s.name] = s.limited.PerSecond
 		}
 	}
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -184,7 +184,7 @@
 		open++
 		norms += s.norm
 		n := s.limit(s.paced(p, 0), p.tight)
-		if s.limited.Named {
+		if s.limited.Advertised {
 			n = min(n, s.limited.PerSecond*limitedHold.Seconds())
 		}
 		p.capacity += n
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -47,10 +47,10 @@
 	for i, board := range r.boards {
 		own := r.cores[i].options
 		for _, ask := range board.Due(r.now) {
-			answer := r.boards[byName[ask.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, ask.Word)
-			board.Answered(r.now, ask.Peer, answer)
+			answer := r.boards[byName[ask.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, ask.Report)
+			board.HandleReply(r.now, ask.Peer, answer)
 		}
-		board.Forget(r.now)
+		board.Expire(r.now)
 	}
 }
 
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -69,7 +69,7 @@
 	if s == nil || !e.Named && s.limited.At.IsZero() {
 		return
 	}
-	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Named: e.Named, At: now}, LimitByAnswer)
+	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Advertised: e.Named, At: now}, LimitByAnswer)
 	s.limited.ownAt = now
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	s.limited.Limit = told
-	if told.Named == before.Named && told.PerSecond == before.PerSecond {
+	if told.Advertised == before.Advertised && told.PerSecond == before.PerSecond {
 		return
 	}
 	c.shareLimit(now, s)
@@ -92,7 +92,7 @@
 
 func (c *core) tellLimit(now time.Time, s *server, source LimitSource) {
 	c.emit(LimitChanged{
-		Server: s.name, Named: s.limited.Named, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
+		Server: s.name, Named: s.limited.Advertised, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
 	})
 }
 
@@ -121,10 +121,10 @@
 func (c *core) keepLimits(now time.Time) {
 	c.fleet.forget(now)
 	for _, s := range c.ordered {
-		if s.limited.Named && now.Sub(s.limited.At) > limitKept {
+		if s.limited.Advertised && now.Sub(s.limited.At) > limitKept {
 			c.setLimit(now, s, loadboard.Limit{At: now}, LimitBySilence)
 		}
-		if !s.limited.Named {
+		if !s.limited.Advertised {
 			continue
 		}
 		before := s.allowed.share
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -26,7 +26,7 @@
 	is.Equal(len(there.Digest(epoch.Add(200*ms)).GetLimits()), 0) // who heard of it doesn't tell it on
 	here.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	there.Step(epoch.Add(1100*ms), PeerDigest{Digest: here.Digest(epoch.Add(time.Second)), At: epoch})
-	is.True(!there.servers["a-1"].limited.Named)
+	is.True(!there.servers["a-1"].limited.Advertised)
 	is.Equal(there.Stats().Limited, map[string]float64{})
 }
 
@@ -36,7 +36,7 @@
 	here, there := engines("e1", 3, "a"), engines("e2", 3, "a")
 	here.Step(epoch, names("a-1", 1.8))
 	word := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
-	there.Step(epoch.Add(200*ms), LoadsTold{Word: loadboard.DecodeWord(epoch.Add(200*ms), word)})
+	there.Step(epoch.Add(200*ms), LoadsTold{Word: loadboard.DecodeReport(epoch.Add(200*ms), word)})
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
 }
 
@@ -47,9 +47,9 @@
 	c := engines("e1", 3, "a")
 	c.Step(epoch, names("a-1", 2))
 	c.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
-	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Named: true, At: epoch.Add(500 * ms)}}
-	c.Step(epoch.Add(1100*ms), LoadsTold{Word: loadboard.Word{Loads: loadboard.Loads{}, Limits: old}})
-	is.True(!c.servers["a-1"].limited.Named)
+	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Advertised: true, At: epoch.Add(500 * ms)}}
+	c.Step(epoch.Add(1100*ms), LoadsTold{Word: loadboard.Report{Loads: loadboard.Loads{}, Limits: old}})
+	is.True(!c.servers["a-1"].limited.Advertised)
 }
 
 // A server with a limit to which nobody sends anything says nothing more of it.
@@ -58,8 +58,8 @@
 	c := engines("e1", 3, "a")
 	c.Step(epoch, names("a-1", 2))
 	c.Step(epoch.Add(limitKept), Tick{})
-	is.True(c.servers["a-1"].limited.Named)
+	is.True(c.servers["a-1"].limited.Advertised)
 	changed := only[LimitChanged](t, c.Step(epoch.Add(limitKept+time.Second), Tick{}))
 	is.Equal(changed.Source, LimitBySilence)
-	is.True(!c.servers["a-1"].limited.Named)
+	is.True(!c.servers["a-1"].limited.Advertised)
 }
--- a/request/policy/told.go
+++ b/request/policy/told.go
@@ -11,7 +11,7 @@
 // LoadsTold brings what all other instances run on each server and sent there
 // lately, where they tell it to each other beside their digests; its loads are nil
 // once that isn't known any more.
-type LoadsTold struct{ Word loadboard.Word }
+type LoadsTold struct{ Word loadboard.Report }
 
 func (LoadsTold) event() {}
 
@@ -20,13 +20,13 @@
 	c.told = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
-		s.toldLoad, s.toldYielding = float64(load.InFlight), float64(load.Yielding)
+		s.toldLoad, s.toldYielding = float64(load.InFlight), float64(load.Preemptible)
 		for level, units := range load.Backlog {
-			s.toldAhead[level] = float64(units) * loadboard.Unit
+			s.toldAhead[level] = float64(units) * loadboard.BacklogUnit
 		}
 		s.join(c.told || len(c.peers) > 0)
 	}
-	for _, read := range e.Word.Readings {
+	for _, read := range e.Word.CachedPrefixes {
 		c.hearReading(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
 	}
 	c.hearLimits(now, e.Word.Limits)
@@ -41,8 +41,8 @@
 
 // Work is told by lane, claims by place: both packages count the same ones.
 var (
-	_ [loadboard.Lanes]uint32   = [lanes]uint32{}
-	_ [loadboard.Places]float64 = tiers.Demand{}
+	_ [loadboard.Lanes]uint32      = [lanes]uint32{}
+	_ [loadboard.Positions]float64 = tiers.Demand{}
 )
 
 // hear takes in what others do in the pool and know of it; told is false while they tell
@@ -55,7 +55,7 @@
 	p.work.toldClaims = work.LaneClaims
 	p.engine.hear(work.Engine)
 	p.plan = loadboard.LanePlan{}
-	if work.Plan.Before(loadboard.LanePlan{By: self}) {
+	if work.Plan.Precedes(loadboard.LanePlan{Author: self}) {
 		p.plan = work.Plan
 	}
 }
@@ -114,8 +114,8 @@
 
 // Loads is what this instance runs on each server and sent there lately, for the
 // others.
-func (c *core) Loads(now time.Time) loadboard.Word {
-	word := loadboard.Word{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
+func (c *core) Loads(now time.Time) loadboard.Report {
+	word := loadboard.Report{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
 	for _, p := range c.poolOrder {
 		work := p.ownWork(c.options.Instance)
 		work.Claims = p.claim()
@@ -125,14 +125,14 @@
 		if len(s.own) == 0 {
 			continue
 		}
-		load := loadboard.Load{InFlight: uint32(len(s.own)), Yielding: uint32(s.ownYielding())}
+		load := loadboard.Load{InFlight: uint32(len(s.own)), Preemptible: uint32(s.ownYielding())}
 		for level, tokens := range s.ahead {
-			load.Backlog[level] = uint32(tokens/loadboard.Unit + 0.5)
+			load.Backlog[level] = uint32(tokens/loadboard.BacklogUnit + 0.5)
 		}
 		word.Loads[s.key] = load
 	}
 	for _, read := range c.recentReadings(now) {
-		word.Readings = append(word.Readings, loadboard.Reading{
+		word.CachedPrefixes = append(word.CachedPrefixes, loadboard.CachedPrefix{
 			Server: loadboard.Key(read.server), Hash: read.block.Hash, Tokens: uint32(read.tokens),
 		})
 	}
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -191,8 +191,8 @@
 }
 
 // Loads asks the core for what this instance runs on each server and sent there.
-func (r *Relay) Loads(ctx context.Context) (loadboard.Word, error) {
-	return askCore(ctx, r.box, func(core policy.Core, now time.Time) loadboard.Word { return core.Loads(now) })
+func (r *Relay) Loads(ctx context.Context) (loadboard.Report, error) {
+	return askCore(ctx, r.box, func(core policy.Core, now time.Time) loadboard.Report { return core.Loads(now) })
 }
 
 // Stats asks the core for its counters.
--- a/request/tiers/fleet_test.go
+++ b/request/tiers/fleet_test.go
@@ -161,9 +161,9 @@
 		switch a := action.(type) {
 		case member.Exchange:
 			w.exchange(e, a)
-		case member.Digest:
+		case member.PolicyDigest:
 			w.observe(e, a)
-		case member.Gone:
+		case member.DigestExpired:
 			delete(e.heard, a.Instance)
 			e.table.Gone(a.Instance)
 			w.update(e)
@@ -173,7 +173,7 @@
 
 // observe takes a digest in as the policy does: one that is not newer than the
 // last is dropped.
-func (w *world) observe(e *entry, a member.Digest) {
+func (w *world) observe(e *entry, a member.PolicyDigest) {
 	d := a.Digest
 	if last, known := e.heard[d.GetInstance()]; known && d.GetSequence() <= last {
 		return
@@ -226,16 +226,16 @@
 			w.step(from, what)
 		}
 	}
-	w.after(callTimeout, func() { end(member.Failed{Peer: a.Peer.Name}) })
+	w.after(callTimeout, func() { end(member.ExchangeFailed{Peer: a.Peer.Name}) })
 	sent := proto.CloneOf(a.Digest)
 	w.count(from, sent)
 	w.travel(from, to, func() {
 		w.count(to, sent)
-		w.step(to, member.Received{From: from.self.Name, Digest: sent})
+		w.step(to, member.DigestReceived{From: from.self.Name, Digest: sent})
 		reply := proto.CloneOf(to.core.Reply(w.now, from.self.Name))
 		w.count(to, reply)
 		w.count(from, reply)
-		w.travel(to, from, func() { end(member.Answered{Peer: a.Peer.Name, Digest: reply}) })
+		w.travel(to, from, func() { end(member.ReplyReceived{Peer: a.Peer.Name, Digest: reply}) })
 	})
 }
 
--- a/version/spread/core.go
+++ b/version/spread/core.go
@@ -236,7 +236,7 @@
 	}
 }
 
-func (c *Core) setEntries(names []string) { c.above = member.Above(c.self, names) }
+func (c *Core) setEntries(names []string) { c.above = member.HigherRanked(c.self, names) }
 
 // avoid passes the current target over for a while.
 func (c *Core) avoid(now time.Time) {
