--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// FinalClaim answers a claim that needs no place in the log, as ledger.Final does.
+// FinalClaim answers a claim that needs no place in the log, as ledger.FinalReply does.
 func (m *Machine) FinalClaim(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/lease/holding.go
+++ b/process/lease/grant.go
@@ -8,7 +8,7 @@
 
 // margin shortens a lease as its holder counts it: one part in this many, for
 // clocks that run at different speeds. The leader lengthens it on its side.
-const margin = 10
+const clockMarginDivisor = 10
 
 // Holding is what a holder knows of its own lease. Its times are readings of
 // the holder's monotonic clock.
@@ -28,7 +28,7 @@
 		return
 	}
 	length := time.Duration(r.GetDurationMs()) * time.Millisecond
-	until := sent.Add(length - length/margin)
+	until := sent.Add(length - length/clockMarginDivisor)
 	if r.GetFencing() == h.fencing && until.Before(h.until) {
 		return
 	}
--- a/process/lease/turn.go
+++ b/process/lease/interval.go
@@ -3,7 +3,7 @@
 import "time"
 
 // candidates is how many instances of a data centre ask for a lease at the full pace.
-const candidates = 3
+const fullRateInstances = 3
 
 // AskInterval returns how long an instance that does not hold a lease of the
 // length waits between two requests for it. Position counts the live instances
@@ -15,9 +15,9 @@
 // so on: the requests grow with the logarithm of the fleet. Nobody stays silent
 // for good, so a lease is also taken over where all the first are taken for
 // alive but can't reach the leader.
-func RequestInterval(length time.Duration, position int, part float64) time.Duration {
-	once := RenewInterval(length) + time.Duration(part*float64(length))
-	return once * time.Duration(1+position/candidates)
+func RequestInterval(length time.Duration, position int, jitter float64) time.Duration {
+	interval := RenewInterval(length) + time.Duration(jitter*float64(length))
+	return interval * time.Duration(1+position/fullRateInstances)
 }
 
 // RenewInterval returns how long a holder waits between two renewals.
--- a/process/lease/lease.go
+++ b/process/lease/lease.go
@@ -21,7 +21,7 @@
 type Table struct {
 	leases map[string]*lilacv1.LeaseEntry
 	// floor is where a recovery put the fencing numbers; 0 without one.
-	floor uint64
+	fencingFloor uint64
 }
 
 // NewTable returns a Table without leases.
@@ -36,40 +36,40 @@
 	if r.GetName() == "" || r.GetHolder() == "" || r.GetIncarnation() == "" || r.GetDurationMs() > maxDurationMs {
 		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "a lease names what it is for, its holder and incarnation, and lasts at most %d ms", maxDurationMs)
 	}
-	old := t.leases[r.GetName()]
-	if old == nil && t.floor > 0 {
+	current := t.leases[r.GetName()]
+	if current == nil && t.fencingFloor > 0 {
 		// The lost majority may have granted it: it must run out there first.
-		old = t.recovered(r.GetName(), 0)
-		t.leases[r.GetName()] = old
+		current = t.recoveryEntry(r.GetName(), 0)
+		t.leases[r.GetName()] = current
 	}
-	if old == nil {
-		old = &lilacv1.LeaseEntry{Name: r.GetName()}
+	if current == nil {
+		current = &lilacv1.LeaseEntry{Name: r.GetName()}
 	}
-	own := old.GetHolder() == r.GetHolder() && old.GetIncarnation() == r.GetIncarnation()
-	free := old.GetHolder() == "" || r.GetExpiredRenewal() != 0 && old.GetRenewal() == r.GetExpiredRenewal()
+	isHolder := current.GetHolder() == r.GetHolder() && current.GetIncarnation() == r.GetIncarnation()
+	free := current.GetHolder() == "" || r.GetExpiredRenewal() != 0 && current.GetRenewal() == r.GetExpiredRenewal()
 	if r.GetDurationMs() == 0 {
-		return t.giveBack(old, own), nil
+		return t.release(current, isHolder), nil
 	}
-	if !own && !free {
-		return reply(old, false), nil
+	if !isHolder && !free {
+		return reply(current, false), nil
 	}
 	next := &lilacv1.LeaseEntry{
 		Name: r.GetName(), Holder: r.GetHolder(), Incarnation: r.GetIncarnation(),
-		Fencing: old.GetFencing(), DurationMs: r.GetDurationMs(), Renewal: old.GetRenewal() + 1,
+		Fencing: current.GetFencing(), DurationMs: r.GetDurationMs(), Renewal: current.GetRenewal() + 1,
 	}
-	if !own {
+	if !isHolder {
 		next.Fencing++
 	}
 	t.leases[r.GetName()] = next
 	return reply(next, true), nil
 }
 
-func (t *Table) giveBack(old *lilacv1.LeaseEntry, own bool) *lilacv1.LeaseReply {
-	if own {
-		old = &lilacv1.LeaseEntry{Name: old.GetName(), Fencing: old.GetFencing(), Renewal: old.GetRenewal() + 1}
-		t.leases[old.GetName()] = old
+func (t *Table) release(current *lilacv1.LeaseEntry, isHolder bool) *lilacv1.LeaseReply {
+	if isHolder {
+		current = &lilacv1.LeaseEntry{Name: current.GetName(), Fencing: current.GetFencing(), Renewal: current.GetRenewal() + 1}
+		t.leases[current.GetName()] = current
 	}
-	return reply(old, false)
+	return reply(current, false)
 }
 
 func reply(e *lilacv1.LeaseEntry, granted bool) *lilacv1.LeaseReply {
@@ -93,12 +93,12 @@
 
 // Snapshot returns all that Restore needs.
 func (t *Table) Snapshot() *lilacv1.LeaseSnapshot {
-	return &lilacv1.LeaseSnapshot{Leases: t.All(), FencingFloor: t.floor}
+	return &lilacv1.LeaseSnapshot{Leases: t.All(), FencingFloor: t.fencingFloor}
 }
 
 // Restore replaces the whole state.
 func (t *Table) Restore(s *lilacv1.LeaseSnapshot) {
-	t.floor = s.GetFencingFloor()
+	t.fencingFloor = s.GetFencingFloor()
 	t.leases = make(map[string]*lilacv1.LeaseEntry)
 	for _, e := range s.GetLeases() {
 		t.leases[e.GetName()] = e
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -11,11 +11,11 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-func ask(holder string, ms uint32, expired uint64) *lilacv1.LeaseRequest {
+func leaseRequest(holder string, ms uint32, expired uint64) *lilacv1.LeaseRequest {
 	return &lilacv1.LeaseRequest{Name: "orders", Holder: holder, Incarnation: holder + "/1", DurationMs: ms, ExpiredRenewal: expired}
 }
 
-func TestOneHolderAndGrowingNumbers(t *testing.T) {
+func TestOneHolderWithIncreasingFencingTokens(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for _, c := range []struct {
@@ -25,15 +25,15 @@
 		holder  string
 		fencing uint64
 	}{
-		{"first", ask("a", 1000, 0), true, "a", 1},
-		{"renewal keeps the number", ask("a", 1000, 0), true, "a", 1},
-		{"held by another", ask("b", 1000, 0), false, "a", 1},
-		{"the renewal before has run out", ask("b", 1000, 1), false, "a", 1},
-		{"the last renewal has run out", ask("b", 1000, 2), true, "b", 2},
-		{"the old holder renews", ask("a", 1000, 0), false, "b", 2},
-		{"the old holder gives back", ask("a", 0, 0), false, "b", 2},
-		{"given back", ask("b", 0, 0), false, "", 2},
-		{"free", ask("a", 1000, 0), true, "a", 3},
+		{"first", leaseRequest("a", 1000, 0), true, "a", 1},
+		{"renewal keeps the number", leaseRequest("a", 1000, 0), true, "a", 1},
+		{"held by another", leaseRequest("b", 1000, 0), false, "a", 1},
+		{"the renewal before has run out", leaseRequest("b", 1000, 1), false, "a", 1},
+		{"the last renewal has run out", leaseRequest("b", 1000, 2), true, "b", 2},
+		{"the old holder renews", leaseRequest("a", 1000, 0), false, "b", 2},
+		{"the old holder gives back", leaseRequest("a", 0, 0), false, "b", 2},
+		{"given back", leaseRequest("b", 0, 0), false, "", 2},
+		{"free", leaseRequest("a", 1000, 0), true, "a", 3},
 	} {
 		reply, err := table.Apply(c.request)
 		t.Log(c.name)
@@ -46,12 +46,12 @@
 
 // A holder restarts under the same name. Its new start is another holder: orders
 // of the old one may still be on the way, so the number must grow.
-func TestRestartedHolderIsAnother(t *testing.T) {
+func TestRestartedHolderIsDifferentHolder(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	_, err := table.Apply(ask("a", 1000, 0))
+	_, err := table.Apply(leaseRequest("a", 1000, 0))
 	is.NoErr(err)
-	again := ask("a", 1000, 0)
+	again := leaseRequest("a", 1000, 0)
 	again.Incarnation = "a/2"
 	reply, err := table.Apply(again)
 	is.NoErr(err)
@@ -64,14 +64,14 @@
 	restored := NewTable()
 	restored.Restore(table.Snapshot())
 	is.True(proto.Equal(restored.Snapshot(), table.Snapshot()))
-	_, err = table.Apply(ask("a", maxDurationMs+1, 0))
+	_, err = table.Apply(leaseRequest("a", maxDurationMs+1, 0))
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 }
 
 // A holder is frozen while it renews, or the answer is long on the way. It must
 // not count the lease from when the answer came, or it would still act when
 // another already holds it.
-func TestHoldingCountsFromBeforeTheRequest(t *testing.T) {
+func TestGrantStartsWhenRequestWasSent(t *testing.T) {
 	is := is.New(t)
 	sent := time.Unix(1_764_700_000, 0)
 	h := &Grant{}
--- a/process/lease/recover.go
+++ b/process/lease/recover.go
@@ -7,7 +7,7 @@
 const (
 	// recoveryGap is how far a recovery moves the fencing numbers: more than a
 	// lost majority can have given, as each number needs a lease of its own.
-	recoveryGap = 1_000_000_000
+	recoveryFencingGap = 1_000_000_000
 	// recoveryHolder holds each lease after a recovery until the longest lease
 	// that the lost majority can have granted has run out.
 	recoveryHolder = "recovery"
@@ -21,15 +21,15 @@
 // counted by the leader's own clock, and numbers begin above a gap.
 func (t *Table) Recover() {
 	for _, e := range t.leases {
-		t.floor = max(t.floor, e.GetFencing())
+		t.fencingFloor = max(t.fencingFloor, e.GetFencing())
 	}
-	t.floor += recoveryGap
+	t.fencingFloor += recoveryFencingGap
 	for name, e := range t.leases {
-		t.leases[name] = t.recovered(name, e.GetRenewal())
+		t.leases[name] = t.recoveryEntry(name, e.GetRenewal())
 	}
 }
 
-func (t *Table) recovered(name string, renewal uint64) *lilacv1.LeaseEntry {
+func (t *Table) recoveryEntry(name string, renewal uint64) *lilacv1.LeaseEntry {
 	return &lilacv1.LeaseEntry{Name: name, Holder: recoveryHolder, Incarnation: recoveryHolder,
-		Fencing: t.floor, DurationMs: maxDurationMs, Renewal: renewal + 1}
+		Fencing: t.fencingFloor, DurationMs: maxDurationMs, Renewal: renewal + 1}
 }
--- a/process/lease/recover_test.go
+++ b/process/lease/recover_test.go
@@ -9,29 +9,29 @@
 // The lost majority granted the lease to b under a number that the survivor
 // never saw, and b still gives orders. After the recovery c must get it neither
 // at once nor under a number that engines have seen.
-func TestRecoveredLeaseWaitsAndGoesPastAllNumbers(t *testing.T) {
+func TestRecoveredLeaseExpiresBeforeNewGrant(t *testing.T) {
 	for name, before := range map[string]int{"known before": 1, "never seen": 0} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := NewTable()
 			for range before {
-				_, err := table.Apply(ask("a", 1000, 0))
+				_, err := table.Apply(leaseRequest("a", 1000, 0))
 				is.NoErr(err)
 			}
 			table.Recover()
 			restored := NewTable()
 			restored.Restore(table.Snapshot())
 			for _, holder := range []string{"c", "a"} {
-				reply, err := restored.Apply(ask(holder, 1000, 0))
+				reply, err := restored.Apply(leaseRequest(holder, 1000, 0))
 				is.NoErr(err)
 				is.True(!reply.GetGranted())
 				is.Equal(reply.GetDurationMs(), uint32(maxDurationMs))
 			}
 			held := restored.Get("orders")
-			reply, err := restored.Apply(ask("c", 1000, held.GetRenewal()))
+			reply, err := restored.Apply(leaseRequest("c", 1000, held.GetRenewal()))
 			is.NoErr(err)
 			is.True(reply.GetGranted())
-			is.Equal(reply.GetFencing(), uint64(before+recoveryGap+1))
+			is.Equal(reply.GetFencing(), uint64(before+recoveryFencingGap+1))
 		})
 	}
 }
--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -8,95 +8,95 @@
 )
 
 // fullRetryAfter is when a caller that met a full ledger may come back.
-const fullRetryAfter = 30 * time.Second
+const fullLedgerRetryAfter = 30 * time.Second
 
 // invariant counts a step that must never happen; the caller then does not make it.
-func (l *Ledger) invariant(holds bool) bool {
+func (l *Ledger) checkInvariant(holds bool) bool {
 	if !holds {
-		l.broken++
+		l.brokenInvariants++
 	}
 	return holds
 }
 
-func (l *Ledger) add(message *lilacv1.LedgerEntry) {
-	e := &entry{record: recordOf(message)}
+func (l *Ledger) addEntry(message *lilacv1.LedgerEntry) {
+	e := &entry{record: recordFromMessage(message)}
 	l.order.add(e)
-	l.entries[id{e.team, e.key}] = e
+	l.entries[keyID{e.team, e.key}] = e
 	if !isTimed(e.key) {
 		l.untimed++
 	}
 	if e.state == lilacv1.ClaimState_CLAIM_STATE_CLAIMED {
-		l.instances.open(e)
+		l.incarnations.addOpen(e)
 	}
-	l.keepAnswer(e)
+	l.retainAnswer(e)
 }
 
 // reopen grants a key whose earlier attempt is proved not to have run. It
 // counts as a new claim, so that its retention begins now.
 func (l *Ledger) reopen(e *entry, r *lilacv1.ClaimRequest) bool {
-	if !l.invariant(e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN) {
+	if !l.checkInvariant(e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN) {
 		return false
 	}
-	e.fresh()
+	e.copyRecord()
 	e.holder, e.attempt = &holder{r.GetInstance(), r.GetIncarnation()}, r.GetAttempt()
 	e.state = lilacv1.ClaimState_CLAIM_STATE_CLAIMED
 	e.claimedUnixMs = l.nowMs
 	l.order.remove(e)
 	l.order.add(e)
-	l.instances.open(e)
+	l.incarnations.addOpen(e)
 	return true
 }
 
 // finish is the only step out of the state claimed.
 func (l *Ledger) finish(e *entry, state lilacv1.ClaimState, stored *lilacv1.StoredAnswer) {
-	if !l.invariant(e.state == lilacv1.ClaimState_CLAIM_STATE_CLAIMED) {
+	if !l.checkInvariant(e.state == lilacv1.ClaimState_CLAIM_STATE_CLAIMED) {
 		return
 	}
-	l.instances.close(e)
+	l.incarnations.removeOpen(e)
 	e.end(state)
 	if state != lilacv1.ClaimState_CLAIM_STATE_RAN || stored == nil {
 		return
 	}
-	e.answer = answerOf(stored)
+	e.answer = answerFromMessage(stored)
 	if e.answer.size() > l.limits.AnswerBytes {
 		dropBody(e)
 	}
-	l.keepAnswer(e)
+	l.retainAnswer(e)
 }
 
 // dropBody keeps the status of the answer without its body. The answer is
 // replaced, not changed, since a reply that is being sent may share it.
 func dropBody(e *entry) {
-	e.fresh()
+	e.copyRecord()
 	e.answer = &answer{status: e.answer.status, contentType: e.answer.contentType, tooLarge: true}
 }
 
 // keepAnswer counts the entry's body and drops the oldest bodies past the bound.
-func (l *Ledger) keepAnswer(e *entry) {
+func (l *Ledger) retainAnswer(e *entry) {
 	size := e.answer.size()
 	if size == 0 {
 		return
 	}
-	e.answerPlace = l.answers.PushBack(e)
+	e.answerElement = l.answers.PushBack(e)
 	l.answerBytes += size
 	for l.answerBytes > l.limits.TotalAnswerBytes {
 		oldest := l.answers.Front().Value.(*entry)
-		l.forgetAnswer(oldest)
+		l.releaseAnswer(oldest)
 		dropBody(oldest)
 	}
 }
 
-func (l *Ledger) forgetAnswer(e *entry) {
-	if e.answerPlace == nil {
+func (l *Ledger) releaseAnswer(e *entry) {
+	if e.answerElement == nil {
 		return
 	}
-	l.answers.Remove(e.answerPlace)
-	e.answerPlace = nil
+	l.answers.Remove(e.answerElement)
+	e.answerElement = nil
 	l.answerBytes -= e.answer.size()
 }
 
 // endOpenClaims marks claims of a gone incarnation: whether they ran is not known.
-func (l *Ledger) endOpenClaims(open []*entry) {
+func (l *Ledger) markUnknown(open []*entry) {
 	for _, e := range open {
 		e.end(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
 	}
@@ -107,7 +107,7 @@
 func (l *Ledger) MarkGone(g *lilacv1.IncarnationsGone) {
 	l.advance(g.GetNowUnixMs())
 	for _, incarnation := range g.GetIncarnations() {
-		l.instances.gone(incarnation, l.endOpenClaims)
+		l.incarnations.retire(incarnation, l.markUnknown)
 	}
 }
 
@@ -115,63 +115,63 @@
 // be gone, in order of their instances' names.
 func (l *Ledger) Incarnations() []string {
 	var list []string
-	for _, i := range l.instances.all() {
+	for _, i := range l.incarnations.currentIncarnations() {
 		list = append(list, i.GetIncarnation())
 	}
 	return list
 }
 
 // OpenClaims returns how many requests are claimed and not ended.
-func (l *Ledger) OpenClaims() int { return l.instances.openCount() }
+func (l *Ledger) OpenClaims() int { return l.incarnations.openCount() }
 
 func (l *Ledger) retentionMs() int64 { return l.limits.Retention.Milliseconds() }
 
 // sweep turns the oldest entries whose retention has passed into tombstones.
 func (l *Ledger) sweep() {
-	for range sweepStep {
+	for range maxSweptPerCommand {
 		front := l.order.oldest
 		if front == nil || l.nowMs < front.claimedUnixMs+l.retentionMs() {
 			break
 		}
-		if !l.retire(front) {
+		if !l.retireToTombstone(front) {
 			break
 		}
 	}
 	l.tombstones.sweep(l.nowMs)
-	l.forgetSome()
+	l.continueForgetting()
 }
 
 // retire replaces an entry by a tombstone. It tells false where there is no
 // room for one: the entry then stays, so that the key is not forgotten.
-func (l *Ledger) retire(e *entry) bool {
-	key := id{e.team, e.key}
-	until := int64(0)
-	if made, timed := keyTime(e.key); timed {
-		until = made + l.retentionMs()
+func (l *Ledger) retireToTombstone(e *entry) bool {
+	key := keyID{e.team, e.key}
+	untilMs := int64(0)
+	if createdMs, timed := keyTime(e.key); timed {
+		untilMs = createdMs + l.retentionMs()
 	}
 	// The key's own time refuses it already, or it is proved not to have run.
-	forget := until != 0 && until <= l.nowMs || e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN
-	if until == 0 {
+	drop := untilMs != 0 && untilMs <= l.nowMs || e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN
+	if untilMs == 0 {
 		l.untimed--
-	} else if !forget && l.tombstones.timedSize() >= l.limits.Tombstones {
+	} else if !drop && l.tombstones.timedSize() >= l.limits.Tombstones {
 		return false
 	}
-	l.instances.close(e)
-	l.forgetAnswer(e)
+	l.incarnations.removeOpen(e)
+	l.releaseAnswer(e)
 	l.order.remove(e)
 	delete(l.entries, key)
 	switch {
-	case forget:
-	case until == 0:
+	case drop:
+	case untilMs == 0:
 		l.tombstones.add(key, -e.claimedUnixMs)
 	default:
-		l.tombstones.add(key, until)
+		l.tombstones.add(key, untilMs)
 	}
 	return true
 }
 
 // makeRoom refuses a new key that could not be remembered as long as it must.
-func (l *Ledger) makeRoom(key string) error {
+func (l *Ledger) reserveCapacity(key string) error {
 	if !isTimed(key) && l.tombstones.untimedSize()+l.untimed >= l.limits.Tombstones {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
 			"the ledger can remember no more keys without a time; send a UUID of version 7 as Idempotency-Key, or ask the operators to FORGET KEYS",
@@ -180,7 +180,7 @@
 	if len(l.entries) >= l.limits.Entries && !l.retireOldest() {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
 			"the ledger of non-idempotent requests is full; come back later, or shorten claim_retention",
-			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE), fault.WithRetryAfter(fullRetryAfter))
+			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE), fault.WithRetryAfter(fullLedgerRetryAfter))
 	}
 	return nil
 }
@@ -189,22 +189,22 @@
 // is over. An open claim is not retired: its outcome is still to come.
 func (l *Ledger) retireOldest() bool {
 	front := l.order.oldest
-	for range sweepStep {
+	for range maxSweptPerCommand {
 		if front == nil {
 			return false
 		}
 		if front.state != lilacv1.ClaimState_CLAIM_STATE_CLAIMED {
-			return l.retire(front)
+			return l.retireToTombstone(front)
 		}
-		front = front.after
+		front = front.next
 	}
 	return false
 }
 
 // expired tells whether the key's retention has passed, so that it must never
 // run again whether or not it ran.
-func (l *Ledger) expired(key id) bool {
-	if made, timed := keyTime(key.key); timed && made+l.retentionMs() <= l.nowMs {
+func (l *Ledger) expired(key keyID) bool {
+	if createdMs, timed := keyTime(key.key); timed && createdMs+l.retentionMs() <= l.nowMs {
 		return true
 	}
 	if l.tombstones.has(key) {
--- a/process/ledger/forget.go
+++ b/process/ledger/forget.go
@@ -9,18 +9,18 @@
 
 const (
 	// leastKept is how long a key without a time is remembered in any case.
-	leastKept = 7 * 24 * time.Hour
+	minKeyRetention = 7 * 24 * time.Hour
 	// forgetStep bounds the shards that one command looks through, so that no
 	// command is slow.
-	forgetStep = 4
+	shardsPerCommand = 4
 )
 
 // forgetting is what the operators last had forgotten. It goes through the
 // shards of the tombstones from the first on.
-type forgetting struct {
+type forgetProgress struct {
 	beforeMs int64
 	// left is how many shards are still to be looked through.
-	left int
+	shardsLeft int
 }
 
 // CheckForget tells why the keys from before a moment may not be forgotten.
@@ -29,10 +29,10 @@
 // again would have its request run twice. It shows as a doubled registration. It
 // holds for callers that give up within leastKept, by the leaders' clocks.
 func (l *Ledger) CheckForget(beforeUnixMs int64) error {
-	latest := l.nowMs - leastKept.Milliseconds()
+	latest := l.nowMs - minKeyRetention.Milliseconds()
 	if beforeUnixMs <= 0 || beforeUnixMs > latest {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE,
-			"keys of the last %d days are not forgotten; give a date up to %s", int(leastKept.Hours()/24), time.UnixMilli(latest).UTC().Format(time.DateOnly))
+			"keys of the last %d days are not forgotten; give a date up to %s", int(minKeyRetention.Hours()/24), time.UnixMilli(latest).UTC().Format(time.DateOnly))
 	}
 	return nil
 }
@@ -42,18 +42,18 @@
 // runs again. Those of keys whose claim's time is not known stay. The moment must
 // have passed CheckForget.
 func (l *Ledger) Forget(beforeUnixMs int64) {
-	l.forgetting = forgetting{beforeMs: max(l.forgetting.beforeMs, beforeUnixMs), left: shardCount}
+	l.forgetting = forgetProgress{beforeMs: max(l.forgetting.beforeMs, beforeUnixMs), shardsLeft: shardCount}
 }
 
-func (l *Ledger) forgetSome() {
-	for range min(forgetStep, l.forgetting.left) {
-		l.tombstones.forget(shardCount-l.forgetting.left, l.forgetting.beforeMs)
-		l.forgetting.left--
+func (l *Ledger) continueForgetting() {
+	for range min(shardsPerCommand, l.forgetting.shardsLeft) {
+		l.tombstones.removeClaimedBefore(shardCount-l.forgetting.shardsLeft, l.forgetting.beforeMs)
+		l.forgetting.shardsLeft--
 	}
 }
 
 // forget drops from one shard what has no time and was claimed before beforeMs.
-func (t *tombstones) forget(at int, beforeMs int64) {
+func (t *tombstones) removeClaimedBefore(at int, beforeMs int64) {
 	var old []keyHash
 	for hash, until := range t.shards[at].until {
 		if until < 0 && -until < beforeMs {
@@ -63,7 +63,7 @@
 	if len(old) == 0 {
 		return
 	}
-	shard := t.owned(old[0])
+	shard := t.writableShard(old[0])
 	for _, hash := range old {
 		delete(shard, hash)
 	}
--- a/process/ledger/forget_test.go
+++ b/process/ledger/forget_test.go
@@ -14,38 +14,38 @@
 // After months of plain keys no registration with one was taken any more, and no
 // operator could help. Once they have old keys forgotten there is room again; the
 // younger ones stay refused, also where the snapshot falls in the middle of it.
-func TestOldKeysAreForgottenWhenOperatorsSaySo(t *testing.T) {
+func TestForgetRemovesOldUntimedKeys(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour, Tombstones: 3})
 	now := start - 100*24*hour
 	for _, key := range []string{"oldest", "old", "young"} {
-		grant(t, l, claim(key, "a-"+key, now))
-		ended := outcome(key, "a-"+key, ran, "")
+		mustGrant(t, l, newClaim(key, "a-"+key, now))
+		ended := newOutcome(key, "a-"+key, ran, "")
 		ended.NowUnixMs = now
 		_, err := l.Outcome(ended)
 		is.NoErr(err)
 		now = start
 	}
-	_, err := l.Claim(claim("new", "b", start+2*hour))
+	_, err := l.Claim(newClaim("new", "b", start+2*hour))
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_LIMIT))
 	is.True(l.CheckForget(start-6*24*hour) != nil)
 	is.True(l.CheckForget(0) != nil)
 	is.NoErr(l.CheckForget(start - 8*24*hour))
 
 	l.Forget(start - 8*24*hour)
-	for range shardCount / forgetStep / 2 {
+	for range shardCount / shardsPerCommand / 2 {
 		l.advance(start + 2*hour)
 	}
 	restored := New(l.limits)
 	restored.Restore(l.Snapshot())
-	for range shardCount / forgetStep / 2 {
+	for range shardCount / shardsPerCommand / 2 {
 		l.advance(start + 2*hour)
 		restored.advance(start + 2*hour)
 	}
 	is.True(proto.Equal(l.Snapshot(), restored.Snapshot()))
-	grant(t, l, claim("new", "b", start+2*hour))
+	mustGrant(t, l, newClaim("new", "b", start+2*hour))
 	for _, key := range []string{"old", "young"} {
-		reply, err := l.Claim(claim(key, "b", start+2*hour))
+		reply, err := l.Claim(newClaim(key, "b", start+2*hour))
 		is.NoErr(err)
 		is.True(reply.GetExpired())
 	}
--- a/process/ledger/incarnations.go
+++ b/process/ledger/incarnations.go
@@ -15,15 +15,15 @@
 	current map[string]string
 	fenced  map[string]struct{}
 	// order holds the fenced ones from the oldest on.
-	order  []string
-	claims map[string]map[*entry]struct{}
+	fenceOrder []string
+	openBy     map[string]map[*entry]struct{}
 }
 
 func newIncarnations() *incarnations {
 	return &incarnations{
 		current: make(map[string]string),
 		fenced:  make(map[string]struct{}),
-		claims:  make(map[string]map[*entry]struct{}),
+		openBy:  make(map[string]map[*entry]struct{}),
 	}
 }
 
@@ -34,27 +34,27 @@
 // would see as "in progress" without end, and against a claim of the dead that
 // arrives late. It holds because a gone incarnation is fenced for good and
 // never becomes current again.
-func (n *incarnations) seen(instance, incarnation string, end func([]*entry)) error {
+func (n *incarnations) observe(instance, incarnation string, endClaims func([]*entry)) error {
 	if _, fenced := n.fenced[incarnation]; fenced {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT,
 			"instance %s was taken for dead under this incarnation; it must restart or claim under a new one", instance)
 	}
-	before, known := n.current[instance]
-	if before == incarnation {
+	previous, known := n.current[instance]
+	if previous == incarnation {
 		return nil
 	}
 	if known {
-		n.gone(before, end)
+		n.retire(previous, endClaims)
 	}
 	n.current[instance] = incarnation
 	return nil
 }
 
-func (n *incarnations) gone(incarnation string, end func([]*entry)) {
+func (n *incarnations) retire(incarnation string, endClaims func([]*entry)) {
 	if open := n.openClaims(incarnation); len(open) > 0 {
-		end(open)
+		endClaims(open)
 	}
-	delete(n.claims, incarnation)
+	delete(n.openBy, incarnation)
 	for instance, current := range n.current {
 		if current == incarnation {
 			delete(n.current, instance)
@@ -68,46 +68,46 @@
 		return
 	}
 	n.fenced[incarnation] = struct{}{}
-	n.order = append(n.order, incarnation)
-	if len(n.order) > maxGone {
-		delete(n.fenced, n.order[0])
-		n.order = n.order[1:]
+	n.fenceOrder = append(n.fenceOrder, incarnation)
+	if len(n.fenceOrder) > maxFenced {
+		delete(n.fenced, n.fenceOrder[0])
+		n.fenceOrder = n.fenceOrder[1:]
 	}
 }
 
 func (n *incarnations) openClaims(incarnation string) []*entry {
-	return slices.Collect(maps.Keys(n.claims[incarnation]))
+	return slices.Collect(maps.Keys(n.openBy[incarnation]))
 }
 
-func (n *incarnations) open(e *entry) {
-	of := n.claims[e.holder.incarnation]
-	if of == nil {
-		of = make(map[*entry]struct{})
-		n.claims[e.holder.incarnation] = of
+func (n *incarnations) addOpen(e *entry) {
+	claims := n.openBy[e.holder.incarnation]
+	if claims == nil {
+		claims = make(map[*entry]struct{})
+		n.openBy[e.holder.incarnation] = claims
 	}
-	of[e] = struct{}{}
+	claims[e] = struct{}{}
 }
 
-func (n *incarnations) close(e *entry) {
+func (n *incarnations) removeOpen(e *entry) {
 	if e.holder == nil {
 		return
 	}
-	of := n.claims[e.holder.incarnation]
-	delete(of, e)
-	if len(of) == 0 {
-		delete(n.claims, e.holder.incarnation)
+	claims := n.openBy[e.holder.incarnation]
+	delete(claims, e)
+	if len(claims) == 0 {
+		delete(n.openBy, e.holder.incarnation)
 	}
 }
 
 func (n *incarnations) openCount() int {
 	count := 0
-	for _, of := range n.claims {
-		count += len(of)
+	for _, claims := range n.openBy {
+		count += len(claims)
 	}
 	return count
 }
 
-func (n *incarnations) all() []*lilacv1.LedgerIncarnation {
+func (n *incarnations) currentIncarnations() []*lilacv1.LedgerIncarnation {
 	var list []*lilacv1.LedgerIncarnation
 	for instance, incarnation := range n.current {
 		list = append(list, &lilacv1.LedgerIncarnation{Instance: instance, Incarnation: incarnation})
--- a/process/ledger/keytime.go
+++ b/process/ledger/keytime.go
@@ -11,11 +11,11 @@
 
 const (
 	// maxAhead is how far a key's own time may lie ahead of the ledger's.
-	maxAhead = time.Hour
+	maxKeyTimeAhead = time.Hour
 
 	uuidLength = 36
 	// timeDigits are the hexadecimal digits of the time in a UUID of version 7.
-	timeDigits = 12
+	keyTimeDigits = 12
 )
 
 // keyTime returns the time in Unix milliseconds that a key carries in itself:
@@ -30,7 +30,7 @@
 		return 0, false
 	}
 	var ms int64
-	for _, b := range raw[:timeDigits/2] {
+	for _, b := range raw[:keyTimeDigits/2] {
 		ms = ms<<8 | int64(b)
 	}
 	return ms, true
@@ -38,9 +38,9 @@
 
 // checkTimed refuses a key from the future: its own time would refuse it only
 // long after its entry has been dropped.
-func (l *Ledger) checkTimed(key string) error {
-	made, timed := keyTime(key)
-	if !timed || made <= l.nowMs+maxAhead.Milliseconds() {
+func (l *Ledger) checkKeyTime(key string) error {
+	createdMs, timed := keyTime(key)
+	if !timed || createdMs <= l.nowMs+maxKeyTimeAhead.Milliseconds() {
 		return nil
 	}
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST,
--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -45,10 +45,10 @@
 	digestBytes = 32
 	maxKeyBytes = 256
 	// maxGone is how many gone incarnations are remembered.
-	maxGone = 16384
+	maxFenced = 16384
 	// sweepStep bounds the old entries that one command clears away, so that no
 	// command is slow.
-	sweepStep = 8
+	maxSweptPerCommand = 8
 )
 
 func (l Limits) withDefaults() Limits {
@@ -67,39 +67,39 @@
 	return l
 }
 
-type id struct{ team, key string }
+type keyID struct{ team, key string }
 
 // Ledger is the state machine. Calls must not overlap.
 type Ledger struct {
 	limits  Limits
 	nowMs   int64
-	entries map[id]*entry
+	entries map[keyID]*entry
 	// order holds the entries from the oldest claim on; answers those with a
 	// kept body, from the oldest answer on.
-	order       claimOrder
-	answers     *list.List
-	answerBytes int
-	tombstones  *tombstones
-	instances   *incarnations
+	order        claimOrder
+	answers      *list.List
+	answerBytes  int
+	tombstones   *tombstones
+	incarnations *incarnations
 	// untimed counts the entries whose key carries no time; each has a place
 	// among the tombstones reserved.
 	untimed int
 	// recovery is the last one from a lost majority; nil if there was none.
-	recovery     *lilacv1.LedgerRecovery
-	forgetting   forgetting
-	late, broken uint64
+	recovery                       *lilacv1.LedgerRecovery
+	forgetting                     forgetProgress
+	lateOutcomes, brokenInvariants uint64
 	// doubted counts the claims refused because the key is in doubt.
-	doubted uint64
+	inDoubtClaims uint64
 }
 
 // New returns an empty Ledger.
 func New(limits Limits) *Ledger {
 	return &Ledger{
-		limits:     limits.withDefaults(),
-		entries:    make(map[id]*entry),
-		answers:    list.New(),
-		tombstones: newTombstones(),
-		instances:  newIncarnations(),
+		limits:       limits.withDefaults(),
+		entries:      make(map[keyID]*entry),
+		answers:      list.New(),
+		tombstones:   newTombstones(),
+		incarnations: newIncarnations(),
 	}
 }
 
@@ -111,14 +111,14 @@
 
 // LateOutcomes counts outcomes that came when the claim had already ended
 // otherwise, as when its instance was taken for dead; the state stayed.
-func (l *Ledger) LateOutcomes() uint64 { return l.late }
+func (l *Ledger) LateOutcomes() uint64 { return l.lateOutcomes }
 
 // Doubted counts claims refused since a lost majority may have known the key.
-func (l *Ledger) InDoubtClaims() uint64 { return l.doubted }
+func (l *Ledger) InDoubtClaims() uint64 { return l.inDoubtClaims }
 
 // Broken counts broken invariants: steps that would have moved a state backwards
 // or granted a key twice. They were refused; the count must stay 0.
-func (l *Ledger) BrokenInvariants() uint64 { return l.broken }
+func (l *Ledger) BrokenInvariants() uint64 { return l.brokenInvariants }
 
 // advance moves the ledger's time; a command with an older time changes nothing.
 func (l *Ledger) advance(nowUnixMs int64) {
@@ -133,29 +133,29 @@
 	if err := checkClaim(r); err != nil {
 		return nil, err
 	}
-	if err := l.instances.seen(r.GetInstance(), r.GetIncarnation(), l.endOpenClaims); err != nil {
+	if err := l.incarnations.observe(r.GetInstance(), r.GetIncarnation(), l.markUnknown); err != nil {
 		return nil, err
 	}
-	key := id{r.GetTeam(), r.GetKey()}
+	key := keyID{r.GetTeam(), r.GetKey()}
 	if l.expired(key) {
 		return &lilacv1.ClaimReply{Expired: true}, nil
 	}
-	if old, ok := l.entries[key]; ok {
-		return l.again(old, r), nil
+	if existing, ok := l.entries[key]; ok {
+		return l.repeatedClaim(existing, r), nil
 	}
 	if l.inDoubt(r.GetKey()) {
-		return l.doubtful(r.GetKey()), nil
+		return l.refuseInDoubt(r.GetKey()), nil
 	}
-	if err := l.checkTimed(r.GetKey()); err != nil {
+	if err := l.checkKeyTime(r.GetKey()); err != nil {
 		return nil, err
 	}
-	if err := l.makeRoom(r.GetKey()); err != nil {
+	if err := l.reserveCapacity(r.GetKey()); err != nil {
 		return nil, err
 	}
-	if !l.invariant(!l.tombstones.has(key)) {
+	if !l.checkInvariant(!l.tombstones.has(key)) {
 		return &lilacv1.ClaimReply{Expired: true}, nil
 	}
-	l.add(&lilacv1.LedgerEntry{
+	l.addEntry(&lilacv1.LedgerEntry{
 		Team: r.GetTeam(), Key: r.GetKey(), Digest: r.GetDigest(),
 		Instance: r.GetInstance(), Incarnation: r.GetIncarnation(), Attempt: r.GetAttempt(),
 		State: lilacv1.ClaimState_CLAIM_STATE_CLAIMED, ClaimedUnixMs: l.nowMs,
@@ -168,13 +168,13 @@
 // however far behind, since those states are final; so a data centre that is cut
 // off still answers what it has seen end.
 func (l *Ledger) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
-	old, ok := l.entries[id{r.GetTeam(), r.GetKey()}]
+	existing, ok := l.entries[keyID{r.GetTeam(), r.GetKey()}]
 	if !ok || checkClaim(r) != nil {
 		return nil, false
 	}
-	switch old.state {
+	switch existing.state {
 	case lilacv1.ClaimState_CLAIM_STATE_RAN, lilacv1.ClaimState_CLAIM_STATE_UNKNOWN:
-		return l.again(old, r), true
+		return l.repeatedClaim(existing, r), true
 	}
 	return nil, false
 }
@@ -197,54 +197,54 @@
 }
 
 // again answers a claim of a key that is known.
-func (l *Ledger) again(old *entry, r *lilacv1.ClaimRequest) *lilacv1.ClaimReply {
-	if !old.hasDigest() {
+func (l *Ledger) repeatedClaim(existing *entry, r *lilacv1.ClaimRequest) *lilacv1.ClaimReply {
+	if !existing.hasDigest() {
 		// Released before the claim itself arrived; the first body to come counts.
-		old.fresh()
-		copy(old.digest[:], r.GetDigest())
+		existing.copyRecord()
+		copy(existing.digest[:], r.GetDigest())
 	}
-	if string(old.digest[:]) != string(r.GetDigest()) {
-		return &lilacv1.ClaimReply{State: old.state, BodyDiffers: true}
+	if string(existing.digest[:]) != string(r.GetDigest()) {
+		return &lilacv1.ClaimReply{State: existing.state, BodyDiffers: true}
 	}
-	sameAttempt := old.attempt == r.GetAttempt()
-	switch old.state {
+	sameAttempt := existing.attempt == r.GetAttempt()
+	switch existing.state {
 	case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
 		// The same attempt again means that its answer was lost on the way.
-		return &lilacv1.ClaimReply{Granted: sameAttempt, State: old.state}
+		return &lilacv1.ClaimReply{Granted: sameAttempt, State: existing.state}
 	case lilacv1.ClaimState_CLAIM_STATE_NOT_RUN:
 		// A delayed copy of a claim that was given up must not open it again:
 		// nobody waits for its grant any more.
 		if sameAttempt {
-			return &lilacv1.ClaimReply{State: old.state}
+			return &lilacv1.ClaimReply{State: existing.state}
 		}
-		return &lilacv1.ClaimReply{Granted: l.reopen(old, r), State: old.state}
+		return &lilacv1.ClaimReply{Granted: l.reopen(existing, r), State: existing.state}
 	}
-	return &lilacv1.ClaimReply{State: old.state, Answer: old.answer.message()}
+	return &lilacv1.ClaimReply{State: existing.state, Answer: existing.answer.toMessage()}
 }
 
 // Outcome records how a claimed request ended. The same outcome again is
 // confirmed again; a state that is no longer claimed stays as it is.
 func (l *Ledger) Outcome(r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	l.advance(r.GetNowUnixMs())
-	if !ended(r.GetState()) || r.GetTeam() == "" || r.GetKey() == "" || r.GetAttempt() == "" || len(r.GetKey()) > maxKeyBytes {
+	if !isEndState(r.GetState()) || r.GetTeam() == "" || r.GetKey() == "" || r.GetAttempt() == "" || len(r.GetKey()) > maxKeyBytes {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "an outcome names team, key, attempt and one of ran, unknown or not_run")
 	}
-	key := id{r.GetTeam(), r.GetKey()}
-	old, ok := l.entries[key]
+	key := keyID{r.GetTeam(), r.GetKey()}
+	existing, ok := l.entries[key]
 	if !ok {
 		return l.outcomeWithoutClaim(key, r)
 	}
-	if old.attempt != r.GetAttempt() {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "another attempt holds this key, in state %s; the outcome is not recorded", StateName(old.state))
+	if existing.attempt != r.GetAttempt() {
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "another attempt holds this key, in state %s; the outcome is not recorded", StateName(existing.state))
 	}
-	if old.state != lilacv1.ClaimState_CLAIM_STATE_CLAIMED {
-		if old.state != r.GetState() {
-			l.late++
+	if existing.state != lilacv1.ClaimState_CLAIM_STATE_CLAIMED {
+		if existing.state != r.GetState() {
+			l.lateOutcomes++
 		}
-		return &lilacv1.OutcomeReply{State: old.state}, nil
+		return &lilacv1.OutcomeReply{State: existing.state}, nil
 	}
-	l.finish(old, r.GetState(), r.GetAnswer())
-	return &lilacv1.OutcomeReply{State: old.state}, nil
+	l.finish(existing, r.GetState(), r.GetAnswer())
+	return &lilacv1.OutcomeReply{State: existing.state}, nil
 }
 
 // outcomeWithoutClaim remembers that an attempt was given up before its claim arrived.
@@ -253,19 +253,19 @@
 // up and says so: the claim would stand open for ever and the caller's resend
 // would be told "in progress". It holds because the attempt is already marked
 // not_run when its claim arrives.
-func (l *Ledger) outcomeWithoutClaim(key id, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
+func (l *Ledger) outcomeWithoutClaim(key keyID, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	if l.expired(key) || r.GetState() != lilacv1.ClaimState_CLAIM_STATE_NOT_RUN {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no such claim is remembered; its retention has passed, or it never was")
 	}
 	// Of a key in doubt another attempt may have run: it must not become free.
-	if l.inDoubt(r.GetKey()) || l.checkTimed(r.GetKey()) != nil || l.makeRoom(r.GetKey()) != nil {
+	if l.inDoubt(r.GetKey()) || l.checkKeyTime(r.GetKey()) != nil || l.reserveCapacity(r.GetKey()) != nil {
 		return &lilacv1.OutcomeReply{State: r.GetState()}, nil
 	}
-	l.add(&lilacv1.LedgerEntry{Team: r.GetTeam(), Key: r.GetKey(), Attempt: r.GetAttempt(), State: r.GetState(), ClaimedUnixMs: l.nowMs})
+	l.addEntry(&lilacv1.LedgerEntry{Team: r.GetTeam(), Key: r.GetKey(), Attempt: r.GetAttempt(), State: r.GetState(), ClaimedUnixMs: l.nowMs})
 	return &lilacv1.OutcomeReply{State: r.GetState()}, nil
 }
 
-func ended(state lilacv1.ClaimState) bool {
+func isEndState(state lilacv1.ClaimState) bool {
 	switch state {
 	case lilacv1.ClaimState_CLAIM_STATE_RAN, lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN:
 		return true
--- a/process/ledger/ledger_test.go
+++ b/process/ledger/ledger_test.go
@@ -28,11 +28,11 @@
 	return d
 }
 
-func claim(key, attempt string, nowMs int64) *lilacv1.ClaimRequest {
+func newClaim(key, attempt string, nowMs int64) *lilacv1.ClaimRequest {
 	return &lilacv1.ClaimRequest{Team: "coop", Key: key, Digest: digest(1), Instance: "entry-1", Incarnation: "one", Attempt: attempt, NowUnixMs: nowMs}
 }
 
-func outcome(key, attempt string, state lilacv1.ClaimState, body string) *lilacv1.OutcomeRequest {
+func newOutcome(key, attempt string, state lilacv1.ClaimState, body string) *lilacv1.OutcomeRequest {
 	return &lilacv1.OutcomeRequest{Team: "coop", Key: key, Attempt: attempt, State: state, NowUnixMs: start,
 		Answer: &lilacv1.StoredAnswer{Status: 200, Body: []byte(body)}}
 }
@@ -42,7 +42,7 @@
 }
 
 // grant claims and fails the test unless the claim is granted.
-func grant(t *testing.T, l *Ledger, r *lilacv1.ClaimRequest) {
+func mustGrant(t *testing.T, l *Ledger, r *lilacv1.ClaimRequest) {
 	t.Helper()
 	reply, err := l.Claim(r)
 	is := is.New(t)
@@ -50,7 +50,7 @@
 	is.True(reply.GetGranted())
 }
 
-func TestSecondClaimIsToldWhereTheFirstStands(t *testing.T) {
+func TestSecondClaimReportsStateOfFirst(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		end     lilacv1.ClaimState
@@ -65,21 +65,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			l := New(Limits{})
-			grant(t, l, claim("k", "a1", start))
-			grant(t, l, claim("k", "a1", start))
+			mustGrant(t, l, newClaim("k", "a1", start))
+			mustGrant(t, l, newClaim("k", "a1", start))
 			if c.end != claimed {
-				_, err := l.Outcome(outcome("k", "a1", c.end, "filed"))
+				_, err := l.Outcome(newOutcome("k", "a1", c.end, "filed"))
 				is.NoErr(err)
 			}
-			final, isFinal := l.FinalReply(claim("k", "a2", start))
+			final, isFinal := l.FinalReply(newClaim("k", "a2", start))
 			is.Equal(isFinal, c.end == ran || c.end == unknown)
 			is.True(!final.GetGranted())
-			other := claim("k", "a2", start)
+			other := newClaim("k", "a2", start)
 			other.Digest = digest(2)
 			reply, err := l.Claim(other)
 			is.NoErr(err)
 			is.True(reply.GetBodyDiffers() && !reply.GetGranted())
-			reply, err = l.Claim(claim("k", "a2", start))
+			reply, err = l.Claim(newClaim("k", "a2", start))
 			is.NoErr(err)
 			is.Equal(reply.GetGranted(), c.granted)
 			is.Equal(reply.GetState(), c.state)
@@ -91,14 +91,14 @@
 // An entry dies with a booking in flight and is replaced. Its caller sends the
 // booking again: it must hear "unknown", never run it again. A claim of the dead
 // one that was still on the way must not be granted any more.
-func TestClaimOfADeadInstanceBecomesUnknown(t *testing.T) {
+func TestClaimOfDeadInstanceBecomesUnknown(t *testing.T) {
 	for name, die := range map[string]func(l *Ledger) error{
 		"declared gone": func(l *Ledger) error {
 			l.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}, NowUnixMs: start})
 			return nil
 		},
 		"restarted": func(l *Ledger) error {
-			r := claim("other", "b", start)
+			r := newClaim("other", "b", start)
 			r.Incarnation = "two"
 			_, err := l.Claim(r)
 			return err
@@ -107,17 +107,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := New(Limits{})
-			grant(t, l, claim("k", "a1", start))
+			mustGrant(t, l, newClaim("k", "a1", start))
 			is.NoErr(die(l))
-			again := claim("k", "a2", start)
+			again := newClaim("k", "a2", start)
 			again.Instance, again.Incarnation = "entry-2", "three"
 			reply, err := l.Claim(again)
 			is.NoErr(err)
 			is.True(!reply.GetGranted())
 			is.Equal(reply.GetState(), unknown)
-			_, err = l.Claim(claim("late", "a3", start))
+			_, err = l.Claim(newClaim("late", "a3", start))
 			is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
-			late, err := l.Outcome(outcome("k", "a1", notRun, ""))
+			late, err := l.Outcome(newOutcome("k", "a1", notRun, ""))
 			is.NoErr(err)
 			is.Equal(late.GetState(), unknown)
 			is.Equal(l.LateOutcomes(), uint64(1))
@@ -128,33 +128,33 @@
 // An entry gives up on a claim whose answer does not come, and says that the
 // request did not run. Then the delayed claim arrives after all. It must not
 // stand open, or the caller's resend would be "in progress" for ever.
-func TestDelayedClaimAfterItWasGivenUp(t *testing.T) {
+func TestClaimArrivingAfterItsReleaseIsNotGranted(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
-	_, err := l.Outcome(outcome("k", "a1", notRun, ""))
+	_, err := l.Outcome(newOutcome("k", "a1", notRun, ""))
 	is.NoErr(err)
-	reply, err := l.Claim(claim("k", "a1", start))
+	reply, err := l.Claim(newClaim("k", "a1", start))
 	is.NoErr(err)
 	is.True(!reply.GetGranted())
-	grant(t, l, claim("k", "a2", start))
+	mustGrant(t, l, newClaim("k", "a2", start))
 }
 
 // A caller keeps an old key and sends it long after the retention. Whether the
 // key carries its time or not, whatever has been cleared away, and also after a
 // restart from a snapshot: it must be refused as expired and never run again.
-func TestKeyPastItsRetentionNeverRunsAgain(t *testing.T) {
+func TestExpiredKeyIsNeverGranted(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour})
 	keys := []string{"plain", timedKey(start, 1), timedKey(start-hour/2, 2)}
 	for i, key := range keys {
-		grant(t, l, claim(key, fmt.Sprint("a", i), start))
-		_, err := l.Outcome(outcome(key, fmt.Sprint("a", i), ran, "x"))
+		mustGrant(t, l, newClaim(key, fmt.Sprint("a", i), start))
+		_, err := l.Outcome(newOutcome(key, fmt.Sprint("a", i), ran, "x"))
 		is.NoErr(err)
 	}
 	for after := int64(1); after < 50; after++ {
-		grant(t, l, claim(fmt.Sprint("filler", after), "f", start+after*hour))
+		mustGrant(t, l, newClaim(fmt.Sprint("filler", after), "f", start+after*hour))
 		for _, key := range keys {
-			reply, err := l.Claim(claim(key, "again", start+after*hour))
+			reply, err := l.Claim(newClaim(key, "again", start+after*hour))
 			is.NoErr(err)
 			is.True(!reply.GetGranted() && reply.GetExpired())
 		}
@@ -166,24 +166,24 @@
 	is.Equal(l.Len()+l.Tombstones(), 1+49)
 }
 
-func TestFullLedgerRefusesRatherThanForgets(t *testing.T) {
+func TestFullLedgerRefusesNewKeys(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour, Entries: 4, Tombstones: 6})
 	for i := range 6 {
-		grant(t, l, claim(fmt.Sprint(i), "a", start))
-		_, err := l.Outcome(outcome(fmt.Sprint(i), "a", ran, "x"))
+		mustGrant(t, l, newClaim(fmt.Sprint(i), "a", start))
+		_, err := l.Outcome(newOutcome(fmt.Sprint(i), "a", ran, "x"))
 		is.NoErr(err)
 	}
-	_, err := l.Claim(claim("one more", "a", start))
+	_, err := l.Claim(newClaim("one more", "a", start))
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_LIMIT))
 	is.Equal(fault.NotRunOf(err), lilacv1.NotRun_NOT_RUN_TRUE)
 	for i := range 6 {
-		reply, err := l.Claim(claim(fmt.Sprint(i), "b", start))
+		reply, err := l.Claim(newClaim(fmt.Sprint(i), "b", start))
 		is.NoErr(err)
 		is.True(!reply.GetGranted())
 	}
-	grant(t, l, claim(timedKey(start, 1), "a", start))
-	_, err = l.Claim(claim(timedKey(start+2*hour, 1), "a", start))
+	mustGrant(t, l, newClaim(timedKey(start, 1), "a", start))
+	_, err = l.Claim(newClaim(timedKey(start+2*hour, 1), "a", start))
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 }
 
@@ -192,12 +192,12 @@
 	l := New(Limits{AnswerBytes: 4, TotalAnswerBytes: 8})
 	for i, body := range []string{"large", "aaaa", "bbbb", "cccc"} {
 		key := fmt.Sprint(i)
-		grant(t, l, claim(key, "a", start))
-		_, err := l.Outcome(outcome(key, "a", ran, body))
+		mustGrant(t, l, newClaim(key, "a", start))
+		_, err := l.Outcome(newOutcome(key, "a", ran, body))
 		is.NoErr(err)
 	}
 	for key, tooLarge := range map[string]bool{"0": true, "1": true, "2": false, "3": false} {
-		reply, err := l.Claim(claim(key, "b", start))
+		reply, err := l.Claim(newClaim(key, "b", start))
 		is.NoErr(err)
 		is.Equal(reply.GetAnswer().GetTooLarge(), tooLarge)
 		is.Equal(reply.GetAnswer().GetStatus(), uint32(200))
@@ -205,11 +205,11 @@
 	is.Equal(l.answerBytes, 8)
 }
 
-func TestSnapshotHoldsEverything(t *testing.T) {
+func TestSnapshotRestoresState(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour})
 	for i := range 20 {
-		grant(t, l, claim(fmt.Sprint(i), fmt.Sprint(i), start+int64(i)*hour/8))
+		mustGrant(t, l, newClaim(fmt.Sprint(i), fmt.Sprint(i), start+int64(i)*hour/8))
 	}
 	l.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}})
 	restored := New(Limits{Retention: time.Hour})
@@ -228,7 +228,7 @@
 		"no attempt":  func(r *lilacv1.ClaimRequest) { r.Attempt = "" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := claim("k", "a", start)
+			r := newClaim("k", "a", start)
 			spoil(r)
 			_, err := New(Limits{}).Claim(r)
 			is.New(t).True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
--- a/process/ledger/random_test.go
+++ b/process/ledger/random_test.go
@@ -12,7 +12,7 @@
 )
 
 // caller is one attempt at a non-idempotent request, as an entry would drive it.
-type caller struct {
+type attempt struct {
 	request  *lilacv1.ClaimRequest
 	sent     bool
 	finished bool
@@ -21,19 +21,19 @@
 // history drives one ledger with delayed, repeated and lost calls, entries that
 // die, retention that passes and restarts from snapshots.
 type history struct {
-	random  *rand.Rand
-	ledger  *Ledger
-	limits  Limits
-	now     int64
-	callers []*caller
+	random   *rand.Rand
+	ledger   *Ledger
+	limits   Limits
+	now      int64
+	attempts []*attempt
 	// runs counts how often each key reached the backend server.
 	runs   map[string]int
 	grants int
-	lives  []int
+	starts []int
 }
 
 func (h *history) incarnation(instance int) string {
-	return fmt.Sprint(instance, "/", h.lives[instance])
+	return fmt.Sprint(instance, "/", h.starts[instance])
 }
 
 func (h *history) step() {
@@ -46,11 +46,11 @@
 	case 7, 8:
 		h.finish()
 	case 9:
-		instance := h.random.IntN(len(h.lives))
+		instance := h.random.IntN(len(h.starts))
 		if h.random.IntN(3) == 0 {
 			h.ledger.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{h.incarnation(instance)}, NowUnixMs: h.now})
 		}
-		h.lives[instance]++
+		h.starts[instance]++
 	case 10:
 		h.now += h.random.Int64N(hour)
 	case 11:
@@ -65,25 +65,25 @@
 	if h.random.IntN(2) == 0 {
 		key = timedKey(start+h.random.Int64N(8)*hour/2, h.random.IntN(8))
 	}
-	instance := h.random.IntN(len(h.lives))
-	r := claim(key, fmt.Sprint("attempt-", len(h.callers)), 0)
+	instance := h.random.IntN(len(h.starts))
+	r := newClaim(key, fmt.Sprint("attempt-", len(h.attempts)), 0)
 	r.Instance, r.Incarnation = fmt.Sprint(instance), h.incarnation(instance)
-	h.callers = append(h.callers, &caller{request: r})
+	h.attempts = append(h.attempts, &attempt{request: r})
 }
 
 // pick prefers recent callers, but delayed calls of old ones come too.
-func (h *history) pick() *caller {
-	if len(h.callers) == 0 {
+func (h *history) pickAttempt() *attempt {
+	if len(h.attempts) == 0 {
 		return nil
 	}
-	back := min(h.random.IntN(12), h.random.IntN(len(h.callers)))
-	return h.callers[len(h.callers)-1-min(back, len(h.callers)-1)]
+	back := min(h.random.IntN(12), h.random.IntN(len(h.attempts)))
+	return h.attempts[len(h.attempts)-1-min(back, len(h.attempts)-1)]
 }
 
 // claim sends or resends the call. A caller that has sent its request on, or has
 // finished, no longer listens: its resent call is a copy delayed on the way.
 func (h *history) claim() {
-	c := h.pick()
+	c := h.pickAttempt()
 	if c == nil {
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 func (h *history) finish() {
-	c := h.pick()
+	c := h.pickAttempt()
 	if c == nil || c.finished {
 		return
 	}
@@ -123,14 +123,14 @@
 // repeated and lost, entries die and come back, keys pass their retention and
 // the state process restarts. However it falls, the backend server must see each
 // key at most once.
-func TestNoKeyRunsTwiceInAnyHistory(t *testing.T) {
+func TestKeyRunsAtMostOnceInRandomHistories(t *testing.T) {
 	is := is.New(t)
 	total := 0
 	for seed := range uint64(60) {
 		limits := Limits{Retention: time.Hour, Entries: 12, Tombstones: 40, TotalAnswerBytes: 20}
 		h := &history{
 			random: rand.New(rand.NewPCG(seed, 1)), ledger: New(limits), limits: limits,
-			now: start, runs: make(map[string]int), lives: make([]int, 4),
+			now: start, runs: make(map[string]int), starts: make([]int, 4),
 		}
 		for range 600 {
 			h.step()
--- a/process/ledger/record.go
+++ b/process/ledger/record.go
@@ -31,7 +31,7 @@
 	tooLarge    bool
 }
 
-func answerOf(m *lilacv1.StoredAnswer) *answer {
+func answerFromMessage(m *lilacv1.StoredAnswer) *answer {
 	if m == nil {
 		return nil
 	}
@@ -40,7 +40,7 @@
 	return &answer{contentType: contentType, body: m.GetBody(), status: m.GetStatus(), tooLarge: m.GetTooLarge()}
 }
 
-func (a *answer) message() *lilacv1.StoredAnswer {
+func (a *answer) toMessage() *lilacv1.StoredAnswer {
 	if a == nil {
 		return nil
 	}
@@ -59,14 +59,14 @@
 type entry struct {
 	*record
 	// before and after are its neighbours in the order of claims.
-	before, after *entry
-	answerPlace   *list.Element
+	prev, next    *entry
+	answerElement *list.Element
 }
 
-func recordOf(m *lilacv1.LedgerEntry) *record {
+func recordFromMessage(m *lilacv1.LedgerEntry) *record {
 	r := &record{
 		team: m.GetTeam(), key: m.GetKey(), attempt: m.GetAttempt(),
-		state: m.GetState(), claimedUnixMs: m.GetClaimedUnixMs(), answer: answerOf(m.GetAnswer()),
+		state: m.GetState(), claimedUnixMs: m.GetClaimedUnixMs(), answer: answerFromMessage(m.GetAnswer()),
 	}
 	copy(r.digest[:], m.GetDigest())
 	if r.state == lilacv1.ClaimState_CLAIM_STATE_CLAIMED {
@@ -75,10 +75,10 @@
 	return r
 }
 
-func (r *record) message() *lilacv1.LedgerEntry {
+func (r *record) toMessage() *lilacv1.LedgerEntry {
 	m := &lilacv1.LedgerEntry{
 		Team: r.team, Key: r.key, Attempt: r.attempt,
-		State: r.state, ClaimedUnixMs: r.claimedUnixMs, Answer: r.answer.message(),
+		State: r.state, ClaimedUnixMs: r.claimedUnixMs, Answer: r.answer.toMessage(),
 	}
 	if r.hasDigest() {
 		m.Digest = r.digest[:]
@@ -97,14 +97,14 @@
 // index: a process that starts from it would apply that command twice and
 // differ from the others. It holds because a record is never changed once its
 // command has returned, only replaced.
-func (e *entry) fresh() {
+func (e *entry) copyRecord() {
 	changed := *e.record
 	e.record = &changed
 }
 
 // end moves the entry out of the state claimed.
 func (e *entry) end(state lilacv1.ClaimState) {
-	e.fresh()
+	e.copyRecord()
 	e.state, e.holder = state, nil
 }
 
@@ -116,27 +116,27 @@
 }
 
 func (o *claimOrder) add(e *entry) {
-	e.before, e.after = o.newest, nil
+	e.prev, e.next = o.newest, nil
 	if o.newest == nil {
 		o.oldest = e
 	} else {
-		o.newest.after = e
+		o.newest.next = e
 	}
 	o.newest = e
 	o.count++
 }
 
 func (o *claimOrder) remove(e *entry) {
-	if e.before == nil {
-		o.oldest = e.after
+	if e.prev == nil {
+		o.oldest = e.next
 	} else {
-		e.before.after = e.after
+		e.prev.next = e.next
 	}
-	if e.after == nil {
-		o.newest = e.before
+	if e.next == nil {
+		o.newest = e.prev
 	} else {
-		e.after.before = e.before
+		e.next.prev = e.prev
 	}
-	e.before, e.after = nil, nil
+	e.prev, e.next = nil, nil
 	o.count--
 }
--- a/process/ledger/recover.go
+++ b/process/ledger/recover.go
@@ -17,7 +17,7 @@
 // are in doubt.
 func (l *Ledger) Recover(nowUnixMs int64, margin time.Duration) (timed, untimed int64) {
 	l.nowMs = max(l.nowMs, nowUnixMs)
-	for e := l.order.oldest; e != nil; e = e.after {
+	for e := l.order.oldest; e != nil; e = e.next {
 		switch e.state {
 		case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
 			l.finish(e, lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, nil)
@@ -26,7 +26,7 @@
 		}
 	}
 	for _, incarnation := range l.Incarnations() {
-		l.instances.gone(incarnation, l.endOpenClaims)
+		l.incarnations.retire(incarnation, l.markUnknown)
 	}
 	l.recovery = &lilacv1.LedgerRecovery{
 		AtUnixMs: l.nowMs,
@@ -43,15 +43,15 @@
 	if l.recovery == nil {
 		return false
 	}
-	if made, timed := keyTime(key); timed {
-		return made < l.recovery.GetTimedUntilUnixMs()
+	if createdMs, timed := keyTime(key); timed {
+		return createdMs < l.recovery.GetTimedUntilUnixMs()
 	}
 	return l.nowMs < l.recovery.GetUntimedUntilUnixMs()
 }
 
 // doubtful refuses a claim of a key that is in doubt.
-func (l *Ledger) doubtful(key string) *lilacv1.ClaimReply {
-	l.doubted++
+func (l *Ledger) refuseInDoubt(key string) *lilacv1.ClaimReply {
+	l.inDoubtClaims++
 	reply := &lilacv1.ClaimReply{State: lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, InDoubt: true}
 	if !isTimed(key) {
 		reply.TakenAgainUnixMs = l.recovery.GetUntimedUntilUnixMs()
--- a/process/ledger/recover_test.go
+++ b/process/ledger/recover_test.go
@@ -13,7 +13,7 @@
 // then lost, and the third founds a new group without it. The caller sends the
 // dossier again. It must not reach the service twice, whatever its key is, and
 // dossiers made after the recovery must be taken.
-func TestKeysThatALostMajorityMayKnowAreNotGranted(t *testing.T) {
+func TestKeysPossiblyClaimedByLostMajorityAreRefused(t *testing.T) {
 	const margin = time.Hour
 	for _, c := range []struct {
 		name    string
@@ -35,7 +35,7 @@
 			l.Recover(start, margin)
 			restored := New(Limits{})
 			restored.Restore(l.Snapshot())
-			reply, err := restored.Claim(claim(c.key, "a", start+c.after))
+			reply, err := restored.Claim(newClaim(c.key, "a", start+c.after))
 			is.NoErr(err)
 			is.Equal(reply.GetGranted(), c.granted)
 			is.Equal(reply.GetInDoubt(), !c.granted)
@@ -46,33 +46,33 @@
 
 // A second majority is lost shortly after the first, and the operator states a
 // shorter margin. Keys that the first one may have known stay in doubt.
-func TestSecondRecoveryKeepsTheDoubtOfTheFirst(t *testing.T) {
+func TestSecondRecoveryKeepsFirstInDoubtPeriod(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
 	l.Recover(start, time.Hour)
 	l.Recover(start+hour/6, time.Minute)
-	reply, err := l.Claim(claim(timedKey(start+hour-1, 1), "a", start+hour))
+	reply, err := l.Claim(newClaim(timedKey(start+hour-1, 1), "a", start+hour))
 	is.NoErr(err)
 	is.True(!reply.GetGranted() && reply.GetInDoubt())
-	grant(t, l, claim(timedKey(start+hour, 2), "b", start+hour))
+	mustGrant(t, l, newClaim(timedKey(start+hour, 2), "b", start+hour))
 }
 
 // The survivor holds a claim as open, or as given up unsent, while the lost
 // majority saw it end or granted it again. The resend must not run.
-func TestUnfinishedClaimsBecomeUnknownAtARecovery(t *testing.T) {
+func TestUnfinishedClaimsBecomeUnknownOnRecovery(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
-	grant(t, l, claim("open", "1", start))
-	grant(t, l, claim("given up", "2", start))
-	_, err := l.Outcome(outcome("given up", "2", notRun, ""))
+	mustGrant(t, l, newClaim("open", "1", start))
+	mustGrant(t, l, newClaim("given up", "2", start))
+	_, err := l.Outcome(newOutcome("given up", "2", notRun, ""))
 	is.NoErr(err)
-	grant(t, l, claim("ended", "3", start))
-	_, err = l.Outcome(outcome("ended", "3", ran, "done"))
+	mustGrant(t, l, newClaim("ended", "3", start))
+	_, err = l.Outcome(newOutcome("ended", "3", ran, "done"))
 	is.NoErr(err)
 	l.Recover(start, time.Hour)
 	is.Equal(l.OpenClaims(), 0)
 	for key, state := range map[string]lilacv1.ClaimState{"open": unknown, "given up": unknown, "ended": ran} {
-		again := claim(key, "new", start)
+		again := newClaim(key, "new", start)
 		again.Incarnation = "two"
 		reply, err := l.Claim(again)
 		is.NoErr(err)
@@ -85,13 +85,13 @@
 // One attempt at a request ran by a claim that is lost; another one, which never
 // got its grant, is given up as not run after the recovery. That must not free
 // the key.
-func TestGivingUpAKeyInDoubtDoesNotFreeIt(t *testing.T) {
+func TestNotRunOutcomeDoesNotReleaseKeyInDoubt(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
 	l.Recover(start, time.Hour)
-	_, err := l.Outcome(outcome(timedKey(start-1, 1), "second", notRun, ""))
+	_, err := l.Outcome(newOutcome(timedKey(start-1, 1), "second", notRun, ""))
 	is.NoErr(err)
-	reply, err := l.Claim(claim(timedKey(start-1, 1), "third", start))
+	reply, err := l.Claim(newClaim(timedKey(start-1, 1), "third", start))
 	is.NoErr(err)
 	is.True(!reply.GetGranted() && reply.GetInDoubt())
 }
--- a/process/ledger/snapshot.go
+++ b/process/ledger/snapshot.go
@@ -10,7 +10,7 @@
 )
 
 // partEntries is how many entries stand in one part of a snapshot.
-const partEntries = 1000
+const entriesPerPart = 1000
 
 // Snapshot returns all that Restore needs.
 func (l *Ledger) Snapshot() *lilacv1.LedgerSnapshot {
@@ -33,27 +33,27 @@
 	rest := &lilacv1.LedgerSnapshot{
 		NowUnixMs: l.nowMs,
 		Recovery:  l.recovery,
-		Current:   l.instances.all(),
-		Gone:      append([]string(nil), l.instances.order...),
+		Current:   l.incarnations.currentIncarnations(),
+		Gone:      append([]string(nil), l.incarnations.fenceOrder...),
 
 		ForgetBeforeUnixMs: l.forgetting.beforeMs,
-		ForgetShards:       uint32(l.forgetting.left),
+		ForgetShards:       uint32(l.forgetting.shardsLeft),
 	}
 	records := make([]*record, 0, l.order.count)
-	for e := l.order.oldest; e != nil; e = e.after {
+	for e := l.order.oldest; e != nil; e = e.next {
 		records = append(records, e.record)
 	}
 	return func(yield func(*lilacv1.LedgerSnapshot) bool) {
 		if !yield(rest) {
 			return
 		}
-		for some := range slices.Chunk(records, partEntries) {
+		for some := range slices.Chunk(records, entriesPerPart) {
 			if !yield(entriesPart(some)) {
 				return
 			}
 		}
 		for i := range shards {
-			if !yield(&lilacv1.LedgerSnapshot{Tombstones: listed(shards[i : i+1])}) {
+			if !yield(&lilacv1.LedgerSnapshot{Tombstones: tombstoneMessages(shards[i : i+1])}) {
 				return
 			}
 		}
@@ -63,7 +63,7 @@
 func entriesPart(records []*record) *lilacv1.LedgerSnapshot {
 	part := &lilacv1.LedgerSnapshot{Entries: make([]*lilacv1.LedgerEntry, len(records))}
 	for i, r := range records {
-		part.Entries[i] = r.message()
+		part.Entries[i] = r.toMessage()
 	}
 	return part
 }
@@ -72,9 +72,9 @@
 func (l *Ledger) Restore(s *lilacv1.LedgerSnapshot) {
 	*l = *New(l.limits)
 	l.nowMs, l.recovery = s.GetNowUnixMs(), s.GetRecovery()
-	l.forgetting = forgetting{beforeMs: s.GetForgetBeforeUnixMs(), left: min(int(s.GetForgetShards()), shardCount)}
+	l.forgetting = forgetProgress{beforeMs: s.GetForgetBeforeUnixMs(), shardsLeft: min(int(s.GetForgetShards()), shardCount)}
 	for _, e := range s.GetEntries() {
-		l.add(e)
+		l.addEntry(e)
 	}
 	for _, t := range s.GetTombstones() {
 		if len(t.GetHash()) == hashBytes {
@@ -82,9 +82,9 @@
 		}
 	}
 	for _, i := range s.GetCurrent() {
-		l.instances.current[i.GetInstance()] = i.GetIncarnation()
+		l.incarnations.current[i.GetInstance()] = i.GetIncarnation()
 	}
 	for _, gone := range s.GetGone() {
-		l.instances.fence(gone)
+		l.incarnations.fence(gone)
 	}
 }
--- a/process/ledger/tombstones.go
+++ b/process/ledger/tombstones.go
@@ -16,7 +16,7 @@
 
 type keyHash [hashBytes]byte
 
-func hashOf(key id) keyHash {
+func hashOf(key keyID) keyHash {
 	sum := sha256.Sum256([]byte(key.team + "\x00" + key.key))
 	return keyHash(sum[:hashBytes])
 }
@@ -37,20 +37,20 @@
 // tombstones remember keys past their retention. Those of keys that carry a
 // time are dropped when that time alone refuses the key; the others stay.
 type tombstones struct {
-	shards []*shard
-	count  int
-	timed  expiryHeap
+	shards   []*shard
+	count    int
+	expiries expiryHeap
 }
 
 type expiry struct {
-	untilMs int64
-	hash    keyHash
+	expiresMs int64
+	hash      keyHash
 }
 
 type expiryHeap []expiry
 
 func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].untilMs < h[j].untilMs }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresMs < h[j].expiresMs }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 func (h *expiryHeap) Push(x any)        { *h = append(*h, x.(expiry)) }
 func (h *expiryHeap) Pop() any {
@@ -70,7 +70,7 @@
 func shardOf(hash keyHash) int { return (int(hash[0])<<8 | int(hash[1])) % shardCount }
 
 // owned returns the hash's shard, which may be changed.
-func (t *tombstones) owned(hash keyHash) map[keyHash]int64 {
+func (t *tombstones) writableShard(hash keyHash) map[keyHash]int64 {
 	i := shardOf(hash)
 	if t.shards[i].shared || t.shards[i].until == nil {
 		copied := make(map[keyHash]int64, len(t.shards[i].until)+1)
@@ -90,36 +90,36 @@
 
 func (t *tombstones) size() int { return t.count }
 
-func (t *tombstones) timedSize() int { return len(t.timed) }
+func (t *tombstones) timedSize() int { return len(t.expiries) }
 
-func (t *tombstones) untimedSize() int { return t.count - len(t.timed) }
+func (t *tombstones) untimedSize() int { return t.count - len(t.expiries) }
 
-func (t *tombstones) has(key id) bool {
+func (t *tombstones) has(key keyID) bool {
 	hash := hashOf(key)
 	_, ok := t.shards[shardOf(hash)].until[hash]
 	return ok
 }
 
-func (t *tombstones) add(key id, untilMs int64) { t.addHash(hashOf(key), untilMs) }
+func (t *tombstones) add(key keyID, untilMs int64) { t.addHash(hashOf(key), untilMs) }
 
 func (t *tombstones) addHash(hash keyHash, untilMs int64) {
-	shard := t.owned(hash)
+	shard := t.writableShard(hash)
 	if _, known := shard[hash]; !known {
 		t.count++
 	}
 	shard[hash] = untilMs
 	if untilMs > 0 {
-		heap.Push(&t.timed, expiry{untilMs, hash})
+		heap.Push(&t.expiries, expiry{untilMs, hash})
 	}
 }
 
 func (t *tombstones) sweep(nowMs int64) {
-	for range sweepStep {
-		if len(t.timed) == 0 || t.timed[0].untilMs > nowMs {
+	for range maxSweptPerCommand {
+		if len(t.expiries) == 0 || t.expiries[0].expiresMs > nowMs {
 			return
 		}
-		hash := heap.Pop(&t.timed).(expiry).hash
-		shard := t.owned(hash)
+		hash := heap.Pop(&t.expiries).(expiry).hash
+		shard := t.writableShard(hash)
 		if _, known := shard[hash]; known {
 			t.count--
 		}
@@ -129,7 +129,7 @@
 
 // listed returns the tombstones of captured shards in order of their hashes, so
 // that equal ledgers give equal snapshots, byte for byte.
-func listed(shards []*shard) []*lilacv1.LedgerTombstone {
+func tombstoneMessages(shards []*shard) []*lilacv1.LedgerTombstone {
 	var list []*lilacv1.LedgerTombstone
 	for _, s := range shards {
 		for hash, until := range s.until {
--- a/process/loadboard/board_test.go
+++ b/process/loadboard/board_test.go
@@ -20,17 +20,17 @@
 // fleet runs the boards of several data centres. Words arrive at once; who is in
 // dead answers nothing.
 type fleet struct {
-	now    time.Time
-	boards map[string]*Board
-	peers  map[string]member.Peer
-	dead   map[string]bool
-	words  int
+	now         time.Time
+	boards      map[string]*Board
+	peers       map[string]member.Peer
+	unreachable map[string]bool
+	reports     int
 	// answered are the bytes of all answers.
-	answered int
+	replyBytes int
 }
 
 func newFleet(dataCenters, each int) *fleet {
-	f := &fleet{now: time.Unix(1000, 0), boards: make(map[string]*Board), peers: make(map[string]member.Peer), dead: make(map[string]bool)}
+	f := &fleet{now: time.Unix(1000, 0), boards: make(map[string]*Board), peers: make(map[string]member.Peer), unreachable: make(map[string]bool)}
 	for d := range dataCenters {
 		for i := range each {
 			name := fmt.Sprintf("entry-%d-%d", d, i)
@@ -54,7 +54,7 @@
 func (f *fleet) run(length time.Duration) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
 		for name, board := range f.boards {
-			if !f.dead[name] {
+			if !f.unreachable[name] {
 				f.send(name, board)
 			}
 		}
@@ -64,29 +64,29 @@
 func (f *fleet) send(name string, board *Board) {
 	board.Expire(f.now)
 	for _, ask := range board.Due(f.now) {
-		f.words++
-		if f.dead[ask.Peer.Name] {
+		f.reports++
+		if f.unreachable[ask.Peer.Name] {
 			board.MarkFailed(f.now, ask.Peer)
 			continue
 		}
 		answer := f.boards[ask.Peer.Name].Receive(f.now, name, f.peers[name].DataCenter, DecodeReport(f.now, ask.Report.Encode(f.now, "")))
 		told := answer.Encode(f.now, "")
-		f.answered += proto.Size(told)
+		f.replyBytes += proto.Size(told)
 		board.HandleReply(f.now, ask.Peer, DecodeReport(f.now, told))
 	}
 }
 
 // burst has each instance run n requests on the one engine.
-func (f *fleet) burst(n uint32) {
+func (f *fleet) setLoad(n uint32) {
 	for _, board := range f.boards {
 		board.SetOwn(f.now, Report{Loads: Loads{7: {InFlight: n, Backlog: [Levels]uint32{4: 10 * n}}}})
 	}
 }
 
 // allKnow tells whether each living instance knows what so many others run.
-func (f *fleet) allKnow(others uint32, n uint32) bool {
+func (f *fleet) allReport(others uint32, n uint32) bool {
 	for name, board := range f.boards {
-		if f.dead[name] {
+		if f.unreachable[name] {
 			continue
 		}
 		word, _ := board.Others(f.now)
@@ -101,19 +101,19 @@
 // A burst comes to all instances of a large fleet at once. Each sees one part in
 // 78 of it; until the others' part is known here an engine with seconds of prompts
 // to read seems idle. Three steps of an interval each bring it to all.
-func TestABurstIsKnownEverywhereAfterThreeIntervals(t *testing.T) {
+func TestBurstPropagatesWithinThreeIntervals(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
 	f.run(time.Second)
-	f.burst(2)
+	f.setLoad(2)
 	f.run(3*Interval + step)
-	is.True(f.allKnow(77, 2))
+	is.True(f.allReport(77, 2))
 }
 
 // A prompt is read on one engine. Until the others hear of it each has it read again
 // somewhere; told once, it must reach all, be told on by nobody for ever, and not
 // come back to its sender.
-func TestWhatWasSentWhereIsKnownEverywhere(t *testing.T) {
+func TestCachedPrefixesPropagate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
 	f.run(time.Second)
@@ -140,56 +140,56 @@
 
 // A word costs its sender and its collector bytes and time. An instance sends one
 // an interval, a collector one more to half of the other data centres.
-func TestWordsGrowWithTheInstances(t *testing.T) {
+func TestReportCountGrowsLinearly(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
 	f.run(time.Second)
-	f.words = 0
+	f.reports = 0
 	f.run(time.Second)
-	perInterval := float64(f.words) * Interval.Seconds()
+	perInterval := float64(f.reports) * Interval.Seconds()
 	is.True(perInterval <= 72+15+5) // 72 instances, 15 pairs of collectors, one step of slack
 }
 
 // A collector loses power. The others of its data centre pass it over, the next in
 // rank takes its place, and what the dead one ran counts no longer.
-func TestANextCollectorTakesTheDeadOnesPlace(t *testing.T) {
+func TestDeadCollectorIsReplaced(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
-	f.burst(1)
+	f.setLoad(1)
 	f.run(time.Second)
-	is.True(f.allKnow(14, 1))
+	is.True(f.allReport(14, 1))
 	first := f.boards["entry-0-0"].collectors(f.now)["dc-0"].Name
-	f.dead[first] = true
+	f.unreachable[first] = true
 	f.run(Lifetime + 4*Interval)
-	is.True(f.allKnow(13, 1))
+	is.True(f.allReport(13, 1))
 }
 
 // Two collectors can no longer reach each other. What the other data centre ran
 // must be forgotten, not counted for ever.
-func TestLoadsOfAnUnreachableDataCentreEnd(t *testing.T) {
+func TestLoadsOfUnreachableDataCentreExpire(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
-	f.burst(1)
+	f.setLoad(1)
 	f.run(time.Second)
 	for name, peer := range f.peers {
-		f.dead[name] = peer.DataCenter == "dc-2"
+		f.unreachable[name] = peer.DataCenter == "dc-2"
 	}
 	f.run(Lifetime + 4*Interval)
-	is.True(f.allKnow(9, 1))
+	is.True(f.allReport(9, 1))
 }
 
 // Few instances tell each other in their digests, and where thousands of servers would
 // drown a collector words are too old to help: neither has a board, and nothing is sent.
-func TestSmallFleetsAndThousandsOfServersHaveNoBoard(t *testing.T) {
+func TestBoardIsInactiveOutsideItsFleetSizes(t *testing.T) {
 	is := is.New(t)
 	small, large := newFleet(3, 3), newFleet(2, 220)
 	for _, board := range large.boards {
 		board.SetOwn(large.now, Report{Servers: 5900})
 	}
 	for _, f := range []*fleet{small, large} {
-		f.burst(1)
+		f.setLoad(1)
 		f.run(time.Second)
-		is.Equal(f.words, 0)
+		is.Equal(f.reports, 0)
 		_, known := f.boards["entry-0-0"].Others(f.now)
 		is.True(!known)
 	}
@@ -197,20 +197,20 @@
 
 // Data centres of 33 instances and more had no board: each of 194 instances took
 // engines with seconds of prompts to read for idle.
-func TestADataCenterOfFortyInstancesHasABoard(t *testing.T) {
+func TestBoardIsActiveWithFortyInstancesPerDataCenter(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 40)
 	for _, board := range f.boards {
 		board.SetOwn(f.now, Report{Servers: 160})
 	}
 	f.run(time.Second)
-	f.burst(2)
+	f.setLoad(2)
 	f.run(3*f.boards["entry-0-0"].interval() + step)
-	is.True(f.allKnow(239, 2))
+	is.True(f.allReport(239, 2))
 }
 
 // A collector's answers must leave its link to callers, however many ask it.
-func TestAnswersStayWithinTheirBudget(t *testing.T) {
+func TestCollectorRepliesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, 120)
 	for _, board := range f.boards {
@@ -224,15 +224,15 @@
 		board.SetOwn(f.now, own)
 	}
 	f.run(time.Second)
-	f.answered = 0
+	f.replyBytes = 0
 	f.run(2 * time.Second)
-	is.True(f.answered > 0)
-	is.True(float64(f.answered)/2/2 <= 1.3*answerBudget) // two collectors, two seconds
+	is.True(f.replyBytes > 0)
+	is.True(float64(f.replyBytes)/2/2 <= 1.3*replyBytesPerSecond) // two collectors, two seconds
 }
 
 // What all ask slots for, and how many they are, is told with the loads: an instance of
 // a large fleet that knew only its own requests took half of all slots for its own.
-func TestClaimsAreKnownEverywhere(t *testing.T) {
+func TestSlotClaimsPropagate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
 	for _, board := range f.boards {
@@ -251,7 +251,7 @@
 
 // Columns of different lengths and levels that a later build might add don't break the
 // words.
-func TestLoadsSurviveTheWire(t *testing.T) {
+func TestLoadsEncodingRoundTrip(t *testing.T) {
 	is := is.New(t)
 	loads := Loads{1: {InFlight: 3, Backlog: [Levels]uint32{0, 2}}, 9: {Backlog: [Levels]uint32{9: 4}}}
 	told := Report{Loads: loads}.Encode(time.Time{}, "")
@@ -266,7 +266,7 @@
 // Each instance divided the engines into lanes by what it had seen itself, and an engine
 // kept for short pauses by some got long prompts from others. The plan of the instance of
 // the best rank must reach all, and that of the next once the first is gone.
-func TestThePlanOfTheBestRankReachesAll(t *testing.T) {
+func TestLanePlanOfHighestRankPropagates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
 	names := slices.SortedFunc(maps.Keys(f.boards), member.CompareRank)
@@ -282,14 +282,14 @@
 		is.Equal(others.Work[3].Plan.Sizes[4].Tight, uint32(2))
 		is.Equal(others.Work[3].Engine.Speed, 14*40.0)
 	}
-	f.dead[names[0]] = true
+	f.unreachable[names[0]] = true
 	f.run(2*Lifetime + 4*Interval)
 	others, _ := f.boards[names[2]].Others(f.now)
 	is.Equal(others.Work[3].Plan.Author, names[1])
 }
 
 // Sums that are no numbers would make every engine seem infinitely slow for good.
-func TestSumsThatAreNoNumbersAreLeftOut(t *testing.T) {
+func TestNonFiniteEngineSumsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	for _, bad := range []float32{float32(math.NaN()), float32(math.Inf(1)), -1} {
 		told := (&PoolWork{Engine: EngineSums{Weight: 1, Speed: 20, EmptyStep: 5000, PerRequest: 50}}).Encode(3)
@@ -301,7 +301,7 @@
 
 // An instance of an earlier build tells no bulk: its requests count as ones that don't give
 // way.
-func TestWordsWithoutBulkAreRead(t *testing.T) {
+func TestReportsWithoutPreemptibleCountsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	loads := Loads{1: {InFlight: 3, Preemptible: 2}, 9: {InFlight: 1}}
 	told := Report{Loads: loads}.Encode(time.Time{}, "")
@@ -311,7 +311,7 @@
 }
 
 // Engines filled with bulk were told as if nothing on them gave way.
-func TestBulkIsKnownEverywhere(t *testing.T) {
+func TestPreemptibleLoadPropagates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 11)
 	for _, board := range f.boards {
--- a/process/loadboard/limits.go
+++ b/process/loadboard/limits.go
@@ -33,19 +33,19 @@
 
 // Encode makes the messages of the limits.
 func (l Limits) Encode(now time.Time) []*lilacv1.ServerLimit {
-	var told []*lilacv1.ServerLimit
+	var messages []*lilacv1.ServerLimit
 	for _, key := range slices.Sorted(maps.Keys(l)) {
 		limit := l[key]
 		age := max(now.Sub(limit.At), 0)
-		told = append(told, &lilacv1.ServerLimit{Server: key, PerSecond: limit.PerSecond, Named: limit.Advertised, AgeMs: uint32(age.Milliseconds())})
+		messages = append(messages, &lilacv1.ServerLimit{Server: key, PerSecond: limit.PerSecond, Named: limit.Advertised, AgeMs: uint32(age.Milliseconds())})
 	}
-	return told
+	return messages
 }
 
 // DecodeLimits reads the messages of limits; those that are no numbers are left out.
-func DecodeLimits(now time.Time, told []*lilacv1.ServerLimit) Limits {
-	limits := make(Limits, len(told))
-	for _, limit := range told {
+func DecodeLimits(now time.Time, messages []*lilacv1.ServerLimit) Limits {
+	limits := make(Limits, len(messages))
+	for _, limit := range messages {
 		perSecond := limit.GetPerSecond()
 		if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || perSecond < 0 {
 			continue
--- a/process/loadboard/loads.go
+++ b/process/loadboard/loads.go
@@ -25,7 +25,7 @@
 
 // claimUnit is the part of a slot that one unit of a told claim stands for: an
 // instance of a large fleet often asks for less than one.
-const claimUnit = 0.25
+const slotClaimUnit = 0.25
 
 // Work is what instances do in each pool, by its key.
 type Work map[uint32]PoolWork
@@ -71,40 +71,40 @@
 const levelBits = 4
 
 // encode writes the loads into the word's columns, in order of their keys.
-func (l Loads) encode(told *lilacv1.LoadWord) {
+func (l Loads) encode(message *lilacv1.LoadWord) {
 	for index, key := range slices.Sorted(maps.Keys(l)) {
 		load := l[key]
-		told.Servers = append(told.Servers, key)
-		told.InFlight = append(told.InFlight, load.InFlight)
-		told.Yielding = append(told.Yielding, load.Preemptible)
+		message.Servers = append(message.Servers, key)
+		message.InFlight = append(message.InFlight, load.InFlight)
+		message.Yielding = append(message.Yielding, load.Preemptible)
 		for level, units := range load.Backlog {
 			if units > 0 {
-				told.BacklogAt = append(told.BacklogAt, uint32(index<<levelBits|level))
-				told.Backlog = append(told.Backlog, units)
+				message.BacklogAt = append(message.BacklogAt, uint32(index<<levelBits|level))
+				message.Backlog = append(message.Backlog, units)
 			}
 		}
 	}
 }
 
 // decode reads a word's columns; servers and levels that it doesn't know are left out.
-func decode(told *lilacv1.LoadWord) Loads {
-	servers, inFlight := told.GetServers(), told.GetInFlight()
+func decodeLoads(message *lilacv1.LoadWord) Loads {
+	servers, inFlight := message.GetServers(), message.GetInFlight()
 	known := min(len(servers), len(inFlight))
 	loads := make(Loads, known)
 	for i, key := range servers[:known] {
 		load := Load{InFlight: inFlight[i]}
-		if yielding := told.GetYielding(); i < len(yielding) {
+		if yielding := message.GetYielding(); i < len(yielding) {
 			load.Preemptible = min(yielding[i], inFlight[i])
 		}
 		loads[key] = load
 	}
-	for i, at := range told.GetBacklogAt() {
+	for i, at := range message.GetBacklogAt() {
 		index, level := int(at>>levelBits), int(at&(1<<levelBits-1))
-		if i >= len(told.GetBacklog()) || index >= known || level >= Levels {
+		if i >= len(message.GetBacklog()) || index >= known || level >= Levels {
 			continue
 		}
 		load := loads[servers[index]]
-		load.Backlog[level] = told.GetBacklog()[i]
+		load.Backlog[level] = message.GetBacklog()[i]
 		loads[servers[index]] = load
 	}
 	return loads
--- a/process/loadboard/news.go
+++ b/process/loadboard/report.go
@@ -32,7 +32,7 @@
 	Servers int
 }
 
-func newWord(servers int) Report {
+func newReport(servers int) Report {
 	return Report{Loads: make(Loads, servers), Work: make(Work), Limits: make(Limits)}
 }
 
@@ -60,7 +60,7 @@
 
 // DecodeWord reads the message of a word that came now.
 func DecodeReport(now time.Time, told *lilacv1.LoadWord) Report {
-	w := Report{Loads: decode(told), Work: make(Work), Limits: DecodeLimits(now, told.GetLimits()), Instances: int(told.GetInstances())}
+	w := Report{Loads: decodeLoads(told), Work: make(Work), Limits: DecodeLimits(now, told.GetLimits()), Instances: int(told.GetInstances())}
 	for _, work := range told.GetWork() {
 		w.Work[work.GetPool()] = DecodeWork(work)
 	}
@@ -73,67 +73,67 @@
 const (
 	// newsTold is how long a reading goes along with each word: two, so that one
 	// lost word hides nothing.
-	newsTold = 2*Interval + Interval/2
+	prefixReportPeriod = 2*Interval + Interval/2
 	// newsKept is how long it is remembered, so that it isn't news again on another
 	// way: longer than its sender tells it.
-	newsKept = 4 * time.Second
+	prefixRetention = 4 * time.Second
 )
 
 // origin is who a reading came from, and of which data centre.
 type origin struct{ instance, dataCenter string }
 
 // place is a part on a server.
-type place struct {
+type prefixLocation struct {
 	server uint32
 	hash   uint64
 }
 
 // item is a reading as it was heard first.
-type item struct {
+type prefixRecord struct {
 	tokens uint32
 	at     time.Time
 	from   origin
 }
 
 // news are the readings of the last seconds.
-type news map[place]item
+type prefixLog map[prefixLocation]prefixRecord
 
-func (n news) add(now time.Time, readings []CachedPrefix, from origin) {
+func (n prefixLog) add(now time.Time, readings []CachedPrefix, from origin) {
 	for _, r := range readings {
-		at := place{r.Server, r.Hash}
+		at := prefixLocation{r.Server, r.Hash}
 		if _, known := n[at]; !known {
-			n[at] = item{r.Tokens, now, from}
+			n[at] = prefixRecord{r.Tokens, now, from}
 		}
 	}
 }
 
-func (n news) forget(now time.Time) {
+func (n prefixLog) expire(now time.Time) {
 	for at, i := range n {
-		if now.Sub(i.at) > newsKept {
+		if now.Sub(i.at) > prefixRetention {
 			delete(n, at)
 		}
 	}
 }
 
 // pick lists what is to be told of the readings that fit.
-func (n news) pick(now time.Time, fits func(origin) bool) []CachedPrefix {
+func (n prefixLog) selectRecent(now time.Time, match func(origin) bool) []CachedPrefix {
 	var list []CachedPrefix
 	for at, i := range n {
-		if now.Sub(i.at) <= newsTold && fits(i.from) {
+		if now.Sub(i.at) <= prefixReportPeriod && match(i.from) {
 			list = append(list, CachedPrefix{at.server, at.hash, i.tokens})
 		}
 	}
 	return list
 }
 
-func (n news) of(now time.Time, from origin) []CachedPrefix {
-	return n.pick(now, func(o origin) bool { return o == from })
+func (n prefixLog) reportedBy(now time.Time, from origin) []CachedPrefix {
+	return n.selectRecent(now, func(o origin) bool { return o == from })
 }
 
-func (n news) ofDataCenter(now time.Time, dataCenter string) []CachedPrefix {
-	return n.pick(now, func(o origin) bool { return o.dataCenter == dataCenter })
+func (n prefixLog) reportedIn(now time.Time, dataCenter string) []CachedPrefix {
+	return n.selectRecent(now, func(o origin) bool { return o.dataCenter == dataCenter })
 }
 
-func (n news) without(now time.Time, instance string) []CachedPrefix {
-	return n.pick(now, func(o origin) bool { return o.instance != instance })
+func (n prefixLog) reportedByOthers(now time.Time, instance string) []CachedPrefix {
+	return n.selectRecent(now, func(o origin) bool { return o.instance != instance })
 }
--- a/process/loadboard/work.go
+++ b/process/loadboard/work.go
@@ -81,32 +81,32 @@
 
 // Encode makes the message of the pool's work.
 func (w *PoolWork) Encode(pool uint32) *lilacv1.PoolWork {
-	told := &lilacv1.PoolWork{Pool: pool, Rates: slices.Clone(w.Rates[:])}
-	told.Claims, told.LaneClaims = encodeClaims(w.Claims[:]), encodeClaims(w.LaneClaims[:])
+	message := &lilacv1.PoolWork{Pool: pool, Rates: slices.Clone(w.Rates[:])}
+	message.Claims, message.LaneClaims = encodeClaims(w.Claims[:]), encodeClaims(w.LaneClaims[:])
 	if e := w.Engine; e.Weight > 0 {
-		told.Engine = []float32{float32(e.Weight), float32(e.Speed), float32(e.EmptyStep), float32(e.PerRequest)}
+		message.Engine = []float32{float32(e.Weight), float32(e.Speed), float32(e.EmptyStep), float32(e.PerRequest)}
 	}
 	if w.Plan.Author != "" {
-		told.Plan = &lilacv1.LanePlan{By: w.Plan.Author, BesideUs: w.Plan.InterTokenGapUs}
+		message.Plan = &lilacv1.LanePlan{By: w.Plan.Author, BesideUs: w.Plan.InterTokenGapUs}
 		for _, key := range slices.Sorted(maps.Keys(w.Plan.Sizes)) {
 			size := w.Plan.Sizes[key]
-			told.Plan.Sizes = append(told.Plan.Sizes, &lilacv1.LaneSizes{DataCenter: key, Tight: size.Tight, Quick: size.Quick})
+			message.Plan.Sizes = append(message.Plan.Sizes, &lilacv1.LaneSizes{DataCenter: key, Tight: size.Tight, Quick: size.Quick})
 		}
 	}
-	return told
+	return message
 }
 
 // DecodeWork reads the message of a pool's work; places and lanes that it doesn't know are
 // left out.
-func DecodeWork(told *lilacv1.PoolWork) PoolWork {
+func DecodeWork(message *lilacv1.PoolWork) PoolWork {
 	var w PoolWork
-	copy(w.Rates[:], told.GetRates())
-	decodeClaims(w.Claims[:], told.GetClaims())
-	decodeClaims(w.LaneClaims[:], told.GetLaneClaims())
-	if e := told.GetEngine(); len(e) >= 4 && finite(e[:4]) && e[0] > 0 {
+	copy(w.Rates[:], message.GetRates())
+	decodeClaims(w.Claims[:], message.GetClaims())
+	decodeClaims(w.LaneClaims[:], message.GetLaneClaims())
+	if e := message.GetEngine(); len(e) >= 4 && allFiniteNonNegative(e[:4]) && e[0] > 0 {
 		w.Engine = EngineSums{float64(e[0]), float64(e[1]), float64(e[2]), float64(e[3])}
 	}
-	if plan := told.GetPlan(); plan.GetBy() != "" {
+	if plan := message.GetPlan(); plan.GetBy() != "" {
 		w.Plan = LanePlan{Author: plan.GetBy(), InterTokenGapUs: plan.GetBesideUs(), Sizes: make(map[uint32]LaneSizes)}
 		for _, size := range plan.GetSizes() {
 			w.Plan.Sizes[size.GetDataCenter()] = LaneSizes{size.GetTight(), size.GetQuick()}
@@ -117,23 +117,23 @@
 
 // encodeClaims leaves out the last ones that are none.
 func encodeClaims(claims []float64) []uint32 {
-	var told []uint32
+	var units []uint32
 	for _, slots := range claims {
-		told = append(told, uint32(math.Round(slots/claimUnit)))
+		units = append(units, uint32(math.Round(slots/slotClaimUnit)))
 	}
-	for len(told) > 0 && told[len(told)-1] == 0 {
-		told = told[:len(told)-1]
+	for len(units) > 0 && units[len(units)-1] == 0 {
+		units = units[:len(units)-1]
 	}
-	return told
+	return units
 }
 
-func decodeClaims(claims []float64, told []uint32) {
-	for i, units := range told[:min(len(told), len(claims))] {
-		claims[i] = claimUnit * float64(units)
+func decodeClaims(claims []float64, units []uint32) {
+	for i, count := range units[:min(len(units), len(claims))] {
+		claims[i] = slotClaimUnit * float64(count)
 	}
 }
 
 // finite guards against sums that another build could not represent.
-func finite(values []float32) bool {
+func allFiniteNonNegative(values []float32) bool {
 	return !slices.ContainsFunc(values, func(v float32) bool { return cmp.Compare(v, 0) < 0 || math.IsInf(float64(v), 0) })
 }
--- a/process/member/combine.go
+++ b/process/member/combine.go
@@ -38,7 +38,7 @@
 		if out.Revision == 0 || d.GetRevision() != 0 && d.GetRevision() < out.Revision {
 			out.Revision = d.GetRevision()
 		}
-		out.BindsMs = leastBinding(out.GetBindsMs(), d.GetBindsMs())
+		out.BindsMs = shortestValidity(out.GetBindsMs(), d.GetBindsMs())
 		out.Incomplete = out.GetIncomplete() || d.GetIncomplete()
 		for _, cutoff := range d.GetCutoffs() {
 			cutoffs[cutoff.GetPool()] = combineCutoffs(cutoffs[cutoff.GetPool()], cutoff)
@@ -53,10 +53,10 @@
 			ejected[server] = struct{}{}
 		}
 	}
-	out.Cutoffs = first(maxCutoffs, values(cutoffs))
+	out.Cutoffs = truncate(maxCutoffs, sortedValues(cutoffs))
 	out.Spends = topSpends(spends)
-	out.Suspects = first(maxSuspects, values(suspects))
-	out.Ejected = first(maxEjected, slices.Sorted(maps.Keys(ejected)))
+	out.Suspects = truncate(maxSuspects, sortedValues(suspects))
+	out.Ejected = truncate(maxEjected, slices.Sorted(maps.Keys(ejected)))
 	return out
 }
 
@@ -82,7 +82,7 @@
 	return min(a, b)
 }
 
-func leastBinding(a, b uint32) uint32 { return mostUrgent(a, b) }
+func shortestValidity(a, b uint32) uint32 { return mostUrgent(a, b) }
 
 func combineSuspects(a, b *lilacv1.Suspect) *lilacv1.Suspect {
 	if a == nil {
@@ -101,10 +101,10 @@
 	slices.SortFunc(list, func(a, b *lilacv1.TeamSpend) int {
 		return cmp.Or(cmp.Compare(b.GetTokens(), a.GetTokens()), cmp.Compare(a.GetTeam(), b.GetTeam()))
 	})
-	return first(maxSpends, list)
+	return truncate(maxSpends, list)
 }
 
-func values[T any](items map[string]T) []T {
+func sortedValues[T any](items map[string]T) []T {
 	list := make([]T, 0, len(items))
 	for _, key := range slices.Sorted(maps.Keys(items)) {
 		list = append(list, items[key])
@@ -112,4 +112,4 @@
 	return list
 }
 
-func first[T any](n int, list []T) []T { return list[:min(n, len(list))] }
+func truncate[T any](n int, list []T) []T { return list[:min(n, len(list))] }
--- a/process/member/core.go
+++ b/process/member/core.go
@@ -35,12 +35,12 @@
 	// Fanout of the tree of digests.
 	Fanout = 5
 	// avoidance is how long a failed parent or relay is passed over.
-	avoidance = 10 * time.Second
+	avoidPeriod = 10 * time.Second
 	// failuresToLeave is how many exchanges in a row must fail for a parent to be
 	// given up in a tree.
-	failuresToLeave = 2
+	maxFailures = 2
 	// urgentPause is the least time between two urgent exchanges.
-	urgentPause = 500 * time.Millisecond
+	minUrgentInterval = 500 * time.Millisecond
 )
 
 // Others is the instance's name in a combined digest of all others.
@@ -56,51 +56,51 @@
 }
 
 // heard is the last digest of a peer, as it came from one.
-type heard struct {
-	digest *lilacv1.Digest
-	from   string
-	at     time.Time
+type receivedDigest struct {
+	digest     *lilacv1.Digest
+	sender     string
+	receivedAt time.Time
 	// since is a time, by the own clock, after which it was composed; zero
 	// means that none is known.
-	since time.Time
+	composedAfter time.Time
 }
 
 // Core is the membership of one entry. Calls must not overlap.
 type Core struct {
 	self Peer
 	// mesh is the interval between two exchanges of few entries.
-	mesh time.Duration
+	meshInterval time.Duration
 	// peers are the entries that may be tried, without the own one.
-	peers   map[string]Peer
-	listed  map[string]bool
-	leaving map[string]bool
-	heard   map[string]heard
-	asked   map[string]time.Time
-	avoided map[string]time.Time
+	peers            map[string]Peer
+	listedLeaving    map[string]bool
+	leavingInstances map[string]bool
+	received         map[string]receivedDigest
+	lastExchange     map[string]time.Time
+	avoidedUntil     map[string]time.Time
 	// failures counts the exchanges with each peer that failed in a row.
-	failures  map[string]int
-	told      map[string]bool
-	own       *lilacv1.Digest
-	ownAt     time.Time
-	down      heard
-	live      []Peer
-	toldLeave map[string]bool
-	started   bool
+	failures        map[string]int
+	delivered       map[string]bool
+	own             *lilacv1.Digest
+	ownRequestedAt  time.Time
+	fromParent      receivedDigest
+	lastLive        []Peer
+	reportedLeaving map[string]bool
+	liveReported    bool
 	// summed is when the policy was last given the digest of all others.
-	summed time.Time
+	lastSummary time.Time
 	// news holds what was known of leaving servers and suspects at the last
 	// urgent exchange, at pushed.
-	news   map[string]bool
-	pushed time.Time
+	announced  map[string]bool
+	lastUrgent time.Time
 	// above caches the own data centre's entries of a better rank.
-	above []string
+	higherRanked []string
 	// heardNews is true when digests or the list may have changed what is
 	// leaving, peersChanged when they may have changed who lives.
-	heardNews, peersChanged bool
+	digestsChanged, peersChanged bool
 	// postponed is true while news waits for urgentPause.
-	postponed bool
-	promises
-	pushes
+	urgentDeferred bool
+	validityState
+	pushState
 }
 
 // NewCore returns the core of the entry self; seeds are the entries of its settings.
@@ -109,33 +109,33 @@
 // NewCoreAt is NewCore with another interval for few entries.
 func NewCoreAt(self Peer, seeds []Peer, interval time.Duration) *Core {
 	c := &Core{
-		mesh:      interval,
-		self:      self,
-		peers:     make(map[string]Peer),
-		listed:    make(map[string]bool),
-		leaving:   make(map[string]bool),
-		heard:     make(map[string]heard),
-		asked:     make(map[string]time.Time),
-		avoided:   make(map[string]time.Time),
-		failures:  make(map[string]int),
-		told:      make(map[string]bool),
-		toldLeave: make(map[string]bool),
-		own:       &lilacv1.Digest{Instance: self.Name, DataCenter: self.DataCenter},
-		promises:  promises{stamps: make(map[string]uint64), missing: make(map[string]absence)},
-		pushes:    pushes{said: make(map[string]*lilacv1.Digest), pushedTo: make(map[string]time.Time), brief: make(map[string]bool), open: make(map[string]time.Time)},
+		meshInterval:     interval,
+		self:             self,
+		peers:            make(map[string]Peer),
+		listedLeaving:    make(map[string]bool),
+		leavingInstances: make(map[string]bool),
+		received:         make(map[string]receivedDigest),
+		lastExchange:     make(map[string]time.Time),
+		avoidedUntil:     make(map[string]time.Time),
+		failures:         make(map[string]int),
+		delivered:        make(map[string]bool),
+		reportedLeaving:  make(map[string]bool),
+		own:              &lilacv1.Digest{Instance: self.Name, DataCenter: self.DataCenter},
+		validityState:    validityState{lastStamps: make(map[string]uint64), missing: make(map[string]missingInstance)},
+		pushState:        pushState{lastSent: make(map[string]*lilacv1.Digest), lastPush: make(map[string]time.Time), lastPartial: make(map[string]bool), inFlight: make(map[string]time.Time)},
 	}
 	for _, peer := range seeds {
 		if peer.Name != self.Name {
 			c.peers[peer.Name] = peer
 		}
 	}
-	c.ranked()
+	c.updateRanks()
 	return c
 }
 
 // ranked brings the cache of ranks up to date.
-func (c *Core) ranked() {
-	c.above = HigherRanked(c.self.Name, c.names(c.self.DataCenter))
+func (c *Core) updateRanks() {
+	c.higherRanked = HigherRanked(c.self.Name, c.names(c.self.DataCenter))
 	c.peersChanged = true
 }
 
@@ -146,7 +146,7 @@
 	if c.Tree() {
 		return TreeInterval
 	}
-	return c.mesh
+	return c.meshInterval
 }
 
 func (c *Core) lifetime() time.Duration {
@@ -158,21 +158,21 @@
 
 // Step takes one event and returns what to do, in order.
 func (c *Core) Step(now time.Time, event Event) []Action {
-	if c.born.IsZero() {
-		c.born = now
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
 	switch e := event.(type) {
 	case PlatformList:
-		c.platform(now, e)
-		return slices.Concat(c.servers(now), c.alive())
+		c.applyPlatformList(now, e)
+		return slices.Concat(c.reportServers(now), c.reportLive())
 	case DigestReceived:
-		c.brief[e.From] = e.Digest.GetPartial()
-		return c.take(now, e.From, e.Digest)
+		c.lastPartial[e.From] = e.Digest.GetPartial()
+		return c.receive(now, e.From, e.Digest)
 	case ReplyReceived:
-		delete(c.open, e.Peer)
-		return c.take(now, e.Peer, e.Digest)
+		delete(c.inFlight, e.Peer)
+		return c.receive(now, e.Peer, e.Digest)
 	case ExchangeFailed:
-		c.failed(now, e.Peer)
+		c.exchangeFailed(now, e.Peer)
 	case Tick:
 		return c.tick(now, e)
 	}
@@ -182,21 +182,21 @@
 // failed has the exchange made again, and passes the peer over from the second
 // failure in a row on in a tree: who changes its parent for one lost message
 // makes the sums incomplete at all entries.
-func (c *Core) failed(now time.Time, peer string) {
-	delete(c.asked, peer)
-	c.unsaid(peer)
+func (c *Core) exchangeFailed(now time.Time, peer string) {
+	delete(c.lastExchange, peer)
+	c.resetSent(peer)
 	c.failures[peer]++
-	if c.Tree() && c.failures[peer] < failuresToLeave {
+	if c.Tree() && c.failures[peer] < maxFailures {
 		return
 	}
-	c.orphans(now, peer)
-	c.avoided[peer] = now.Add(avoidance)
+	c.noteOrphans(now, peer)
+	c.avoidedUntil[peer] = now.Add(avoidPeriod)
 	c.peersChanged = true
 }
 
 // platform takes the list as a hint: it adds entries to try, and drops those
 // that it no longer names and that are silent too.
-func (c *Core) platform(now time.Time, e PlatformList) {
+func (c *Core) applyPlatformList(now time.Time, e PlatformList) {
 	entries := make(map[string]bool)
 	for _, peer := range e.Entries {
 		entries[peer.Name] = true
@@ -209,99 +209,99 @@
 			delete(c.peers, name)
 		}
 	}
-	c.ranked()
-	c.heardNews = true
-	clear(c.leaving)
+	c.updateRanks()
+	c.digestsChanged = true
+	clear(c.leavingInstances)
 	for _, name := range e.Leaving {
-		c.leaving[name] = true
+		c.leavingInstances[name] = true
 	}
-	clear(c.listed)
+	clear(c.listedLeaving)
 	for _, server := range e.Servers {
 		if server.Leaving {
-			c.listed[server.Name] = true
+			c.listedLeaving[server.Name] = true
 		}
 	}
 }
 
 func (c *Core) fresh(now time.Time, name string) bool {
-	h, ok := c.heard[name]
-	return ok && now.Sub(h.at) <= c.lifetime()
+	h, ok := c.received[name]
+	return ok && now.Sub(h.receivedAt) <= c.lifetime()
 }
 
 // take tells what comes down from the parent in a tree from the digests of others.
-func (c *Core) take(now time.Time, from string, d *lilacv1.Digest) []Action {
+func (c *Core) receive(now time.Time, from string, d *lilacv1.Digest) []Action {
 	c.noteStamp(from, d)
 	delete(c.failures, from)
-	word := heard{d, from, now, c.composedAfter(now, d)}
+	next := receivedDigest{d, from, now, c.composedAfter(now, d)}
 	if c.Tree() && d.GetInstance() == Others {
 		if from != c.parent() {
 			return nil
 		}
-		word, ok := c.down.with(word)
+		next, ok := c.fromParent.merge(next)
 		if !ok {
 			return nil
 		}
-		c.notePressing(c.down.digest, word.digest)
-		c.down = word
-		c.heardNews = true
-		return c.servers(now)
+		c.notePush(c.fromParent.digest, next.digest)
+		c.fromParent = next
+		c.digestsChanged = true
+		return c.reportServers(now)
 	}
-	return c.hear(now, word)
+	return c.receiveFromInstance(now, next)
 }
 
-func (c *Core) hear(now time.Time, word heard) []Action {
-	name := word.digest.GetInstance()
+func (c *Core) receiveFromInstance(now time.Time, next receivedDigest) []Action {
+	name := next.digest.GetInstance()
 	if name == "" || name == c.self.Name || name == Others {
 		return nil
 	}
-	old, known := c.heard[name]
-	word, ok := old.with(word)
+	previous, known := c.received[name]
+	next, ok := previous.merge(next)
 	if !ok {
 		return nil
 	}
-	d := word.digest
-	sameLife := known && old.digest.GetIncarnation() == d.GetIncarnation()
-	if sameLife && d.GetSequence() < old.digest.GetSequence() {
+	d := next.digest
+	sameIncarnation := known && previous.digest.GetIncarnation() == d.GetIncarnation()
+	if sameIncarnation && d.GetSequence() < previous.digest.GetSequence() {
 		// An older digest that was overtaken on the way.
 		return nil
 	}
-	c.notePressing(old.digest, d)
-	c.heard[name] = word
+	c.notePush(previous.digest, d)
+	c.received[name] = next
 	delete(c.missing, name)
-	if _, avoided := c.avoided[name]; avoided || old.digest.GetLeaving() != d.GetLeaving() {
+	if _, avoided := c.avoidedUntil[name]; avoided || previous.digest.GetLeaving() != d.GetLeaving() {
 		c.peersChanged = true
 	}
-	delete(c.avoided, name)
-	c.heardNews = true
+	delete(c.avoidedUntil, name)
+	c.digestsChanged = true
 	var actions []Action
 	if !c.Tree() {
-		c.told[name] = true
-		actions = append(actions, PolicyDigest{c.given(now, d, word), now})
+		c.delivered[name] = true
+		actions = append(actions, PolicyDigest{c.forPolicy(now, d, next), now})
 	}
-	return slices.Concat(actions, c.servers(now), c.alive())
+	return slices.Concat(actions, c.reportServers(now), c.reportLive())
 }
 
 func (c *Core) tick(now time.Time, e Tick) []Action {
 	if e.Own != nil {
-		c.notePressing(c.own, e.Own)
-		c.own, c.ownAt = e.Own, e.RequestedAt
+		c.notePush(c.own, e.Own)
+		c.own, c.ownRequestedAt = e.Own, e.RequestedAt
 		if e.RequestedAt.IsZero() {
-			c.ownAt = now
+			c.ownRequestedAt = now
 		}
-		c.heardNews = true
+		c.digestsChanged = true
 	}
-	actions := slices.Concat(c.forget(now), c.regroup(), c.exchanges(now), c.summary(now), c.servers(now), c.alive())
-	c.heardNews = c.postponed
-	c.pressed = c.held
+	actions := slices.Concat(c.expire(now), c.dropOtherTopology(), c.exchanges(now), c.summary(now), c.reportServers(now), c.reportLive())
+	c.digestsChanged = c.urgentDeferred
+	c.pushPending = c.pushDeferred
 	return actions
 }
 
 // regroup ends what the policy was told while the entries exchanged otherwise.
-func (c *Core) regroup() []Action {
+func (c *Core) dropOtherTopology() []Action {
 	var actions []Action
-	for _, name := range slices.Sorted(maps.Keys(c.told)) {
+	for _, name := range slices.Sorted(maps.Keys(c.delivered)) {
 		if c.Tree() != (name == Others) {
-			delete(c.told, name)
+			delete(c.delivered, name)
 			actions = append(actions, DigestExpired{name})
 		}
 	}
@@ -311,67 +311,67 @@
 // summary gives the policy the digest of all others in a tree, each interval
 // and as soon as it is pressing.
 func (c *Core) summary(now time.Time) []Action {
-	due := now.Sub(c.summed) >= c.interval()
-	if !c.Tree() || !due && !c.pressed {
+	due := now.Sub(c.lastSummary) >= c.interval()
+	if !c.Tree() || !due && !c.pushPending {
 		return nil
 	}
-	sum := c.others(now, "")
-	if !due && !pressing(c.said[Others], sum) {
+	sum := c.othersDigest(now, "")
+	if !due && !moreRestrictive(c.lastSent[Others], sum) {
 		return nil
 	}
-	c.summed, c.said[Others] = now, sum
-	c.told[Others] = true
-	return []Action{PolicyDigest{c.given(now, sum, heard{}), now}}
+	c.lastSummary, c.lastSent[Others] = now, sum
+	c.delivered[Others] = true
+	return []Action{PolicyDigest{c.forPolicy(now, sum, receivedDigest{}), now}}
 }
 
 // forget drops what has not been heard for its lifetime.
-func (c *Core) forget(now time.Time) []Action {
+func (c *Core) expire(now time.Time) []Action {
 	var actions []Action
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		if c.fresh(now, name) {
 			continue
 		}
-		c.miss(now, name)
-		delete(c.heard, name)
-		delete(c.said, name)
-		c.heardNews = true
-		if c.told[name] {
-			delete(c.told, name)
+		c.noteMissing(now, name)
+		delete(c.received, name)
+		delete(c.lastSent, name)
+		c.digestsChanged = true
+		if c.delivered[name] {
+			delete(c.delivered, name)
 			actions = append(actions, DigestExpired{name})
 		}
 	}
-	for name, until := range c.avoided {
+	for name, until := range c.avoidedUntil {
 		if !now.Before(until) {
-			delete(c.avoided, name)
+			delete(c.avoidedUntil, name)
 			c.peersChanged = true
 		}
 	}
-	if c.down.digest != nil && now.Sub(c.down.at) > c.lifetime() {
-		c.down = heard{}
-		c.heardNews = true
+	if c.fromParent.digest != nil && now.Sub(c.fromParent.receivedAt) > c.lifetime() {
+		c.fromParent = receivedDigest{}
+		c.digestsChanged = true
 	}
-	c.giveUp(now)
+	c.expireMissing(now)
 	return actions
 }
 
 // alive tells of the entries that count as alive, when they change. Before the
 // first exchanges had time to be answered all candidates do.
-func (c *Core) alive() []Action {
+func (c *Core) reportLive() []Action {
 	if !c.peersChanged {
 		return nil
 	}
 	c.peersChanged = false
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
-		_, avoided := c.avoided[name]
-		if !avoided && !c.leaving[name] && !c.heard[name].digest.GetLeaving() {
+		_, avoided := c.avoidedUntil[name]
+		if !avoided && !c.leavingInstances[name] && !c.received[name].digest.GetLeaving() {
 			list = append(list, c.peers[name])
 		}
 	}
-	if c.started && slices.Equal(list, c.live) {
+	if c.liveReported && slices.Equal(list, c.lastLive) {
 		return nil
 	}
-	c.live, c.started = list, true
+	c.lastLive, c.liveReported = list, true
 	return []Action{LivePeers{list}}
 }
 
--- a/process/member/member_test.go
+++ b/process/member/member_test.go
@@ -15,17 +15,17 @@
 // fleet drives many cores in steps of TickInterval; an exchange is answered in
 // the same step unless the pair is cut.
 type fleet struct {
-	now   time.Time
-	cores map[string]*Core
-	names []string
-	own   map[string]*lilacv1.Digest
+	now        time.Time
+	cores      map[string]*Core
+	names      []string
+	ownDigests map[string]*lilacv1.Digest
 	// cut tells which direction of which pair carries nothing.
-	cut func(from, to string) bool
+	dropped func(from, to string) bool
 	// given holds the last digests, server states and goners that each was told.
-	given   map[string]map[string]*lilacv1.Digest
-	leaving map[string]map[string]bool
-	live    map[string][]Peer
-	bytes   map[string]int
+	delivered map[string]map[string]*lilacv1.Digest
+	leaving   map[string]map[string]bool
+	live      map[string][]Peer
+	bytes     map[string]int
 }
 
 var dataCenters = []string{"dakar-a", "thies-a", "saint-louis-a", "d", "e"}
@@ -35,9 +35,9 @@
 
 func newFleet(n, centers int) *fleet {
 	f := &fleet{
-		now: time.Unix(1_764_700_000, 0), cores: make(map[string]*Core), own: make(map[string]*lilacv1.Digest),
-		cut:   func(string, string) bool { return false },
-		given: make(map[string]map[string]*lilacv1.Digest), leaving: make(map[string]map[string]bool),
+		now: time.Unix(1_764_700_000, 0), cores: make(map[string]*Core), ownDigests: make(map[string]*lilacv1.Digest),
+		dropped:   func(string, string) bool { return false },
+		delivered: make(map[string]map[string]*lilacv1.Digest), leaving: make(map[string]map[string]bool),
 		live: make(map[string][]Peer), bytes: make(map[string]int),
 	}
 	var peers []Peer
@@ -47,8 +47,8 @@
 	for _, peer := range peers {
 		f.names = append(f.names, peer.Name)
 		f.cores[peer.Name] = NewCore(peer, peers)
-		f.own[peer.Name] = &lilacv1.Digest{Instance: peer.Name, DataCenter: peer.DataCenter, Incarnation: "1"}
-		f.given[peer.Name] = make(map[string]*lilacv1.Digest)
+		f.ownDigests[peer.Name] = &lilacv1.Digest{Instance: peer.Name, DataCenter: peer.DataCenter, Incarnation: "1"}
+		f.delivered[peer.Name] = make(map[string]*lilacv1.Digest)
 		f.leaving[peer.Name] = make(map[string]bool)
 	}
 	return f
@@ -65,8 +65,8 @@
 				f.step(name, Tick{})
 				continue
 			}
-			f.own[name].Sequence++
-			f.step(name, Tick{Own: proto.CloneOf(f.own[name])})
+			f.ownDigests[name].Sequence++
+			f.step(name, Tick{Own: proto.CloneOf(f.ownDigests[name])})
 		}
 	}
 }
@@ -77,9 +77,9 @@
 		case Exchange:
 			f.exchange(name, a)
 		case PolicyDigest:
-			f.given[name][a.Digest.GetInstance()] = a.Digest
+			f.delivered[name][a.Digest.GetInstance()] = a.Digest
 		case DigestExpired:
-			delete(f.given[name], a.Instance)
+			delete(f.delivered[name], a.Instance)
 		case ServerState:
 			f.leaving[name][a.Name] = a.Leaving
 		case LivePeers:
@@ -92,7 +92,7 @@
 	to := a.Peer.Name
 	size := proto.Size(a.Digest)
 	f.bytes[from] += size
-	if f.cores[to] == nil || f.cut(from, to) {
+	if f.cores[to] == nil || f.dropped(from, to) {
 		f.step(from, ExchangeFailed{to})
 		return
 	}
@@ -100,7 +100,7 @@
 	f.step(to, DigestReceived{from, proto.CloneOf(a.Digest)})
 	reply := f.cores[to].Reply(f.now, from)
 	f.bytes[to] += proto.Size(reply)
-	if f.cut(to, from) {
+	if f.dropped(to, from) {
 		f.step(from, ExchangeFailed{to})
 		return
 	}
@@ -109,13 +109,13 @@
 }
 
 func (f *fleet) cutoff(name string, held, admitted uint32) {
-	f.own[name].Cutoffs = []*lilacv1.PoolCutoff{{Pool: "redaction", HeldBackTier: held, AdmittedTier: admitted}}
+	f.ownDigests[name].Cutoffs = []*lilacv1.PoolCutoff{{Pool: "redaction", HeldBackTier: held, AdmittedTier: admitted}}
 }
 
 // others gives what the entry knows of the pool from all others together.
-func (f *fleet) others(name string) *lilacv1.PoolCutoff {
+func (f *fleet) combinedCutoff(name string) *lilacv1.PoolCutoff {
 	var all []*lilacv1.Digest
-	for _, d := range f.given[name] {
+	for _, d := range f.delivered[name] {
 		all = append(all, d)
 	}
 	for _, cutoff := range Combine(Others, "", all...).GetCutoffs() {
@@ -129,7 +129,7 @@
 // One entry alone holds tier 0 back, another alone still admits tier 3. All
 // others must know both, whatever the number of entries, and when they stop no
 // echo may keep the cutoffs alive.
-func TestCutoffsReachAllAndEndWithTheirCause(t *testing.T) {
+func TestCutoffsPropagateAndExpire(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.entries), func(t *testing.T) {
 			is := is.New(t)
@@ -146,10 +146,10 @@
 			f.run(16 * time.Second)
 			for i, name := range f.names {
 				if i != 1 {
-					is.Equal(f.others(name).GetHeldBackTier(), uint32(1))
+					is.Equal(f.combinedCutoff(name).GetHeldBackTier(), uint32(1))
 				}
 				if i != size.entries-1 {
-					is.Equal(f.others(name).GetAdmittedTier(), uint32(4))
+					is.Equal(f.combinedCutoff(name).GetAdmittedTier(), uint32(4))
 				}
 			}
 			for _, name := range f.names {
@@ -157,8 +157,8 @@
 			}
 			f.run(30 * time.Second)
 			for _, name := range f.names {
-				is.Equal(f.others(name).GetHeldBackTier(), uint32(0))
-				is.Equal(f.others(name).GetAdmittedTier(), uint32(2))
+				is.Equal(f.combinedCutoff(name).GetHeldBackTier(), uint32(0))
+				is.Equal(f.combinedCutoff(name).GetAdmittedTier(), uint32(2))
 			}
 		})
 	}
@@ -167,13 +167,13 @@
 // A backend server begins to leave. The platform's list says so half a minute
 // late, or one entry alone has seen it. All entries must stop giving it new work
 // within 3 s of the first of the two, and may use it again when neither says so.
-func TestLeavingServerIsKnownEverywhereWithin3s(t *testing.T) {
+func TestLeavingServerPropagatesWithin3s(t *testing.T) {
 	for _, size := range sizes {
 		for source, leave := range map[string]func(f *fleet, leaving bool){
 			"own": func(f *fleet, leaving bool) {
-				f.own[f.names[2]].Ejected = nil
+				f.ownDigests[f.names[2]].Ejected = nil
 				if leaving {
-					f.own[f.names[2]].Ejected = []string{"r7"}
+					f.ownDigests[f.names[2]].Ejected = []string{"r7"}
 				}
 			},
 			"list at one entry": func(f *fleet, leaving bool) {
@@ -193,11 +193,11 @@
 				for i, name := range f.names {
 					is.True(f.leaving[name]["r7"] || source == "own" && i == 2)
 					// Each policy reports what it was told; that must not keep it alive.
-					f.own[name].Ejected = append(f.own[name].GetEjected(), "r7")
+					f.ownDigests[name].Ejected = append(f.ownDigests[name].GetEjected(), "r7")
 				}
 				f.run(5 * time.Second)
 				for _, name := range f.names {
-					f.own[name].Ejected = nil
+					f.ownDigests[name].Ejected = nil
 				}
 				leave(f, false)
 				f.run(30 * time.Second)
@@ -211,26 +211,26 @@
 
 // An entry dies while the platform's list still calls it live. The others must
 // notice by themselves, and take it back when it answers again.
-func TestDeadEntryIsNoticedWhateverTheListSays(t *testing.T) {
+func TestDeadEntryIsDetectedDespitePlatformList(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 3)
 	f.run(5 * time.Second)
-	is.Equal(len(f.given[f.names[0]]), 6)
+	is.Equal(len(f.delivered[f.names[0]]), 6)
 	dead := f.names[3]
 	core := f.cores[dead]
 	delete(f.cores, dead)
 	f.run(5 * time.Second)
-	is.Equal(len(f.given[f.names[0]]), 5)
+	is.Equal(len(f.delivered[f.names[0]]), 5)
 	is.Equal(len(f.live[f.names[0]]), 5)
 	f.cores[dead] = core
 	f.run(15 * time.Second)
-	is.Equal(len(f.given[f.names[0]]), 6)
+	is.Equal(len(f.delivered[f.names[0]]), 6)
 	is.Equal(len(f.live[f.names[0]]), 6)
 }
 
 // A data centre is cut off, in one direction only or in both. Inside, its entries
 // go on hearing each other; when it heals all hear all again.
-func TestCutDataCentreHeals(t *testing.T) {
+func TestPartitionedDataCentreRecovers(t *testing.T) {
 	for name, oneWay := range map[string]bool{"one way": true, "both ways": false} {
 		for _, size := range sizes {
 			t.Run(fmt.Sprint(name, size.entries), func(t *testing.T) {
@@ -242,18 +242,18 @@
 				f.cutoff(f.names[0], 2, 1)
 				f.run(16 * time.Second)
 				inside := func(name string) bool { return f.cores[name].self.DataCenter == "dakar-a" }
-				f.cut = func(from, to string) bool {
+				f.dropped = func(from, to string) bool {
 					return inside(from) && !inside(to) || !oneWay && inside(to) && !inside(from)
 				}
 				f.run(20 * time.Second)
 				near, far := slices.IndexFunc(f.names[1:], inside)+1, slices.IndexFunc(f.names, func(n string) bool { return !inside(n) })
-				is.Equal(f.others(f.names[near]).GetHeldBackTier(), uint32(2))
+				is.Equal(f.combinedCutoff(f.names[near]).GetHeldBackTier(), uint32(2))
 				if !oneWay {
-					is.Equal(f.others(f.names[far]).GetHeldBackTier(), uint32(0))
+					is.Equal(f.combinedCutoff(f.names[far]).GetHeldBackTier(), uint32(0))
 				}
-				f.cut = func(string, string) bool { return false }
+				f.dropped = func(string, string) bool { return false }
 				f.run(30 * time.Second)
-				is.Equal(f.others(f.names[far]).GetHeldBackTier(), uint32(2))
+				is.Equal(f.combinedCutoff(f.names[far]).GetHeldBackTier(), uint32(2))
 			})
 		}
 	}
@@ -269,8 +269,8 @@
 		b.Run(fmt.Sprint("entries=", n), func(b *testing.B) {
 			f := newFleet(n, 5)
 			for i, name := range f.names {
-				own := f.own[name]
-				own.PromiseMs = uint32(f.cores[name].promise().Milliseconds())
+				own := f.ownDigests[name]
+				own.PromiseMs = uint32(f.cores[name].validityPeriod().Milliseconds())
 				for pool := range pools {
 					own.Cutoffs = append(own.Cutoffs, &lilacv1.PoolCutoff{Pool: fmt.Sprintf("model-%d/%s", pool, own.GetDataCenter()), HeldBackTier: 2, AdmittedTier: 2, WaitingTier: 3})
 				}
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -24,7 +24,7 @@
 func (c *Core) meshPartners(now time.Time) []Peer {
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
-		if c.begins(now, name) {
+		if c.initiates(now, name) {
 			list = append(list, c.peers[name])
 		}
 	}
@@ -34,17 +34,17 @@
 // begins tells whether this side of a pair of equals begins the exchange: the
 // one of better rank does, and the other when nothing came, so that a cut in
 // one direction hides nobody.
-func (c *Core) begins(now time.Time, name string) bool {
-	h, heard := c.heard[name]
-	return CompareRank(c.self.Name, name) < 0 || !heard || now.Sub(h.at) > c.interval()+c.interval()/2
+func (c *Core) initiates(now time.Time, name string) bool {
+	h, known := c.received[name]
+	return CompareRank(c.self.Name, name) < 0 || !known || now.Sub(h.receivedAt) > c.interval()+c.interval()/2
 }
 
 // parent returns the entry above in the own data centre's tree; "" for the relay.
 func (c *Core) parent() string {
-	if len(c.avoided) == 0 && len(c.leaving) == 0 {
-		return Parent(c.above, Fanout)
+	if len(c.avoidedUntil) == 0 && len(c.leavingInstances) == 0 {
+		return Parent(c.higherRanked, Fanout)
 	}
-	return Parent(c.usable(slices.Clone(c.above)), Fanout)
+	return Parent(c.usable(slices.Clone(c.higherRanked)), Fanout)
 }
 
 func (c *Core) names(dataCenter string) []string {
@@ -59,8 +59,8 @@
 
 func (c *Core) usable(names []string) []string {
 	return slices.DeleteFunc(names, func(name string) bool {
-		_, avoided := c.avoided[name]
-		return avoided || c.leaving[name]
+		_, avoided := c.avoidedUntil[name]
+		return avoided || c.leavingInstances[name]
 	})
 }
 
@@ -78,7 +78,7 @@
 	}
 	var list []Peer
 	for _, dataCenter := range slices.Sorted(maps.Keys(best)) {
-		if peer := best[dataCenter]; c.begins(now, peer.Name) {
+		if peer := best[dataCenter]; c.initiates(now, peer.Name) {
 			list = append(list, peer)
 		}
 	}
@@ -90,26 +90,26 @@
 //
 // It guards against a sum that lacks most of its data centre: one who is no
 // relay may be asked as if it were, by those who gave the relay up.
-func (c *Core) outgoing(now time.Time, foreign bool) *lilacv1.Digest {
-	sum := c.combined(append(c.below(now, ""), c.ownDigest(now)))
-	sum.Incomplete = sum.GetIncomplete() || c.lacks(now, c.self.DataCenter) || foreign && c.parent() != ""
+func (c *Core) subtreeDigest(now time.Time, foreign bool) *lilacv1.Digest {
+	sum := c.combineAsSelf(append(c.lowerRankedDigests(now, ""), c.ownDigest(now)))
+	sum.Incomplete = sum.GetIncomplete() || c.instanceMissing(now, c.self.DataCenter) || foreign && c.parent() != ""
 	return sum
 }
 
 // Reply is the digest for the peer that was just received from: a partial one
 // is answered by a partial one.
 func (c *Core) Reply(now time.Time, peer string) *lilacv1.Digest {
-	if c.brief[peer] {
-		return c.changed(now, peer)
+	if c.lastPartial[peer] {
+		return c.partialDigest(now, peer)
 	}
-	return c.whole(now, peer)
+	return c.fullDigest(now, peer)
 }
 
 // whole is all that the peer is to know.
-func (c *Core) whole(now time.Time, peer string) *lilacv1.Digest {
-	d := c.word(now, peer)
-	c.said[peer] = d
-	d.Stamp, d.Echo = c.stamp(now), c.stamps[peer]
+func (c *Core) fullDigest(now time.Time, peer string) *lilacv1.Digest {
+	d := c.digestFor(now, peer)
+	c.lastSent[peer] = d
+	d.Stamp, d.Echo = c.stamp(now), c.lastStamps[peer]
 	return d
 }
 
@@ -120,29 +120,29 @@
 // others, a tier once held back would be held back for ever. It holds because
 // what came from a child is left out of its answer, a child has a worse rank
 // than its parent, and sums of other data centres are never passed on to a third.
-func (c *Core) word(now time.Time, peer string) *lilacv1.Digest {
+func (c *Core) digestFor(now time.Time, peer string) *lilacv1.Digest {
 	if !c.Tree() {
 		return c.ownDigest(now)
 	}
 	foreign := c.peers[peer].DataCenter != c.self.DataCenter
 	if foreign || peer == c.parent() {
-		return c.outgoing(now, foreign)
+		return c.subtreeDigest(now, foreign)
 	}
-	return c.others(now, peer, c.ownDigest(now))
+	return c.othersDigest(now, peer, c.ownDigest(now))
 }
 
 // others combines what is known of all others, without the part of one peer.
-func (c *Core) others(now time.Time, without string, more ...*lilacv1.Digest) *lilacv1.Digest {
-	parts := append(c.below(now, without), more...)
-	if c.down.digest != nil {
-		parts = append(parts, c.down.aged(now))
+func (c *Core) othersDigest(now time.Time, except string, extra ...*lilacv1.Digest) *lilacv1.Digest {
+	parts := append(c.lowerRankedDigests(now, except), extra...)
+	if c.fromParent.digest != nil {
+		parts = append(parts, c.fromParent.asPart(now))
 	}
-	for _, name := range c.foreign(now) {
-		parts = append(parts, c.heard[name].aged(now))
+	for _, name := range c.foreignInstances(now) {
+		parts = append(parts, c.received[name].asPart(now))
 	}
 	sum := Combine(Others, "", parts...)
-	deaf := c.parent() != "" && c.down.digest == nil
-	sum.Incomplete = sum.GetIncomplete() || deaf || c.lacks(now, "")
+	noParentDigest := c.parent() != "" && c.fromParent.digest == nil
+	sum.Incomplete = sum.GetIncomplete() || noParentDigest || c.instanceMissing(now, "")
 	return sum
 }
 
@@ -153,54 +153,54 @@
 // the tree one interval a step, which would take longer than the 3 s that it
 // may: with it each step takes a tick.
 func (c *Core) urgent(now time.Time) bool {
-	news := make(map[string]bool)
-	note := func(d *lilacv1.Digest) {
+	items := make(map[string]bool)
+	add := func(d *lilacv1.Digest) {
 		for _, server := range d.GetEjected() {
-			news["server "+server] = true
+			items["server "+server] = true
 		}
 		for _, suspect := range d.GetSuspects() {
-			news[fmt.Sprint("suspect ", suspect.GetDigest(), len(suspect.GetServers()))] = true
+			items[fmt.Sprint("suspect ", suspect.GetDigest(), len(suspect.GetServers()))] = true
 		}
 	}
-	note(c.ownDigest(now))
+	add(c.ownDigest(now))
 	if c.Tree() {
-		note(c.others(now, ""))
+		add(c.othersDigest(now, ""))
 	}
-	fresh := false
-	for item := range news {
-		fresh = fresh || !c.news[item]
+	isNew := false
+	for item := range items {
+		isNew = isNew || !c.announced[item]
 	}
-	c.postponed = fresh && now.Sub(c.pushed) < urgentPause
-	if c.postponed {
+	c.urgentDeferred = isNew && now.Sub(c.lastUrgent) < minUrgentInterval
+	if c.urgentDeferred {
 		return false
 	}
-	c.news = news
-	if fresh {
-		c.pushed = now
+	c.announced = items
+	if isNew {
+		c.lastUrgent = now
 	}
-	return fresh
+	return isNew
 }
 
 // listeners returns the peers that exchange with this entry of their own accord.
-func (c *Core) listeners(now time.Time) []Peer {
+func (c *Core) inboundPeers(now time.Time) []Peer {
 	var list []Peer
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		peer, known := c.peers[name]
 		below := CompareRank(c.self.Name, name) < 0 && peer.DataCenter == c.self.DataCenter
 		foreign := c.parent() == "" && peer.DataCenter != c.self.DataCenter
-		if known && c.fresh(now, name) && (!c.Tree() || below || foreign) && !c.partnered(now, name) {
+		if known && c.fresh(now, name) && (!c.Tree() || below || foreign) && !c.isPartner(now, name) {
 			list = append(list, peer)
 		}
 	}
 	return list
 }
 
-func (c *Core) partnered(now time.Time, name string) bool {
+func (c *Core) isPartner(now time.Time, name string) bool {
 	return slices.ContainsFunc(c.partners(now), func(p Peer) bool { return p.Name == name })
 }
 
 // combined names the sum after this entry, with its own incarnation and number.
-func (c *Core) combined(parts []*lilacv1.Digest) *lilacv1.Digest {
+func (c *Core) combineAsSelf(parts []*lilacv1.Digest) *lilacv1.Digest {
 	sum := Combine(c.self.Name, c.self.DataCenter, parts...)
 	sum.Incarnation, sum.Sequence, sum.Leaving = c.own.GetIncarnation(), c.own.GetSequence(), c.own.GetLeaving()
 	return sum
@@ -208,22 +208,22 @@
 
 // below returns the digests of the own data centre's entries of a worse rank
 // that were heard, without the one named.
-func (c *Core) below(now time.Time, without string) []*lilacv1.Digest {
+func (c *Core) lowerRankedDigests(now time.Time, except string) []*lilacv1.Digest {
 	var parts []*lilacv1.Digest
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
-		h := c.heard[name]
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
+		h := c.received[name]
 		isBelow := h.digest.GetDataCenter() == c.self.DataCenter && CompareRank(c.self.Name, name) < 0
-		if isBelow && name != without && c.fresh(now, name) {
-			parts = append(parts, h.aged(now))
+		if isBelow && name != except && c.fresh(now, name) {
+			parts = append(parts, h.asPart(now))
 		}
 	}
 	return parts
 }
 
-func (c *Core) foreign(now time.Time) []string {
+func (c *Core) foreignInstances(now time.Time) []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
-		if c.heard[name].digest.GetDataCenter() != c.self.DataCenter && c.fresh(now, name) {
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
+		if c.received[name].digest.GetDataCenter() != c.self.DataCenter && c.fresh(now, name) {
 			names = append(names, name)
 		}
 	}
@@ -236,17 +236,17 @@
 func (c *Core) ownDigest(now time.Time) *lilacv1.Digest {
 	ejected := make(map[string]bool)
 	for _, name := range c.own.GetEjected() {
-		if !c.toldLeave[name] {
+		if !c.reportedLeaving[name] {
 			ejected[name] = true
 		}
 	}
-	for name := range c.listed {
+	for name := range c.listedLeaving {
 		ejected[name] = true
 	}
 	own := c.own
-	binds := remaining(own.GetPromiseMs(), now, c.ownAt)
+	bindsMs := remainingMs(own.GetPromiseMs(), now, c.ownRequestedAt)
 	return &lilacv1.Digest{
-		BindsMs: binds, Incomplete: own.GetIncomplete() || binds == 0,
+		BindsMs: bindsMs, Incomplete: own.GetIncomplete() || bindsMs == 0,
 		Instance: c.self.Name, DataCenter: c.self.DataCenter, Incarnation: own.GetIncarnation(), Sequence: own.GetSequence(),
 		Leaving: own.GetLeaving(), Revision: own.GetRevision(), Cutoffs: own.GetCutoffs(), Loads: own.GetLoads(),
 		Suspects: own.GetSuspects(), Spends: own.GetSpends(), Readings: own.GetReadings(), Work: own.GetWork(), Ejected: slices.Sorted(maps.Keys(ejected)),
@@ -255,33 +255,33 @@
 
 // servers tells which backend servers began or ended to be leaving. Either
 // source is enough to stop new work.
-func (c *Core) servers(now time.Time) []Action {
-	if !c.heardNews {
+func (c *Core) reportServers(now time.Time) []Action {
+	if !c.digestsChanged {
 		return nil
 	}
-	leaving := maps.Clone(c.listed)
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
+	leaving := maps.Clone(c.listedLeaving)
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		if !c.fresh(now, name) {
 			continue
 		}
-		for _, server := range c.heard[name].digest.GetEjected() {
+		for _, server := range c.received[name].digest.GetEjected() {
 			leaving[server] = true
 		}
 	}
-	for _, server := range c.down.digest.GetEjected() {
+	for _, server := range c.fromParent.digest.GetEjected() {
 		leaving[server] = true
 	}
 	var actions []Action
 	for _, server := range slices.Sorted(maps.Keys(leaving)) {
-		if !c.toldLeave[server] {
+		if !c.reportedLeaving[server] {
 			actions = append(actions, ServerState{server, true})
 		}
 	}
-	for _, server := range slices.Sorted(maps.Keys(c.toldLeave)) {
+	for _, server := range slices.Sorted(maps.Keys(c.reportedLeaving)) {
 		if !leaving[server] {
 			actions = append(actions, ServerState{server, false})
 		}
 	}
-	c.toldLeave = leaving
+	c.reportedLeaving = leaving
 	return actions
 }
--- a/process/member/promise.go
+++ b/process/member/validity.go
@@ -19,10 +19,10 @@
 const (
 	// meshPromise is how long a word binds in a mesh: a digest, two lost ones,
 	// and the second that an echo may be old.
-	meshPromise = 4 * time.Second
+	meshValidity = 4 * time.Second
 	// absent is how long an entry that fell silent makes the sum incomplete. A
 	// living one has found another parent by then, or come back to this one.
-	absent = avoidance + TreeLifetime
+	missingTimeout = avoidPeriod + TreeLifetime
 	// stampBits hold milliseconds; the bits above tell one life of a process
 	// from another.
 	stampBits = 40
@@ -30,31 +30,33 @@
 )
 
 // promises is what the core knows of the age of words and of who is missing.
-type promises struct {
-	born time.Time
+type validityState struct {
+	startedAt time.Time
 	// stamps are the last ones of the peers, to be echoed.
-	stamps map[string]uint64
+	lastStamps map[string]uint64
 	// missing are entries that fell silent.
-	missing map[string]absence
+	missing map[string]missingInstance
 	// count numbers the digests given to the policy.
-	count uint64
+	summarySequence uint64
 }
 
 // absence of an entry counts until a moment.
-type absence struct {
+type missingInstance struct {
 	dataCenter string
 	until      time.Time
 }
 
-func (c *Core) life() uint64 { return xxhash.Sum64String(c.own.GetIncarnation()) &^ stampMask }
+func (c *Core) incarnationBits() uint64 {
+	return xxhash.Sum64String(c.own.GetIncarnation()) &^ stampMask
+}
 
 func (c *Core) stamp(now time.Time) uint64 {
-	return c.life() | uint64(now.Sub(c.born).Milliseconds())&stampMask
+	return c.incarnationBits() | uint64(now.Sub(c.startedAt).Milliseconds())&stampMask
 }
 
 func (c *Core) noteStamp(from string, d *lilacv1.Digest) {
 	if d.GetStamp() != 0 {
-		c.stamps[from] = d.GetStamp()
+		c.lastStamps[from] = d.GetStamp()
 	}
 }
 
@@ -65,10 +67,10 @@
 // has bits of its own in its stamps.
 func (c *Core) composedAfter(now time.Time, d *lilacv1.Digest) time.Time {
 	echo := d.GetEcho()
-	if echo == 0 || echo&^stampMask != c.life() {
+	if echo == 0 || echo&^stampMask != c.incarnationBits() {
 		return time.Time{}
 	}
-	at := c.born.Add(time.Duration(echo&stampMask) * time.Millisecond)
+	at := c.startedAt.Add(time.Duration(echo&stampMask) * time.Millisecond)
 	if at.After(now) {
 		return time.Time{}
 	}
@@ -77,9 +79,9 @@
 
 // remaining is what is left at now of a promise of so many milliseconds made
 // after since.
-func remaining(promise uint32, now, since time.Time) uint32 {
+func remainingMs(validForMs uint32, now, since time.Time) uint32 {
 	age := now.Sub(since)
-	left := time.Duration(promise)*time.Millisecond - age
+	left := time.Duration(validForMs)*time.Millisecond - age
 	if since.IsZero() || age < 0 || left <= 0 {
 		return 0
 	}
@@ -88,33 +90,33 @@
 
 // aged is the digest as a part of a sum: a promise that has ended, or whose age
 // is not known, makes it incomplete.
-func (h heard) aged(now time.Time) *lilacv1.Digest {
+func (h receivedDigest) asPart(now time.Time) *lilacv1.Digest {
 	d := h.digest
-	binds := remaining(d.GetBindsMs(), now, h.since)
+	bindsMs := remainingMs(d.GetBindsMs(), now, h.composedAfter)
 	return &lilacv1.Digest{
 		Revision: d.GetRevision(), Cutoffs: d.GetCutoffs(), Suspects: d.GetSuspects(), Spends: d.GetSpends(),
 		Readings: d.GetReadings(),
-		Ejected:  d.GetEjected(), BindsMs: binds, Incomplete: d.GetIncomplete() || binds == 0,
+		Ejected:  d.GetEjected(), BindsMs: bindsMs, Incomplete: d.GetIncomplete() || bindsMs == 0,
 	}
 }
 
 // given is the digest as the policy gets it: with what is left of its promise,
 // how long the policy's own words are to bind and, for a sum, a number, since
 // the policy drops what is not newer than the last.
-func (c *Core) given(now time.Time, d *lilacv1.Digest, h heard) *lilacv1.Digest {
+func (c *Core) forPolicy(now time.Time, d *lilacv1.Digest, h receivedDigest) *lilacv1.Digest {
 	out := &lilacv1.Digest{
 		Instance: d.GetInstance(), DataCenter: d.GetDataCenter(), Incarnation: d.GetIncarnation(), Sequence: d.GetSequence(),
 		Leaving: d.GetLeaving(), Revision: d.GetRevision(), Cutoffs: d.GetCutoffs(), Loads: d.GetLoads(),
 		Suspects: d.GetSuspects(), Spends: d.GetSpends(), Ejected: d.GetEjected(), LeavingServers: d.GetLeavingServers(),
 		Readings: d.GetReadings(), Work: d.GetWork(),
-		BindsMs: d.GetBindsMs(), Incomplete: d.GetIncomplete(), PromiseMs: uint32(c.promise().Milliseconds()),
+		BindsMs: d.GetBindsMs(), Incomplete: d.GetIncomplete(), PromiseMs: uint32(c.validityPeriod().Milliseconds()),
 	}
 	if d.GetInstance() == Others {
-		c.count++
-		out.Sequence = c.count
+		c.summarySequence++
+		out.Sequence = c.summarySequence
 		return out
 	}
-	aged := h.aged(now)
+	aged := h.asPart(now)
 	out.BindsMs, out.Incomplete = aged.GetBindsMs(), aged.GetIncomplete()
 	return out
 }
@@ -123,9 +125,9 @@
 // when they have passed through the whole tree. A step up costs two intervals,
 // the wait for the next exchange and the age of its echo, a step down one, and
 // the way between data centres as much as a step up.
-func (c *Core) promise() time.Duration {
+func (c *Core) validityPeriod() time.Duration {
 	if !c.Tree() {
-		return meshPromise
+		return meshValidity
 	}
 	counts := map[string]int{c.self.DataCenter: 1}
 	for _, peer := range c.peers {
@@ -135,12 +137,12 @@
 	for _, count := range counts {
 		deepest = max(deepest, depth(count))
 	}
-	return time.Duration(3*deepest+promiseSlack) * TreeInterval
+	return time.Duration(3*deepest+validitySlack) * TreeInterval
 }
 
 // promiseSlack is the intervals of a promise that don't depend on the depth: two
 // between data centres, one at the policy, two for lost exchanges.
-const promiseSlack = 5
+const validitySlack = 5
 
 // depth returns the levels below the root of a tree of n entries.
 func depth(n int) int {
@@ -158,10 +160,10 @@
 // parent died, and while it looks for another one, all others would shed as if
 // it had cut off what it admits. It holds because the sum is incomplete for as
 // long as a living entry may take to be heard by another parent.
-func (c *Core) miss(now time.Time, name string) {
-	d := c.heard[name].digest
-	if c.Tree() && !d.GetLeaving() && !c.leaving[name] {
-		c.missing[name] = absence{d.GetDataCenter(), now.Add(absent)}
+func (c *Core) noteMissing(now time.Time, name string) {
+	d := c.received[name].digest
+	if c.Tree() && !d.GetLeaving() && !c.leavingInstances[name] {
+		c.missing[name] = missingInstance{d.GetDataCenter(), now.Add(missingTimeout)}
 	}
 }
 
@@ -173,15 +175,15 @@
 // shows where parents die in turn, since then a child tries the dead ones first.
 // It holds because the sums are incomplete for as long as a living child may take.
 // A peer that is tried again and still silent has no children any more.
-func (c *Core) orphans(now time.Time, peer string) {
+func (c *Core) noteOrphans(now time.Time, peer string) {
 	dataCenter := c.peers[peer].DataCenter
-	if c.Tree() && c.failures[peer] == failuresToLeave && dataCenter == c.self.DataCenter {
-		c.missing[peer] = absence{dataCenter, now.Add(absent)}
+	if c.Tree() && c.failures[peer] == maxFailures && dataCenter == c.self.DataCenter {
+		c.missing[peer] = missingInstance{dataCenter, now.Add(missingTimeout)}
 	}
 }
 
 // giveUp ends the absences of those who must be dead.
-func (c *Core) giveUp(now time.Time) {
+func (c *Core) expireMissing(now time.Time) {
 	for name, a := range c.missing {
 		if !now.Before(a.until) {
 			delete(c.missing, name)
@@ -191,8 +193,8 @@
 
 // lacks tells whether an entry of the data centre, or of any if that is "", may
 // be missing. One that just began does not know its children yet.
-func (c *Core) lacks(now time.Time, dataCenter string) bool {
-	if now.Sub(c.born) < absent {
+func (c *Core) instanceMissing(now time.Time, dataCenter string) bool {
+	if now.Sub(c.startedAt) < missingTimeout {
 		return true
 	}
 	for _, a := range c.missing {
--- a/process/member/promise_test.go
+++ b/process/member/validity_test.go
@@ -13,7 +13,7 @@
 // word was 3 s on its way, or answers a stamp of an entry that was killed since
 // and whose clock began anew: were it taken for fresh, urgent requests would be
 // shed while the other admits all again.
-func TestAWordBindsOnlyAsLongAsItsAgeIsKnown(t *testing.T) {
+func TestDigestExpiresByEchoedAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	a, b := Peer{Name: "a"}, Peer{Name: "b"}
@@ -47,20 +47,20 @@
 
 // Above ten entries nothing but the lowest tier was ever shed: the sums of all
 // others had no number, so the policy took each but the first for an old one.
-func TestEachSumForThePolicyIsNewerThanTheLast(t *testing.T) {
+func TestSummarySequenceIncreases(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(11, 3)
 	f.run(5 * time.Second)
-	before := f.given[f.names[4]][Others].GetSequence()
+	before := f.delivered[f.names[4]][Others].GetSequence()
 	f.run(5 * time.Second)
-	is.True(before > 0 && f.given[f.names[4]][Others].GetSequence() > before)
+	is.True(before > 0 && f.delivered[f.names[4]][Others].GetSequence() > before)
 }
 
 // The promise must outlive the way through the tree of the largest fleet.
-func TestPromiseFollowsTheDepthOfTheTree(t *testing.T) {
+func TestValidityPeriodGrowsWithTreeDepth(t *testing.T) {
 	is := is.New(t)
-	for entries, promise := range map[int]time.Duration{10: meshPromise, 55: 16500 * time.Millisecond, 1100: 25500 * time.Millisecond} {
+	for entries, promise := range map[int]time.Duration{10: meshValidity, 55: 16500 * time.Millisecond, 1100: 25500 * time.Millisecond} {
 		f := newFleet(entries, 5)
-		is.Equal(f.cores[f.names[0]].promise(), promise)
+		is.Equal(f.cores[f.names[0]].validityPeriod(), promise)
 	}
 }
--- a/process/orders/bucket.go
+++ b/process/orders/bucket.go
@@ -3,25 +3,25 @@
 import "time"
 
 // bucket limits how often something is done.
-type bucket struct {
+type tokenBucket struct {
 	perMinute int
 	// most is what it holds at most.
-	most   int
-	tokens float64
-	filled time.Time
+	capacity  int
+	tokens    float64
+	updatedAt time.Time
 }
 
-func (b *bucket) empty(now time.Time) { b.tokens, b.filled = 0, now }
+func (b *tokenBucket) drain(now time.Time) { b.tokens, b.updatedAt = 0, now }
 
 // holds tells whether take would.
-func (b *bucket) holds(now time.Time) bool {
-	b.tokens = min(float64(b.most), b.tokens+now.Sub(b.filled).Minutes()*float64(b.perMinute))
-	b.filled = now
+func (b *tokenBucket) available(now time.Time) bool {
+	b.tokens = min(float64(b.capacity), b.tokens+now.Sub(b.updatedAt).Minutes()*float64(b.perMinute))
+	b.updatedAt = now
 	return b.tokens >= 1
 }
 
-func (b *bucket) take(now time.Time) bool {
-	if !b.holds(now) {
+func (b *tokenBucket) take(now time.Time) bool {
+	if !b.available(now) {
 		return false
 	}
 	b.tokens--
--- a/process/orders/core.go
+++ b/process/orders/core.go
@@ -16,9 +16,9 @@
 	OrderTimeout = 30 * time.Second
 	// readInterval lies between two readings of the same engine at least; with
 	// more engines than readsPerMinute allows, all take their turn.
-	readInterval = 10 * time.Second
+	minReadInterval = 10 * time.Second
 	// retryPause follows a reading or order that failed.
-	retryPause = 2 * time.Second
+	retryDelay = 2 * time.Second
 )
 
 // Model is a model with an adapter, or without one where Adapter is empty.
@@ -105,27 +105,27 @@
 type engine struct {
 	Engine
 	// known is true once it was read back under this holding.
-	known bool
-	has   map[Model]bool
+	loadedKnown bool
+	loaded      map[Model]bool
 	// busy engines are being read or ordered.
-	busy bool
+	inFlight bool
 	// turn numbers the engine's readings, so that one that was put off counts no more.
-	turn uint64
+	generation uint64
 	// stale is set while a reading is under way that may not show the last order.
-	stale bool
+	readStale bool
 }
 
 // Core decides orders. Calls must not overlap.
 type Core struct {
-	engines map[string]*engine
-	needs   needs
+	engines     map[string]*engine
+	differences differenceIndex
 	// urgent and routine hold the turns of engines to be read.
 	urgent, routine readQueue
-	readBudget      bucket
+	readBudget      tokenBucket
 	fencing         uint64
 	// since is when the holding began.
-	since  time.Time
-	bucket bucket
+	leaseSince time.Time
+	loadBudget tokenBucket
 	// orderTimeout is the longest that an order may be in flight.
 	orderTimeout time.Duration
 }
@@ -134,9 +134,9 @@
 // times a minute, and whose orders are in flight for orderTimeout at most.
 func NewCore(loadsPerMinute int, orderTimeout time.Duration) *Core {
 	return &Core{
-		engines: make(map[string]*engine), needs: newNeeds(), orderTimeout: orderTimeout,
-		bucket:     bucket{perMinute: loadsPerMinute, most: loadsPerMinute},
-		readBudget: bucket{perMinute: readsPerMinute, most: readBurst},
+		engines: make(map[string]*engine), differences: newDifferenceIndex(), orderTimeout: orderTimeout,
+		loadBudget: tokenBucket{perMinute: loadsPerMinute, capacity: loadsPerMinute},
+		readBudget: tokenBucket{perMinute: readsPerMinute, capacity: readBurst},
 	}
 }
 
@@ -146,35 +146,35 @@
 	case Configured:
 		c.configure(now, e.Engines)
 	case LeaseHeld:
-		c.lease(now, e.Fencing)
+		c.beginTerm(now, e.Fencing)
 	case LeaseLost:
 		c.fencing = 0
 	case ReadDone:
-		c.read(now, e)
+		c.handleRead(now, e)
 	case OrderDone:
 		if e.Refused && e.Fencing == c.fencing {
 			c.fencing = 0
 			return []Action{AbandonLease{}}
 		}
-		c.ordered(now, e)
+		c.handleOrderDone(now, e)
 	}
 	if c.fencing == 0 {
 		return nil
 	}
-	return append(c.reads(now), c.orders(now)...)
+	return append(c.nextReads(now), c.nextOrders(now)...)
 }
 
 func (c *Core) configure(now time.Time, list []Engine) {
 	named := make(map[string]bool, len(list))
 	for _, e := range list {
 		named[e.Name] = true
-		old, known := c.engines[e.Name]
-		if known && old.Address == e.Address {
-			c.needs.change(old, func() { old.Engine = e })
+		existing, known := c.engines[e.Name]
+		if known && existing.Address == e.Address {
+			c.differences.update(existing, func() { existing.Engine = e })
 			continue
 		}
 		if known {
-			c.remove(old)
+			c.remove(existing)
 		}
 		c.add(now, &engine{Engine: e})
 	}
@@ -187,28 +187,28 @@
 
 func (c *Core) add(now time.Time, e *engine) {
 	c.engines[e.Name] = e
-	c.needs.count(e, 1)
+	c.differences.count(e, 1)
 	c.schedule(e, now, true)
 }
 
 func (c *Core) remove(e *engine) {
 	delete(c.engines, e.Name)
-	c.needs.drop(e)
+	c.differences.remove(e)
 	// Its turn, if it has one, counts no more.
-	e.turn++
+	e.generation++
 }
 
 // lease begins a holding, which knows nothing yet of any engine.
-func (c *Core) lease(now time.Time, fencing uint64) {
+func (c *Core) beginTerm(now time.Time, fencing uint64) {
 	if fencing == c.fencing {
 		return
 	}
-	c.fencing, c.since = fencing, now
+	c.fencing, c.leaseSince = fencing, now
 	// Full from the first moment, two holders after each other would draw twice.
-	c.bucket.empty(now)
+	c.loadBudget.drain(now)
 	c.urgent, c.routine = nil, nil
 	for _, e := range c.engines {
-		c.needs.change(e, func() { e.known, e.busy, e.stale = false, false, false })
+		c.differences.update(e, func() { e.loadedKnown, e.inFlight, e.readStale = false, false, false })
 		c.schedule(e, now, true)
 	}
 }
@@ -223,9 +223,9 @@
 // froze in the middle of sending, is found by the next reading.
 func (c *Core) readyAt(e *engine) time.Time {
 	if e.ChecksFencing {
-		return c.since
+		return c.leaseSince
 	}
-	return c.since.Add(c.orderTimeout)
+	return c.leaseSince.Add(c.orderTimeout)
 }
 
 // read takes an engine's word.
@@ -233,51 +233,51 @@
 // It guards against a word asked for under an older holding, which came before
 // the wait of this one: an order still on its way could land after it. It shows
 // as an engine ordered too soon. It holds because the word names its holding.
-func (c *Core) read(now time.Time, r ReadDone) {
+func (c *Core) handleRead(now time.Time, r ReadDone) {
 	e, ok := c.engines[r.Engine]
 	if !ok || r.Fencing != c.fencing {
 		return
 	}
-	e.busy = false
-	if r.Err != nil || e.stale {
-		c.unknown(e)
-		pause := retryPause
+	e.inFlight = false
+	if r.Err != nil || e.readStale {
+		c.markUnknown(e)
+		pause := retryDelay
 		if r.Err == nil {
 			pause = 0
 		}
 		c.schedule(e, now.Add(pause), true)
 		return
 	}
-	c.needs.change(e, func() {
-		e.known = true
-		e.has = make(map[Model]bool, len(r.Loaded))
+	c.differences.update(e, func() {
+		e.loadedKnown = true
+		e.loaded = make(map[Model]bool, len(r.Loaded))
 		for _, m := range r.Loaded {
-			e.has[m] = true
+			e.loaded[m] = true
 		}
 	})
-	c.schedule(e, now.Add(readInterval), false)
+	c.schedule(e, now.Add(minReadInterval), false)
 }
 
-func (c *Core) unknown(e *engine) {
-	c.needs.change(e, func() { e.known, e.stale = false, false })
+func (c *Core) markUnknown(e *engine) {
+	c.differences.update(e, func() { e.loadedKnown, e.readStale = false, false })
 }
 
 // ordered wants the engine read back, whatever the answer was: an order whose
 // answer was lost may have been carried out. One of an older holding may have
 // been carried out after the engine was read.
-func (c *Core) ordered(now time.Time, o OrderDone) {
+func (c *Core) handleOrderDone(now time.Time, o OrderDone) {
 	e, ok := c.engines[o.Engine]
 	if !ok {
 		return
 	}
-	if o.Fencing != c.fencing && e.busy {
-		e.stale = true
+	if o.Fencing != c.fencing && e.inFlight {
+		e.readStale = true
 		return
 	}
-	e.busy = false
-	c.unknown(e)
+	e.inFlight = false
+	c.markUnknown(e)
 	if o.Err != nil {
-		now = now.Add(retryPause)
+		now = now.Add(retryDelay)
 	}
 	c.schedule(e, now, true)
 }
--- a/process/orders/large_test.go
+++ b/process/orders/large_test.go
@@ -9,7 +9,7 @@
 )
 
 // fleet wishes the model of so many engines, which have it or lack it.
-func fleet(core *Core, engines int, loaded bool) *largeFleet {
+func newLargeFleet(core *Core, engines int, loaded bool) *largeFleet {
 	x := &largeFleet{core: core, now: start, reads: make(map[string]int)}
 	var list []Engine
 	for i := range engines {
@@ -58,10 +58,10 @@
 // The holder of orders at full size has 5,900 engines to read back. Each ten
 // seconds that would be 590 calls a second, a fifth of a core and 20 times its
 // bytes for control. All must be read all the same, none twice before the last.
-func TestReadingsOfALargeFleetAreBounded(t *testing.T) {
+func TestReadRateIsBoundedInLargeFleet(t *testing.T) {
 	is := is.New(t)
 	const engines = 5900
-	x := fleet(NewCore(30, OrderTimeout), engines, true)
+	x := newLargeFleet(NewCore(30, OrderTimeout), engines, true)
 	x.run(60)
 	is.True(len(x.reads) <= readsPerMinute+readBurst)
 	x.run(60 * engines / readsPerMinute)
@@ -73,9 +73,9 @@
 
 // While all engines are read in turn, an operator wishes for a model on one more.
 // Its turn must not wait behind the 5,900.
-func TestNewWishDoesNotWaitForTheRound(t *testing.T) {
+func TestChangedEngineIsReadBeforeRoutineReads(t *testing.T) {
 	is := is.New(t)
-	x := fleet(NewCore(30, OrderTimeout), 5900, true)
+	x := newLargeFleet(NewCore(30, OrderTimeout), 5900, true)
 	x.run(60 * 20)
 	list := []Engine{engineOf("z", true, true)}
 	for _, e := range x.core.engines {
@@ -88,7 +88,7 @@
 
 // An order of an older holding of this very instance ends after the engine was
 // asked under the new one. What the engine said then may not show the order.
-func TestWordThatMayMissAnOlderOrderIsAskedAgain(t *testing.T) {
+func TestStaleReadIsRepeated(t *testing.T) {
 	is := is.New(t)
 	core := NewCore(600, OrderTimeout)
 	core.Step(start, Configured{[]Engine{engineOf("r1", true, true)}})
@@ -110,7 +110,7 @@
 	for _, state := range []string{"steady", "rollout"} {
 		for _, engines := range []int{13, 500, 2000, 5900} {
 			b.Run(fmt.Sprintf("%s/engines=%d", state, engines), func(b *testing.B) {
-				x := fleet(NewCore(30, OrderTimeout), engines, state == "steady")
+				x := newLargeFleet(NewCore(30, OrderTimeout), engines, state == "steady")
 				x.run(60)
 				before := sum(x.reads)
 				for b.Loop() {
--- a/process/orders/random_test.go
+++ b/process/orders/random_test.go
@@ -12,87 +12,87 @@
 )
 
 const (
-	worldStep = 500 * time.Millisecond
-	leaseTime = 10 * time.Second
+	simulationStep = 500 * time.Millisecond
+	leaseTime      = 10 * time.Second
 )
 
 // later is something that happens at a time, unless its holder is frozen then.
-type later struct {
-	at     time.Time
-	holder *holder
-	do     func()
+type delayed struct {
+	at        time.Time
+	candidate *candidate
+	do        func()
 }
 
 // holder is an instance that may hold the lease.
-type holder struct {
-	name    string
-	core    *Core
-	holding lease.Grant
-	asks    time.Time
-	frozen  time.Time
+type candidate struct {
+	name        string
+	core        *Core
+	grant       lease.Grant
+	nextRequest time.Time
+	frozenUntil time.Time
 }
 
 // target is an engine with what it has and the newest number that landed.
-type target struct {
+type simulatedEngine struct {
 	Engine
-	has    map[Model]bool
-	newest uint64
+	loaded        map[Model]bool
+	newestFencing uint64
 }
 
 // world drives holders and engines with delays, lost answers and freezes, under
 // one lease whose leader has a clock of its own.
-type world struct {
-	random  *rand.Rand
-	now     time.Time
-	holders []*holder
-	engines map[string]*target
-	names   []string
-	table   *lease.Table
-	renewed time.Time
-	queue   []later
-	faults  bool
-	landed  int
-	holds   map[uint64]bool
-	problem string
+type simulation struct {
+	random     *rand.Rand
+	now        time.Time
+	candidates []*candidate
+	engines    map[string]*simulatedEngine
+	names      []string
+	table      *lease.Table
+	renewed    time.Time
+	queue      []delayed
+	faults     bool
+	applied    int
+	terms      map[uint64]bool
+	problem    string
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{random: rand.New(rand.NewPCG(seed, 3)), now: start, engines: make(map[string]*target),
-		table: lease.NewTable(), faults: true, holds: make(map[uint64]bool)}
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{random: rand.New(rand.NewPCG(seed, 3)), now: start, engines: make(map[string]*simulatedEngine),
+		table: lease.NewTable(), faults: true, terms: make(map[uint64]bool)}
 	for i := range 3 {
-		w.holders = append(w.holders, &holder{name: fmt.Sprint("entry-", i), core: NewCore(600, OrderTimeout)})
+		w.candidates = append(w.candidates, &candidate{name: fmt.Sprint("entry-", i), core: NewCore(600, OrderTimeout)})
 	}
 	for i := range 4 {
 		name := fmt.Sprint("r", i)
 		w.names = append(w.names, name)
-		w.engines[name] = &target{Engine: engineOf(name, i%2 == 0, true), has: make(map[Model]bool)}
+		w.engines[name] = &simulatedEngine{Engine: engineOf(name, i%2 == 0, true), loaded: make(map[Model]bool)}
 	}
-	w.wish()
+	w.changeDesired()
 	return w
 }
 
-func (w *world) delay(most time.Duration) time.Duration {
+func (w *simulation) delay(most time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(most)))
 }
 
-func (w *world) after(h *holder, d time.Duration, do func()) {
-	w.queue = append(w.queue, later{w.now.Add(d), h, do})
+func (w *simulation) after(h *candidate, d time.Duration, do func()) {
+	w.queue = append(w.queue, delayed{w.now.Add(d), h, do})
 }
 
 // wish changes what one engine should have, and tells the holders one by one.
-func (w *world) wish() {
+func (w *simulation) changeDesired() {
 	e := w.engines[w.names[w.random.IntN(len(w.names))]]
 	e.Desired = map[Model]bool{large: w.random.IntN(2) == 0, {Name: "small"}: w.random.IntN(2) == 0}
 	var list []Engine
 	for _, name := range w.names {
 		list = append(list, w.engines[name].Engine)
 	}
-	for _, h := range w.holders {
+	for _, h := range w.candidates {
 		w.after(h, w.delay(3*time.Second), func() { w.step(h, Configured{list}) })
 	}
 }
 
-func (w *world) step(h *holder, event Event) {
+func (w *simulation) step(h *candidate, event Event) {
 	for _, action := range h.core.Step(w.now, event) {
 		switch a := action.(type) {
 		case Read:
@@ -100,14 +100,14 @@
 		case Order:
 			w.after(h, w.delay(time.Second), func() { w.send(h, a) })
 		case AbandonLease:
-			h.holding = lease.Grant{}
+			h.grant = lease.Grant{}
 		}
 	}
 }
 
-func (w *world) read(h *holder, a Read) {
+func (w *simulation) read(h *candidate, a Read) {
 	var has []Model
-	for m, loaded := range w.engines[a.Engine.Name].has {
+	for m, loaded := range w.engines[a.Engine.Name].loaded {
 		if loaded {
 			has = append(has, m)
 		}
@@ -117,9 +117,9 @@
 
 // send is the moment at which the body is written: the lease is checked, and the
 // order is then on the way for less than OrderTimeout, whatever becomes of its holder.
-func (w *world) send(h *holder, a Order) {
+func (w *simulation) send(h *candidate, a Order) {
 	done := OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing}
-	if !h.holding.Valid(w.now) || h.holding.Fencing() != a.Fencing {
+	if !h.grant.Valid(w.now) || h.grant.Fencing() != a.Fencing {
 		done.Err = errors.New("the lease ran out")
 		w.step(h, done)
 		return
@@ -129,7 +129,7 @@
 		way = w.delay(OrderTimeout)
 	}
 	w.after(nil, way, func() {
-		done.Refused = !w.land(a)
+		done.Refused = !w.apply(a)
 		if w.faults && w.random.IntN(4) == 0 {
 			done.Refused, done.Err = false, errors.New("answer lost")
 		}
@@ -137,36 +137,36 @@
 	})
 }
 
-func (w *world) land(a Order) bool {
+func (w *simulation) apply(a Order) bool {
 	e := w.engines[a.Engine.Name]
-	if a.Fencing < e.newest {
+	if a.Fencing < e.newestFencing {
 		if e.ChecksFencing {
 			return false
 		}
-		w.problem = fmt.Sprintf("%s: an order of holding %d landed after one of %d", e.Name, a.Fencing, e.newest)
+		w.problem = fmt.Sprintf("%s: an order of holding %d landed after one of %d", e.Name, a.Fencing, e.newestFencing)
 	}
-	e.newest = a.Fencing
-	e.has[a.Model] = a.Load
-	w.landed++
+	e.newestFencing = a.Fencing
+	e.loaded[a.Model] = a.Load
+	w.applied++
 	return true
 }
 
 // ask sends the holder's request for the lease. The leader judges by its own
 // clock whether the last renewal has run out, and applies the request after it
 // has been replicated, when others may stand before it in the log.
-func (w *world) ask(h *holder) {
+func (w *simulation) requestLease(h *candidate) {
 	sent := w.now
-	h.asks = w.now.Add(leaseTime / 4)
+	h.nextRequest = w.now.Add(leaseTime / 4)
 	w.after(nil, w.delay(time.Second), func() {
 		request := &lilacv1.LeaseRequest{Name: "orders", Holder: h.name, Incarnation: h.name, DurationMs: uint32(leaseTime.Milliseconds())}
 		if e := w.table.Get("orders"); e != nil && w.now.Sub(w.renewed) > leaseTime+leaseTime/20 {
 			request.ExpiredRenewal = e.GetRenewal()
 		}
-		w.after(nil, w.delay(time.Second), func() { w.decide(h, sent, request) })
+		w.after(nil, w.delay(time.Second), func() { w.applyLeaseRequest(h, sent, request) })
 	})
 }
 
-func (w *world) decide(h *holder, sent time.Time, request *lilacv1.LeaseRequest) {
+func (w *simulation) applyLeaseRequest(h *candidate, sent time.Time, request *lilacv1.LeaseRequest) {
 	reply, err := w.table.Apply(request)
 	if err != nil {
 		w.problem = err.Error()
@@ -174,30 +174,30 @@
 	}
 	if reply.GetGranted() {
 		w.renewed = w.now
-		w.holds[reply.GetFencing()] = true
+		w.terms[reply.GetFencing()] = true
 	}
-	w.after(h, w.delay(2*time.Second), func() { h.holding.Update(sent, reply) })
+	w.after(h, w.delay(2*time.Second), func() { h.grant.Update(sent, reply) })
 }
 
-func (w *world) advance() {
-	w.now = w.now.Add(worldStep)
+func (w *simulation) advance() {
+	w.now = w.now.Add(simulationStep)
 	w.deliver()
 	valid := 0
-	for _, h := range w.holders {
-		if h.holding.Valid(w.now) {
+	for _, h := range w.candidates {
+		if h.grant.Valid(w.now) {
 			valid++
 		}
-		if w.now.Before(h.frozen) {
+		if w.now.Before(h.frozenUntil) {
 			continue
 		}
 		if w.faults && w.random.IntN(120) == 0 {
-			h.frozen = w.now.Add(w.delay(40 * time.Second))
+			h.frozenUntil = w.now.Add(w.delay(40 * time.Second))
 		}
-		if !w.now.Before(h.asks) {
-			w.ask(h)
+		if !w.now.Before(h.nextRequest) {
+			w.requestLease(h)
 		}
-		if h.holding.Valid(w.now) {
-			w.step(h, LeaseHeld{h.holding.Fencing()})
+		if h.grant.Valid(w.now) {
+			w.step(h, LeaseHeld{h.grant.Fencing()})
 		} else {
 			w.step(h, LeaseLost{})
 		}
@@ -207,16 +207,16 @@
 		w.problem = "two holders at once"
 	}
 	if w.faults && w.random.IntN(60) == 0 {
-		w.wish()
+		w.changeDesired()
 	}
 }
 
-func (w *world) deliver() {
-	var rest []later
+func (w *simulation) deliver() {
+	var rest []delayed
 	due := w.queue
 	w.queue = nil
 	for _, l := range due {
-		if w.now.Before(l.at) || l.holder != nil && w.now.Before(l.holder.frozen) {
+		if w.now.Before(l.at) || l.candidate != nil && w.now.Before(l.candidate.frozenUntil) {
 			rest = append(rest, l)
 			continue
 		}
@@ -225,11 +225,11 @@
 	w.queue = append(rest, w.queue...)
 }
 
-func (w *world) settled() string {
+func (w *simulation) unsettled() string {
 	for _, name := range w.names {
 		e := w.engines[name]
 		for m, load := range e.Desired {
-			if e.has[m] != load {
+			if e.loaded[m] != load {
 				return fmt.Sprintf("%s: %v should be loaded: %v", name, m, load)
 			}
 		}
@@ -241,21 +241,21 @@
 // the way, answers are lost, and half of the engines take any number. No two may
 // hold the lease at once, no order of an older holding may land after one of a
 // newer, and when the faults end every engine must have what is wished.
-func TestOrdersLandInOrderOfTheHoldings(t *testing.T) {
+func TestOrdersApplyInFencingOrder(t *testing.T) {
 	landed, holdings := 0, 0
 	for seed := range uint64(40) {
-		w := newWorld(seed)
-		for range int(15 * time.Minute / worldStep) {
+		w := newSimulation(seed)
+		for range int(15 * time.Minute / simulationStep) {
 			w.advance()
 		}
 		w.faults = false
-		for range int(3 * time.Minute / worldStep) {
+		for range int(3 * time.Minute / simulationStep) {
 			w.advance()
 		}
-		if problem := w.problem + w.settled(); problem != "" {
+		if problem := w.problem + w.unsettled(); problem != "" {
 			t.Fatalf("seed %d: %s", seed, problem)
 		}
-		landed, holdings = landed+w.landed, holdings+len(w.holds)
+		landed, holdings = landed+w.applied, holdings+len(w.terms)
 	}
 	t.Logf("%d orders under %d holdings", landed, holdings)
 	if landed < 1000 || holdings < 100 {
--- a/process/orders/reading.go
+++ b/process/orders/readqueue.go
@@ -21,22 +21,22 @@
 )
 
 // reading is an engine's turn to be read.
-type reading struct {
+type scheduledRead struct {
 	engine *engine
 	at     time.Time
 	// turn is the engine's when this was scheduled; an older one counts no more.
-	turn uint64
+	generation uint64
 }
 
 // readQueue orders readings by time, then name.
-type readQueue []reading
+type readQueue []scheduledRead
 
 func (q readQueue) Len() int      { return len(q) }
 func (q readQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q readQueue) Less(i, j int) bool {
 	return cmp.Or(q[i].at.Compare(q[j].at), cmp.Compare(q[i].engine.Name, q[j].engine.Name)) < 0
 }
-func (q *readQueue) Push(x any) { *q = append(*q, x.(reading)) }
+func (q *readQueue) Push(x any) { *q = append(*q, x.(scheduledRead)) }
 func (q *readQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -44,11 +44,11 @@
 }
 
 // due returns the first engine whose turn has come, and nil if there is none.
-func (q *readQueue) due(now time.Time) *engine {
+func (q *readQueue) firstDue(now time.Time) *engine {
 	for q.Len() > 0 {
 		first := (*q)[0]
 		switch {
-		case first.turn != first.engine.turn:
+		case first.generation != first.engine.generation:
 			heap.Pop(q)
 		case first.at.After(now):
 			return nil
@@ -65,27 +65,27 @@
 	if ready := c.readyAt(e); at.Before(ready) {
 		at = ready
 	}
-	e.turn++
+	e.generation++
 	queue := &c.routine
 	if urgent {
 		queue = &c.urgent
 	}
-	heap.Push(queue, reading{engine: e, at: at, turn: e.turn})
+	heap.Push(queue, scheduledRead{engine: e, at: at, generation: e.generation})
 }
 
 // reads returns the readings whose turn has come, urgent ones first.
-func (c *Core) reads(now time.Time) []Action {
+func (c *Core) nextReads(now time.Time) []Action {
 	var actions []Action
 	for {
-		e := c.urgent.due(now)
+		e := c.urgent.firstDue(now)
 		if e == nil {
-			e = c.routine.due(now)
+			e = c.routine.firstDue(now)
 		}
 		if e == nil || !c.readBudget.take(now) {
 			return actions
 		}
-		e.turn++
-		e.busy = true
+		e.generation++
+		e.inFlight = true
 		actions = append(actions, Read{Engine: e.Engine, Fencing: c.fencing})
 	}
 }
