--- a/process/member/combine.go
+++ b/process/member/combine.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// maxCutoffs, maxSpends, maxSuspects and maxEjected bound a combined digest.
+	// Maximum list lengths in a combined digest.
 	maxCutoffs  = 64
 	maxSpends   = 8
 	maxSuspects = 16
 	maxEjected  = 32
 )
 
-// Combine makes one digest of many. Every rule gives the same whatever the
-// order and the grouping, so that a tree of combinations equals one.
+// Combine merges digests into one. Every rule is commutative and associative, so a
+// tree of combinations gives the same result as a single one.
 //
-// Cutoffs take the most urgent tier held back anywhere and the least urgent one
-// admitted anywhere, never an average: one instance that still admits a lower
-// tier forbids all others to shed a higher one. Spends are added up, the
-// largest are kept. Loads are left out: they are for instances that exchange
-// digests directly; seconds old, they keep requests from their homes. The sum binds as long as all parts do, and is incomplete if
-// one is.
+// For cutoffs, the result holds the most urgent held-back tier and the least urgent
+// admitted tier, never an average: while one instance still admits a lower tier, no
+// other may shed a higher one. Spends are summed and the largest are kept. Loads
+// are omitted: they are exchanged directly between instances, because seconds-old
+// loads would route requests away from their home servers. The result is valid for
+// the shortest validity of its parts, and is incomplete if any part is.
 func Combine(instance, dataCenter string, all ...*lilacv1.Digest) *lilacv1.Digest {
 	out := &lilacv1.Digest{Instance: instance, DataCenter: dataCenter}
 	cutoffs := make(map[string]*lilacv1.PoolCutoff)
@@ -60,7 +60,7 @@
 	return out
 }
 
-// combineCutoffs knows that tiers are stated plus one, 0 means none, and that a
+// combineCutoffs merges two cutoffs. Tiers are encoded plus one with 0 for none; a
 // smaller tier is more urgent.
 func combineCutoffs(a, b *lilacv1.PoolCutoff) *lilacv1.PoolCutoff {
 	if a == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// mostUrgent and leastBinding take the smaller one, where 0 means none.
+// mostUrgent returns the smaller tier, where 0 means none.
 func mostUrgent(a, b uint32) uint32 {
 	if a == 0 || b == 0 {
 		return max(a, b)
--- a/process/member/core.go
+++ b/process/member/core.go
@@ -1,15 +1,17 @@
-// Package member decides which other entries and backend servers are alive or
-// leaving, and with whom an entry exchanges digests.
+// Package member implements gossip membership between entry instances: which entry
+// instances and backend servers are alive or leaving, and which peers an entry
+// instance exchanges digests with.
 //
-// Few entries (up to MeshLimit) exchange their digests directly, each pair once
-// an interval. Many form a tree by rank in each data centre: digests are
-// combined on the way up, the relays of the data centres exchange the sums, and
-// what the others know comes down again with the answers. So the traffic of a
-// node does not grow with their number.
+// Up to MeshLimit entry instances form a full mesh: each pair exchanges digests
+// once per interval. Larger fleets form a tree by rank in each data centre: digests
+// are combined on the way up, the root of each data centre (the relay) exchanges
+// the result with the other relays, and the digest of all other instances returns
+// in the replies. Traffic per node therefore does not grow with the fleet.
 //
-// Only the local monotonic clock counts: whoever was not heard for Lifetime is
-// gone, whatever the platform's list says. The list is late, so it is a hint: it
-// names whom to try, and who or what is leaving.
+// Liveness depends only on the local monotonic clock: a peer that has not been
+// heard from for Lifetime is considered dead, whatever the platform's list says.
+// The list may be out of date; it only supplies candidate peers and the instances
+// and servers that are leaving.
 package member
 
 import (
@@ -22,62 +24,65 @@
 )
 
 const (
-	// Interval lies between two exchanges with the same peer.
+	// Interval is the time between two exchanges with the same peer.
 	Interval = time.Second
-	// TreeInterval is Interval where the entries form a tree.
+	// TreeInterval replaces Interval in a tree.
 	TreeInterval = 1500 * time.Millisecond
-	// Lifetime is how long a digest counts after it was heard.
+	// Lifetime is how long a digest is used after it was received.
 	Lifetime = 3 * time.Second
-	// TreeLifetime is Lifetime where the entries form a tree.
+	// TreeLifetime replaces Lifetime in a tree.
 	TreeLifetime = 4500 * time.Millisecond
-	// MeshLimit is the number of entries up to which all exchange directly.
+	// MeshLimit is the largest number of entry instances that form a full mesh.
 	MeshLimit = 10
-	// Fanout of the tree of digests.
+	// Fanout is the number of children of a node in the digest tree.
 	Fanout = 5
-	// avoidance is how long a failed parent or relay is passed over.
+	// avoidPeriod is how long a failed parent or relay is not used.
 	avoidPeriod = 10 * time.Second
-	// failuresToLeave is how many exchanges in a row must fail for a parent to be
-	// given up in a tree.
+	// maxFailures is the number of consecutive failed exchanges after which a tree
+	// node gives up its parent.
 	maxFailures = 2
-	// urgentPause is the least time between two urgent exchanges.
+	// minUrgentInterval is the minimum time between two urgent exchanges.
 	minUrgentInterval = 500 * time.Millisecond
 )
 
-// Others is the instance's name in a combined digest of all others.
+// Others is the instance name in a digest that combines all other instances.
 const Others = "*others"
 
 // Peer is another entry instance.
 type Peer struct{ Name, Address, DataCenter string }
 
-// Listed is a backend server as the platform's list has it.
+// ListedServer is a backend server in the platform's list.
 type ListedServer struct {
 	Name    string
 	Leaving bool
 }
 
-// heard is the last digest of a peer, as it came from one.
+// receivedDigest is the last digest of an instance. sender is the peer it was
+// received from.
 type receivedDigest struct {
 	digest     *lilacv1.Digest
 	sender     string
 	receivedAt time.Time
-	// since is a time, by the own clock, after which it was composed; zero
-	// means that none is known.
+	// composedAfter is a local time after which the digest was composed; zero if
+	// unknown.
 	composedAfter time.Time
 }
 
-// Core is the membership of one entry. Calls must not overlap.
+// Core is the membership state machine of one entry instance. It does no I/O: the
+// caller feeds events to Step and performs the returned actions. It is not safe for
+// concurrent use.
 type Core struct {
 	self Peer
-	// mesh is the interval between two exchanges of few entries.
+	// meshInterval is the exchange interval in a full mesh.
 	meshInterval time.Duration
-	// peers are the entries that may be tried, without the own one.
+	// peers are the candidate peers, without this instance.
 	peers            map[string]Peer
 	listedLeaving    map[string]bool
 	leavingInstances map[string]bool
 	received         map[string]receivedDigest
 	lastExchange     map[string]time.Time
 	avoidedUntil     map[string]time.Time
-	// failures counts the exchanges with each peer that failed in a row.
+	// failures counts consecutive failed exchanges by peer.
 	failures        map[string]int
 	delivered       map[string]bool
 	own             *lilacv1.Digest
@@ -86,27 +91,29 @@
 	lastLive        []Peer
 	reportedLeaving map[string]bool
 	liveReported    bool
-	// summed is when the policy was last given the digest of all others.
+	// lastSummary is when the policy last received the digest of all others.
 	lastSummary time.Time
-	// news holds what was known of leaving servers and suspects at the last
-	// urgent exchange, at pushed.
+	// announced holds the leaving servers and suspects known at the last urgent
+	// exchange, which began at lastUrgent.
 	announced  map[string]bool
 	lastUrgent time.Time
-	// above caches the own data centre's entries of a better rank.
+	// higherRanked caches the instances of this data centre that rank above this
+	// one.
 	higherRanked []string
-	// heardNews is true when digests or the list may have changed what is
-	// leaving, peersChanged when they may have changed who lives.
+	// digestsChanged is true when the set of leaving servers may have changed,
+	// peersChanged when the set of live peers may have.
 	digestsChanged, peersChanged bool
-	// postponed is true while news waits for urgentPause.
+	// urgentDeferred is true while an urgent exchange waits for minUrgentInterval.
 	urgentDeferred bool
 	validityState
 	pushState
 }
 
-// NewCore returns the core of the entry self; seeds are the entries of its settings.
+// NewCore returns the core of the entry instance self. seeds are the entry
+// instances in its settings.
 func NewCore(self Peer, seeds []Peer) *Core { return NewCoreAt(self, seeds, Interval) }
 
-// NewCoreAt is NewCore with another interval for few entries.
+// NewCoreAt is like NewCore with a different mesh interval.
 func NewCoreAt(self Peer, seeds []Peer, interval time.Duration) *Core {
 	c := &Core{
 		meshInterval:     interval,
@@ -133,13 +140,13 @@
 	return c
 }
 
-// ranked brings the cache of ranks up to date.
+// updateRanks refreshes higherRanked.
 func (c *Core) updateRanks() {
 	c.higherRanked = HigherRanked(c.self.Name, c.names(c.self.DataCenter))
 	c.peersChanged = true
 }
 
-// Tree tells whether the entries are so many that they form a tree.
+// Tree reports whether there are enough entry instances to form a tree.
 func (c *Core) Tree() bool { return len(c.peers)+1 > MeshLimit }
 
 func (c *Core) interval() time.Duration {
@@ -156,7 +163,7 @@
 	return Lifetime
 }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the actions to perform, in order.
 func (c *Core) Step(now time.Time, event Event) []Action {
 	if c.startedAt.IsZero() {
 		c.startedAt = now
@@ -179,9 +186,9 @@
 	return nil
 }
 
-// failed has the exchange made again, and passes the peer over from the second
-// failure in a row on in a tree: who changes its parent for one lost message
-// makes the sums incomplete at all entries.
+// exchangeFailed makes the exchange due again. In a tree, the peer is avoided only
+// from the second consecutive failure on: changing parents after one lost message
+// would make the combined digests incomplete at all instances.
 func (c *Core) exchangeFailed(now time.Time, peer string) {
 	delete(c.lastExchange, peer)
 	c.resetSent(peer)
@@ -194,8 +201,8 @@
 	c.peersChanged = true
 }
 
-// platform takes the list as a hint: it adds entries to try, and drops those
-// that it no longer names and that are silent too.
+// applyPlatformList adds the listed instances as candidates, and removes those that
+// are neither listed nor heard from.
 func (c *Core) applyPlatformList(now time.Time, e PlatformList) {
 	entries := make(map[string]bool)
 	for _, peer := range e.Entries {
@@ -228,7 +235,8 @@
 	return ok && now.Sub(h.receivedAt) <= c.lifetime()
 }
 
-// take tells what comes down from the parent in a tree from the digests of others.
+// receive handles a digest. In a tree, the digest of Others is accepted from the
+// parent only.
 func (c *Core) receive(now time.Time, from string, d *lilacv1.Digest) []Action {
 	c.noteStamp(from, d)
 	delete(c.failures, from)
@@ -262,7 +270,7 @@
 	d := next.digest
 	sameIncarnation := known && previous.digest.GetIncarnation() == d.GetIncarnation()
 	if sameIncarnation && d.GetSequence() < previous.digest.GetSequence() {
-		// An older digest that was overtaken on the way.
+		// The digests arrived out of order.
 		return nil
 	}
 	c.notePush(previous.digest, d)
@@ -296,7 +304,8 @@
 	return actions
 }
 
-// regroup ends what the policy was told while the entries exchanged otherwise.
+// dropOtherTopology withdraws the digests that the policy received in the other
+// topology (mesh or tree).
 func (c *Core) dropOtherTopology() []Action {
 	var actions []Action
 	for _, name := range slices.Sorted(maps.Keys(c.delivered)) {
@@ -308,8 +317,8 @@
 	return actions
 }
 
-// summary gives the policy the digest of all others in a tree, each interval
-// and as soon as it is pressing.
+// summary delivers the digest of all others to the policy in a tree: once per
+// interval, and at once if it is more restrictive.
 func (c *Core) summary(now time.Time) []Action {
 	due := now.Sub(c.lastSummary) >= c.interval()
 	if !c.Tree() || !due && !c.pushPending {
@@ -324,7 +333,7 @@
 	return []Action{PolicyDigest{c.forPolicy(now, sum, receivedDigest{}), now}}
 }
 
-// forget drops what has not been heard for its lifetime.
+// expire removes digests older than their lifetime.
 func (c *Core) expire(now time.Time) []Action {
 	var actions []Action
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
@@ -354,8 +363,8 @@
 	return actions
 }
 
-// alive tells of the entries that count as alive, when they change. Before the
-// first exchanges had time to be answered all candidates do.
+// reportLive returns the live peers if they have changed. Until first exchanges can
+// have been answered, all candidates are considered alive.
 func (c *Core) reportLive() []Action {
 	if !c.peersChanged {
 		return nil
--- a/process/member/events.go
+++ b/process/member/events.go
@@ -6,41 +6,42 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Event is something that happened; see the types below.
+// Event is an input of Core.Step.
 type Event interface{ event() }
 
-// Platform brings a fresh copy of the platform's list.
+// PlatformList carries a new copy of the platform's list.
 type PlatformList struct {
 	Entries []Peer
-	// Leaving names entries that the platform is about to take away.
+	// Leaving names the entry instances that the platform is about to stop.
 	Leaving []string
 	Servers []ListedServer
 }
 
-// Received is a digest that the peer From sent; the shell answers with Reply.
+// DigestReceived carries a digest that the peer From sent. The caller answers it
+// with Core.Reply.
 type DigestReceived struct {
 	From   string
 	Digest *lilacv1.Digest
 }
 
-// Answered is the answer to an Exchange.
+// ReplyReceived carries the reply to an Exchange.
 type ReplyReceived struct {
 	Peer   string
 	Digest *lilacv1.Digest
 }
 
-// Failed tells that an Exchange had no answer.
+// ExchangeFailed reports that an Exchange got no reply.
 type ExchangeFailed struct{ Peer string }
 
-// Tick lets time pass; the shell sends one each TickInterval. Own is the own
-// digest where it is newer than the last one given, else nil; it was asked for
-// at Asked, or now if that is zero.
+// Tick advances time; the caller sends one every TickInterval. Own is this
+// instance's digest if it is newer than the last one, else nil. RequestedAt is when
+// it was requested; zero means now.
 type Tick struct {
 	Own         *lilacv1.Digest
 	RequestedAt time.Time
 }
 
-// TickInterval is how often the shell sends a Tick.
+// TickInterval is the time between two Ticks.
 const TickInterval = 100 * time.Millisecond
 
 func (PlatformList) event()   {}
@@ -49,33 +50,34 @@
 func (ExchangeFailed) event() {}
 func (Tick) event()           {}
 
-// Action is something the shell must do; see the types below.
+// Action is an output of Core.Step that the caller must perform.
 type Action interface{ action() }
 
-// Exchange tells the shell to send the digest to the peer.
+// Exchange sends the digest to the peer. The caller reports ReplyReceived or
+// ExchangeFailed.
 type Exchange struct {
 	Peer   Peer
 	Digest *lilacv1.Digest
 }
 
-// Digest is to be given to the policy: a peer's, or a combined one of Others.
-// Its cutoffs bind for BindsMs from At on.
+// PolicyDigest passes a digest to the policy: one of a peer, or the combined one of
+// Others. Its cutoffs are valid for BindsMs after At.
 type PolicyDigest struct {
 	Digest *lilacv1.Digest
 	At     time.Time
 }
 
-// Gone tells that a peer whose digest was given is no longer heard.
+// DigestExpired tells the policy to drop the digest of an instance.
 type DigestExpired struct{ Instance string }
 
-// Server tells that a backend server began or ended to be leaving, by the list
-// or by a peer's word.
+// ServerState reports that a backend server has begun or ceased leaving, according
+// to the platform's list or to a peer.
 type ServerState struct {
 	Name    string
 	Leaving bool
 }
 
-// Live names the entries of all data centres to be taken for alive.
+// LivePeers lists the live entry instances of all data centres, without this one.
 type LivePeers struct{ Peers []Peer }
 
 func (Exchange) action()      {}
--- a/process/member/member_test.go
+++ b/process/member/member_test.go
@@ -12,16 +12,16 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// fleet drives many cores in steps of TickInterval; an exchange is answered in
-// the same step unless the pair is cut.
+// fleet simulates many cores in steps of TickInterval. An exchange is answered
+// within the step unless the direction is dropped.
 type fleet struct {
 	now        time.Time
 	cores      map[string]*Core
 	names      []string
 	ownDigests map[string]*lilacv1.Digest
-	// cut tells which direction of which pair carries nothing.
+	// dropped reports whether messages in the direction are lost.
 	dropped func(from, to string) bool
-	// given holds the last digests, server states and goners that each was told.
+	// The last digests, server states and live peers reported to each instance.
 	delivered map[string]map[string]*lilacv1.Digest
 	leaving   map[string]map[string]bool
 	live      map[string][]Peer
@@ -30,7 +30,7 @@
 
 var dataCenters = []string{"dakar-a", "thies-a", "saint-louis-a", "d", "e"}
 
-// ownEvery is how many ticks lie between two of an entry's own digests.
+// ownEvery is the number of ticks between two own digests of an instance.
 const ownEvery = 5
 
 func newFleet(n, centers int) *fleet {
@@ -112,7 +112,7 @@
 	f.ownDigests[name].Cutoffs = []*lilacv1.PoolCutoff{{Pool: "redaction", HeldBackTier: held, AdmittedTier: admitted}}
 }
 
-// others gives what the entry knows of the pool from all others together.
+// combinedCutoff returns what the instance knows of the cutoffs of all others.
 func (f *fleet) combinedCutoff(name string) *lilacv1.PoolCutoff {
 	var all []*lilacv1.Digest
 	for _, d := range f.delivered[name] {
@@ -126,9 +126,9 @@
 
 var sizes = []struct{ entries, centers int }{{7, 3}, {10, 3}, {11, 3}, {64, 5}, {256, 5}}
 
-// One entry alone holds tier 0 back, another alone still admits tier 3. All
-// others must know both, whatever the number of entries, and when they stop no
-// echo may keep the cutoffs alive.
+// One instance holds tier 0 back and another still admits tier 3. All others must
+// learn of both at any fleet size, and the cutoffs must end with their cause
+// instead of being kept alive by an echo.
 func TestCutoffsPropagateAndExpire(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size.entries), func(t *testing.T) {
@@ -164,9 +164,10 @@
 	}
 }
 
-// A backend server begins to leave. The platform's list says so half a minute
-// late, or one entry alone has seen it. All entries must stop giving it new work
-// within 3 s of the first of the two, and may use it again when neither says so.
+// A backend server begins to leave, and either the platform's list at one instance
+// or one instance's own digest reports it. All instances must stop sending it new
+// requests within 3 s of the first report, and use it again once neither reports
+// it.
 func TestLeavingServerPropagatesWithin3s(t *testing.T) {
 	for _, size := range sizes {
 		for source, leave := range map[string]func(f *fleet, leaving bool){
@@ -192,7 +193,8 @@
 				f.run(3 * time.Second)
 				for i, name := range f.names {
 					is.True(f.leaving[name]["r7"] || source == "own" && i == 2)
-					// Each policy reports what it was told; that must not keep it alive.
+					// The policy repeats what it was told; that must not keep the
+					// server marked as leaving.
 					f.ownDigests[name].Ejected = append(f.ownDigests[name].GetEjected(), "r7")
 				}
 				f.run(5 * time.Second)
@@ -209,8 +211,8 @@
 	}
 }
 
-// An entry dies while the platform's list still calls it live. The others must
-// notice by themselves, and take it back when it answers again.
+// An instance dies while the platform's list still shows it as live. The others
+// must detect it, and accept it again when it answers.
 func TestDeadEntryIsDetectedDespitePlatformList(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(7, 3)
@@ -228,8 +230,8 @@
 	is.Equal(len(f.live[f.names[0]]), 6)
 }
 
-// A data centre is cut off, in one direction only or in both. Inside, its entries
-// go on hearing each other; when it heals all hear all again.
+// A data centre is partitioned in one or both directions. Its instances must keep
+// hearing each other, and all must hear all after the partition ends.
 func TestPartitionedDataCentreRecovers(t *testing.T) {
 	for name, oneWay := range map[string]bool{"one way": true, "both ways": false} {
 		for _, size := range sizes {
@@ -259,10 +261,9 @@
 	}
 }
 
-// BenchmarkTraffic gives the digests' bytes a second of the busiest and of the
-// mean node, in a steady state in which every entry holds something back in
-// every pool of its data centre and reports 16 teams, and the processor time
-// that the core takes on one node.
+// BenchmarkTraffic reports the digest bytes per second of the busiest and of the
+// mean node, and the core's CPU time per node, in a steady state: every instance
+// holds a tier back in every pool of its data centre and reports 16 teams.
 func BenchmarkTraffic(b *testing.B) {
 	const pools, teams = 8, 16
 	for _, n := range []int{8, 64, 256, 1100} {
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -9,7 +9,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// partners returns the peers with whom an exchange is due from this side.
+// partners returns the peers that this side exchanges with.
 func (c *Core) partners(now time.Time) []Peer {
 	if !c.Tree() {
 		return c.meshPartners(now)
@@ -20,7 +20,7 @@
 	return c.relays(now)
 }
 
-// meshPartners are all whose exchange this side begins.
+// meshPartners returns the peers with which this side initiates the exchange.
 func (c *Core) meshPartners(now time.Time) []Peer {
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
@@ -31,15 +31,16 @@
 	return list
 }
 
-// begins tells whether this side of a pair of equals begins the exchange: the
-// one of better rank does, and the other when nothing came, so that a cut in
-// one direction hides nobody.
+// initiates reports whether this side initiates the exchange within a pair of
+// equals. The higher-ranked one does; the other takes over if it hears nothing, so
+// that a one-way partition hides nobody.
 func (c *Core) initiates(now time.Time, name string) bool {
 	h, known := c.received[name]
 	return CompareRank(c.self.Name, name) < 0 || !known || now.Sub(h.receivedAt) > c.interval()+c.interval()/2
 }
 
-// parent returns the entry above in the own data centre's tree; "" for the relay.
+// parent returns the parent in this data centre's tree, or "" if this instance is
+// the relay.
 func (c *Core) parent() string {
 	if len(c.avoidedUntil) == 0 && len(c.leavingInstances) == 0 {
 		return Parent(c.higherRanked, Fanout)
@@ -64,7 +65,8 @@
 	})
 }
 
-// relays returns the first in rank of each other data centre.
+// relays returns the highest-ranked instance of each other data centre with which
+// this side initiates the exchange.
 func (c *Core) relays(now time.Time) []Peer {
 	best := make(map[string]Peer)
 	for _, name := range c.usable(slices.Sorted(maps.Keys(c.peers))) {
@@ -85,19 +87,20 @@
 	return list
 }
 
-// outgoing is what this entry tells its parent and other data centres: the
-// digest of all below it and its own.
+// subtreeDigest combines the digests of all lower-ranked instances of this data
+// centre with the own one, for the parent and for other data centres.
 //
-// It guards against a sum that lacks most of its data centre: one who is no
-// relay may be asked as if it were, by those who gave the relay up.
+// A digest for another data centre is incomplete unless this instance is the relay:
+// peers that gave up on the relay may ask another instance, which lacks most of its
+// data centre.
 func (c *Core) subtreeDigest(now time.Time, foreign bool) *lilacv1.Digest {
 	sum := c.combineAsSelf(append(c.lowerRankedDigests(now, ""), c.ownDigest(now)))
 	sum.Incomplete = sum.GetIncomplete() || c.instanceMissing(now, c.self.DataCenter) || foreign && c.parent() != ""
 	return sum
 }
 
-// Reply is the digest for the peer that was just received from: a partial one
-// is answered by a partial one.
+// Reply returns the reply to the digest just received from the peer. A partial
+// digest gets a partial reply.
 func (c *Core) Reply(now time.Time, peer string) *lilacv1.Digest {
 	if c.lastPartial[peer] {
 		return c.partialDigest(now, peer)
@@ -105,7 +108,7 @@
 	return c.fullDigest(now, peer)
 }
 
-// whole is all that the peer is to know.
+// fullDigest returns the full digest for the peer.
 func (c *Core) fullDigest(now time.Time, peer string) *lilacv1.Digest {
 	d := c.digestFor(now, peer)
 	c.lastSent[peer] = d
@@ -113,13 +116,14 @@
 	return d
 }
 
-// word is what the peer is to know: the own digest in a mesh; in a tree that of
-// all below to the parent, and of all others but the peer's part to a child.
+// digestFor returns what the peer should know. In a mesh that is the own digest. In
+// a tree the parent and other data centres get the subtree's digest, and a child
+// gets the digest of all others without its own part.
 //
-// It guards against an echo: if a node's own cutoffs came back to it as those of
-// others, a tier once held back would be held back for ever. It holds because
-// what came from a child is left out of its answer, a child has a worse rank
-// than its parent, and sums of other data centres are never passed on to a third.
+// A node must never receive its own cutoffs back as those of others: a tier that
+// was once held back would be held back forever. Three rules prevent it: the reply
+// to a child omits the child's part, a child always ranks below its parent, and
+// digests of another data centre are not forwarded to a third.
 func (c *Core) digestFor(now time.Time, peer string) *lilacv1.Digest {
 	if !c.Tree() {
 		return c.ownDigest(now)
@@ -131,7 +135,8 @@
 	return c.othersDigest(now, peer, c.ownDigest(now))
 }
 
-// others combines what is known of all others, without the part of one peer.
+// othersDigest combines the digests of all other instances, except the part of one
+// peer, with the extra ones.
 func (c *Core) othersDigest(now time.Time, except string, extra ...*lilacv1.Digest) *lilacv1.Digest {
 	parts := append(c.lowerRankedDigests(now, except), extra...)
 	if c.fromParent.digest != nil {
@@ -146,12 +151,12 @@
 	return sum
 }
 
-// urgent tells whether a server began to leave, or a suspect was found, that the
-// neighbours can't know yet.
+// urgent reports whether there is a leaving server or a suspect that the neighbours
+// cannot know yet.
 //
-// It guards against new work for a leaving server while the news climbs down
-// the tree one interval a step, which would take longer than the 3 s that it
-// may: with it each step takes a tick.
+// At one interval per tree level the information would take longer than the allowed
+// 3 s to stop new requests to a leaving server. An urgent exchange needs one tick
+// per level.
 func (c *Core) urgent(now time.Time) bool {
 	items := make(map[string]bool)
 	add := func(d *lilacv1.Digest) {
@@ -181,7 +186,7 @@
 	return isNew
 }
 
-// listeners returns the peers that exchange with this entry of their own accord.
+// inboundPeers returns the live peers that initiate exchanges with this instance.
 func (c *Core) inboundPeers(now time.Time) []Peer {
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
@@ -199,15 +204,16 @@
 	return slices.ContainsFunc(c.partners(now), func(p Peer) bool { return p.Name == name })
 }
 
-// combined names the sum after this entry, with its own incarnation and number.
+// combineAsSelf combines the parts into a digest in the name of this instance, with
+// its incarnation and sequence.
 func (c *Core) combineAsSelf(parts []*lilacv1.Digest) *lilacv1.Digest {
 	sum := Combine(c.self.Name, c.self.DataCenter, parts...)
 	sum.Incarnation, sum.Sequence, sum.Leaving = c.own.GetIncarnation(), c.own.GetSequence(), c.own.GetLeaving()
 	return sum
 }
 
-// below returns the digests of the own data centre's entries of a worse rank
-// that were heard, without the one named.
+// lowerRankedDigests returns the current digests of this data centre's lower-ranked
+// instances, except the named one.
 func (c *Core) lowerRankedDigests(now time.Time, except string) []*lilacv1.Digest {
 	var parts []*lilacv1.Digest
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
@@ -230,9 +236,9 @@
 	return names
 }
 
-// ownDigest is the own digest with the servers that the platform's list has as
-// leaving, and without those known from peers only: their word would come back
-// to them and never end.
+// ownDigest returns the own digest with the servers that the platform lists as
+// leaving added, and those known only from peers removed: reporting them back would
+// keep them marked as leaving forever.
 func (c *Core) ownDigest(now time.Time) *lilacv1.Digest {
 	ejected := make(map[string]bool)
 	for _, name := range c.own.GetEjected() {
@@ -253,8 +259,9 @@
 	}
 }
 
-// servers tells which backend servers began or ended to be leaving. Either
-// source is enough to stop new work.
+// reportServers returns the changes to the set of leaving backend servers. Either
+// source, the platform's list or a peer's digest, is enough to mark a server as
+// leaving.
 func (c *Core) reportServers(now time.Time) []Action {
 	if !c.digestsChanged {
 		return nil
--- a/process/member/push.go
+++ b/process/member/push.go
@@ -11,28 +11,31 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// pushPause is the least time between two pushes of cutoffs to the same peer.
+// minPushInterval is the minimum time between two pushes of cutoffs to the same
+// peer.
 const minPushInterval = 500 * time.Millisecond
 
-// pushes is what the core told of cutoffs. Those that forbid more are pushed, so
-// that a burst at one instance is known at all at the speed of the network and
-// not an interval a step, and so is the end of what was held back; what is
-// admitted again may wait.
+// pushState tracks the cutoffs sent to each peer. More restrictive cutoffs are
+// pushed immediately, so that a burst at one instance propagates at network speed
+// instead of one interval per tree level. The end of a held-back tier is pushed
+// too; a newly admitted tier waits for the regular exchange.
 type pushState struct {
-	// said holds the last digest for each peer, and under Others the policy's.
+	// lastSent holds the last digest sent to each peer, and under Others the one
+	// delivered to the policy.
 	lastSent map[string]*lilacv1.Digest
 	lastPush map[string]time.Time
-	// brief names the peers whose last digest was partial, and so is its answer.
+	// lastPartial marks the peers whose last digest was partial.
 	lastPartial map[string]bool
-	// open holds when the exchange with each peer began that has no answer yet.
+	// inFlight holds the start of the exchange with each peer that has no reply
+	// yet.
 	inFlight map[string]time.Time
-	// pressed is true when a cutoff may be pressing news to somebody, held while a
-	// push waits for pushPause.
+	// pushPending is true when a cutoff may have to be pushed, pushDeferred while a
+	// push waits for minPushInterval.
 	pushPending, pushDeferred bool
 }
 
-// exchanges returns those that are due, all at once when there is news, and
-// those with whom a cutoff is news to.
+// exchanges returns the exchanges that are due: all at once if one is urgent, and
+// pushes to peers that lack a more restrictive cutoff.
 func (c *Core) exchanges(now time.Time) []Action {
 	urgent := c.digestsChanged && c.urgent(now)
 	c.pushDeferred = false
@@ -58,7 +61,7 @@
 	c.pushPending = c.pushPending || moreRestrictive(old, d)
 }
 
-// pushDue tells whether the peer must be told of a cutoff now.
+// pushDue reports whether a cutoff must be pushed to the peer now.
 func (c *Core) pushDue(now time.Time, peer string) bool {
 	if !c.Tree() || !c.pushPending || !moreRestrictive(c.lastSent[peer], c.digestFor(now, peer)) {
 		return false
@@ -71,8 +74,8 @@
 	return true
 }
 
-// tell returns the exchange with the peer: the whole word where that is due, or
-// what it must hear of cutoffs now, if anything.
+// exchangeWith returns the exchange with the peer: with the full digest if full is
+// set, else with the cutoffs to push, if any.
 func (c *Core) exchangeWith(now time.Time, peer Peer, full bool) []Action {
 	var d *lilacv1.Digest
 	switch {
@@ -87,28 +90,30 @@
 	return []Action{Exchange{Peer: peer, Digest: d}}
 }
 
-// underWay tells whether the last exchange with the peer has no answer yet: the
-// shell runs one at a time with each and drops what comes meanwhile.
+// exchangeInFlight reports whether the last exchange with the peer has no reply
+// yet. The caller runs one exchange at a time with each peer and drops any other.
 func (c *Core) exchangeInFlight(now time.Time, peer string) bool {
 	startedAt, inFlight := c.inFlight[peer]
 	return inFlight && now.Sub(startedAt) < c.interval()
 }
 
-// unsaid has the peer told anew, and whole, what it may not have heard.
+// resetSent causes a full digest to be sent, since the peer may not have received
+// the last one.
 func (c *Core) resetSent(peer string) {
 	delete(c.inFlight, peer)
 	delete(c.lastSent, peer)
 	c.pushPending = true
 }
 
-// changed is the word for the peer with only those pools that are pressing. It
-// is whole where there is nothing to add to.
+// partialDigest returns a digest for the peer with only those pools whose cutoff is
+// more restrictive. It returns the full digest if there is no earlier one to
+// update.
 //
-// It guards against a relay that spends more than its bytes while a burst
-// begins: each entry cuts its tiers off at its own moment, and each such moment
-// told of all pools. It holds because what is left out stands in what was told
-// before, for the time that was promised then, and the whole word follows with
-// the next regular exchange, whatever became of this one.
+// Partial digests keep a relay within its byte budget at the start of a burst: each
+// instance cuts off its tiers at its own moment, and a full digest would list all
+// pools each time. The omitted pools stay valid for the period given with the
+// earlier digest, and the next regular exchange carries the full digest even if
+// this one is lost.
 func (c *Core) partialDigest(now time.Time, peer string) *lilacv1.Digest {
 	full, sent := c.digestFor(now, peer), c.lastSent[peer]
 	if sent == nil || sent.GetIncomplete() && !full.GetIncomplete() {
@@ -128,7 +133,7 @@
 	return part
 }
 
-// joined is the digest told before with the changes of a partial one.
+// applyPartial returns the base digest with the changes of a partial one.
 func applyPartial(base, part *lilacv1.Digest) *lilacv1.Digest {
 	out := proto.CloneOf(base)
 	out.Sequence, out.Stamp, out.Echo = part.GetSequence(), part.GetStamp(), part.GetEcho()
@@ -144,12 +149,12 @@
 	return out
 }
 
-// with is what was heard before joined with the word that is new, if that is
-// partial. It tells false where there is nothing of the same life to join with:
-// the next whole word tells all.
+// merge applies a partial digest to the previous one. A full digest replaces it. It
+// returns false if there is no previous digest of the same sender and incarnation;
+// the next full digest then carries everything.
 //
-// It guards against old cutoffs that would bind anew with the new ones. It holds
-// because the promise that ends first counts for all.
+// The merged digest expires at the earlier of the two expiry times, so that new
+// cutoffs do not extend the validity of old ones.
 func (h receivedDigest) merge(next receivedDigest) (receivedDigest, bool) {
 	if !next.digest.GetPartial() {
 		return next, true
@@ -166,7 +171,8 @@
 	return next, true
 }
 
-// ends is when the word's promise has ended; the zero time if its age is unknown.
+// expiresAt returns the end of the digest's validity; the zero time if its age is
+// unknown.
 func (h receivedDigest) expiresAt() time.Time {
 	if h.composedAfter.IsZero() {
 		return time.Time{}
@@ -174,8 +180,8 @@
 	return h.composedAfter.Add(time.Duration(h.digest.GetBindsMs()) * time.Millisecond)
 }
 
-// pressing tells whether the digest d admits less in any pool than the old one,
-// or holds another tier back: what must be pushed and may not wait.
+// moreRestrictive reports whether d admits less than old in any pool or changes a
+// held-back tier, so that it must be pushed.
 func moreRestrictive(old, d *lilacv1.Digest) bool {
 	if old.GetIncomplete() && !d.GetIncomplete() {
 		return true
@@ -185,7 +191,8 @@
 	})
 }
 
-// pressingIn is pressing for one pool; last is nil where it is new.
+// cutoffMoreRestrictive is moreRestrictive for one pool; last is nil if the pool is
+// new.
 func cutoffMoreRestrictive(last, cutoff *lilacv1.PoolCutoff) bool {
 	if cutoff.GetHeldBackTier() != last.GetHeldBackTier() {
 		return true
@@ -193,7 +200,8 @@
 	return last != nil && cutoff.GetAdmittedTier() < last.GetAdmittedTier()
 }
 
-// cutoffOf finds the pool's cutoff in a digest, which lists them by name.
+// cutoffOf returns the pool's cutoff, or nil. A digest lists cutoffs sorted by
+// pool.
 func cutoffOf(d *lilacv1.Digest, pool string) *lilacv1.PoolCutoff {
 	all := d.GetCutoffs()
 	at, found := slices.BinarySearchFunc(all, pool, func(c *lilacv1.PoolCutoff, name string) int {
--- a/process/member/tree.go
+++ b/process/member/tree.go
@@ -9,13 +9,14 @@
 
 func rank(name string) uint64 { return xxhash.Sum64String(name) }
 
-// CompareRank orders names by a hash, so that all instances agree on the order
-// without a message and no name is always first.
+// CompareRank orders names by hash, so that all instances agree on the order
+// without communication and no name pattern is favoured.
 func CompareRank(a, b string) int {
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a, b))
 }
 
-// Above returns the names of a rank above self, best rank first, each once.
+// HigherRanked returns the names that rank above self, best rank first, without
+// duplicates.
 func HigherRanked(self string, names []string) []string {
 	var above []string
 	for _, name := range names {
@@ -27,14 +28,14 @@
 	return slices.Compact(above)
 }
 
-// Position returns how many of the names rank above self.
+// Position returns the number of names that rank above self.
 func Position(self string, names []string) int { return len(HigherRanked(self, names)) }
 
-// Parent returns the place above one's own in a tree of the given fanout, where
-// above holds the usable names of a better rank, best first; "" at the root.
+// Parent returns the parent in a tree of the given fanout, or "" at the root. above
+// holds the usable names that rank above the node, best first.
 //
-// A parent always has a better rank than its child, so that no cycle forms
-// while instances disagree about who lives.
+// A parent always ranks above its child, so no cycle forms while instances disagree
+// about which peers are alive.
 func Parent(above []string, fanout int) string {
 	if len(above) == 0 {
 		return ""
--- a/process/member/validity.go
+++ b/process/member/validity.go
@@ -8,39 +8,41 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// An instance that sheds a tier relies on what others said they admit. Their
-// word is a promise for a stated time, a lease, so that a slow word binds as
-// well as a quick one; what is late or lost only ends a lease sooner.
+// Cutoffs are valid for a limited period, like a lease: an instance that sheds a
+// tier relies on what the others say they admit. A delayed digest is as reliable as
+// a fast one, and a late or lost digest only shortens the period.
 //
-// No two clocks are compared. Each digest carries a stamp of its sender's clock
-// and echoes the last stamp that its sender had from the receiver: it was
-// composed after that, by the receiver's own clock. Each node takes the age off
-// before it combines a word, so the oldest part counts.
+// Clocks of different instances are never compared. Each digest carries a stamp of
+// the sender's clock and echoes the last stamp received from the receiver, so the
+// receiver knows by its own clock a time after which the digest was composed. Each
+// node subtracts that age before it combines digests, so the oldest part determines
+// the validity.
 const (
-	// meshPromise is how long a word binds in a mesh: a digest, two lost ones,
-	// and the second that an echo may be old.
+	// meshValidity is the validity period in a mesh: one digest, two lost ones, and
+	// up to one second of age of the echo.
 	meshValidity = 4 * time.Second
-	// absent is how long an entry that fell silent makes the sum incomplete. A
-	// living one has found another parent by then, or come back to this one.
+	// missingTimeout is how long an instance that has fallen silent makes combined
+	// digests incomplete. Within that time a live one has found another parent or
+	// returned to this one.
 	missingTimeout = avoidPeriod + TreeLifetime
-	// stampBits hold milliseconds; the bits above tell one life of a process
-	// from another.
+	// A stamp holds milliseconds in the low stampBits; the bits above identify the
+	// sender's incarnation.
 	stampBits = 40
 	stampMask = 1<<stampBits - 1
 )
 
-// promises is what the core knows of the age of words and of who is missing.
+// validityState tracks the age of digests and the missing instances.
 type validityState struct {
 	startedAt time.Time
-	// stamps are the last ones of the peers, to be echoed.
+	// lastStamps holds the last stamp of each peer, to be echoed.
 	lastStamps map[string]uint64
-	// missing are entries that fell silent.
+	// missing holds the instances that fell silent without leaving.
 	missing map[string]missingInstance
-	// count numbers the digests given to the policy.
+	// summarySequence numbers the combined digests delivered to the policy.
 	summarySequence uint64
 }
 
-// absence of an entry counts until a moment.
+// missingInstance is an instance considered missing until a given time.
 type missingInstance struct {
 	dataCenter string
 	until      time.Time
@@ -60,11 +62,12 @@
 	}
 }
 
-// composedAfter returns a time after which the digest was composed, or zero.
+// composedAfter returns a local time after which the digest was composed, or zero
+// if that is unknown.
 //
-// It guards against an echo of an earlier life of this process, whose clock
-// began elsewhere: an old word would count as new. It holds because each life
-// has bits of its own in its stamps.
+// An echo of a stamp from an earlier incarnation of this process, whose clock had
+// another origin, must not make an old digest look new. Stamps therefore contain
+// bits of the incarnation.
 func (c *Core) composedAfter(now time.Time, d *lilacv1.Digest) time.Time {
 	echo := d.GetEcho()
 	if echo == 0 || echo&^stampMask != c.incarnationBits() {
@@ -77,7 +80,7 @@
 	return at
 }
 
-// remaining is what is left at now of a promise of so many milliseconds made
+// remainingMs returns what is left at now of a validity of validForMs that began
 // after since.
 func remainingMs(validForMs uint32, now, since time.Time) uint32 {
 	age := now.Sub(since)
@@ -88,8 +91,8 @@
 	return uint32(left.Milliseconds())
 }
 
-// aged is the digest as a part of a sum: a promise that has ended, or whose age
-// is not known, makes it incomplete.
+// asPart returns the digest as part of a combined one. It is incomplete if its
+// validity has ended or its age is unknown.
 func (h receivedDigest) asPart(now time.Time) *lilacv1.Digest {
 	d := h.digest
 	bindsMs := remainingMs(d.GetBindsMs(), now, h.composedAfter)
@@ -100,9 +103,10 @@
 	}
 }
 
-// given is the digest as the policy gets it: with what is left of its promise,
-// how long the policy's own words are to bind and, for a sum, a number, since
-// the policy drops what is not newer than the last.
+// forPolicy returns the digest in the form that the policy receives: with its
+// remaining validity, with the validity period for the policy's own digests, and
+// for a combined digest with a sequence number, since the policy drops digests that
+// are not newer than the last.
 func (c *Core) forPolicy(now time.Time, d *lilacv1.Digest, h receivedDigest) *lilacv1.Digest {
 	out := &lilacv1.Digest{
 		Instance: d.GetInstance(), DataCenter: d.GetDataCenter(), Incarnation: d.GetIncarnation(), Sequence: d.GetSequence(),
@@ -121,10 +125,10 @@
 	return out
 }
 
-// promise is how long an instance's words are to bind, so that they still do
-// when they have passed through the whole tree. A step up costs two intervals,
-// the wait for the next exchange and the age of its echo, a step down one, and
-// the way between data centres as much as a step up.
+// validityPeriod returns how long an instance's digest must be valid to remain so
+// after passing through the whole tree. A step up takes two intervals (the wait for
+// the next exchange and the age of its echo), a step down takes one, and the hop
+// between data centres takes as long as a step up.
 func (c *Core) validityPeriod() time.Duration {
 	if !c.Tree() {
 		return meshValidity
@@ -140,11 +144,11 @@
 	return time.Duration(3*deepest+validitySlack) * TreeInterval
 }
 
-// promiseSlack is the intervals of a promise that don't depend on the depth: two
+// validitySlack is the number of intervals that do not depend on the depth: two
 // between data centres, one at the policy, two for lost exchanges.
 const validitySlack = 5
 
-// depth returns the levels below the root of a tree of n entries.
+// depth returns the number of levels below the root of a tree of n nodes.
 func depth(n int) int {
 	levels := 0
 	for within, level := 1, 1; within < n; levels++ {
@@ -154,12 +158,13 @@
 	return levels
 }
 
-// miss notes that an entry fell silent without having left in order.
+// noteMissing records that an instance fell silent without announcing that it
+// leaves.
 //
-// It guards against a sum that no longer holds an entry which still lives: its
-// parent died, and while it looks for another one, all others would shed as if
-// it had cut off what it admits. It holds because the sum is incomplete for as
-// long as a living entry may take to be heard by another parent.
+// While a child of a failed parent looks for a new one, the combined digests lack
+// its part, and the others would shed tiers that it still admits. Combined digests
+// are therefore incomplete for as long as a live instance may need to reach another
+// parent.
 func (c *Core) noteMissing(now time.Time, name string) {
 	d := c.received[name].digest
 	if c.Tree() && !d.GetLeaving() && !c.leavingInstances[name] {
@@ -167,14 +172,15 @@
 	}
 }
 
-// orphans notes that a peer above was given up whose children are not known here.
+// noteOrphans records that a higher-ranked peer was given up, since its children
+// are unknown here.
 //
-// It guards against an entry that takes a dead parent's place: it never heard the
-// parent's other children, so it misses none of them, and its sums seem whole
-// while such a child still looks for a parent and admits what the sums deny. It
-// shows where parents die in turn, since then a child tries the dead ones first.
-// It holds because the sums are incomplete for as long as a living child may take.
-// A peer that is tried again and still silent has no children any more.
+// An instance that takes the place of a dead parent has never heard its other
+// children, so it would not miss them: its combined digests would seem complete
+// while such a child still looks for a parent and admits tiers that they exclude.
+// This happens when several parents die in a row, since a child tries the dead ones
+// first. Combined digests are incomplete for as long as a live child may need. A
+// peer that fails again after being retried has no children left.
 func (c *Core) noteOrphans(now time.Time, peer string) {
 	dataCenter := c.peers[peer].DataCenter
 	if c.Tree() && c.failures[peer] == maxFailures && dataCenter == c.self.DataCenter {
@@ -182,7 +188,7 @@
 	}
 }
 
-// giveUp ends the absences of those who must be dead.
+// expireMissing removes the missing instances whose timeout has passed.
 func (c *Core) expireMissing(now time.Time) {
 	for name, a := range c.missing {
 		if !now.Before(a.until) {
@@ -191,8 +197,9 @@
 	}
 }
 
-// lacks tells whether an entry of the data centre, or of any if that is "", may
-// be missing. One that just began does not know its children yet.
+// instanceMissing reports whether an instance of the data centre, or of any if
+// dataCenter is "", may be missing. A core that has just started does not know its
+// children yet.
 func (c *Core) instanceMissing(now time.Time, dataCenter string) bool {
 	if now.Sub(c.startedAt) < missingTimeout {
 		return true
--- a/process/member/validity_test.go
+++ b/process/member/validity_test.go
@@ -9,10 +9,9 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// An entry hears that another admits nothing less urgent than tier 0 for 4 s. The
-// word was 3 s on its way, or answers a stamp of an entry that was killed since
-// and whose clock began anew: were it taken for fresh, urgent requests would be
-// shed while the other admits all again.
+// A digest with a validity of 4 s arrives 3 s after the stamp it echoes, or echoes
+// a stamp of an earlier incarnation. If it were taken as new, urgent requests would
+// be shed while the sender already admits them again.
 func TestDigestExpiresByEchoedAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -38,15 +37,16 @@
 	is.True(heard(3, earlier.Reply(now.Add(2*time.Second), "b").GetStamp()).GetIncomplete())
 	is.True(heard(4, 0).GetIncomplete())
 
-	// What a later partial word leaves out binds no longer than it did before.
+	// A partial digest does not extend the validity of the pools that it omits.
 	is.Equal(heard(5, stamp).GetBindsMs(), uint32(1000))
 	partial = true
 	is.Equal(heard(6, core.Reply(now.Add(2*time.Second), "b").GetStamp()).GetBindsMs(), uint32(1000))
 	is.True(heard(7, 0).GetIncomplete())
 }
 
-// Above ten entries nothing but the lowest tier was ever shed: the sums of all
-// others had no number, so the policy took each but the first for an old one.
+// The policy drops digests that are not newer than the last one. Combined digests
+// without a sequence number were all dropped after the first, so fleets of more
+// than ten instances shed only the lowest tier.
 func TestSummarySequenceIncreases(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(11, 3)
@@ -56,7 +56,7 @@
 	is.True(before > 0 && f.delivered[f.names[4]][Others].GetSequence() > before)
 }
 
-// The promise must outlive the way through the tree of the largest fleet.
+// The validity period must cover the path through the tree of the largest fleet.
 func TestValidityPeriodGrowsWithTreeDepth(t *testing.T) {
 	is := is.New(t)
 	for entries, promise := range map[int]time.Duration{10: meshValidity, 55: 16500 * time.Millisecond, 1100: 25500 * time.Millisecond} {
