--- a/process/member/core.go
+++ b/process/member/core.go
@@ -1,15 +1,17 @@
-// Package member decides which other entries and backend servers are alive or
-// leaving, and with whom an entry exchanges digests.
+// Package member implements gossip membership between entry instances: which entry
+// instances and backend servers are alive or leaving, and which peers an entry
+// instance exchanges digests with.
 //
-// Few entries (up to MeshLimit) exchange their digests directly, each pair once
-// an interval. Many form a tree by rank in each data centre: digests are
-// combined on the way up, the relays of the data centres exchange the sums, and
-// what the others know comes down again with the answers. So the traffic of a
-// node does not grow with their number.
+// Up to MeshLimit entry instances form a full mesh: each pair exchanges digests
+// once per interval. Larger fleets form a tree by rank in each data centre: digests
+// are combined on the way up, the root of each data centre (the relay) exchanges
+// the result with the other relays, and the digest of all other instances returns
+// in the replies. Traffic per node therefore does not grow with the fleet.
 //
-// Only the local monotonic clock counts: whoever was not heard for Lifetime is
-// gone, whatever the platform's list says. The list is late, so it is a hint: it
-// names whom to try, and who or what is leaving.
+// Liveness depends only on the local monotonic clock: a peer that has not been
+// heard from for Lifetime is considered dead, whatever the platform's list says.
+// The list may be out of date; it only supplies candidate peers and the instances
+// and servers that are leaving.
 package member
 
 import (
@@ -22,131 +24,136 @@
 )
 
 const (
-	// Interval lies between two exchanges with the same peer.
+	// Interval is the time between two exchanges with the same peer.
 	Interval = time.Second
-	// TreeInterval is Interval where the entries form a tree.
+	// TreeInterval replaces Interval in a tree.
 	TreeInterval = 1500 * time.Millisecond
-	// Lifetime is how long a digest counts after it was heard.
+	// Lifetime is how long a digest is used after it was received.
 	Lifetime = 3 * time.Second
-	// TreeLifetime is Lifetime where the entries form a tree.
+	// TreeLifetime replaces Lifetime in a tree.
 	TreeLifetime = 4500 * time.Millisecond
-	// MeshLimit is the number of entries up to which all exchange directly.
+	// MeshLimit is the largest number of entry instances that form a full mesh.
 	MeshLimit = 10
-	// Fanout of the tree of digests.
+	// Fanout is the number of children of a node in the digest tree.
 	Fanout = 5
-	// avoidance is how long a failed parent or relay is passed over.
-	avoidance = 10 * time.Second
-	// failuresToLeave is how many exchanges in a row must fail for a parent to be
-	// given up in a tree.
-	failuresToLeave = 2
-	// urgentPause is the least time between two urgent exchanges.
-	urgentPause = 500 * time.Millisecond
+	// avoidPeriod is how long a failed parent or relay is not used.
+	avoidPeriod = 10 * time.Second
+	// maxFailures is the number of consecutive failed exchanges after which a tree
+	// node gives up its parent.
+	maxFailures = 2
+	// minUrgentInterval is the minimum time between two urgent exchanges.
+	minUrgentInterval = 500 * time.Millisecond
 )
 
-// Others is the instance's name in a combined digest of all others.
+// Others is the instance name in a digest that combines all other instances.
 const Others = "*others"
 
 // Peer is another entry instance.
 type Peer struct{ Name, Address, DataCenter string }
 
-// Listed is a backend server as the platform's list has it.
-type Listed struct {
+// ListedServer is a backend server in the platform's list.
+type ListedServer struct {
 	Name    string
 	Leaving bool
 }
 
-// heard is the last digest of a peer, as it came from one.
-type heard struct {
-	digest *lilacv1.Digest
-	from   string
-	at     time.Time
-	// since is a time, by the own clock, after which it was composed; zero
-	// means that none is known.
-	since time.Time
+// receivedDigest is the last digest of an instance. sender is the peer it was
+// received from.
+type receivedDigest struct {
+	digest     *lilacv1.Digest
+	sender     string
+	receivedAt time.Time
+	// composedAfter is a local time after which the digest was composed; zero if
+	// unknown.
+	composedAfter time.Time
 }
 
-// Core is the membership of one entry. Calls must not overlap.
+// Core is the membership state machine of one entry instance. It does no I/O: the
+// caller feeds events to Step and performs the returned actions. It is not safe for
+// concurrent use.
 type Core struct {
 	self Peer
-	// mesh is the interval between two exchanges of few entries.
-	mesh time.Duration
-	// peers are the entries that may be tried, without the own one.
-	peers   map[string]Peer
-	listed  map[string]bool
-	leaving map[string]bool
-	heard   map[string]heard
-	asked   map[string]time.Time
-	avoided map[string]time.Time
-	// failures counts the exchanges with each peer that failed in a row.
-	failures  map[string]int
-	told      map[string]bool
-	own       *lilacv1.Digest
-	ownAt     time.Time
-	down      heard
-	live      []Peer
-	toldLeave map[string]bool
-	started   bool
-	// summed is when the policy was last given the digest of all others.
-	summed time.Time
-	// news holds what was known of leaving servers and suspects at the last
-	// urgent exchange, at pushed.
-	news   map[string]bool
-	pushed time.Time
-	// above caches the own data centre's entries of a better rank.
-	above []string
-	// heardNews is true when digests or the list may have changed what is
-	// leaving, peersChanged when they may have changed who lives.
-	heardNews, peersChanged bool
-	// postponed is true while news waits for urgentPause.
-	postponed bool
-	promises
-	pushes
+	// meshInterval is the exchange interval in a full mesh.
+	meshInterval time.Duration
+	// peers are the candidate peers, without this instance.
+	peers            map[string]Peer
+	listedLeaving    map[string]bool
+	leavingInstances map[string]bool
+	received         map[string]receivedDigest
+	lastExchange     map[string]time.Time
+	avoidedUntil     map[string]time.Time
+	// failures counts consecutive failed exchanges by peer.
+	failures        map[string]int
+	delivered       map[string]bool
+	own             *lilacv1.Digest
+	ownRequestedAt  time.Time
+	fromParent      receivedDigest
+	lastLive        []Peer
+	reportedLeaving map[string]bool
+	liveReported    bool
+	// lastSummary is when the policy last received the digest of all others.
+	lastSummary time.Time
+	// announced holds the leaving servers and suspects known at the last urgent
+	// exchange, which began at lastUrgent.
+	announced  map[string]bool
+	lastUrgent time.Time
+	// higherRanked caches the instances of this data centre that rank above this
+	// one.
+	higherRanked []string
+	// digestsChanged is true when the set of leaving servers may have changed,
+	// peersChanged when the set of live peers may have.
+	digestsChanged, peersChanged bool
+	// urgentDeferred is true while an urgent exchange waits for minUrgentInterval.
+	urgentDeferred bool
+	validityState
+	pushState
 }
 
-// NewCore returns the core of the entry self; seeds are the entries of its settings.
+// NewCore returns the core of the entry instance self. seeds are the entry
+// instances in its settings.
 func NewCore(self Peer, seeds []Peer) *Core { return NewCoreAt(self, seeds, Interval) }
 
-// NewCoreAt is NewCore with another interval for few entries.
+// NewCoreAt is like NewCore with a different mesh interval.
 func NewCoreAt(self Peer, seeds []Peer, interval time.Duration) *Core {
 	c := &Core{
-		mesh:      interval,
-		self:      self,
-		peers:     make(map[string]Peer),
-		listed:    make(map[string]bool),
-		leaving:   make(map[string]bool),
-		heard:     make(map[string]heard),
-		asked:     make(map[string]time.Time),
-		avoided:   make(map[string]time.Time),
-		failures:  make(map[string]int),
-		told:      make(map[string]bool),
-		toldLeave: make(map[string]bool),
-		own:       &lilacv1.Digest{Instance: self.Name, DataCenter: self.DataCenter},
-		promises:  promises{stamps: make(map[string]uint64), missing: make(map[string]absence)},
-		pushes:    pushes{said: make(map[string]*lilacv1.Digest), pushedTo: make(map[string]time.Time), brief: make(map[string]bool), open: make(map[string]time.Time)},
+		meshInterval:     interval,
+		self:             self,
+		peers:            make(map[string]Peer),
+		listedLeaving:    make(map[string]bool),
+		leavingInstances: make(map[string]bool),
+		received:         make(map[string]receivedDigest),
+		lastExchange:     make(map[string]time.Time),
+		avoidedUntil:     make(map[string]time.Time),
+		failures:         make(map[string]int),
+		delivered:        make(map[string]bool),
+		reportedLeaving:  make(map[string]bool),
+		own:              &lilacv1.Digest{Instance: self.Name, DataCenter: self.DataCenter},
+		validityState:    validityState{lastStamps: make(map[string]uint64), missing: make(map[string]missingInstance)},
+		pushState:        pushState{lastSent: make(map[string]*lilacv1.Digest), lastPush: make(map[string]time.Time), lastPartial: make(map[string]bool), inFlight: make(map[string]time.Time)},
 	}
 	for _, peer := range seeds {
 		if peer.Name != self.Name {
 			c.peers[peer.Name] = peer
 		}
 	}
-	c.ranked()
+	c.updateRanks()
 	return c
 }
 
-// ranked brings the cache of ranks up to date.
-func (c *Core) ranked() {
-	c.above = Above(c.self.Name, c.names(c.self.DataCenter))
+// updateRanks refreshes higherRanked.
+func (c *Core) updateRanks() {
+	c.higherRanked = HigherRanked(c.self.Name, c.names(c.self.DataCenter))
 	c.peersChanged = true
 }
 
-// Tree tells whether the entries are so many that they form a tree.
+// Tree reports whether there are enough entry instances to form a tree.
 func (c *Core) Tree() bool { return len(c.peers)+1 > MeshLimit }
 
 func (c *Core) interval() time.Duration {
 	if c.Tree() {
 		return TreeInterval
 	}
-	return c.mesh
+	return c.meshInterval
 }
 
 func (c *Core) lifetime() time.Duration {
@@ -156,47 +163,47 @@
 	return Lifetime
 }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the actions to perform, in order.
 func (c *Core) Step(now time.Time, event Event) []Action {
-	if c.born.IsZero() {
-		c.born = now
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
 	switch e := event.(type) {
-	case Platform:
-		c.platform(now, e)
-		return slices.Concat(c.servers(now), c.alive())
-	case Received:
-		c.brief[e.From] = e.Digest.GetPartial()
-		return c.take(now, e.From, e.Digest)
-	case Answered:
-		delete(c.open, e.Peer)
-		return c.take(now, e.Peer, e.Digest)
-	case Failed:
-		c.failed(now, e.Peer)
+	case PlatformList:
+		c.applyPlatformList(now, e)
+		return slices.Concat(c.reportServers(now), c.reportLive())
+	case DigestReceived:
+		c.lastPartial[e.From] = e.Digest.GetPartial()
+		return c.receive(now, e.From, e.Digest)
+	case ReplyReceived:
+		delete(c.inFlight, e.Peer)
+		return c.receive(now, e.Peer, e.Digest)
+	case ExchangeFailed:
+		c.exchangeFailed(now, e.Peer)
 	case Tick:
 		return c.tick(now, e)
 	}
 	return nil
 }
 
-// failed has the exchange made again, and passes the peer over from the second
-// failure in a row on in a tree: who changes its parent for one lost message
-// makes the sums incomplete at all entries.
-func (c *Core) failed(now time.Time, peer string) {
-	delete(c.asked, peer)
-	c.unsaid(peer)
+// exchangeFailed makes the exchange due again. In a tree, the peer is avoided only
+// from the second consecutive failure on: changing parents after one lost message
+// would make the combined digests incomplete at all instances.
+func (c *Core) exchangeFailed(now time.Time, peer string) {
+	delete(c.lastExchange, peer)
+	c.resetSent(peer)
 	c.failures[peer]++
-	if c.Tree() && c.failures[peer] < failuresToLeave {
+	if c.Tree() && c.failures[peer] < maxFailures {
 		return
 	}
-	c.orphans(now, peer)
-	c.avoided[peer] = now.Add(avoidance)
+	c.noteOrphans(now, peer)
+	c.avoidedUntil[peer] = now.Add(avoidPeriod)
 	c.peersChanged = true
 }
 
-// platform takes the list as a hint: it adds entries to try, and drops those
-// that it no longer names and that are silent too.
-func (c *Core) platform(now time.Time, e Platform) {
+// applyPlatformList adds the listed instances as candidates, and removes those that
+// are neither listed nor heard from.
+func (c *Core) applyPlatformList(now time.Time, e PlatformList) {
 	entries := make(map[string]bool)
 	for _, peer := range e.Entries {
 		entries[peer.Name] = true
@@ -209,170 +216,172 @@
 			delete(c.peers, name)
 		}
 	}
-	c.ranked()
-	c.heardNews = true
-	clear(c.leaving)
+	c.updateRanks()
+	c.digestsChanged = true
+	clear(c.leavingInstances)
 	for _, name := range e.Leaving {
-		c.leaving[name] = true
+		c.leavingInstances[name] = true
 	}
-	clear(c.listed)
+	clear(c.listedLeaving)
 	for _, server := range e.Servers {
 		if server.Leaving {
-			c.listed[server.Name] = true
+			c.listedLeaving[server.Name] = true
 		}
 	}
 }
 
 func (c *Core) fresh(now time.Time, name string) bool {
-	h, ok := c.heard[name]
-	return ok && now.Sub(h.at) <= c.lifetime()
+	h, ok := c.received[name]
+	return ok && now.Sub(h.receivedAt) <= c.lifetime()
 }
 
-// take tells what comes down from the parent in a tree from the digests of others.
-func (c *Core) take(now time.Time, from string, d *lilacv1.Digest) []Action {
+// receive handles a digest. In a tree, the digest of Others is accepted from the
+// parent only.
+func (c *Core) receive(now time.Time, from string, d *lilacv1.Digest) []Action {
 	c.noteStamp(from, d)
 	delete(c.failures, from)
-	word := heard{d, from, now, c.composedAfter(now, d)}
+	next := receivedDigest{d, from, now, c.composedAfter(now, d)}
 	if c.Tree() && d.GetInstance() == Others {
 		if from != c.parent() {
 			return nil
 		}
-		word, ok := c.down.with(word)
+		next, ok := c.fromParent.merge(next)
 		if !ok {
 			return nil
 		}
-		c.notePressing(c.down.digest, word.digest)
-		c.down = word
-		c.heardNews = true
-		return c.servers(now)
+		c.notePush(c.fromParent.digest, next.digest)
+		c.fromParent = next
+		c.digestsChanged = true
+		return c.reportServers(now)
 	}
-	return c.hear(now, word)
+	return c.receiveFromInstance(now, next)
 }
 
-func (c *Core) hear(now time.Time, word heard) []Action {
-	name := word.digest.GetInstance()
+func (c *Core) receiveFromInstance(now time.Time, next receivedDigest) []Action {
+	name := next.digest.GetInstance()
 	if name == "" || name == c.self.Name || name == Others {
 		return nil
 	}
-	old, known := c.heard[name]
-	word, ok := old.with(word)
+	previous, known := c.received[name]
+	next, ok := previous.merge(next)
 	if !ok {
 		return nil
 	}
-	d := word.digest
-	sameLife := known && old.digest.GetIncarnation() == d.GetIncarnation()
-	if sameLife && d.GetSequence() < old.digest.GetSequence() {
-		// An older digest that was overtaken on the way.
+	d := next.digest
+	sameIncarnation := known && previous.digest.GetIncarnation() == d.GetIncarnation()
+	if sameIncarnation && d.GetSequence() < previous.digest.GetSequence() {
+		// The digests arrived out of order.
 		return nil
 	}
-	c.notePressing(old.digest, d)
-	c.heard[name] = word
+	c.notePush(previous.digest, d)
+	c.received[name] = next
 	delete(c.missing, name)
-	if _, avoided := c.avoided[name]; avoided || old.digest.GetLeaving() != d.GetLeaving() {
+	if _, avoided := c.avoidedUntil[name]; avoided || previous.digest.GetLeaving() != d.GetLeaving() {
 		c.peersChanged = true
 	}
-	delete(c.avoided, name)
-	c.heardNews = true
+	delete(c.avoidedUntil, name)
+	c.digestsChanged = true
 	var actions []Action
 	if !c.Tree() {
-		c.told[name] = true
-		actions = append(actions, Digest{c.given(now, d, word), now})
+		c.delivered[name] = true
+		actions = append(actions, PolicyDigest{c.forPolicy(now, d, next), now})
 	}
-	return slices.Concat(actions, c.servers(now), c.alive())
+	return slices.Concat(actions, c.reportServers(now), c.reportLive())
 }
 
 func (c *Core) tick(now time.Time, e Tick) []Action {
 	if e.Own != nil {
-		c.notePressing(c.own, e.Own)
-		c.own, c.ownAt = e.Own, e.Asked
-		if e.Asked.IsZero() {
-			c.ownAt = now
+		c.notePush(c.own, e.Own)
+		c.own, c.ownRequestedAt = e.Own, e.RequestedAt
+		if e.RequestedAt.IsZero() {
+			c.ownRequestedAt = now
 		}
-		c.heardNews = true
+		c.digestsChanged = true
 	}
-	actions := slices.Concat(c.forget(now), c.regroup(), c.exchanges(now), c.summary(now), c.servers(now), c.alive())
-	c.heardNews = c.postponed
-	c.pressed = c.held
+	actions := slices.Concat(c.expire(now), c.dropOtherTopology(), c.exchanges(now), c.summary(now), c.reportServers(now), c.reportLive())
+	c.digestsChanged = c.urgentDeferred
+	c.pushPending = c.pushDeferred
 	return actions
 }
 
-// regroup ends what the policy was told while the entries exchanged otherwise.
-func (c *Core) regroup() []Action {
+// dropOtherTopology withdraws the digests that the policy received in the other
+// topology (mesh or tree).
+func (c *Core) dropOtherTopology() []Action {
 	var actions []Action
-	for _, name := range slices.Sorted(maps.Keys(c.told)) {
+	for _, name := range slices.Sorted(maps.Keys(c.delivered)) {
 		if c.Tree() != (name == Others) {
-			delete(c.told, name)
-			actions = append(actions, Gone{name})
+			delete(c.delivered, name)
+			actions = append(actions, DigestExpired{name})
 		}
 	}
 	return actions
 }
 
-// summary gives the policy the digest of all others in a tree, each interval
-// and as soon as it is pressing.
+// summary delivers the digest of all others to the policy in a tree: once per
+// interval, and at once if it is more restrictive.
 func (c *Core) summary(now time.Time) []Action {
-	due := now.Sub(c.summed) >= c.interval()
-	if !c.Tree() || !due && !c.pressed {
+	due := now.Sub(c.lastSummary) >= c.interval()
+	if !c.Tree() || !due && !c.pushPending {
 		return nil
 	}
-	sum := c.others(now, "")
-	if !due && !pressing(c.said[Others], sum) {
+	sum := c.othersDigest(now, "")
+	if !due && !moreRestrictive(c.lastSent[Others], sum) {
 		return nil
 	}
-	c.summed, c.said[Others] = now, sum
-	c.told[Others] = true
-	return []Action{Digest{c.given(now, sum, heard{}), now}}
+	c.lastSummary, c.lastSent[Others] = now, sum
+	c.delivered[Others] = true
+	return []Action{PolicyDigest{c.forPolicy(now, sum, receivedDigest{}), now}}
 }
 
-// forget drops what has not been heard for its lifetime.
-func (c *Core) forget(now time.Time) []Action {
+// expire removes digests older than their lifetime.
+func (c *Core) expire(now time.Time) []Action {
 	var actions []Action
-	for _, name := range slices.Sorted(maps.Keys(c.heard)) {
+	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		if c.fresh(now, name) {
 			continue
 		}
-		c.miss(now, name)
-		delete(c.heard, name)
-		delete(c.said, name)
-		c.heardNews = true
-		if c.told[name] {
-			delete(c.told, name)
-			actions = append(actions, Gone{name})
+		c.noteMissing(now, name)
+		delete(c.received, name)
+		delete(c.lastSent, name)
+		c.digestsChanged = true
+		if c.delivered[name] {
+			delete(c.delivered, name)
+			actions = append(actions, DigestExpired{name})
 		}
 	}
-	for name, until := range c.avoided {
+	for name, until := range c.avoidedUntil {
 		if !now.Before(until) {
-			delete(c.avoided, name)
+			delete(c.avoidedUntil, name)
 			c.peersChanged = true
 		}
 	}
-	if c.down.digest != nil && now.Sub(c.down.at) > c.lifetime() {
-		c.down = heard{}
-		c.heardNews = true
+	if c.fromParent.digest != nil && now.Sub(c.fromParent.receivedAt) > c.lifetime() {
+		c.fromParent = receivedDigest{}
+		c.digestsChanged = true
 	}
-	c.giveUp(now)
+	c.expireMissing(now)
 	return actions
 }
 
-// alive tells of the entries that count as alive, when they change. Before the
-// first exchanges had time to be answered all candidates do.
-func (c *Core) alive() []Action {
+// reportLive returns the live peers if they have changed. Until first exchanges can
+// have been answered, all candidates are considered alive.
+func (c *Core) reportLive() []Action {
 	if !c.peersChanged {
 		return nil
 	}
 	c.peersChanged = false
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.peers)) {
-		_, avoided := c.avoided[name]
-		if !avoided && !c.leaving[name] && !c.heard[name].digest.GetLeaving() {
+		_, avoided := c.avoidedUntil[name]
+		if !avoided && !c.leavingInstances[name] && !c.received[name].digest.GetLeaving() {
 			list = append(list, c.peers[name])
 		}
 	}
-	if c.started && slices.Equal(list, c.live) {
+	if c.liveReported && slices.Equal(list, c.lastLive) {
 		return nil
 	}
-	c.live, c.started = list, true
-	return []Action{Live{list}}
+	c.lastLive, c.liveReported = list, true
+	return []Action{LivePeers{list}}
 }
 
 func comparePeers(a, b Peer) int {
--- a/process/member/promise_test.go
+++ b/process/member/validity_test.go
@@ -9,11 +9,10 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// An entry hears that another admits nothing less urgent than tier 0 for 4 s. The
-// word was 3 s on its way, or answers a stamp of an entry that was killed since
-// and whose clock began anew: were it taken for fresh, urgent requests would be
-// shed while the other admits all again.
-func TestAWordBindsOnlyAsLongAsItsAgeIsKnown(t *testing.T) {
+// A digest with a validity of 4 s arrives 3 s after the stamp it echoes, or echoes
+// a stamp of an earlier incarnation. If it were taken as new, urgent requests would
+// be shed while the sender already admits them again.
+func TestDigestExpiresByEchoedAge(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	a, b := Peer{Name: "a"}, Peer{Name: "b"}
@@ -26,8 +25,8 @@
 	partial := false
 	heard := func(sequence, echo uint64) *lilacv1.Digest {
 		word := &lilacv1.Digest{Instance: "b", Incarnation: "1", Sequence: sequence, Echo: echo, BindsMs: 4000, Partial: partial, Incomplete: partial}
-		for _, action := range core.Step(now.Add(3*time.Second), Received{From: "b", Digest: word}) {
-			if given, ok := action.(Digest); ok {
+		for _, action := range core.Step(now.Add(3*time.Second), DigestReceived{From: "b", Digest: word}) {
+			if given, ok := action.(PolicyDigest); ok {
 				return given.Digest
 			}
 		}
@@ -38,29 +37,30 @@
 	is.True(heard(3, earlier.Reply(now.Add(2*time.Second), "b").GetStamp()).GetIncomplete())
 	is.True(heard(4, 0).GetIncomplete())
 
-	// What a later partial word leaves out binds no longer than it did before.
+	// A partial digest does not extend the validity of the pools that it omits.
 	is.Equal(heard(5, stamp).GetBindsMs(), uint32(1000))
 	partial = true
 	is.Equal(heard(6, core.Reply(now.Add(2*time.Second), "b").GetStamp()).GetBindsMs(), uint32(1000))
 	is.True(heard(7, 0).GetIncomplete())
 }
 
-// Above ten entries nothing but the lowest tier was ever shed: the sums of all
-// others had no number, so the policy took each but the first for an old one.
-func TestEachSumForThePolicyIsNewerThanTheLast(t *testing.T) {
+// The policy drops digests that are not newer than the last one. Combined digests
+// without a sequence number were all dropped after the first, so fleets of more
+// than ten instances shed only the lowest tier.
+func TestSummarySequenceIncreases(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(11, 3)
 	f.run(5 * time.Second)
-	before := f.given[f.names[4]][Others].GetSequence()
+	before := f.delivered[f.names[4]][Others].GetSequence()
 	f.run(5 * time.Second)
-	is.True(before > 0 && f.given[f.names[4]][Others].GetSequence() > before)
+	is.True(before > 0 && f.delivered[f.names[4]][Others].GetSequence() > before)
 }
 
-// The promise must outlive the way through the tree of the largest fleet.
-func TestPromiseFollowsTheDepthOfTheTree(t *testing.T) {
+// The validity period must cover the path through the tree of the largest fleet.
+func TestValidityPeriodGrowsWithTreeDepth(t *testing.T) {
 	is := is.New(t)
-	for entries, promise := range map[int]time.Duration{10: meshPromise, 55: 16500 * time.Millisecond, 1100: 25500 * time.Millisecond} {
+	for entries, promise := range map[int]time.Duration{10: meshValidity, 55: 16500 * time.Millisecond, 1100: 25500 * time.Millisecond} {
 		f := newFleet(entries, 5)
-		is.Equal(f.cores[f.names[0]].promise(), promise)
+		is.Equal(f.cores[f.names[0]].validityPeriod(), promise)
 	}
 }
