--- a/daemon/state/replica.go
+++ b/daemon/state/replica.go
@@ -81,13 +81,13 @@
 	s := l.node.Status()
 	return LogStatus{
 		Leads:   s.Role == replica.Leader,
-		Contact: s.Contact,
+		Contact: s.Staleness,
 		Members: stateMembers(s.Members),
 		Status: &lilacv1.StateStatus{
 			Process: l.name, DataCenter: l.dc, Role: s.Role.String(), Term: s.Term, Leader: s.LeaderAddress,
 			CommitIndex: s.CommitIndex, AppliedIndex: s.AppliedIndex,
 			Voters: s.Voters(), Learners: s.Learners(), DiskFull: s.DiskFull,
-			Group: s.Group, Recoveries: uint32(s.Recoveries), Rival: s.Rival,
+			Group: s.Group, Recoveries: uint32(s.Recoveries), Rival: s.RivalGroup,
 		},
 	}
 }
--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -177,7 +177,7 @@
 			return
 		}
 	}
-	n.turn(replica.Ask{Event: command(c)(), Reply: func(o replica.Outcome) {
+	n.turn(replica.Request{Event: command(c)(), Reply: func(o replica.Outcome) {
 		if o.Err != nil {
 			reply(nil, o.Err)
 			return
--- a/internal/proof/check_test.go
+++ b/internal/proof/check_test.go
@@ -69,7 +69,7 @@
 
 func (v *invariants) observe(n *node, action replica.Action) {
 	switch a := action.(type) {
-	case replica.Broken:
+	case replica.InvariantViolated:
 		v.check(false, a.Invariant, "%s: %s", n.name, a.Detail)
 	case replica.Apply:
 		for _, entry := range a.Entries {
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -252,7 +252,7 @@
 		return source{name: n.name, runs: func() bool { return n.runner != nil && e.sim.now >= n.frozenUntil },
 			since:  func(have uint64, limit int) ([]*lilacv1.Revision, bool) { return n.machine.Since(have, limit) },
 			config: func() *lilacv1.Snapshot { return n.machine.Config() }, revision: func() uint64 { return n.machine.Revision() },
-			known: func() (uint64, time.Duration) { return n.machine.Revision(), n.runner.Status().Contact }}
+			known: func() (uint64, time.Duration) { return n.machine.Revision(), n.runner.Status().Staleness }}
 	}
 	other := all.byName(target.Entry)
 	return source{name: other.name, runs: other.runs, since: func(have uint64, limit int) ([]*lilacv1.Revision, bool) { return other.holder.Since(have, limit) },
@@ -369,7 +369,7 @@
 		request := &lilacv1.LeaseRequest{Name: "orders", Holder: e.name, Incarnation: fmt.Sprint(e.name, "/", life), DurationMs: leaseMs}
 		leader.leases.Judge(request)
 		ask := command(&lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: request}})
-		leader.turn(replica.Ask{Event: ask(), Reply: func(o replica.Outcome) {
+		leader.turn(replica.Request{Event: ask(), Reply: func(o replica.Outcome) {
 			if o.Err != nil {
 				return
 			}
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -70,7 +70,7 @@
 // shutDown ends a process gracefully: a leader hands over first.
 func (s *sim) shutDown(n *node) {
 	s.note("%s shuts down", n.name)
-	n.turn(replica.Ask{Event: replica.HandOver{}})
+	n.turn(replica.Request{Event: replica.TransferLeadership{}})
 	runner := n.runner
 	s.after(election, func() {
 		if n.runner == runner {
--- a/internal/proof/operators_test.go
+++ b/internal/proof/operators_test.go
@@ -145,7 +145,7 @@
 		s.after(200*time.Millisecond, c.try)
 		return
 	}
-	n.turn(replica.Ask{Event: c.ask(), Reply: func(outcome replica.Outcome) {
+	n.turn(replica.Request{Event: c.ask(), Reply: func(outcome replica.Outcome) {
 		if s.callRNG.Float64() < s.loss {
 			return // The answer is lost; the caller sends again after its wait.
 		}
@@ -262,7 +262,7 @@
 		}
 	})
 	o.sim.after(o.sim.delay(), func() {
-		target.turn(replica.Ask{Event: replica.Read{}, Reply: func(outcome replica.Outcome) {
+		target.turn(replica.Request{Event: replica.Read{}, Reply: func(outcome replica.Outcome) {
 			if outcome.Err != nil {
 				return
 			}
--- a/internal/proof/scripts_test.go
+++ b/internal/proof/scripts_test.go
@@ -125,7 +125,7 @@
 
 func (c *scripts) propose(n *node, count int) {
 	for range count {
-		n.turn(replica.Ask{Event: replica.Propose{}, Reply: func(replica.Outcome) {}})
+		n.turn(replica.Request{Event: replica.Propose{}, Reply: func(replica.Outcome) {}})
 	}
 }
 
@@ -184,7 +184,7 @@
 	c.split(few, many)
 	for _, n := range many[:2] {
 		remove := replica.ChangeMembers{Kind: replica.Remove, Member: &lilacv1.RaftMember{Id: n.identity()}}
-		all[0].turn(replica.Ask{Event: remove, Reply: func(replica.Outcome) {}})
+		all[0].turn(replica.Request{Event: remove, Reply: func(replica.Outcome) {}})
 	}
 	c.propose(all[0], 1)
 	c.whenElected(many, func(*node) { c.sim.after(time.Second, c.end) })
@@ -217,7 +217,7 @@
 		s.lag[n.name] = lagStep
 	}
 	s.after(lagPause, func() {
-		leader.turn(replica.Ask{Event: replica.HandOver{}})
+		leader.turn(replica.Request{Event: replica.TransferLeadership{}})
 		for i := range 20 {
 			s.after(election+time.Duration(i)*tick/2, func() { c.propose(leader, 1) })
 		}
--- a/internal/proof/sim_test.go
+++ b/internal/proof/sim_test.go
@@ -59,7 +59,7 @@
 	machine *state.Machine
 	// frozenUntil is when a stopped process goes on; waiting is what came meanwhile.
 	frozenUntil time.Duration
-	waiting     []replica.Ask
+	waiting     []replica.Request
 	// bootstrap is as in the settings; it stays set when the disk is lost.
 	bootstrap bool
 	// leases judges the leases of machine by the node's clock.
@@ -249,7 +249,7 @@
 	if n.runner != runner {
 		return
 	}
-	n.turn(replica.Ask{Event: replica.Tick{}})
+	n.turn(replica.Request{Event: replica.Tick{}})
 	// Clocks drift: a twentieth either way.
 	n.sim.after(tick-tick/20+time.Duration(n.rng.Int64N(int64(tick/10))), func() { n.tick(runner) })
 }
@@ -277,7 +277,7 @@
 	return n.id
 }
 
-func (n *node) turn(ask replica.Ask) {
+func (n *node) turn(ask replica.Request) {
 	if n.runner == nil {
 		return
 	}
@@ -289,7 +289,7 @@
 		return
 	}
 	n.guard(func() {
-		if err := n.runner.Turn([]replica.Ask{ask}); err != nil {
+		if err := n.runner.ProcessBatch([]replica.Request{ask}); err != nil {
 			n.sim.note("%s ends: %v", n.name, err)
 			n.kill()
 		}
@@ -350,7 +350,7 @@
 		}
 		to := s.byName(address)
 		s.note("%s>%s %d term %d index %d n %d commit %d reject %t", from.name, to.name, copied.GetKind(), copied.GetTerm(), copied.GetIndex(), len(copied.GetEntries()), copied.GetCommit(), copied.GetReject())
-		to.turn(replica.Ask{Event: replica.Received{Message: copied}})
+		to.turn(replica.Request{Event: replica.Received{Message: copied}})
 	})
 }
 
--- a/internal/proof/takeover_test.go
+++ b/internal/proof/takeover_test.go
@@ -30,7 +30,7 @@
 	var try func()
 	try = func() {
 		if leader := s.leader(); leader != nil && !done {
-			leader.turn(replica.Ask{Event: replica.Propose{Command: []byte{}}, Reply: func(o replica.Outcome) { done = done || o.Err == nil }})
+			leader.turn(replica.Request{Event: replica.Propose{Command: []byte{}}, Reply: func(o replica.Outcome) { done = done || o.Err == nil }})
 		}
 		s.after(10*time.Millisecond, try)
 	}
@@ -80,7 +80,7 @@
 		"frozen": func(_ *sim, n *node) { n.freeze(20 * time.Second) },
 		"cutoff": func(s *sim, n *node) { s.cutOff(n, true, true) },
 		"handed": func(s *sim, n *node) {
-			n.turn(replica.Ask{Event: replica.HandOver{}})
+			n.turn(replica.Request{Event: replica.TransferLeadership{}})
 			s.after(election, n.kill)
 		},
 	}
--- a/process/replica/compaction.go
+++ b/process/replica/compaction.go
@@ -25,7 +25,7 @@
 // grown tells whether so much was applied since the last snapshot that the next
 // is due. It is put off while one is on its way to a member, up to a point.
 func (r *Runner) grown() bool {
-	patience := r.core.Patience()
+	patience := r.core.SnapshotDelayFactor()
 	entries, bytes := (r.applied-r.taken)/uint64(patience), r.grownBytes/patience
 	return entries >= r.options.SnapshotEvery || bytes >= snapshotBytes
 }
@@ -82,7 +82,7 @@
 	switch {
 	case err != nil:
 	case w.meta.GetIndex() <= r.taken:
-		err = r.store.DropSnapshot(w.meta)
+		err = r.store.DiscardSnapshot(w.meta)
 	default:
 		err = r.cutLog(w)
 	}
@@ -92,7 +92,7 @@
 }
 
 func (r *Runner) cutLog(w *writing) error {
-	if err := r.store.PlaceSnapshot(w.meta, w.keep); err != nil {
+	if err := r.store.PublishSnapshot(w.meta, w.keep); err != nil {
 		return err
 	}
 	r.taken = w.meta.GetIndex()
--- a/process/replica/compaction_test.go
+++ b/process/replica/compaction_test.go
@@ -58,17 +58,17 @@
 	a.is.NoErr(err)
 	for a.runner.Status().Role != Leader {
 		a.now += testHeartbeat / 2
-		a.turn(Ask{Event: Tick{}})
+		a.turn(Request{Event: Tick{}})
 	}
 }
 
-func (a *alone) turn(asks ...Ask) { a.is.NoErr(a.runner.Turn(asks)) }
+func (a *alone) turn(asks ...Request) { a.is.NoErr(a.runner.ProcessBatch(asks)) }
 
 // propose runs n commands one after another; each must be answered in its turn.
 func (a *alone) propose(n int) {
 	for range n {
 		answered := false
-		a.turn(Ask{Event: Propose{Command: []byte("x")}, Reply: func(o Outcome) { answered = o.Err == nil }})
+		a.turn(Request{Event: Propose{Command: []byte("x")}, Reply: func(o Outcome) { answered = o.Err == nil }})
 		a.is.True(answered)
 	}
 }
@@ -95,7 +95,7 @@
 	a.is.Equal(founded, a.runner.taken)
 
 	a.work[0]()
-	a.turn(Ask{Event: Tick{}})
+	a.turn(Request{Event: Tick{}})
 	a.is.Equal(a.files("snapshot-*"), 1)
 	a.is.Equal(a.files("snapshot-*.tmp"), 0)
 	a.is.True(a.files("log-*") < segments)
@@ -103,7 +103,7 @@
 	a.is.True(a.runner.taken <= 12)
 	a.is.Equal(len(a.work), 2)
 	a.work[1]()
-	a.turn(Ask{Event: Tick{}})
+	a.turn(Request{Event: Tick{}})
 	a.is.True(a.runner.taken >= 50)
 	a.runner.Close()
 
@@ -127,7 +127,7 @@
 	a.is.NoErr(a.runner.fatal)
 
 	a.work[0]()
-	a.turn(Ask{Event: Tick{}})
+	a.turn(Request{Event: Tick{}})
 	a.is.Equal(a.runner.taken, uint64(1000))
 	a.is.Equal(a.files("snapshot-*"), 1)
 	a.is.NoErr(a.runner.store.Close())
@@ -168,7 +168,7 @@
 	a.propose(1)
 	a.is.Equal(len(a.work), 2)
 	a.work[1]()
-	a.turn(Ask{Event: Tick{}})
+	a.turn(Request{Event: Tick{}})
 	a.is.True(a.runner.taken > 30)
 	a.runner.Close()
 }
--- a/process/replica/conclude.go
+++ b/process/replica/conclude.go
@@ -21,13 +21,13 @@
 	case Apply:
 		r.apply(a)
 	case Accepted:
-		r.byIndex[a.Index] = placed{term: a.Term, reply: r.proposals[a.Ticket]}
-		delete(r.proposals, a.Ticket)
+		r.byIndex[a.Index] = placed{term: a.Term, reply: r.proposals[a.RequestID]}
+		delete(r.proposals, a.RequestID)
 	case Refused:
 		r.refused(a)
 	case ReadReady:
-		r.reads = append(r.reads, waitingRead{index: a.Index, reply: r.readers[a.Ticket]})
-		delete(r.readers, a.Ticket)
+		r.reads = append(r.reads, waitingRead{index: a.Index, reply: r.readers[a.RequestID]})
+		delete(r.readers, a.RequestID)
 		r.answerReads()
 	case RoleChanged:
 		r.roleChanged(a)
@@ -38,9 +38,9 @@
 		r.logger.Info("repair done: the replacement counts for the quorum", "process", a.Member.GetName(), "id", a.Member.GetId())
 	case Replaced:
 		r.fatal = replacedError(r.options.Folder.Path(), r.core.group, a.By)
-	case RivalHeard:
+	case RivalGroupDetected:
 		r.logger.Error("another group was recovered from the same one; changes are refused until one of the two is stopped and its data folders are moved away", "group", a.Group, "address", a.Address)
-	case Broken:
+	case InvariantViolated:
 		r.metrics.broken.WithLabelValues(a.Invariant).Inc()
 		r.logger.Error("invariant broken; the step was refused", "invariant", a.Invariant, "detail", a.Detail)
 	}
@@ -94,8 +94,8 @@
 func (r *Runner) refused(a Refused) {
 	err := r.refusal(a.Reason, a.Detail)
 	for _, waiting := range []map[uint64]Reply{r.proposals, r.readers} {
-		if reply, ok := waiting[a.Ticket]; ok {
-			delete(waiting, a.Ticket)
+		if reply, ok := waiting[a.RequestID]; ok {
+			delete(waiting, a.RequestID)
 			reply(Outcome{Err: err})
 		}
 	}
@@ -113,7 +113,7 @@
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, "no quorum of the state processes is reached; check that they run and the network between them", notRun, election)
 	case NoSpace:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "the state process's disk is full; free space in its data folder", notRun, election)
-	case HandingOver:
+	case LeadershipTransfer:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "the leader is handing over; come back shortly", notRun, soon)
 	case TooLarge:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, fmt.Sprintf("the change has more than %d bytes; split it", maxCommand), notRun)
--- a/process/replica/core.go
+++ b/process/replica/core.go
@@ -47,8 +47,8 @@
 	ID string
 	// SpareID is a fresh identity, should the first one have to be given up.
 	SpareID string
-	// FreshGroup names the group if this process founds one.
-	FreshGroup string
+	// NewGroupID names the group if this process founds one.
+	NewGroupID string
 	// Peers are the other processes of the settings.
 	Peers []Peer
 	// Bootstrap lets the process found a group with Peers.
@@ -134,9 +134,9 @@
 	incoming incoming
 
 	// Checked counts invariants checked, BrokenCount those that did not hold.
-	Checked, BrokenCount uint64
+	InvariantsChecked, InvariantsViolated uint64
 	// Ignored counts messages meant for another identity or group.
-	Ignored uint64
+	IgnoredMessages uint64
 }
 
 // NewCore returns a core at time now, which continues from restored.
@@ -210,7 +210,7 @@
 		c.compacted(e)
 	case ChangeMembers:
 		c.changeMembers(e)
-	case HandOver:
+	case TransferLeadership:
 		c.handOver()
 	case SetPeers:
 		// A founding counts on the first peers.
@@ -228,10 +228,10 @@
 
 // check counts an invariant; if it does not hold, the caller must not go on.
 func (c *Core) check(holds bool, invariant, detail string) bool {
-	c.Checked++
+	c.InvariantsChecked++
 	if !holds {
-		c.BrokenCount++
-		c.emit(Broken{Invariant: invariant, Detail: detail})
+		c.InvariantsViolated++
+		c.emit(InvariantViolated{Invariant: invariant, Detail: detail})
 	}
 	return holds
 }
--- a/process/replica/core_test.go
+++ b/process/replica/core_test.go
@@ -108,18 +108,18 @@
 // the voter never catches up. Each restart must put the next snapshot off longer.
 func TestRestartsPutTheNextSnapshotOff(t *testing.T) {
 	s := newScript(t, 1)
-	s.is.Equal(s.core.Patience(), 1)
+	s.is.Equal(s.core.SnapshotDelayFactor(), 1)
 	s.lead()
 	behind := s.core.lead.progress["c"]
 	behind.heard = s.now
 	s.core.startTransfer(behind)
 	for restarts := range maxRestarts + 2 {
-		s.is.Equal(s.core.Patience(), transferPatience<<min(restarts, maxRestarts))
+		s.is.Equal(s.core.SnapshotDelayFactor(), transferPatience<<min(restarts, maxRestarts))
 		s.core.snapshot = &lilacv1.RaftSnapshotMeta{Index: s.core.snapshot.GetIndex() + 1, Term: 1, Members: s.core.snapshot.GetMembers()}
 		s.core.sendChunk(behind)
 	}
 	behind.heard = s.now - testElection - 1
-	s.is.Equal(s.core.Patience(), 1)
+	s.is.Equal(s.core.SnapshotDelayFactor(), 1)
 }
 
 // An entry of term 2 stands on a quorum, but its leader died before it was
@@ -141,14 +141,14 @@
 	s := newScript(t)
 	s.lead()
 	s.ack("b", 2)
-	s.step(Read{Ticket: 7})
+	s.step(Read{RequestID: 7})
 	s.step(Flush{})
 	s.is.Equal(len(take[ReadReady](s)), 0)
 	s.get(&message{Kind: kindAppendReply, From: "b", Term: s.core.term, Index: 2, Round: s.core.lead.round - 1})
 	s.step(Flush{})
 	s.is.Equal(len(take[ReadReady](s)), 0) // An answer to an older heartbeat proves nothing.
 	s.ack("c", 2)
-	s.is.Equal(take[ReadReady](s), []ReadReady{{Ticket: 7, Index: 2}})
+	s.is.Equal(take[ReadReady](s), []ReadReady{{RequestID: 7, Index: 2}})
 }
 
 // The leader is frozen for 20 s and wakes with a statement and a read in its
@@ -159,9 +159,9 @@
 	s.lead()
 	s.ack("b", 2)
 	s.now += 20 * time.Second
-	s.step(Propose{Ticket: 1, Command: []byte("x")})
-	s.step(Read{Ticket: 2})
-	s.is.Equal(take[Refused](s), []Refused{{Ticket: 1, Reason: NoQuorum}, {Ticket: 2, Reason: NoQuorum}})
+	s.step(Propose{RequestID: 1, Command: []byte("x")})
+	s.step(Read{RequestID: 2})
+	s.is.Equal(take[Refused](s), []Refused{{RequestID: 1, Reason: NoQuorum}, {RequestID: 2, Reason: NoQuorum}})
 	s.is.Equal(s.core.log.last(), uint64(2))
 }
 
@@ -210,10 +210,10 @@
 func TestOldIdentityIsNeverAnswered(t *testing.T) {
 	s := newScript(t)
 	s.core.receive(&message{Kind: kindVote, To: "the old identity", Group: "g", From: "b", FromAddress: "b", Term: 5, Index: 9, LogTerm: 9})
-	s.is.Equal(s.core.Ignored, uint64(1))
+	s.is.Equal(s.core.IgnoredMessages, uint64(1))
 	s.is.Equal(len(take[Send](s)), 0)
 	s.core.receive(&message{Kind: kindVote, To: "a", Group: "another group", From: "b", FromAddress: "b", Term: 5, Index: 9, LogTerm: 9})
-	s.is.Equal(s.core.Ignored, uint64(2))
+	s.is.Equal(s.core.IgnoredMessages, uint64(2))
 	s.is.Equal(s.core.term, uint64(1))
 }
 
@@ -275,7 +275,7 @@
 	s := newScript(t)
 	s.lead()
 	learner := func(id string) ChangeMembers {
-		return ChangeMembers{Ticket: 1, Kind: AddLearner, Member: &lilacv1.RaftMember{Id: id, Name: id, Address: id}}
+		return ChangeMembers{RequestID: 1, Kind: AddLearner, Member: &lilacv1.RaftMember{Id: id, Name: id, Address: id}}
 	}
 	s.step(learner("d")) // Nothing of the own term is committed yet.
 	s.is.Equal(take[Refused](s)[0].Reason, InvalidChange)
@@ -297,7 +297,7 @@
 	s.lead()
 	s.ack("b", s.core.log.last())
 	s.ack("c", s.core.log.last())
-	s.step(Propose{Ticket: 1, Command: []byte("change")})
+	s.step(Propose{RequestID: 1, Command: []byte("change")})
 	s.step(Flush{})
 	s.out = nil
 	s.ack("b", s.core.log.last())
--- a/process/replica/event.go
+++ b/process/replica/event.go
@@ -15,12 +15,12 @@
 
 // Propose asks for a command to be replicated. The answer is Accepted or Refused.
 type Propose struct {
-	Ticket  uint64
-	Command []byte
+	RequestID uint64
+	Command   []byte
 }
 
 // Read asks for a linearizable read point. The answer is ReadReady or Refused.
-type Read struct{ Ticket uint64 }
+type Read struct{ RequestID uint64 }
 
 // Flush ends a batch of events: what they left to send goes out together.
 type Flush struct{}
@@ -57,29 +57,29 @@
 
 // ChangeMembers asks for one step. The answer is Accepted or Refused.
 type ChangeMembers struct {
-	Ticket uint64
-	Kind   ChangeKind
-	Member *lilacv1.RaftMember
+	RequestID uint64
+	Kind      ChangeKind
+	Member    *lilacv1.RaftMember
 }
 
-// HandOver asks the leader to give its office to the most caught-up voter.
-type HandOver struct{}
+// TransferLeadership asks the leader to give its office to the most caught-up voter.
+type TransferLeadership struct{}
 
 // SetPeers replaces the processes that are asked for a group. It does not change
 // who founds one.
 type SetPeers struct{ Peers []Peer }
 
-func (SetPeers) event()      {}
-func (Tick) event()          {}
-func (Received) event()      {}
-func (Propose) event()       {}
-func (Read) event()          {}
-func (Flush) event()         {}
-func (Synced) event()        {}
-func (DiskFull) event()      {}
-func (Compacted) event()     {}
-func (ChangeMembers) event() {}
-func (HandOver) event()      {}
+func (SetPeers) event()           {}
+func (Tick) event()               {}
+func (Received) event()           {}
+func (Propose) event()            {}
+func (Read) event()               {}
+func (Flush) event()              {}
+func (Synced) event()             {}
+func (DiskFull) event()           {}
+func (Compacted) event()          {}
+func (ChangeMembers) event()      {}
+func (TransferLeadership) event() {}
 
 // Action is what the core wants done, in order; one of the types below.
 type Action interface{ action() }
@@ -114,7 +114,7 @@
 type Apply struct{ Entries []*lilacv1.RaftEntry }
 
 // Accepted tells at which place of the log a proposal stands.
-type Accepted struct{ Ticket, Index, Term uint64 }
+type Accepted struct{ RequestID, Index, Term uint64 }
 
 // Reason tells why a proposal or read was refused; it never ran.
 type Reason int
@@ -132,21 +132,21 @@
 	InvalidChange
 	// TooLarge means that the command is above maxCommand.
 	TooLarge
-	// HandingOver means that the leader is giving its office away.
-	HandingOver
+	// LeadershipTransfer means that the leader is giving its office away.
+	LeadershipTransfer
 	// RivalGroup means that two groups were recovered from the same one.
 	RivalGroup
 )
 
 // Refused tells that a proposal or read was not taken.
 type Refused struct {
-	Ticket uint64
-	Reason Reason
-	Detail string
+	RequestID uint64
+	Reason    Reason
+	Detail    string
 }
 
 // ReadReady tells that a read may run once Index has been applied.
-type ReadReady struct{ Ticket, Index uint64 }
+type ReadReady struct{ RequestID, Index uint64 }
 
 // RoleChanged tells of a new role, term or leader.
 type RoleChanged struct {
@@ -164,22 +164,22 @@
 // Replaced tells that a recovered group has replaced the own one for good.
 type Replaced struct{ By string }
 
-// RivalHeard tells of another group that was recovered from the same one.
-type RivalHeard struct{ Group, Address string }
-
-// Broken tells that an invariant did not hold; the step was not made.
-type Broken struct{ Invariant, Detail string }
-
-func (Send) action()           {}
-func (Persist) action()        {}
-func (Install) action()        {}
-func (Apply) action()          {}
-func (Accepted) action()       {}
-func (Refused) action()        {}
-func (ReadReady) action()      {}
-func (RoleChanged) action()    {}
-func (MembersChanged) action() {}
-func (Repaired) action()       {}
-func (Replaced) action()       {}
-func (RivalHeard) action()     {}
-func (Broken) action()         {}
+// RivalGroupDetected tells of another group that was recovered from the same one.
+type RivalGroupDetected struct{ Group, Address string }
+
+// InvariantViolated tells that an invariant did not hold; the step was not made.
+type InvariantViolated struct{ Invariant, Detail string }
+
+func (Send) action()               {}
+func (Persist) action()            {}
+func (Install) action()            {}
+func (Apply) action()              {}
+func (Accepted) action()           {}
+func (Refused) action()            {}
+func (ReadReady) action()          {}
+func (RoleChanged) action()        {}
+func (MembersChanged) action()     {}
+func (Repaired) action()           {}
+func (Replaced) action()           {}
+func (RivalGroupDetected) action() {}
+func (InvariantViolated) action()  {}
--- a/process/replica/join.go
+++ b/process/replica/join.go
@@ -228,7 +228,7 @@
 	if !c.check(c.group == "", "group_set_once", "a process with a group was to found another") {
 		return
 	}
-	c.group, c.hardDirty = c.cfg.FreshGroup, true
+	c.group, c.hardDirty = c.cfg.NewGroupID, true
 	c.setTerm(1, "")
 	c.install(&lilacv1.RaftSnapshotMeta{Index: 1, Term: 1, Members: members}, nil)
 	c.join = joining{}
--- a/process/replica/lead.go
+++ b/process/replica/lead.go
@@ -126,27 +126,27 @@
 	if c.role == Leader || !c.hearsLeader() {
 		reason = NoQuorum
 	}
-	c.emit(Refused{Ticket: ticket, Reason: reason})
+	c.emit(Refused{RequestID: ticket, Reason: reason})
 }
 
 func (c *Core) propose(e Propose) {
 	switch {
 	case c.role != Leader:
-		c.refuse(e.Ticket)
+		c.refuse(e.RequestID)
 	case len(e.Command) > maxCommand:
 		// Its entry would fit no message, and all after it would wait for ever.
-		c.emit(Refused{Ticket: e.Ticket, Reason: TooLarge})
+		c.emit(Refused{RequestID: e.RequestID, Reason: TooLarge})
 	case c.lead.handTo != "":
-		c.emit(Refused{Ticket: e.Ticket, Reason: HandingOver})
+		c.emit(Refused{RequestID: e.RequestID, Reason: LeadershipTransfer})
 	case c.diskFull:
-		c.emit(Refused{Ticket: e.Ticket, Reason: NoSpace})
+		c.emit(Refused{RequestID: e.RequestID, Reason: NoSpace})
 	case c.rival() != "":
-		c.emit(Refused{Ticket: e.Ticket, Reason: RivalGroup})
+		c.emit(Refused{RequestID: e.RequestID, Reason: RivalGroup})
 	case c.log.last()-c.commit >= maxUncommitted:
-		c.emit(Refused{Ticket: e.Ticket, Reason: Busy})
+		c.emit(Refused{RequestID: e.RequestID, Reason: Busy})
 	default:
 		index := c.appendOwn(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_COMMAND, e.Command)
-		c.emit(Accepted{Ticket: e.Ticket, Index: index, Term: c.term})
+		c.emit(Accepted{RequestID: e.RequestID, Index: index, Term: c.term})
 	}
 }
 
--- a/process/replica/lineage.go
+++ b/process/replica/lineage.go
@@ -66,7 +66,7 @@
 		return true
 	}
 	if slices.Contains(c.lineage.former, m.GetGroup()) {
-		c.Ignored++
+		c.IgnoredMessages++
 		if m.GetKind() != kindHelloReply {
 			c.askGroup(m.GetFromAddress())
 		}
@@ -96,7 +96,7 @@
 		return
 	}
 	if c.rival() != m.GetGroup() {
-		c.emit(RivalHeard{Group: m.GetGroup(), Address: m.GetFromAddress()})
+		c.emit(RivalGroupDetected{Group: m.GetGroup(), Address: m.GetFromAddress()})
 	}
 	c.lineage.rival, c.lineage.rivalHeard = m.GetGroup(), c.now
 }
--- a/process/replica/lineage_test.go
+++ b/process/replica/lineage_test.go
@@ -89,16 +89,16 @@
 	}
 	propose := func() []Refused {
 		s.out = nil
-		s.step(Propose{Ticket: 1, Command: []byte("x")})
+		s.step(Propose{RequestID: 1, Command: []byte("x")})
 		return take[Refused](s)
 	}
 	hello("k", "f")
 	s.is.Equal(len(propose()), 0)
 	hello("i", "g")
-	s.is.Equal(take[RivalHeard](s), []RivalHeard{{Group: "i", Address: "r"}})
+	s.is.Equal(take[RivalGroupDetected](s), []RivalGroupDetected{{Group: "i", Address: "r"}})
 	s.is.Equal(propose()[0].Reason, RivalGroup)
 	hello("i", "g")
-	s.is.Equal(len(take[RivalHeard](s)), 0)
+	s.is.Equal(len(take[RivalGroupDetected](s)), 0)
 	s.wait((rivalElections + 1) * testElection)
 	s.is.Equal(len(propose()), 0)
 }
--- a/process/replica/loop.go
+++ b/process/replica/loop.go
@@ -12,9 +12,9 @@
 	batch   wal.Batch
 }
 
-// Turn steps the core through a batch and does what it wants done: all
+// ProcessBatch steps the core through a batch and does what it wants done: all
 // proposals of the batch share one sync. An error ends the process; see Close.
-func (r *Runner) Turn(batch []Ask) error {
+func (r *Runner) ProcessBatch(batch []Request) error {
 	var actions []Action
 	for _, q := range batch {
 		actions = append(actions, r.core.Step(r.options.Clock(), r.ticketed(q))...)
@@ -30,22 +30,22 @@
 }
 
 // ticketed gives the event a ticket under which its outcome is found.
-func (r *Runner) ticketed(q Ask) Event {
+func (r *Runner) ticketed(q Request) Event {
 	if q.Reply == nil {
 		return q.Event
 	}
 	r.tickets++
 	switch e := q.Event.(type) {
 	case Propose:
-		e.Ticket = r.tickets
+		e.RequestID = r.tickets
 		r.proposals[r.tickets] = q.Reply
 		return e
 	case ChangeMembers:
-		e.Ticket = r.tickets
+		e.RequestID = r.tickets
 		r.proposals[r.tickets] = q.Reply
 		return e
 	case Read:
-		e.Ticket = r.tickets
+		e.RequestID = r.tickets
 		r.readers[r.tickets] = q.Reply
 		return e
 	}
--- a/process/replica/members.go
+++ b/process/replica/members.go
@@ -226,19 +226,19 @@
 // changeMembers makes one step that an operator orders.
 func (c *Core) changeMembers(e ChangeMembers) {
 	if c.role != Leader {
-		c.refuse(e.Ticket)
+		c.refuse(e.RequestID)
 		return
 	}
 	if !c.mayChange() {
-		c.emit(Refused{Ticket: e.Ticket, Reason: InvalidChange, Detail: "another change of members is under way; try again shortly"})
+		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "another change of members is under way; try again shortly"})
 		return
 	}
 	index, detail := c.orderedChange(e)
 	if detail != "" {
-		c.emit(Refused{Ticket: e.Ticket, Reason: InvalidChange, Detail: detail})
+		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: detail})
 		return
 	}
-	c.emit(Accepted{Ticket: e.Ticket, Index: index, Term: c.term})
+	c.emit(Accepted{RequestID: e.RequestID, Index: index, Term: c.term})
 }
 
 func (c *Core) orderedChange(e ChangeMembers) (uint64, string) {
--- a/process/replica/message.go
+++ b/process/replica/message.go
@@ -61,7 +61,7 @@
 	// Who asks to join may have no group yet; the identity alone must be right.
 	joins := m.GetKind() == kindJoin
 	if m.GetTo() != c.cfg.ID || (!joins && !c.sameGroup(m)) {
-		c.Ignored++
+		c.IgnoredMessages++
 		return
 	}
 	if joins {
@@ -121,7 +121,7 @@
 		// A candidate that can't hear the leader, or was taken out, must not
 		// unseat a leader that the others hear.
 		if c.hearsLeader() && !m.GetTransfer() {
-			c.Ignored++
+			c.IgnoredMessages++
 			return false
 		}
 	}
--- a/process/replica/node.go
+++ b/process/replica/node.go
@@ -26,7 +26,7 @@
 	heartbeat time.Duration
 	election  time.Duration
 
-	events chan Ask
+	events chan Request
 	stop   chan struct{}
 	done   chan struct{}
 	once   sync.Once
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	n := &Node{runner: runner, heartbeat: o.Heartbeat, election: o.Election,
-		events: make(chan Ask, eventQueue), stop: make(chan struct{}), done: make(chan struct{})}
+		events: make(chan Request, eventQueue), stop: make(chan struct{}), done: make(chan struct{})}
 	n.publish()
 	go n.run()
 	return n, nil
@@ -65,17 +65,17 @@
 	ticker := time.NewTicker(n.heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
-		batch := make([]Ask, 0, 1)
+		batch := make([]Request, 0, 1)
 		select {
 		case <-n.stop:
 			n.end(nil)
 			return
 		case <-ticker.C:
-			batch = append(batch, Ask{Event: Tick{}})
+			batch = append(batch, Request{Event: Tick{}})
 		case ask := <-n.events:
 			batch = append(batch, ask)
 		}
-		if err := n.runner.Turn(n.drain(batch)); err != nil {
+		if err := n.runner.ProcessBatch(n.drain(batch)); err != nil {
 			n.end(err)
 			return
 		}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (n *Node) drain(batch []Ask) []Ask {
+func (n *Node) drain(batch []Request) []Request {
 	for len(batch) < n.runner.options.MaxBatch {
 		select {
 		case ask := <-n.events:
@@ -143,7 +143,7 @@
 // SetPeers replaces the processes that are asked for a group.
 func (n *Node) SetPeers(peers []Peer) {
 	select {
-	case n.events <- Ask{Event: SetPeers{Peers: peers}}:
+	case n.events <- Request{Event: SetPeers{Peers: peers}}:
 	case <-n.done:
 	}
 }
@@ -153,7 +153,7 @@
 func (n *Node) Receive(messages []*lilacv1.RaftMessage) {
 	for _, m := range messages {
 		select {
-		case n.events <- Ask{Event: Received{Message: m}}:
+		case n.events <- Request{Event: Received{Message: m}}:
 		default:
 			n.runner.metrics.dropped.Inc()
 		}
@@ -163,7 +163,7 @@
 func (n *Node) ask(ctx context.Context, event Event) Outcome {
 	reply := make(chan Outcome, 1)
 	select {
-	case n.events <- Ask{Event: event, Reply: func(o Outcome) { reply <- o }}:
+	case n.events <- Request{Event: event, Reply: func(o Outcome) { reply <- o }}:
 	case <-ctx.Done():
 		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "the state process is too busy; come back later", notRun)}
 	case <-n.done:
@@ -200,7 +200,7 @@
 		return
 	}
 	select {
-	case n.events <- Ask{Event: HandOver{}}:
+	case n.events <- Request{Event: TransferLeadership{}}:
 	case <-n.done:
 		return
 	}
--- a/process/replica/read.go
+++ b/process/replica/read.go
@@ -3,10 +3,10 @@
 // read notes a read; flush gives it a heartbeat round.
 func (c *Core) read(e Read) {
 	if c.role != Leader {
-		c.refuse(e.Ticket)
+		c.refuse(e.RequestID)
 		return
 	}
-	c.lead.newReads = append(c.lead.newReads, e.Ticket)
+	c.lead.newReads = append(c.lead.newReads, e.RequestID)
 }
 
 // startReads gives the reads that came since a round of heartbeats of their
@@ -40,7 +40,7 @@
 		if !c.quorum(echoed) {
 			return
 		}
-		c.emit(ReadReady{Ticket: read.ticket, Index: read.index})
+		c.emit(ReadReady{RequestID: read.ticket, Index: read.index})
 		c.lead.reads = c.lead.reads[1:]
 	}
 }
--- a/process/replica/regroup_test.go
+++ b/process/replica/regroup_test.go
@@ -50,7 +50,7 @@
 	s.alive(testElection, "b", "d", "e")
 	s.alive(2*lostElections*testElection, "d", "e") // b is gone
 	s.is.Equal(s.voterIDs(), []string{"a", "d", "e"})
-	s.is.Equal(s.core.BrokenCount, uint64(0))
+	s.is.Equal(s.core.InvariantsViolated, uint64(0))
 }
 
 // One of three is lost and nobody stands in its place. Taking it out would make
--- a/process/replica/runner.go
+++ b/process/replica/runner.go
@@ -91,8 +91,8 @@
 // Reply takes an outcome; it must not block.
 type Reply func(Outcome)
 
-// Ask is an event with who wants its outcome, if anyone.
-type Ask struct {
+// Request is an event with who wants its outcome, if anyone.
+type Request struct {
 	Event Event
 	Reply Reply
 }
@@ -178,9 +178,9 @@
 }
 
 func (r *Runner) restore(state *wal.State) error {
-	if state.CutBytes > 0 {
-		r.metrics.cutBytes.Add(float64(state.CutBytes))
-		r.logger.Warn("a crash tore the end of the log; it was cut", "file", state.CutFile, "bytes", state.CutBytes)
+	if state.TruncatedBytes > 0 {
+		r.metrics.cutBytes.Add(float64(state.TruncatedBytes))
+		r.logger.Warn("a crash tore the end of the log; it was cut", "file", state.TruncatedFile, "bytes", state.TruncatedBytes)
 	}
 	if by := state.Hard.GetReplacedBy(); by != "" {
 		return replacedError(r.options.Folder.Path(), state.Hard.GetGroup(), by)
@@ -194,7 +194,7 @@
 	o := r.options
 	// An identity of fixed length sorts and prints well.
 	identity := func() string { return fmt.Sprintf("%016x", o.Random()) }
-	config := Config{Name: o.Name, Address: o.Address, DataCenter: o.DataCenter, ID: identity(), SpareID: identity(), FreshGroup: identity(),
+	config := Config{Name: o.Name, Address: o.Address, DataCenter: o.DataCenter, ID: identity(), SpareID: identity(), NewGroupID: identity(),
 		Peers: o.Peers, Bootstrap: o.Bootstrap, AutoMembers: o.AutoMembers, Heartbeat: o.Heartbeat, Election: o.Election, AppendBytes: o.AppendBytes, ChunkBytes: o.ChunkBytes, Seed: o.Random()}
 	r.core = NewCore(config, Restored{Hard: state.Hard, Snapshot: meta, Entries: state.Entries}, o.Clock())
 	r.applied, r.taken = r.core.applied, r.core.applied
--- a/process/replica/status.go
+++ b/process/replica/status.go
@@ -23,14 +23,14 @@
 	DiskFull                          bool
 	// Recoveries counts the groups that this one replaced.
 	Recoveries int
-	// Rival is a group that was recovered from the same one; empty if none is heard.
-	Rival string
+	// RivalGroup is a group that was recovered from the same one; empty if none is heard.
+	RivalGroup string
 	// InvariantsChecked and InvariantsBroken count since the start.
-	InvariantsChecked, InvariantsBroken uint64
-	// Contact is how long ago all that was committed was surely applied here.
-	Contact time.Duration
+	InvariantsChecked, InvariantsViolated uint64
+	// Staleness is how long ago all that was committed was surely applied here.
+	Staleness time.Duration
 	// contactAt is when that was.
-	contactAt time.Duration
+	freshAt time.Duration
 }
 
 // Voters returns the names of the voters in force.
@@ -55,7 +55,7 @@
 	n.mu.Lock()
 	s := n.status
 	n.mu.Unlock()
-	s.Contact = n.runner.options.Clock() - s.contactAt
+	s.Staleness = n.runner.options.Clock() - s.freshAt
 	return s
 }
 
@@ -66,8 +66,8 @@
 	leader := find(c.members.latest(), c.leader)
 	return Status{ID: c.cfg.ID, Group: c.group, Role: c.role, Term: c.term, Leader: c.leader, LeaderName: leader.GetName(), LeaderAddress: c.leaderAddress,
 		CommitIndex: c.commit, AppliedIndex: r.applied, LastIndex: c.log.last(), SnapshotIndex: c.snapshot.GetIndex(),
-		Members: members, DiskFull: r.full, Recoveries: len(c.lineage.former), Rival: c.rival(), InvariantsChecked: c.Checked, InvariantsBroken: c.BrokenCount,
-		Contact: c.now - c.contactAt(), contactAt: c.contactAt()}
+		Members: members, DiskFull: r.full, Recoveries: len(c.lineage.former), RivalGroup: c.rival(), InvariantsChecked: c.InvariantsChecked, InvariantsViolated: c.InvariantsViolated,
+		Staleness: c.now - c.contactAt(), freshAt: c.contactAt()}
 }
 
 func (n *Node) publish() {
@@ -84,9 +84,9 @@
 	r.metrics.applied.Set(float64(s.AppliedIndex))
 	r.metrics.leads.Set(boolean(s.Role == Leader))
 	r.metrics.checked.Set(float64(s.InvariantsChecked))
-	r.metrics.ignored.Set(float64(r.core.Ignored))
+	r.metrics.ignored.Set(float64(r.core.IgnoredMessages))
 	r.metrics.recoveries.Set(float64(s.Recoveries))
-	r.metrics.rival.Set(boolean(s.Rival != ""))
+	r.metrics.rival.Set(boolean(s.RivalGroup != ""))
 	r.metrics.syncs.Set(float64(r.store.Syncs))
 }
 
--- a/process/replica/transfer.go
+++ b/process/replica/transfer.go
@@ -16,7 +16,7 @@
 }
 
 const (
-	// transferPatience is how many times as long as usual the next snapshot is put
+	// transferSnapshotDelayFactor is how many times as long as usual the next snapshot is put
 	// off while one is on its way; each restart doubles it, up to maxRestarts times:
 	// the log then holds up to 16 times snapshotBytes, 256 MiB.
 	transferPatience = 4
@@ -29,7 +29,7 @@
 	data []byte
 }
 
-// Patience is how many times as long as usual the next snapshot is to be put off:
+// SnapshotDelayFactor is how many times as long as usual the next snapshot is to be put off:
 // 1 unless a snapshot is on its way to a member that answers.
 //
 // It guards against a member that never catches up: each new snapshot makes its
@@ -37,7 +37,7 @@
 // first. It shows as a voter that stays behind after a cut, for ever. It holds
 // because the pause doubles with each restart, until a transfer fits in; the bound
 // keeps a member that is too slow from filling the others' memory with log.
-func (c *Core) Patience() int {
+func (c *Core) SnapshotDelayFactor() int {
 	patience := 1
 	for _, p := range c.lead.progress {
 		if p.transfer != nil && c.now-p.heard <= c.cfg.Election {
--- a/process/wal/folder.go
+++ b/process/wal/folder.go
@@ -1,7 +1,7 @@
 // Package wal keeps the durable files of one state process: the log in
 // segments, the hard state, and snapshots, all in one data folder.
 //
-// A record lasts once Save, InstallSnapshot or PlaceSnapshot has returned. A write that a crash
+// A record lasts once Save, InstallSnapshot or PublishSnapshot has returned. A write that a crash
 // tore at the end of the log is cut at the next start; damage anywhere else
 // stops the start with an error that names the file, the offset and the remedy.
 package wal
--- a/process/wal/read.go
+++ b/process/wal/read.go
@@ -119,7 +119,7 @@
 	if after := soundAfter(data, offset); after >= 0 {
 		return damaged(r.folder, name, int64(offset), fmt.Sprintf("a record is damaged and a sound one follows at offset %d", after))
 	}
-	r.state.CutBytes, r.state.CutFile = int64(len(data)-offset), name
+	r.state.TruncatedBytes, r.state.TruncatedFile = int64(len(data)-offset), name
 	if offset > 0 {
 		r.keep = int64(offset)
 		return nil
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -71,19 +71,19 @@
 	return b
 }
 
-// Damage is an error in the durable files that no crash can have left.
-type Damage struct {
+// CorruptionError is an error in the durable files that no crash can have left.
+type CorruptionError struct {
 	File   string
 	Offset int64
 	Reason string
 }
 
 // Error names the file, the offset and the remedy.
-func (d *Damage) Error() string {
+func (d *CorruptionError) Error() string {
 	return fmt.Sprintf("%s at offset %d: %s; the disk lost or changed synced data: move the data folder away and start with an empty one, so that this process joins again under a new identity", d.File, d.Offset, d.Reason)
 }
 
 func damaged(folder Folder, name string, offset int64, reason string) error {
-	d := &Damage{File: folder.Path() + "/" + name, Offset: offset, Reason: reason}
+	d := &CorruptionError{File: folder.Path() + "/" + name, Offset: offset, Reason: reason}
 	return fault.Wrap(d, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder is damaged")
 }
--- a/process/wal/snapshot.go
+++ b/process/wal/snapshot.go
@@ -48,7 +48,7 @@
 // WriteSnapshot makes the file whole under a temporary name, where a start
 // removes it: a crash leaves either the old snapshot or the new one, never a
 // torn one. It touches nothing else of the Store, so that another goroutine may
-// call it while the log goes on. PlaceSnapshot or DropSnapshot follows; after an
+// call it while the log goes on. PublishSnapshot or DiscardSnapshot follows; after an
 // error there is no file.
 func (s *Store) WriteSnapshot(meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	name := snapshotName(meta)
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// DropSnapshot removes a written snapshot that is not wanted any more.
-func (s *Store) DropSnapshot(meta *lilacv1.RaftSnapshotMeta) error {
+// DiscardSnapshot removes a written snapshot that is not wanted any more.
+func (s *Store) DiscardSnapshot(meta *lilacv1.RaftSnapshotMeta) error {
 	return s.folder.Remove(snapshotName(meta) + tempSuffix)
 }
 
-// PlaceSnapshot makes a written snapshot of the own state machine the newest
+// PublishSnapshot makes a written snapshot of the own state machine the newest
 // one and removes what it makes superfluous, except segments that hold an entry
 // after keep.
-func (s *Store) PlaceSnapshot(meta *lilacv1.RaftSnapshotMeta, keep uint64) error {
+func (s *Store) PublishSnapshot(meta *lilacv1.RaftSnapshotMeta, keep uint64) error {
 	if err := s.place(meta); err != nil {
 		return err
 	}
@@ -212,7 +212,7 @@
 	report := &Report{Empty: s.Hard == nil, ID: s.Hard.GetId(), Group: s.Hard.GetGroup(), Term: s.Hard.GetTerm(), Vote: s.Hard.GetVote(),
 		Former: s.Hard.GetFormer(), ReplacedBy: s.Hard.GetReplacedBy(),
 		SnapshotIndex: s.Snapshot.GetIndex(), SnapshotBytes: s.Snapshot.GetSize(), Segments: len(r.segments), Records: r.records,
-		TornBytes: s.CutBytes, Members: s.Snapshot.GetMembers().GetMembers()}
+		TornBytes: s.TruncatedBytes, Members: s.Snapshot.GetMembers().GetMembers()}
 	for _, name := range r.garbage {
 		if strings.HasSuffix(name, tempSuffix) {
 			report.Unfinished = append(report.Unfinished, name)
--- a/process/wal/store.go
+++ b/process/wal/store.go
@@ -35,10 +35,10 @@
 	SnapshotData []byte
 	// Entries follow the snapshot without a gap.
 	Entries []*lilacv1.RaftEntry
-	// CutBytes is the length of the torn tail that was cut; 0 if none.
-	CutBytes int64
-	// CutFile names the file that was cut.
-	CutFile string
+	// TruncatedBytes is the length of the torn tail that was cut; 0 if none.
+	TruncatedBytes int64
+	// TruncatedFile names the file that was cut.
+	TruncatedFile string
 }
 
 // Batch is what one Save writes and syncs.
@@ -103,8 +103,8 @@
 			return nil, err
 		}
 	}
-	if r.state.CutBytes > 0 && r.keep >= 0 {
-		if err := s.folder.Truncate(r.state.CutFile, r.keep); err != nil {
+	if r.state.TruncatedBytes > 0 && r.keep >= 0 {
+		if err := s.folder.Truncate(r.state.TruncatedFile, r.keep); err != nil {
 			return nil, err
 		}
 	}
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -97,7 +97,7 @@
 		store, state, err := open(t, path)
 		is.NoErr(err)
 		is.Equal(len(state.Entries), len(before.Entries))
-		is.Equal(state.CutBytes, int64(size-len(whole)))
+		is.Equal(state.TruncatedBytes, int64(size-len(whole)))
 		is.NoErr(store.Close())
 		info, err := os.Stat(name)
 		is.NoErr(err)
@@ -143,7 +143,7 @@
 			}
 			c.damage(t, filepath.Join(path, c.file))
 			_, _, err := open(t, path)
-			var damage *Damage
+			var damage *CorruptionError
 			is.True(errors.As(err, &damage))
 			is.True(strings.Contains(err.Error(), path))
 			is.True(strings.Contains(err.Error(), "move the data folder away"))
@@ -165,7 +165,7 @@
 	data[len(data)/2] ^= 1
 	is.NoErr(os.WriteFile(name, data, 0o600))
 	_, _, err = open(t, path)
-	var damage *Damage
+	var damage *CorruptionError
 	is.True(errors.As(err, &damage))
 	is.True(damage.Offset > 0)
 }
@@ -233,7 +233,7 @@
 			_, state, err := open(t, path)
 			is.NoErr(err)
 			is.Equal(len(state.Entries), int(i))
-			is.Equal(state.CutBytes, int64(0))
+			is.Equal(state.TruncatedBytes, int64(0))
 			return
 		}
 	}
@@ -314,5 +314,5 @@
 	if err := s.WriteSnapshot(meta, data); err != nil {
 		return err
 	}
-	return s.PlaceSnapshot(meta, keep)
+	return s.PublishSnapshot(meta, keep)
 }
