--- a/process/replica/conclude.go
+++ b/process/replica/actions.go
@@ -13,7 +13,7 @@
 var notRun = fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE)
 
 // conclude does what an action wants beside messages and files.
-func (r *Runner) conclude(action Action) {
+func (r *Runner) handleAction(action Action) {
 	if r.options.Observe != nil {
 		r.options.Observe(action)
 	}
@@ -21,23 +21,23 @@
 	case Apply:
 		r.apply(a)
 	case Accepted:
-		r.byIndex[a.Index] = placed{term: a.Term, reply: r.proposals[a.RequestID]}
-		delete(r.proposals, a.RequestID)
+		r.proposalsByIndex[a.Index] = pendingProposal{term: a.Term, reply: r.proposalReplies[a.RequestID]}
+		delete(r.proposalReplies, a.RequestID)
 	case Refused:
-		r.refused(a)
+		r.handleRefused(a)
 	case ReadReady:
-		r.reads = append(r.reads, waitingRead{index: a.Index, reply: r.readers[a.RequestID]})
-		delete(r.readers, a.RequestID)
+		r.waitingReads = append(r.waitingReads, waitingRead{index: a.Index, reply: r.readReplies[a.RequestID]})
+		delete(r.readReplies, a.RequestID)
 		r.answerReads()
 	case RoleChanged:
-		r.roleChanged(a)
+		r.handleRoleChanged(a)
 	case MembersChanged:
 		r.logger.Info("members changed", "members", memberNames(a.Members))
 	case Repaired:
 		r.metrics.repairs.Inc()
 		r.logger.Info("repair done: the replacement counts for the quorum", "process", a.Member.GetName(), "id", a.Member.GetId())
 	case Replaced:
-		r.fatal = replacedError(r.options.Folder.Path(), r.core.group, a.By)
+		r.fatalErr = replacedError(r.options.Folder.Path(), r.core.group, a.By)
 	case RivalGroupDetected:
 		r.logger.Error("another group was recovered from the same one; changes are refused until one of the two is stopped and its data folders are moved away", "group", a.Group, "address", a.Address)
 	case InvariantViolated:
@@ -53,27 +53,27 @@
 			result = r.options.Machine.Apply(entry.GetIndex(), entry.GetData())
 		}
 		r.applied = entry.GetIndex()
-		r.grownBytes += len(entry.GetData())
-		p, ok := r.byIndex[entry.GetIndex()]
+		r.bytesSinceSnapshot += len(entry.GetData())
+		p, ok := r.proposalsByIndex[entry.GetIndex()]
 		if !ok {
 			continue
 		}
-		delete(r.byIndex, entry.GetIndex())
+		delete(r.proposalsByIndex, entry.GetIndex())
 		if p.term == entry.GetTerm() {
 			p.reply(Outcome{Result: result})
 			continue
 		}
 		// Another entry was committed in its place: it can never be.
-		p.reply(Outcome{Err: r.refusal(NotLeader, "")})
+		p.reply(Outcome{Err: r.refusalError(NotLeader, "")})
 	}
-	r.noteReady()
+	r.logLeaderReady()
 	r.answerReads()
 }
 
 // noteReady writes a line once a new leader has applied all that was committed
 // before its term: from then on it answers reads.
-func (r *Runner) noteReady() {
-	if r.electedAt == 0 || r.applied < r.core.lead.firstIndex {
+func (r *Runner) logLeaderReady() {
+	if r.electedAt == 0 || r.applied < r.core.leaderState.firstIndex {
 		return
 	}
 	after := r.options.Clock() - r.electedAt
@@ -82,7 +82,7 @@
 }
 
 func (r *Runner) answerReads() {
-	r.reads = slices.DeleteFunc(r.reads, func(w waitingRead) bool {
+	r.waitingReads = slices.DeleteFunc(r.waitingReads, func(w waitingRead) bool {
 		if w.index > r.applied {
 			return false
 		}
@@ -91,9 +91,9 @@
 	})
 }
 
-func (r *Runner) refused(a Refused) {
-	err := r.refusal(a.Reason, a.Detail)
-	for _, waiting := range []map[uint64]Reply{r.proposals, r.readers} {
+func (r *Runner) handleRefused(a Refused) {
+	err := r.refusalError(a.Reason, a.Detail)
+	for _, waiting := range []map[uint64]Reply{r.proposalReplies, r.readReplies} {
 		if reply, ok := waiting[a.RequestID]; ok {
 			delete(waiting, a.RequestID)
 			reply(Outcome{Err: err})
@@ -103,7 +103,7 @@
 }
 
 // refusal types a reason; none of these proposals has run or will.
-func (r *Runner) refusal(reason Reason, detail string) error {
+func (r *Runner) refusalError(reason Reason, detail string) error {
 	election := fault.WithRetryAfter(r.options.Election)
 	soon := fault.WithRetryAfter(100 * time.Millisecond)
 	switch reason {
@@ -118,7 +118,7 @@
 	case TooLarge:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, fmt.Sprintf("the change has more than %d bytes; split it", maxCommand), notRun)
 	case RivalGroup:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, fmt.Sprintf("group %s was recovered from the same one as this group %s; stop the processes of one of them and move their data folders away", r.core.rival(), r.core.group), notRun, election)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, fmt.Sprintf("group %s was recovered from the same one as this group %s; stop the processes of one of them and move their data folders away", r.core.rivalGroup(), r.core.group), notRun, election)
 	case Busy:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "too many changes wait for the quorum; come back later", notRun, election)
 	default:
@@ -126,28 +126,28 @@
 	}
 }
 
-func unknownOutcome() error {
+func unknownOutcomeError() error {
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "the leader changed before a quorum confirmed it; it may still be accepted: send it again with the same command id")
 }
 
 // failPlaced answers all proposals that stand in the log, in the order of the log.
-func (r *Runner) failPlaced(err error) {
-	for _, index := range slices.Sorted(maps.Keys(r.byIndex)) {
-		r.byIndex[index].reply(Outcome{Err: err})
+func (r *Runner) failPendingProposals(err error) {
+	for _, index := range slices.Sorted(maps.Keys(r.proposalsByIndex)) {
+		r.proposalsByIndex[index].reply(Outcome{Err: err})
 	}
-	clear(r.byIndex)
+	clear(r.proposalsByIndex)
 }
 
-func (r *Runner) roleChanged(a RoleChanged) {
+func (r *Runner) handleRoleChanged(a RoleChanged) {
 	r.electedAt = 0
 	if a.Role == Leader {
 		r.electedAt = r.options.Clock()
 	}
 	if a.Role != Leader {
-		r.failPlaced(unknownOutcome())
+		r.failPendingProposals(unknownOutcomeError())
 	}
 	if a.Role == Candidate {
-		r.metrics.elections.Inc()
+		r.metrics.candidacies.Inc()
 	}
 	r.logger.Info("role changed", "role", a.Role.String(), "term", a.Term, "leader", a.Leader)
 }
--- a/process/replica/regroup.go
+++ b/process/replica/auto_members.go
@@ -7,10 +7,10 @@
 const (
 	// lostElections is the silence, in election timeouts, after which a voter
 	// counts as lost: longer than a restart takes.
-	lostElections = 3
+	lostVoterElectionTimeouts = 3
 	// leastVoters is the size below which a group gives no voter up without
 	// another in its place: with fewer the next loss would stop it.
-	leastVoters = 3
+	minVoters = 3
 )
 
 // regroup keeps the members in step with the processes that run, one change at a
@@ -21,15 +21,15 @@
 // the majority. It shows as statements that are refused although three processes
 // run. It holds because a caught-up newcomer takes the place of a lost voter, and
 // a lost voter beyond the third is taken out. One that comes back asks again.
-func (c *Core) regroup() bool {
+func (c *Core) adjustVoters() bool {
 	lost, voters := c.lostVoter()
-	newcomer := c.newcomer()
+	learner := c.promotableLearner()
 	switch {
-	case lost != nil && (newcomer != nil || voters > leastVoters):
-		_, ok := c.putMembers(without(c.copyMembers(), lost.GetId()))
+	case lost != nil && (learner != nil || voters > minVoters):
+		_, ok := c.appendMembers(withoutMember(c.cloneMembers(), lost.GetId()))
 		return ok
-	case newcomer != nil:
-		_, ok := c.promote(newcomer.GetId())
+	case learner != nil:
+		_, ok := c.promote(learner.GetId())
 		return ok
 	}
 	return false
@@ -42,8 +42,8 @@
 			continue
 		}
 		voters++
-		p := c.lead.progress[member.GetId()]
-		if p != nil && c.now-p.heard > lostElections*c.cfg.Election {
+		p := c.leaderState.progress[member.GetId()]
+		if p != nil && c.now-p.lastHeard > lostVoterElectionTimeouts*c.cfg.Election {
 			lost = member
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // newcomer returns a learner that has caught up and takes nobody's name.
-func (c *Core) newcomer() *lilacv1.RaftMember {
+func (c *Core) promotableLearner() *lilacv1.RaftMember {
 	for _, member := range c.members.latest().GetMembers() {
 		if !member.GetVoter() && member.GetReplaces() == "" && c.caughtUp(member.GetId()) {
 			return member
--- a/process/replica/regroup_test.go
+++ b/process/replica/auto_members_test.go
@@ -10,74 +10,74 @@
 )
 
 // autoScript is newScript with members that come and go by themselves.
-func autoScript(t *testing.T) *script {
-	s := newScript(t)
+func newAutoMembersCore(t *testing.T) *testCore {
+	s := newTestCore(t)
 	s.core.cfg.AutoMembers = true
-	s.core.resetElection()
+	s.core.resetElectionTimer()
 	s.now = testElection
-	s.lead()
+	s.becomeLeader()
 	return s
 }
 
 // alive lets time pass while these members answer the leader's heartbeats.
-func (s *script) alive(d time.Duration, ids ...string) {
+func (s *testCore) runWithReplies(d time.Duration, ids ...string) {
 	for end := s.now + d; s.now < end; {
 		s.now += testHeartbeat / 2
 		s.step(Tick{})
 		for _, id := range ids {
-			s.get(&lilacv1.RaftMessage{Kind: kindAppendReply, From: id, Term: s.core.term, Index: s.core.log.last()})
+			s.receive(&lilacv1.RaftMessage{Kind: kindAppendReply, From: id, Term: s.core.term, Index: s.core.log.last()})
 		}
 	}
 }
 
-func (s *script) ask(id string) {
-	s.get(&lilacv1.RaftMessage{Kind: kindJoin, From: id, Member: &lilacv1.RaftMember{Id: id, Name: "name-" + id, Address: id}})
+func (s *testCore) requestJoin(id string) {
+	s.receive(&lilacv1.RaftMessage{Kind: kindJoin, From: id, Member: &lilacv1.RaftMember{Id: id, Name: "name-" + id, Address: id}})
 }
 
-func (s *script) voterIDs() []string { return voters(s.core.members.latest()) }
+func (s *testCore) voterIDs() []string { return voters(s.core.members.latest()) }
 
 // Machines are replaced one after the other, each newcomer at another address.
 // The gone ones must not hold the majority in the end.
-func TestNewcomersTakeThePlaceOfLostVoters(t *testing.T) {
-	s := autoScript(t)
-	s.alive(testElection, "b", "c")
-	s.ask("d")
-	s.alive(testElection, "b", "c", "d")
+func TestLearnersReplaceLostVoters(t *testing.T) {
+	s := newAutoMembersCore(t)
+	s.runWithReplies(testElection, "b", "c")
+	s.requestJoin("d")
+	s.runWithReplies(testElection, "b", "c", "d")
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c", "d"})
-	s.alive(2*lostElections*testElection, "b", "d") // c is gone
+	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "b", "d") // c is gone
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "d"})
-	s.ask("e")
-	s.alive(testElection, "b", "d", "e")
-	s.alive(2*lostElections*testElection, "d", "e") // b is gone
+	s.requestJoin("e")
+	s.runWithReplies(testElection, "b", "d", "e")
+	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "d", "e") // b is gone
 	s.is.Equal(s.voterIDs(), []string{"a", "d", "e"})
 	s.is.Equal(s.core.InvariantsViolated, uint64(0))
 }
 
 // One of three is lost and nobody stands in its place. Taking it out would make
 // the next loss stop the group.
-func TestTheThirdVoterIsKeptWithoutANewcomer(t *testing.T) {
-	s := autoScript(t)
-	s.alive(4*lostElections*testElection, "b")
+func TestThirdVoterIsKeptWithoutReplacement(t *testing.T) {
+	s := newAutoMembersCore(t)
+	s.runWithReplies(4*lostVoterElectionTimeouts*testElection, "b")
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c"})
 }
 
 // A newcomer that has not caught up counts for nothing: a quorum with it could
 // lack what was committed.
-func TestNewcomerCountsOnlyOnceItHasCaughtUp(t *testing.T) {
-	s := autoScript(t)
-	s.alive(testElection, "b", "c")
-	s.ask("d")
-	s.alive(2*testElection, "b", "c")
+func TestLearnerIsPromotedOnlyOnceCaughtUp(t *testing.T) {
+	s := newAutoMembersCore(t)
+	s.runWithReplies(testElection, "b", "c")
+	s.requestJoin("d")
+	s.runWithReplies(2*testElection, "b", "c")
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c"})
 }
 
 // Three voters start in the same moment, one way between them takes 60 ms. If two
 // campaign within that time the votes split. Each must have its turn.
-func TestVotersThatStartTogetherCampaignInTurn(t *testing.T) {
+func TestVotersStartedTogetherCampaignInPriorityOrder(t *testing.T) {
 	const way = 60 * time.Millisecond
 	latestBefore := -way
 	for _, id := range []string{"a", "b", "c"} {
-		earliest, latest := campaigns(id)
+		earliest, latest := firstCampaignWindow(id)
 		if earliest < latestBefore+way {
 			t.Fatalf("%s may campaign after %v, the one before it after %v", id, earliest, latestBefore)
 		}
@@ -90,7 +90,7 @@
 // the connections stand. All three won their pre-votes, each voted for itself, and
 // there was no leader for another 0.7 s: callers that came back then were refused
 // a second time.
-func TestAPreCandidateYieldsToOneWhoseTurnIsBefore(t *testing.T) {
+func TestPreCandidateYieldsToHigherPriority(t *testing.T) {
 	is := is.New(t)
 	for _, asker := range []struct {
 		id   string
@@ -101,11 +101,11 @@
 			Snapshot: &lilacv1.RaftSnapshotMeta{Index: 1, Term: 1, Members: testMembers("a", "b", "c")},
 		}
 		config := Config{Name: "name-b", Address: "b", Heartbeat: testHeartbeat, Election: testElection, Seed: 1, AutoMembers: true}
-		s := &script{is: is, core: NewCore(config, restored, 0)}
+		s := &testCore{is: is, core: NewCore(config, restored, 0)}
 		for s.core.role != PreCandidate {
-			s.wait(testHeartbeat)
+			s.advance(testHeartbeat)
 		}
-		s.get(&message{Kind: kindPreVote, From: asker.id, FromAddress: asker.id, Term: 2, Index: 1, LogTerm: 1})
+		s.receive(&message{Kind: kindPreVote, From: asker.id, FromAddress: asker.id, Term: 2, Index: 1, LogTerm: 1})
 		is.Equal(s.core.role, asker.role)
 		var granted bool
 		for _, action := range s.out {
@@ -118,7 +118,7 @@
 }
 
 // campaigns returns when a voter that starts now may campaign first.
-func campaigns(id string) (earliest, latest time.Duration) {
+func firstCampaignWindow(id string) (earliest, latest time.Duration) {
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: id, Group: "g", Term: 1},
 		Snapshot: &lilacv1.RaftSnapshotMeta{Index: 1, Term: 1, Members: testMembers("a", "b", "c")},
@@ -134,11 +134,11 @@
 
 // A voter was taken out while it was lost. Its own log still names it a voter, so
 // nobody tells it anything: it must ask to be taken in again.
-func TestVoterThatWasTakenOutAsksAgain(t *testing.T) {
-	s := newScript(t)
+func TestRemovedVoterAsksToRejoin(t *testing.T) {
+	s := newTestCore(t)
 	s.core.cfg.AutoMembers = true
 	s.core.cfg.Peers = []Peer{{Name: "name-b", Address: "b"}}
-	s.wait(2 * forgottenElections * testElection)
+	s.advance(2 * rejoinElectionTimeouts * testElection)
 	asked := make(map[string]bool)
 	for _, action := range s.out {
 		if send, ok := action.(Send); ok && send.Message.GetKind() == kindHello {
@@ -146,7 +146,7 @@
 		}
 	}
 	s.is.True(asked["b"] && asked["c"])
-	s.get(&lilacv1.RaftMessage{Kind: kindHelloReply, From: "b", Member: &lilacv1.RaftMember{Id: "b", Name: "name-b"}, Leader: "b", Index: 9})
+	s.receive(&lilacv1.RaftMessage{Kind: kindHelloReply, From: "b", Member: &lilacv1.RaftMember{Id: "b", Name: "name-b"}, Leader: "b", Index: 9})
 	joins := 0
 	for _, action := range s.out {
 		if send, ok := action.(Send); ok && send.Message.GetKind() == kindJoin {
@@ -158,21 +158,21 @@
 
 // A pre-candidate's first questions come to voters that are still starting. Without
 // others it would wait a whole election for the next ones.
-func TestAPreCandidateAsksAgain(t *testing.T) {
+func TestPreCandidateRetriesPreVote(t *testing.T) {
 	is := is.New(t)
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 1},
 		Snapshot: &lilacv1.RaftSnapshotMeta{Index: 1, Term: 1, Members: testMembers("a", "b", "c")},
 	}
 	config := Config{Name: "name-a", Address: "a", Heartbeat: testHeartbeat, Election: testElection, Seed: 1, AutoMembers: true}
-	s := &script{is: is, core: NewCore(config, restored, 0)}
+	s := &testCore{is: is, core: NewCore(config, restored, 0)}
 	for s.core.role != PreCandidate {
-		s.wait(testHeartbeat)
+		s.advance(testHeartbeat)
 	}
 	asked := 0
 	for range 4 {
 		s.out = nil
-		s.wait(testHeartbeat)
+		s.advance(testHeartbeat)
 		for _, action := range s.out {
 			if send, ok := action.(Send); ok && send.Message.GetKind() == kindPreVote && send.Message.GetTo() == "b" {
 				asked++
--- a/process/replica/loop.go
+++ b/process/replica/batch.go
@@ -7,7 +7,7 @@
 )
 
 // saving is something that must be synced; in order.
-type saving struct {
+type durableWrite struct {
 	install *Install
 	batch   wal.Batch
 }
@@ -16,55 +16,55 @@
 // proposals of the batch share one sync. An error ends the process; see Close.
 func (r *Runner) ProcessBatch(batch []Request) error {
 	var actions []Action
-	for _, q := range batch {
-		actions = append(actions, r.core.Step(r.options.Clock(), r.ticketed(q))...)
+	for _, request := range batch {
+		actions = append(actions, r.core.Step(r.options.Clock(), r.assignRequestID(request))...)
 	}
 	actions = append(actions, r.core.Step(r.options.Clock(), Flush{})...)
-	for len(actions) > 0 && r.fatal == nil {
+	for len(actions) > 0 && r.fatalErr == nil {
 		actions = r.perform(actions)
 	}
-	r.retry()
-	r.placeSnapshot()
-	r.maybeSnapshot()
-	return r.fatal
+	r.retryPendingWrites()
+	r.finishSnapshot()
+	r.maybeStartSnapshot()
+	return r.fatalErr
 }
 
 // ticketed gives the event a ticket under which its outcome is found.
-func (r *Runner) ticketed(q Request) Event {
-	if q.Reply == nil {
-		return q.Event
+func (r *Runner) assignRequestID(request Request) Event {
+	if request.Reply == nil {
+		return request.Event
 	}
-	r.tickets++
-	switch e := q.Event.(type) {
+	r.lastRequestID++
+	switch e := request.Event.(type) {
 	case Propose:
-		e.RequestID = r.tickets
-		r.proposals[r.tickets] = q.Reply
+		e.RequestID = r.lastRequestID
+		r.proposalReplies[r.lastRequestID] = request.Reply
 		return e
 	case ChangeMembers:
-		e.RequestID = r.tickets
-		r.proposals[r.tickets] = q.Reply
+		e.RequestID = r.lastRequestID
+		r.proposalReplies[r.lastRequestID] = request.Reply
 		return e
 	case Read:
-		e.RequestID = r.tickets
-		r.readers[r.tickets] = q.Reply
+		e.RequestID = r.lastRequestID
+		r.readReplies[r.lastRequestID] = request.Reply
 		return e
 	}
-	return q.Event
+	return request.Event
 }
 
 // perform sends what promises nothing, syncs, sends the rest, and returns what
 // the core wants after the sync.
 func (r *Runner) perform(actions []Action) []Action {
 	r.sendAll(actions, false)
-	saved := r.saveAll(actions)
-	if r.fatal != nil {
+	saved := r.persist(actions)
+	if r.fatalErr != nil {
 		return nil
 	}
-	if len(r.pending) == 0 {
+	if len(r.pendingWrites) == 0 {
 		r.sendAll(actions, true)
 	}
 	for _, action := range actions {
-		r.conclude(action)
+		r.handleAction(action)
 	}
 	if saved == nil {
 		return nil
@@ -102,7 +102,7 @@
 	}
 	chunk, err := r.store.ReadSnapshot(s.Message.GetOffset(), s.SnapshotBytes)
 	if err != nil {
-		r.fatal = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot can't be read; check the disk and restart the process")
+		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot can't be read; check the disk and restart the process")
 		return false
 	}
 	s.Message.Chunk = chunk
@@ -111,27 +111,27 @@
 
 // saveAll syncs what the actions want synced; nil if nothing was, or if the
 // disk is full and it waits.
-func (r *Runner) saveAll(actions []Action) *Synced {
+func (r *Runner) persist(actions []Action) *Synced {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Install:
-			r.restoreFrom(a)
-			r.pending = append(r.pending, saving{install: &a})
+			r.restoreSnapshot(a)
+			r.pendingWrites = append(r.pendingWrites, durableWrite{install: &a})
 		case Persist:
-			r.addPersist(a)
+			r.queuePersist(a)
 		}
 	}
-	if r.full {
+	if r.diskFull {
 		return nil
 	}
-	return r.savePending()
+	return r.flushPendingWrites()
 }
 
-func (r *Runner) addPersist(p Persist) {
-	if k := len(r.pending); k == 0 || r.pending[k-1].install != nil {
-		r.pending = append(r.pending, saving{})
+func (r *Runner) queuePersist(p Persist) {
+	if k := len(r.pendingWrites); k == 0 || r.pendingWrites[k-1].install != nil {
+		r.pendingWrites = append(r.pendingWrites, durableWrite{})
 	}
-	batch := &r.pending[len(r.pending)-1].batch
+	batch := &r.pendingWrites[len(r.pendingWrites)-1].batch
 	if p.Hard != nil {
 		batch.Hard = p.Hard
 	}
@@ -139,31 +139,31 @@
 }
 
 // savePending syncs in order and stops at a full disk.
-func (r *Runner) savePending() *Synced {
-	if len(r.pending) == 0 {
+func (r *Runner) flushPendingWrites() *Synced {
+	if len(r.pendingWrites) == 0 {
 		return nil
 	}
 	synced := &Synced{}
-	for len(r.pending) > 0 {
-		if err := r.save(r.pending[0]); err != nil {
-			r.saveFailed(err)
+	for len(r.pendingWrites) > 0 {
+		if err := r.write(r.pendingWrites[0]); err != nil {
+			r.writeFailed(err)
 			return nil
 		}
-		batch := r.pending[0].batch
+		batch := r.pendingWrites[0].batch
 		if k := len(batch.Entries); k > 0 {
 			synced.Index, synced.Term = batch.Entries[k-1].GetIndex(), batch.Entries[k-1].GetTerm()
 		}
 		if batch.Hard != nil {
 			synced.HardTerm = batch.Hard.GetTerm()
 		}
-		r.pending = r.pending[1:]
+		r.pendingWrites = r.pendingWrites[1:]
 	}
-	r.pending = nil
-	r.setFull(false)
+	r.pendingWrites = nil
+	r.setDiskFull(false)
 	return synced
 }
 
-func (r *Runner) save(s saving) error {
+func (r *Runner) write(s durableWrite) error {
 	if s.install != nil {
 		return r.store.InstallSnapshot(s.install.Meta, s.install.Data)
 	}
@@ -173,52 +173,52 @@
 	return err
 }
 
-func (r *Runner) saveFailed(err error) {
+func (r *Runner) writeFailed(err error) {
 	if fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL) {
-		r.setFull(true)
+		r.setDiskFull(true)
 		return
 	}
-	r.fatal = err
+	r.fatalErr = err
 }
 
-func (r *Runner) setFull(full bool) {
-	if r.full == full {
+func (r *Runner) setDiskFull(full bool) {
+	if r.diskFull == full {
 		return
 	}
-	r.full = full
+	r.diskFull = full
 	if full {
 		r.logger.Error("the disk is full; statements and claims are refused until there is space", "folder", r.options.Folder.Path())
 	} else {
 		r.logger.Info("the disk has space again", "folder", r.options.Folder.Path())
 	}
-	r.metrics.diskFull.Set(boolean(full))
+	r.metrics.diskFull.Set(boolToFloat(full))
 }
 
 // retry tries again what a full disk did not take, and tells the core.
-func (r *Runner) retry() {
-	if r.fatal != nil || r.full == r.core.diskFull && !r.full {
+func (r *Runner) retryPendingWrites() {
+	if r.fatalErr != nil || r.diskFull == r.core.diskFull && !r.diskFull {
 		return
 	}
 	var actions []Action
-	if r.full {
-		if saved := r.savePending(); saved != nil {
+	if r.diskFull {
+		if saved := r.flushPendingWrites(); saved != nil {
 			actions = append(actions, r.core.Step(r.options.Clock(), *saved)...)
 		}
 	}
-	actions = append(actions, r.core.Step(r.options.Clock(), DiskFull{Full: r.full})...)
-	for len(actions) > 0 && r.fatal == nil {
+	actions = append(actions, r.core.Step(r.options.Clock(), DiskFull{Full: r.diskFull})...)
+	for len(actions) > 0 && r.fatalErr == nil {
 		actions = r.perform(actions)
 	}
 }
 
-func (r *Runner) restoreFrom(install Install) {
-	r.failPlaced(unknownOutcome())
-	r.applied, r.taken, r.grownBytes = install.Meta.GetIndex(), install.Meta.GetIndex(), 0
+func (r *Runner) restoreSnapshot(install Install) {
+	r.failPendingProposals(unknownOutcomeError())
+	r.applied, r.snapshotIndex, r.bytesSinceSnapshot = install.Meta.GetIndex(), install.Meta.GetIndex(), 0
 	if install.Meta.GetSize() == 0 {
 		return
 	}
 	if err := r.options.Machine.Restore(install.Data); err != nil {
-		r.fatal = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the leader's snapshot does not restore; run one version on all state processes")
+		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the leader's snapshot does not restore; run one version on all state processes")
 		return
 	}
 	r.metrics.installs.Inc()
@@ -228,8 +228,8 @@
 // Close fails all that waits and closes the files. It waits for a snapshot that
 // is being written, since the folder's next owner may write under its name.
 func (r *Runner) Close() {
-	r.abandonSnapshot()
-	r.failPlaced(unknownOutcome())
+	r.awaitSnapshotWrite()
+	r.failPendingProposals(unknownOutcomeError())
 	if err := r.store.Close(); err != nil {
 		r.logger.Warn("data folder was not closed cleanly", "error", err)
 	}
--- a/process/replica/compaction.go
+++ b/process/replica/compaction.go
@@ -11,7 +11,7 @@
 const snapshotRetry = 10 * time.Second
 
 // writing is a snapshot on its way to the disk.
-type writing struct {
+type snapshotWrite struct {
 	meta *lilacv1.RaftSnapshotMeta
 	// keep is the index after which entries stay for slow followers.
 	keep uint64
@@ -24,9 +24,9 @@
 
 // grown tells whether so much was applied since the last snapshot that the next
 // is due. It is put off while one is on its way to a member, up to a point.
-func (r *Runner) grown() bool {
-	patience := r.core.SnapshotDelayFactor()
-	entries, bytes := (r.applied-r.taken)/uint64(patience), r.grownBytes/patience
+func (r *Runner) snapshotDue() bool {
+	delayFactor := r.core.SnapshotDelayFactor()
+	entries, bytes := (r.applied-r.snapshotIndex)/uint64(delayFactor), r.bytesSinceSnapshot/delayFactor
 	return entries >= r.options.SnapshotEvery || bytes >= snapshotBytes
 }
 
@@ -37,17 +37,17 @@
 // that is well. It holds because the turn only captures the state; encoding,
 // writing and the sync of the file run in the background, and the log is cut in
 // a later turn, once the file is whole.
-func (r *Runner) maybeSnapshot() {
-	if r.writing != nil || r.fatal != nil || r.full || len(r.pending) > 0 || r.options.Clock() < r.snapshotAt || !r.grown() {
+func (r *Runner) maybeStartSnapshot() {
+	if r.snapshotWrite != nil || r.fatalErr != nil || r.diskFull || len(r.pendingWrites) > 0 || r.options.Clock() < r.snapshotRetryAt || !r.snapshotDue() {
 		return
 	}
 	// Entries behind the snapshot stay for followers that are a little behind.
-	w := &writing{keep: r.applied - (r.applied-r.taken)/2, bytes: r.grownBytes, done: make(chan error, 1),
+	w := &snapshotWrite{keep: r.applied - (r.applied-r.snapshotIndex)/2, bytes: r.bytesSinceSnapshot, done: make(chan error, 1),
 		meta: &lilacv1.RaftSnapshotMeta{Index: r.applied, Term: r.core.TermAt(r.applied), Members: r.core.MembersAt(r.applied)}}
 	encode := r.options.Machine.Capture()
-	r.writing = w
+	r.snapshotWrite = w
 	r.options.Background(func() { w.done <- r.writeSnapshot(w.meta, encode) })
-	r.placeSnapshot()
+	r.finishSnapshot()
 }
 
 // writeSnapshot runs beside the turns: it touches nothing of the Runner that
@@ -67,36 +67,36 @@
 // then replaced by the older own one: the log after the older one is gone, and
 // the next start would find a gap. It holds because a snapshot that is not newer
 // than the last one taken is dropped.
-func (r *Runner) placeSnapshot() {
-	if r.writing == nil || r.fatal != nil {
+func (r *Runner) finishSnapshot() {
+	if r.snapshotWrite == nil || r.fatalErr != nil {
 		return
 	}
-	w := r.writing
+	w := r.snapshotWrite
 	var err error
 	select {
 	case err = <-w.done:
 	default:
 		return
 	}
-	r.writing = nil
+	r.snapshotWrite = nil
 	switch {
 	case err != nil:
-	case w.meta.GetIndex() <= r.taken:
+	case w.meta.GetIndex() <= r.snapshotIndex:
 		err = r.store.DiscardSnapshot(w.meta)
 	default:
-		err = r.cutLog(w)
+		err = r.publishAndCompact(w)
 	}
 	if err != nil {
 		r.snapshotFailed(err)
 	}
 }
 
-func (r *Runner) cutLog(w *writing) error {
+func (r *Runner) publishAndCompact(w *snapshotWrite) error {
 	if err := r.store.PublishSnapshot(w.meta, w.keep); err != nil {
 		return err
 	}
-	r.taken = w.meta.GetIndex()
-	r.grownBytes -= w.bytes
+	r.snapshotIndex = w.meta.GetIndex()
+	r.bytesSinceSnapshot -= w.bytes
 	r.metrics.snapshots.Inc()
 	r.core.Step(r.options.Clock(), Compacted{Meta: w.meta, Keep: w.keep})
 	return nil
@@ -106,17 +106,17 @@
 // without it.
 func (r *Runner) snapshotFailed(err error) {
 	if !fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL) {
-		r.fatal = err
+		r.fatalErr = err
 		return
 	}
-	r.snapshotAt = r.options.Clock() + snapshotRetry
+	r.snapshotRetryAt = r.options.Clock() + snapshotRetry
 	r.logger.Error("the disk has no space for a snapshot; the log grows until there is", "folder", r.options.Folder.Path())
 }
 
 // abandonSnapshot waits for the writer; the next start removes its file.
-func (r *Runner) abandonSnapshot() {
-	if r.writing != nil {
-		<-r.writing.done
-		r.writing = nil
+func (r *Runner) awaitSnapshotWrite() {
+	if r.snapshotWrite != nil {
+		<-r.snapshotWrite.done
+		r.snapshotWrite = nil
 	}
 }
--- a/process/replica/core.go
+++ b/process/replica/core.go
@@ -23,7 +23,7 @@
 	// maxCommand is the largest command, in bytes: its entry must fit a message.
 	maxCommand = 2 << 20
 	// maxInFlight bounds the messages with entries that wait for one follower.
-	maxInFlight = 32
+	maxInFlightAppends = 32
 	// maxUncommitted bounds the entries that wait for the quorum.
 	maxUncommitted = 16384
 	// defaultChunkBytes is the part of a snapshot in one message, in bytes; well
@@ -34,7 +34,7 @@
 	// promoteLag is how many entries a learner may be behind to be promoted.
 	promoteLag = 64
 	// neverHeard is the age of the contact before the first one.
-	neverHeard = time.Hour
+	initialStaleness = time.Hour
 )
 
 // Peer is another process of the settings, asked at a start without a group.
@@ -112,26 +112,26 @@
 	log             memoryLog
 	snapshot        *lilacv1.RaftSnapshotMeta
 	commit, applied uint64
-	members         memberLog
+	members         memberHistory
 
 	leader, leaderAddress string
-	heardLeader           time.Duration
-	contact               contact
+	leaderHeardAt         time.Duration
+	freshness             freshness
 	// startedAt and stampBase make the stamps of this start of the process unlike
 	// those of any other.
-	startedAt time.Duration
-	stampBase uint64
+	stampEpoch time.Duration
+	stampBase  uint64
 	// boundAt is when the process was bound to its group, or started.
-	boundAt    time.Duration
-	electionAt time.Duration
+	groupBoundAt time.Duration
+	electionAt   time.Duration
 	// preVoteAt is when a pre-candidate repeats its questions.
 	preVoteAt time.Duration
 	votes     map[string]bool
 	diskFull  bool
 
-	lead     leading
-	join     joining
-	incoming incoming
+	leaderState      leaderState
+	join             joinState
+	incomingSnapshot incomingSnapshot
 
 	// Checked counts invariants checked, BrokenCount those that did not hold.
 	InvariantsChecked, InvariantsViolated uint64
@@ -142,9 +142,9 @@
 // NewCore returns a core at time now, which continues from restored.
 func NewCore(cfg Config, restored Restored, now time.Duration) *Core {
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x9e3779b97f4a7c15)), now: now}
-	c.heardLeader, c.boundAt = now-2*cfg.Election, now
-	c.contact.at = now - neverHeard
-	c.startedAt, c.stampBase = now, cfg.Seed>>1|1
+	c.leaderHeardAt, c.groupBoundAt = now-2*cfg.Election, now
+	c.freshness.freshAt = now - initialStaleness
+	c.stampEpoch, c.stampBase = now, cfg.Seed>>1|1
 	c.cfg.AppendBytes = cmp.Or(cfg.AppendBytes, defaultAppendBytes)
 	c.cfg.ChunkBytes = cmp.Or(cfg.ChunkBytes, defaultChunkBytes)
 	if hard := restored.Hard; hard != nil {
@@ -164,14 +164,14 @@
 		c.members.reset(meta.GetIndex(), meta.GetMembers())
 	}
 	c.log.append(restored.Entries...)
-	c.log.saved, c.log.synced = c.log.last(), c.log.last()
+	c.log.submitted, c.log.synced = c.log.last(), c.log.last()
 	for _, entry := range restored.Entries {
-		c.members.note(entry)
+		c.members.add(entry)
 	}
 	if c.group != "" {
 		c.role = Follower
 	}
-	c.resetElection()
+	c.resetElectionTimer()
 	if c.cfg.AutoMembers {
 		// Who starts has heard no leader yet and need not wait for its silence: if
 		// there is one, the pre-vote finds it.
@@ -199,19 +199,19 @@
 	case Propose:
 		c.propose(e)
 	case Read:
-		c.read(e)
+		c.queueRead(e)
 	case Flush:
 		c.flush()
 	case Synced:
-		c.synced(e)
+		c.handleSynced(e)
 	case DiskFull:
 		c.setDiskFull(e.Full)
 	case Compacted:
-		c.compacted(e)
+		c.handleCompacted(e)
 	case ChangeMembers:
 		c.changeMembers(e)
 	case TransferLeadership:
-		c.handOver()
+		c.transferLeadership()
 	case SetPeers:
 		// A founding counts on the first peers.
 		if c.group != "" || !c.cfg.Bootstrap {
@@ -220,7 +220,7 @@
 	}
 	c.persist()
 	c.apply()
-	c.contact.reached(c.applied)
+	c.freshness.advance(c.applied)
 	return c.out
 }
 
@@ -240,16 +240,16 @@
 	c.announce()
 	switch c.role {
 	case Waiting:
-		c.seekGroup()
+		c.discoverGroup()
 	case Leader:
 		c.leaderTick()
 	default:
-		c.seekAgain()
+		c.rejoin()
 		if c.now >= c.electionAt && c.isVoter(c.cfg.ID) && !c.diskFull {
 			c.campaign()
 			return
 		}
-		c.preVoteAgain()
+		c.retryPreVote()
 	}
 }
 
@@ -260,16 +260,16 @@
 		p.Hard = &lilacv1.RaftHardState{Id: c.cfg.ID, Group: c.group, Term: c.term, Vote: c.vote, Former: c.lineage.former, ReplacedBy: c.lineage.replacedBy}
 		c.hardDirty = false
 	}
-	if c.log.saved < c.log.last() {
-		p.Entries = slices.Clone(c.log.entries[c.log.saved-c.log.base:])
-		c.log.saved = c.log.last()
+	if c.log.submitted < c.log.last() {
+		p.Entries = slices.Clone(c.log.entries[c.log.submitted-c.log.base:])
+		c.log.submitted = c.log.last()
 	}
 	if p.Hard != nil || len(p.Entries) > 0 {
 		c.emit(p)
 	}
 }
 
-func (c *Core) synced(e Synced) {
+func (c *Core) handleSynced(e Synced) {
 	if term, ok := c.log.term(e.Index); ok && term == e.Term && e.Index > c.log.synced {
 		c.log.synced = e.Index
 	}
@@ -306,7 +306,7 @@
 func (c *Core) setDiskFull(full bool) {
 	c.diskFull = full
 	if full {
-		c.handOver()
+		c.transferLeadership()
 	}
 }
 
@@ -330,9 +330,9 @@
 	}
 }
 
-func (c *Core) resetElection() {
+func (c *Core) resetElectionTimer() {
 	if c.cfg.AutoMembers {
-		c.electionAt = c.now + c.cfg.Election + c.turn()
+		c.electionAt = c.now + c.cfg.Election + c.electionPriorityDelay()
 		return
 	}
 	spread := time.Duration(c.rng.Int64N(int64(c.cfg.Election)))
@@ -346,22 +346,22 @@
 // within that way, and nobody wins. It shows as seconds without a leader after all
 // lost power at once. It holds because each voter has a turn of its own, by its
 // place among the members, and a share of it is left to chance.
-func (c *Core) turn() time.Duration {
+func (c *Core) electionPriorityDelay() time.Duration {
 	ids := voters(c.members.latest())
 	place := slices.Index(ids, c.cfg.ID)
 	if place < 0 {
 		place = len(ids)
 	}
-	step := c.cfg.Election / turnShare
+	step := c.cfg.Election / priorityStepDivisor
 	return time.Duration(place)*step + time.Duration(c.rng.Int64N(int64(step)/2))
 }
 
 // turnShare is the part of the shortest silence that lies between two turns: with
 // 600 ms, 200 ms, which covers pre-vote, vote and sync over 30 ms a way.
-const turnShare = 3
+const priorityStepDivisor = 3
 
 // compacted drops entries that a synced snapshot covers.
-func (c *Core) compacted(e Compacted) {
+func (c *Core) handleCompacted(e Compacted) {
 	if !c.check(e.Meta.GetIndex() <= c.applied, "snapshot_of_applied_only", "snapshot lies after the applied index") {
 		return
 	}
--- a/process/replica/election.go
+++ b/process/replica/election.go
@@ -14,25 +14,25 @@
 func (c *Core) campaign() {
 	c.votes = map[string]bool{}
 	c.setRole(PreCandidate, "", "")
-	c.resetElection()
+	c.resetElectionTimer()
 	if c.countPreVote(c.cfg.ID) {
 		return
 	}
 	c.preVoteAt = c.now + c.cfg.Heartbeat
-	c.askVoters(kindPreVote, c.term+1, false)
+	c.requestVotes(kindPreVote, c.term+1, false)
 }
 
 // preVoteAgain repeats the questions of a pre-candidacy that is under way: the others
 // may have been starting when the first ones came.
-func (c *Core) preVoteAgain() {
+func (c *Core) retryPreVote() {
 	if c.role != PreCandidate || !c.cfg.AutoMembers || c.now < c.preVoteAt {
 		return
 	}
 	c.preVoteAt = c.now + c.cfg.Heartbeat
-	c.askVoters(kindPreVote, c.term+1, false)
+	c.requestVotes(kindPreVote, c.term+1, false)
 }
 
-func (c *Core) askVoters(kind kind, term uint64, transfer bool) {
+func (c *Core) requestVotes(kind kind, term uint64, transfer bool) {
 	for _, member := range c.members.latest().GetMembers() {
 		if member.GetVoter() && member.GetId() != c.cfg.ID {
 			m := &message{Kind: kind, To: member.GetId(), Term: term, Index: c.log.last(), LogTerm: c.log.lastTerm(), Transfer: transfer}
@@ -41,13 +41,13 @@
 	}
 }
 
-func (c *Core) preVoteAsked(m *message) {
-	grant := m.GetTerm() > c.term && !c.hearsLeader() && !c.log.behind(m.GetIndex(), m.GetLogTerm()) && !c.goesBefore(m)
+func (c *Core) handlePreVote(m *message) {
+	grant := m.GetTerm() > c.term && !c.hasRecentLeader() && !c.log.isNewerThan(m.GetIndex(), m.GetLogTerm()) && !c.hasPriorityOver(m)
 	answer := &message{Kind: kindPreVoteReply, Term: m.GetTerm()}
 	if !grant {
 		answer.Reject, answer.Term = true, c.term
 	} else {
-		c.yield(m.GetFrom())
+		c.yieldToPriority(m.GetFrom())
 	}
 	c.reply(m, answer)
 }
@@ -61,14 +61,14 @@
 // shows as 0.7 s more until changes are accepted after a loss of power everywhere.
 // It holds because of two that ask each other only the one behind yields, before
 // it has asked for any vote; the first in turn never does.
-func (c *Core) yield(to string) {
+func (c *Core) yieldToPriority(to string) {
 	if c.role != PreCandidate || !c.cfg.AutoMembers {
 		return
 	}
 	ids := voters(c.members.latest())
 	if place := slices.Index(ids, to); place >= 0 && place < slices.Index(ids, c.cfg.ID) {
 		c.setRole(Follower, "", "")
-		c.resetElection()
+		c.resetElectionTimer()
 	}
 }
 
@@ -79,7 +79,7 @@
 // behind asked first, and both ask for votes within the time of one way. It shows as
 // an election that passes without a leader. It holds because the one behind needs
 // this word, and gives its own as soon as it is asked.
-func (c *Core) goesBefore(m *message) bool {
+func (c *Core) hasPriorityOver(m *message) bool {
 	if c.role != PreCandidate || !c.cfg.AutoMembers || m.GetIndex() != c.log.last() || m.GetLogTerm() != c.log.lastTerm() {
 		return false
 	}
@@ -88,7 +88,7 @@
 	return own >= 0 && own < other
 }
 
-func (c *Core) preVoteReply(m *message) {
+func (c *Core) handlePreVoteReply(m *message) {
 	if c.role == PreCandidate && !m.GetReject() && m.GetTerm() == c.term+1 {
 		c.countPreVote(m.GetFrom())
 	}
@@ -96,42 +96,42 @@
 
 func (c *Core) countPreVote(id string) bool {
 	c.votes[id] = true
-	if !c.quorum(c.votes) {
+	if !c.hasQuorum(c.votes) {
 		return false
 	}
-	c.candidate(false)
+	c.becomeCandidate(false)
 	return true
 }
 
 // candidate raises the term and asks for votes. The own vote counts once it is
 // synced, as anyone else's.
-func (c *Core) candidate(transfer bool) {
+func (c *Core) becomeCandidate(transfer bool) {
 	c.setTerm(c.term+1, c.cfg.ID)
 	c.votes = map[string]bool{}
 	c.setRole(Candidate, "", "")
-	c.resetElection()
-	c.askVoters(kindVote, c.term, transfer)
+	c.resetElectionTimer()
+	c.requestVotes(kindVote, c.term, transfer)
 }
 
 // voteAsked grants at most one vote in a term, and none to a log that is behind.
 // The answer goes out after the vote is synced: a voter that crashes and comes
 // back must not vote twice in one term.
-func (c *Core) voteAsked(m *message) {
+func (c *Core) handleVote(m *message) {
 	free := c.vote == "" || c.vote == m.GetFrom()
-	grant := m.GetTerm() == c.term && free && c.mayVote() && !c.log.behind(m.GetIndex(), m.GetLogTerm())
+	grant := m.GetTerm() == c.term && free && c.canVote() && !c.log.isNewerThan(m.GetIndex(), m.GetLogTerm())
 	if grant {
 		c.setTerm(c.term, m.GetFrom())
-		c.resetElection()
+		c.resetElectionTimer()
 	}
 	c.reply(m, &message{Kind: kindVoteReply, Term: c.term, Reject: !grant})
 }
 
 // mayVote tells whether no leader and no own candidacy is known in the term.
-func (c *Core) mayVote() bool {
+func (c *Core) canVote() bool {
 	return (c.role == Follower || c.role == PreCandidate) && c.leader == ""
 }
 
-func (c *Core) voteReply(m *message) {
+func (c *Core) handleVoteReply(m *message) {
 	if c.role == Candidate && m.GetTerm() == c.term && !m.GetReject() {
 		c.countVote(m.GetFrom())
 	}
@@ -148,20 +148,20 @@
 		return
 	}
 	c.votes[id] = true
-	if c.quorum(c.votes) {
+	if c.hasQuorum(c.votes) {
 		c.becomeLeader()
 	}
 }
 
 // timeoutNow campaigns at once: the leader that hands over is known to step back.
-func (c *Core) timeoutNow(m *message) {
+func (c *Core) handleTimeoutNow(m *message) {
 	if m.GetTerm() == c.term && c.role == Follower && c.isVoter(c.cfg.ID) {
-		c.candidate(true)
+		c.becomeCandidate(true)
 	}
 }
 
 // quorum tells whether the identities hold a majority of the voters in force.
-func (c *Core) quorum(ids map[string]bool) bool {
+func (c *Core) hasQuorum(ids map[string]bool) bool {
 	voters, yes := 0, 0
 	for _, member := range c.members.latest().GetMembers() {
 		if !member.GetVoter() {
@@ -176,7 +176,7 @@
 }
 
 func (c *Core) isVoter(id string) bool {
-	member := find(c.members.latest(), id)
+	member := findMember(c.members.latest(), id)
 	return member.GetVoter()
 }
 
--- a/process/replica/follow.go
+++ b/process/replica/follower.go
@@ -8,7 +8,7 @@
 
 // fromLeader notes the sender as the leader of the term; false if the message
 // is of an older term, or breaks the rule of one leader in a term.
-func (c *Core) fromLeader(m *message) bool {
+func (c *Core) acceptLeader(m *message) bool {
 	if m.GetTerm() < c.term {
 		c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: m.GetIndex(), Reject: true})
 		return false
@@ -18,29 +18,29 @@
 		return false
 	}
 	if c.role != Follower || c.leader == "" {
-		c.follow(c.term, m.GetFrom(), m.GetFromAddress())
+		c.becomeFollower(c.term, m.GetFrom(), m.GetFromAddress())
 	}
-	c.heardLeader = c.now
-	c.resetElection()
+	c.leaderHeardAt = c.now
+	c.resetElectionTimer()
 	return true
 }
 
 // appendAsked takes entries that follow an entry held here.
-func (c *Core) appendAsked(m *message) {
-	if !c.fromLeader(m) {
+func (c *Core) handleAppend(m *message) {
+	if !c.acceptLeader(m) {
 		return
 	}
-	c.hearLeader(m)
+	c.observeCommit(m)
 	previous, entries := m.GetIndex(), m.GetEntries()
 	if previous < c.commit {
 		// All up to commit is the same on every leader.
 		entries = entries[min(uint64(len(entries)), c.commit-previous):]
 		previous = c.commit
 	} else if term, held := c.log.term(previous); !held || term != m.GetLogTerm() {
-		c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: previous, Reject: true, Hint: c.hint(previous), Round: m.GetRound(), DiskFull: c.diskFull})
+		c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: previous, Reject: true, Hint: c.rejectHint(previous), Round: m.GetRound(), DiskFull: c.diskFull})
 		return
 	}
-	last, ok := c.take(previous, entries)
+	last, ok := c.appendAfter(previous, entries)
 	if !ok {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // hint returns the index before the entries of the term that does not match.
-func (c *Core) hint(refused uint64) uint64 {
+func (c *Core) rejectHint(refused uint64) uint64 {
 	if refused > c.log.last() {
 		return c.log.last()
 	}
@@ -68,7 +68,7 @@
 
 // take puts the entries after previous, and returns the last index that is the
 // same as the leader's.
-func (c *Core) take(previous uint64, entries []*lilacv1.RaftEntry) (uint64, bool) {
+func (c *Core) appendAfter(previous uint64, entries []*lilacv1.RaftEntry) (uint64, bool) {
 	for i, entry := range entries {
 		index := previous + 1 + uint64(i)
 		if !c.check(entry.GetIndex() == index, "entries_without_gap", "an entry does not follow the one before") {
@@ -84,13 +84,13 @@
 			if !c.check(index > c.commit, "committed_never_lost", fmt.Sprintf("entry %d is committed and was to be replaced", index)) {
 				return 0, false
 			}
-			c.log.cut(index)
-			c.members.cut(index)
+			c.log.truncate(index)
+			c.members.truncate(index)
 		}
 		rest := entries[i:]
 		c.log.append(rest...)
 		for _, added := range rest {
-			c.members.note(added)
+			c.members.add(added)
 		}
 		break
 	}
--- a/process/replica/lead.go
+++ b/process/replica/leader.go
@@ -14,61 +14,61 @@
 	// match is the last index known to be synced there; next the one to send.
 	match, next uint64
 	// probing members get one message at a time, until one is accepted.
-	probing, probed bool
+	probing, probeSent bool
 	// inFlight holds the last index of each message with entries that waits.
 	inFlight []uint64
 	// heard is when an answer last came.
-	heard time.Duration
+	lastHeard time.Duration
 	// round is the newest heartbeat round that was echoed.
 	round uint64
 	// stamp is that of the last answer, echoed to the member.
-	stamp    uint64
-	transfer *transfer
-	diskFull bool
+	stamp            uint64
+	snapshotTransfer *snapshotTransfer
+	diskFull         bool
 }
 
-type pendingRead struct{ ticket, index, round uint64 }
+type pendingRead struct{ requestID, index, round uint64 }
 
 // leading is the leader's state; it is gone with the office.
-type leading struct {
+type leaderState struct {
 	progress map[string]*progress
 	// firstIndex is the empty entry that began the term.
 	firstIndex  uint64
 	heartbeatAt time.Duration
 	// toldCommit is the commit index of the last message to all.
-	toldCommit uint64
-	round      uint64
-	newReads   []uint64
-	reads      []pendingRead
+	broadcastCommit uint64
+	round           uint64
+	newReads        []uint64
+	pendingReads    []pendingRead
 	// handTo is the voter that takes over, until handUntil.
-	handTo    string
-	handUntil time.Duration
+	transferee       string
+	transferDeadline time.Duration
 	// repairIndex is the entry that promotes the replacement repairID.
 	repairID    string
 	repairIndex uint64
 }
 
 func (c *Core) startLeading() {
-	c.lead = leading{progress: map[string]*progress{}, heartbeatAt: c.now + c.cfg.Heartbeat}
-	c.syncProgress()
-	c.lead.firstIndex = c.appendOwn(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_EMPTY, nil)
+	c.leaderState = leaderState{progress: map[string]*progress{}, heartbeatAt: c.now + c.cfg.Heartbeat}
+	c.updateProgress()
+	c.leaderState.firstIndex = c.appendEntry(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_EMPTY, nil)
 	c.broadcast(true)
 }
 
 // syncProgress gives each other member in force a progress.
-func (c *Core) syncProgress() {
-	old := c.lead.progress
-	c.lead.progress = map[string]*progress{}
+func (c *Core) updateProgress() {
+	old := c.leaderState.progress
+	c.leaderState.progress = map[string]*progress{}
 	for _, member := range c.members.latest().GetMembers() {
 		if member.GetId() == c.cfg.ID {
 			continue
 		}
 		p := old[member.GetId()]
 		if p == nil {
-			p = &progress{next: c.log.last() + 1, probing: true, heard: c.now}
+			p = &progress{next: c.log.last() + 1, probing: true, lastHeard: c.now}
 		}
 		p.member = member
-		c.lead.progress[member.GetId()] = p
+		c.leaderState.progress[member.GetId()] = p
 	}
 }
 
@@ -76,7 +76,7 @@
 func (c *Core) others() []*progress {
 	var all []*progress
 	for _, member := range c.members.latest().GetMembers() {
-		if p := c.lead.progress[member.GetId()]; p != nil {
+		if p := c.leaderState.progress[member.GetId()]; p != nil {
 			all = append(all, p)
 		}
 	}
@@ -84,11 +84,11 @@
 }
 
 // appendOwn puts an entry of the own term at the end of the log.
-func (c *Core) appendOwn(kind lilacv1.RaftEntryKind, data []byte) uint64 {
+func (c *Core) appendEntry(kind lilacv1.RaftEntryKind, data []byte) uint64 {
 	entry := &lilacv1.RaftEntry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.check(c.log.lastTerm() <= c.term, "terms_grow_along_the_log", "last term of the log is above the own one")
 	c.log.append(entry)
-	c.members.note(entry)
+	c.members.add(entry)
 	return entry.GetIndex()
 }
 
@@ -103,30 +103,30 @@
 		return
 	}
 	heard := map[string]bool{c.cfg.ID: true}
-	for id, p := range c.lead.progress {
-		heard[id] = c.now-p.heard <= c.cfg.Election
+	for id, p := range c.leaderState.progress {
+		heard[id] = c.now-p.lastHeard <= c.cfg.Election
 	}
-	if !c.quorum(heard) {
-		c.follow(c.term, "", "")
+	if !c.hasQuorum(heard) {
+		c.becomeFollower(c.term, "", "")
 	}
 }
 
 func (c *Core) stepDown() {
-	for _, ticket := range c.lead.newReads {
-		c.refuse(ticket)
+	for _, requestID := range c.leaderState.newReads {
+		c.refuse(requestID)
 	}
-	for _, read := range c.lead.reads {
-		c.refuse(read.ticket)
+	for _, read := range c.leaderState.pendingReads {
+		c.refuse(read.requestID)
 	}
-	c.lead = leading{}
+	c.leaderState = leaderState{}
 }
 
-func (c *Core) refuse(ticket uint64) {
+func (c *Core) refuse(requestID uint64) {
 	reason := NotLeader
-	if c.role == Leader || !c.hearsLeader() {
+	if c.role == Leader || !c.hasRecentLeader() {
 		reason = NoQuorum
 	}
-	c.emit(Refused{RequestID: ticket, Reason: reason})
+	c.emit(Refused{RequestID: requestID, Reason: reason})
 }
 
 func (c *Core) propose(e Propose) {
@@ -136,31 +136,31 @@
 	case len(e.Command) > maxCommand:
 		// Its entry would fit no message, and all after it would wait for ever.
 		c.emit(Refused{RequestID: e.RequestID, Reason: TooLarge})
-	case c.lead.handTo != "":
+	case c.leaderState.transferee != "":
 		c.emit(Refused{RequestID: e.RequestID, Reason: LeadershipTransfer})
 	case c.diskFull:
 		c.emit(Refused{RequestID: e.RequestID, Reason: NoSpace})
-	case c.rival() != "":
+	case c.rivalGroup() != "":
 		c.emit(Refused{RequestID: e.RequestID, Reason: RivalGroup})
 	case c.log.last()-c.commit >= maxUncommitted:
 		c.emit(Refused{RequestID: e.RequestID, Reason: Busy})
 	default:
-		index := c.appendOwn(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_COMMAND, e.Command)
+		index := c.appendEntry(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_COMMAND, e.Command)
 		c.emit(Accepted{RequestID: e.RequestID, Index: index, Term: c.term})
 	}
 }
 
 func (c *Core) leaderTick() {
-	if c.lead.handTo != "" && c.now >= c.lead.handUntil {
-		c.lead.handTo = ""
+	if c.leaderState.transferee != "" && c.now >= c.leaderState.transferDeadline {
+		c.leaderState.transferee = ""
 	}
 	for _, p := range c.others() {
 		c.resendChunk(p)
 	}
-	if c.now < c.lead.heartbeatAt {
+	if c.now < c.leaderState.heartbeatAt {
 		return
 	}
-	c.lead.heartbeatAt = c.now + c.cfg.Heartbeat
+	c.leaderState.heartbeatAt = c.now + c.cfg.Heartbeat
 	c.broadcast(true)
 	c.repair()
 }
@@ -174,8 +174,8 @@
 		return
 	}
 	started := c.startReads()
-	committed := c.commit > c.lead.toldCommit
-	c.lead.toldCommit = c.commit
+	committed := c.commit > c.leaderState.broadcastCommit
+	c.leaderState.broadcastCommit = c.commit
 	c.broadcast(started || committed)
 	c.finishReads()
 }
@@ -188,11 +188,11 @@
 
 // sendTo sends entries that the member lacks; with heartbeat at least an empty message.
 func (c *Core) sendTo(p *progress, heartbeat bool) {
-	if p.transfer != nil {
+	if p.snapshotTransfer != nil {
 		return
 	}
 	sent := false
-	for p.next <= c.log.last() && c.maySend(p) {
+	for p.next <= c.log.last() && c.canSend(p) {
 		if !c.sendEntries(p, c.cfg.AppendBytes) {
 			return
 		}
@@ -203,14 +203,14 @@
 	}
 }
 
-func (c *Core) maySend(p *progress) bool {
+func (c *Core) canSend(p *progress) bool {
 	if p.diskFull {
 		return false
 	}
 	if p.probing {
-		return !p.probed
+		return !p.probeSent
 	}
-	return len(p.inFlight) < maxInFlight
+	return len(p.inFlight) < maxInFlightAppends
 }
 
 // sendEntries sends entries of up to so many bytes, none for 0; false if the
@@ -222,12 +222,12 @@
 		c.startTransfer(p)
 		return false
 	}
-	m := &message{Kind: kindAppend, To: p.member.GetId(), Term: c.term, Index: previous, LogTerm: term, Commit: c.commit, Round: c.lead.round, Stamp: p.stamp}
+	m := &message{Kind: kindAppend, To: p.member.GetId(), Term: c.term, Index: previous, LogTerm: term, Commit: c.commit, Round: c.leaderState.round, Stamp: p.stamp}
 	if bytes > 0 {
 		m.Entries = c.log.from(p.next, bytes)
 		last := previous + uint64(len(m.Entries))
 		if p.probing {
-			p.probed = true
+			p.probeSent = true
 		} else {
 			p.next = last + 1
 			p.inFlight = append(p.inFlight, last)
@@ -237,55 +237,55 @@
 	return true
 }
 
-func (c *Core) answered(m *message) *progress {
+func (c *Core) recordReply(m *message) *progress {
 	if c.role != Leader || m.GetTerm() != c.term {
 		return nil
 	}
-	p := c.lead.progress[m.GetFrom()]
+	p := c.leaderState.progress[m.GetFrom()]
 	if p == nil {
 		return nil
 	}
-	p.heard, p.diskFull, p.stamp = c.now, m.GetDiskFull(), m.GetStamp()
+	p.lastHeard, p.diskFull, p.stamp = c.now, m.GetDiskFull(), m.GetStamp()
 	p.round = max(p.round, m.GetRound())
 	return p
 }
 
-func (c *Core) appendReply(m *message) {
-	p := c.answered(m)
+func (c *Core) handleAppendReply(m *message) {
+	p := c.recordReply(m)
 	if p == nil {
 		return
 	}
 	if m.GetReject() {
-		c.refusedAt(p, m)
+		c.handleAppendReject(p, m)
 		return
 	}
-	c.matched(p, m.GetIndex())
+	c.advanceMatch(p, m.GetIndex())
 }
 
 // refusedAt goes back to where the member's log may still match. Old refusals,
 // which came late, are told by their index.
-func (c *Core) refusedAt(p *progress, m *message) {
-	if p.transfer != nil || m.GetIndex() <= p.match || m.GetIndex() >= p.next {
+func (c *Core) handleAppendReject(p *progress, m *message) {
+	if p.snapshotTransfer != nil || m.GetIndex() <= p.match || m.GetIndex() >= p.next {
 		return
 	}
 	if p.probing && m.GetIndex() != p.next-1 {
 		return
 	}
 	p.next = max(p.match+1, min(m.GetIndex(), m.GetHint()+1))
-	p.probing, p.probed, p.inFlight = true, false, nil
+	p.probing, p.probeSent, p.inFlight = true, false, nil
 	c.sendTo(p, true)
 }
 
-func (c *Core) matched(p *progress, index uint64) {
+func (c *Core) advanceMatch(p *progress, index uint64) {
 	if !c.check(index <= c.log.last(), "follower_not_ahead_of_leader", fmt.Sprintf("%s matched %d after the last index %d", p.member.GetName(), index, c.log.last())) {
 		return
 	}
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
-	p.probing, p.probed = false, false
+	p.probing, p.probeSent = false, false
 	p.inFlight = slices.DeleteFunc(p.inFlight, func(last uint64) bool { return last <= p.match })
 	c.advanceCommit()
-	c.continueHandOver(p)
+	c.continueTransfer(p)
 	c.sendTo(p, false)
 }
 
@@ -307,7 +307,7 @@
 		case member.GetId() == c.cfg.ID:
 			synced = append(synced, c.log.synced)
 		default:
-			synced = append(synced, c.lead.progress[member.GetId()].match)
+			synced = append(synced, c.leaderState.progress[member.GetId()].match)
 		}
 	}
 	if len(synced) == 0 {
@@ -325,26 +325,26 @@
 }
 
 // handOver begins to give the office to the most caught-up voter.
-func (c *Core) handOver() {
-	if c.role != Leader || c.lead.handTo != "" {
+func (c *Core) transferLeadership() {
+	if c.role != Leader || c.leaderState.transferee != "" {
 		return
 	}
 	var best *progress
 	for _, p := range c.others() {
-		fit := p.member.GetVoter() && !p.diskFull && c.now-p.heard <= c.cfg.Election
-		if fit && (best == nil || p.match > best.match) {
+		eligible := p.member.GetVoter() && !p.diskFull && c.now-p.lastHeard <= c.cfg.Election
+		if eligible && (best == nil || p.match > best.match) {
 			best = p
 		}
 	}
 	if best == nil {
 		return
 	}
-	c.lead.handTo, c.lead.handUntil = best.member.GetId(), c.now+c.cfg.Election
-	c.continueHandOver(best)
+	c.leaderState.transferee, c.leaderState.transferDeadline = best.member.GetId(), c.now+c.cfg.Election
+	c.continueTransfer(best)
 }
 
-func (c *Core) continueHandOver(p *progress) {
-	if c.role == Leader && c.lead.handTo == p.member.GetId() && p.match == c.log.last() {
+func (c *Core) continueTransfer(p *progress) {
+	if c.role == Leader && c.leaderState.transferee == p.member.GetId() && p.match == c.log.last() {
 		c.send(p.member.GetAddress(), &message{Kind: kindTimeoutNow, To: p.member.GetId(), Term: c.term}, false)
 	}
 }
--- a/process/replica/lineage.go
+++ b/process/replica/lineage.go
@@ -11,11 +11,11 @@
 
 // rivalElections is the silence, in election timeouts, after which a rival
 // group counts as gone.
-const rivalElections = 4
+const rivalExpiryElectionTimeouts = 4
 
 // announcements is how often a recovered group is announced in the shortest
 // wait before a candidacy.
-const announcements = 4
+const announcementsPerElectionTimeout = 4
 
 // lineage is what a process knows of groups related to its own by a recovery
 // from a lost majority.
@@ -23,10 +23,10 @@
 	// former are the groups that the own one replaced, oldest first.
 	former []string
 	// replacedBy is the recovered group that replaced the own one; set once.
-	replacedBy string
-	announceAt time.Duration
-	rival      string
-	rivalHeard time.Duration
+	replacedBy     string
+	nextAnnounceAt time.Duration
+	rival          string
+	rivalHeardAt   time.Duration
 }
 
 // announce tells the processes of the settings which groups are replaced, but
@@ -38,48 +38,48 @@
 // come four times in the shortest wait before a first candidacy, and whoever
 // belongs to a replaced group gives up for good.
 func (c *Core) announce() {
-	follows := c.role != Leader && c.hearsLeader()
-	if len(c.lineage.former) == 0 || follows || c.now < c.lineage.announceAt {
+	follows := c.role != Leader && c.hasRecentLeader()
+	if len(c.lineage.former) == 0 || follows || c.now < c.lineage.nextAnnounceAt {
 		return
 	}
-	c.lineage.announceAt = c.now + c.cfg.Election/announcements
+	c.lineage.nextAnnounceAt = c.now + c.cfg.Election/announcementsPerElectionTimeout
 	for _, peer := range c.cfg.Peers {
-		if c.role == Leader && c.memberAt(peer.Address) {
+		if c.role == Leader && c.hasMemberAddress(peer.Address) {
 			continue
 		}
-		c.askGroup(peer.Address)
+		c.sendHello(peer.Address)
 	}
 }
 
-func (c *Core) memberAt(address string) bool {
+func (c *Core) hasMemberAddress(address string) bool {
 	return slices.ContainsFunc(c.Members(), func(m *lilacv1.RaftMember) bool { return m.GetAddress() == address })
 }
 
 // otherGroup handles what a message tells of groups beside the own one; true if
 // nothing else is to be done with it.
-func (c *Core) otherGroup(m *message) bool {
+func (c *Core) handleOtherGroup(m *message) bool {
 	if m.GetGroup() == "" || c.group == "" || m.GetGroup() == c.group {
 		return false
 	}
 	if slices.Contains(m.GetFormer(), c.group) {
-		c.replaced(m.GetGroup())
+		c.markReplaced(m.GetGroup())
 		return true
 	}
 	if slices.Contains(c.lineage.former, m.GetGroup()) {
 		c.IgnoredMessages++
 		if m.GetKind() != kindHelloReply {
-			c.askGroup(m.GetFromAddress())
+			c.sendHello(m.GetFromAddress())
 		}
 		return true
 	}
-	c.noteRival(m)
+	c.recordRival(m)
 	return false
 }
 
 // replaced ends this process's part in its group; the shell syncs that first.
-func (c *Core) replaced(by string) {
+func (c *Core) markReplaced(by string) {
 	c.lineage.replacedBy, c.hardDirty = by, true
-	c.follow(c.term, "", "")
+	c.becomeFollower(c.term, "", "")
 	c.emit(Replaced{By: by})
 }
 
@@ -90,20 +90,20 @@
 // both would grant claims and give numbers to revisions without knowing of each
 // other. It holds, as far as messages pass, because both announce themselves to
 // all processes of their settings, and neither takes a change while it hears the other.
-func (c *Core) noteRival(m *message) {
+func (c *Core) recordRival(m *message) {
 	shared := slices.ContainsFunc(m.GetFormer(), func(group string) bool { return slices.Contains(c.lineage.former, group) })
 	if !shared {
 		return
 	}
-	if c.rival() != m.GetGroup() {
+	if c.rivalGroup() != m.GetGroup() {
 		c.emit(RivalGroupDetected{Group: m.GetGroup(), Address: m.GetFromAddress()})
 	}
-	c.lineage.rival, c.lineage.rivalHeard = m.GetGroup(), c.now
+	c.lineage.rival, c.lineage.rivalHeardAt = m.GetGroup(), c.now
 }
 
 // rival returns the rival group that was heard lately, if any.
-func (c *Core) rival() string {
-	if c.lineage.rival == "" || c.now-c.lineage.rivalHeard > rivalElections*c.cfg.Election {
+func (c *Core) rivalGroup() string {
+	if c.lineage.rival == "" || c.now-c.lineage.rivalHeardAt > rivalExpiryElectionTimeouts*c.cfg.Election {
 		return ""
 	}
 	return c.lineage.rival
--- a/process/replica/lineage_test.go
+++ b/process/replica/lineage_test.go
@@ -11,22 +11,22 @@
 )
 
 // recoveredScript is the only voter of group h, which was recovered from g.
-func recoveredScript(t *testing.T) *script {
+func newRecoveredCore(t *testing.T) *testCore {
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: "a2", Group: "h", Term: 2, Former: []string{"g"}},
 		Snapshot: &lilacv1.RaftSnapshotMeta{Index: 9, Term: 2, Members: testMembers("a2")},
 	}
 	config := Config{Name: "name-a", Address: "a", Peers: []Peer{{Name: "name-b", Address: "b"}}, Heartbeat: testHeartbeat, Election: testElection, Seed: 1}
-	s := &script{is: is.New(t), core: NewCore(config, restored, 0)}
-	s.wait(3 * testElection)
+	s := &testCore{is: is.New(t), core: NewCore(config, restored, 0)}
+	s.advance(3 * testElection)
 	s.is.Equal(s.core.role, Leader)
 	s.out = nil
 	return s
 }
 
-func sent(s *script, kind kind) []*message {
+func takeMessages(s *testCore, kind kind) []*message {
 	var found []*message
-	for _, send := range take[Send](s) {
+	for _, send := range takeActions[Send](s) {
 		if send.Message.GetKind() == kind {
 			found = append(found, send.Message)
 		}
@@ -38,14 +38,14 @@
 // which are a quorum of the old group. Operators would see two leaders, and a
 // key could be claimed on both sides. The recovered process must reach them
 // before their first candidacy, and they must give up for good.
-func TestReturningVoterGivesUpItsOldDisk(t *testing.T) {
-	recovered := recoveredScript(t)
-	recovered.wait(testElection)
-	hellos := sent(recovered, kindHello)
+func TestReturningVoterStopsUsingOldDisk(t *testing.T) {
+	recovered := newRecoveredCore(t)
+	recovered.advance(testElection)
+	hellos := takeMessages(recovered, kindHello)
 	recovered.is.True(len(hellos) >= 2) // Each wait before a candidacy lasts an election timeout or more.
 
-	old := newScript(t)
-	old.wait(testElection - testHeartbeat)
+	old := newTestCore(t)
+	old.advance(testElection - testHeartbeat)
 	old.is.Equal(old.core.role, Follower)
 	old.step(Received{Message: hellos[0]})
 	persisted := false
@@ -60,46 +60,46 @@
 	}
 	old.is.True(persisted && replaced)
 	old.out = nil
-	old.wait(5 * testElection)
-	old.get(&message{Kind: kindVote, From: "b", Term: 7, Index: 100, LogTerm: 6})
+	old.advance(5 * testElection)
+	old.receive(&message{Kind: kindVote, From: "b", Term: 7, Index: 100, LogTerm: 6})
 	old.is.Equal(len(old.out), 0)
 }
 
 // The returning voter is not among the settings of the recovered process. What
 // it sends to its old group must tell it all the same.
 func TestMessageOfAFormerGroupIsAnswered(t *testing.T) {
-	s := recoveredScript(t)
+	s := newRecoveredCore(t)
 	s.step(Received{Message: &message{Kind: kindPreVote, From: "z", FromAddress: "z", To: "a", Group: "g", Term: 9}})
-	answers := sent(s, kindHello)
+	answers := takeMessages(s, kindHello)
 	s.is.Equal(len(answers), 1)
 	s.is.Equal(answers[0].GetFormer(), []string{"g"})
 	s.is.Equal(s.core.role, Leader)
 	// A stranger's group is nothing to it.
 	s.step(Received{Message: &message{Kind: kindPreVote, From: "z", FromAddress: "z", To: "a2", Group: "x", Term: 9}})
-	s.is.Equal(len(sent(s, kindHello)), 0)
+	s.is.Equal(len(takeMessages(s, kindHello)), 0)
 }
 
 // Two survivors of five voters are recovered separately. Each would give the
 // same revision numbers to other changes. While they hear each other, neither
 // may take a change; when one of them is gone, the other goes on.
 func TestRivalGroupsRefuseChanges(t *testing.T) {
-	s := recoveredScript(t)
+	s := newRecoveredCore(t)
 	hello := func(group string, former ...string) {
 		s.step(Received{Message: &message{Kind: kindHello, From: "r", FromAddress: "r", Group: group, Former: former, Member: &lilacv1.RaftMember{Name: "name-b"}}})
 	}
 	propose := func() []Refused {
 		s.out = nil
 		s.step(Propose{RequestID: 1, Command: []byte("x")})
-		return take[Refused](s)
+		return takeActions[Refused](s)
 	}
 	hello("k", "f")
 	s.is.Equal(len(propose()), 0)
 	hello("i", "g")
-	s.is.Equal(take[RivalGroupDetected](s), []RivalGroupDetected{{Group: "i", Address: "r"}})
+	s.is.Equal(takeActions[RivalGroupDetected](s), []RivalGroupDetected{{Group: "i", Address: "r"}})
 	s.is.Equal(propose()[0].Reason, RivalGroup)
 	hello("i", "g")
-	s.is.Equal(len(take[RivalGroupDetected](s)), 0)
-	s.wait((rivalElections + 1) * testElection)
+	s.is.Equal(len(takeActions[RivalGroupDetected](s)), 0)
+	s.advance((rivalExpiryElectionTimeouts + 1) * testElection)
 	s.is.Equal(len(propose()), 0)
 }
 
@@ -128,6 +128,6 @@
 	is.NoErr(err)
 	is.NoErr(store.Save(wal.Batch{Hard: &lilacv1.RaftHardState{Id: "b", Group: "g", Term: 1, ReplacedBy: "h"}}))
 	is.NoErr(store.Close())
-	_, err = NewRunner(Options{Name: "b", Heartbeat: testHeartbeat, Election: testElection, Folder: folder, Machine: &counter{}, Transport: nowhere{}})
+	_, err = NewRunner(Options{Name: "b", Heartbeat: testHeartbeat, Election: testElection, Folder: folder, Machine: &commandCounter{}, Transport: discardTransport{}})
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
 }
--- a/process/replica/log.go
+++ b/process/replica/log.go
@@ -10,7 +10,7 @@
 	base, baseTerm uint64
 	entries        []*lilacv1.RaftEntry
 	// saved is the last index handed to the shell to be synced.
-	saved uint64
+	submitted uint64
 	// synced is the last index known to be synced.
 	synced uint64
 }
@@ -52,11 +52,11 @@
 func (l *memoryLog) append(entries ...*lilacv1.RaftEntry) { l.entries = append(l.entries, entries...) }
 
 // cut gives up all entries from index on.
-func (l *memoryLog) cut(index uint64) {
+func (l *memoryLog) truncate(index uint64) {
 	// The full slice expression keeps slices handed out before unchanged.
 	n := index - l.base - 1
 	l.entries = l.entries[:n:n]
-	l.saved = min(l.saved, index-1)
+	l.submitted = min(l.submitted, index-1)
 	l.synced = min(l.synced, index-1)
 }
 
@@ -72,11 +72,11 @@
 
 // reset replaces the whole log by a snapshot.
 func (l *memoryLog) reset(index, term uint64) {
-	*l = memoryLog{base: index, baseTerm: term, saved: index, synced: index}
+	*l = memoryLog{base: index, baseTerm: term, submitted: index, synced: index}
 }
 
 // behind tells whether a log that ends at index and term lacks something of l.
-func (l *memoryLog) behind(index, term uint64) bool {
+func (l *memoryLog) isNewerThan(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term < l.lastTerm()
 	}
--- a/process/replica/members.go
+++ b/process/replica/members.go
@@ -9,30 +9,30 @@
 )
 
 // memberLog remembers which members each part of the log was written under.
-type memberLog struct{ history []membersAt }
+type memberHistory struct{ versions []memberVersion }
 
-type membersAt struct {
+type memberVersion struct {
 	index   uint64
 	members *lilacv1.RaftMembers
 }
 
-func (l *memberLog) latest() *lilacv1.RaftMembers {
-	if len(l.history) == 0 {
+func (l *memberHistory) latest() *lilacv1.RaftMembers {
+	if len(l.versions) == 0 {
 		return nil
 	}
-	return l.history[len(l.history)-1].members
+	return l.versions[len(l.versions)-1].members
 }
 
-func (l *memberLog) latestIndex() uint64 {
-	if len(l.history) == 0 {
+func (l *memberHistory) latestIndex() uint64 {
+	if len(l.versions) == 0 {
 		return 0
 	}
-	return l.history[len(l.history)-1].index
+	return l.versions[len(l.versions)-1].index
 }
 
-func (l *memberLog) at(index uint64) *lilacv1.RaftMembers {
+func (l *memberHistory) at(index uint64) *lilacv1.RaftMembers {
 	var members *lilacv1.RaftMembers
-	for _, h := range l.history {
+	for _, h := range l.versions {
 		if h.index <= index {
 			members = h.members
 		}
@@ -40,32 +40,32 @@
 	return members
 }
 
-func (l *memberLog) note(entry *lilacv1.RaftEntry) {
+func (l *memberHistory) add(entry *lilacv1.RaftEntry) {
 	if entry.GetKind() != lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_MEMBERS {
 		return
 	}
 	members := &lilacv1.RaftMembers{}
 	if err := proto.Unmarshal(entry.GetData(), members); err == nil {
-		l.history = append(l.history, membersAt{index: entry.GetIndex(), members: members})
+		l.versions = append(l.versions, memberVersion{index: entry.GetIndex(), members: members})
 	}
 }
 
-func (l *memberLog) cut(index uint64) {
-	l.history = slices.DeleteFunc(l.history, func(h membersAt) bool { return h.index >= index })
+func (l *memberHistory) truncate(index uint64) {
+	l.versions = slices.DeleteFunc(l.versions, func(h memberVersion) bool { return h.index >= index })
 }
 
-func (l *memberLog) reset(index uint64, members *lilacv1.RaftMembers) {
-	l.history = []membersAt{{index: index, members: members}}
+func (l *memberHistory) reset(index uint64, members *lilacv1.RaftMembers) {
+	l.versions = []memberVersion{{index: index, members: members}}
 }
 
 // compact drops what is older than the members at index.
-func (l *memberLog) compact(index uint64) {
-	for len(l.history) > 1 && l.history[1].index <= index {
-		l.history = l.history[1:]
+func (l *memberHistory) compact(index uint64) {
+	for len(l.versions) > 1 && l.versions[1].index <= index {
+		l.versions = l.versions[1:]
 	}
 }
 
-func find(members *lilacv1.RaftMembers, id string) *lilacv1.RaftMember {
+func findMember(members *lilacv1.RaftMembers, id string) *lilacv1.RaftMember {
 	for _, member := range members.GetMembers() {
 		if member.GetId() == id {
 			return member
@@ -82,8 +82,8 @@
 // It guards against two changes at once, of which two quorums might not share a
 // voter: both could elect a leader. It holds because a change moves one voter,
 // and begins only after the last one and an entry of the own term are committed.
-func (c *Core) mayChange() bool {
-	return c.role == Leader && !c.diskFull && c.rival() == "" && c.lead.handTo == "" && c.commit >= c.lead.firstIndex && c.members.latestIndex() <= c.commit
+func (c *Core) canChangeMembers() bool {
+	return c.role == Leader && !c.diskFull && c.rivalGroup() == "" && c.leaderState.transferee == "" && c.commit >= c.leaderState.firstIndex && c.members.latestIndex() <= c.commit
 }
 
 func voters(members *lilacv1.RaftMembers) []string {
@@ -98,7 +98,7 @@
 }
 
 // putMembers appends the change; the caller has asked mayChange.
-func (c *Core) putMembers(members *lilacv1.RaftMembers) (uint64, bool) {
+func (c *Core) appendMembers(members *lilacv1.RaftMembers) (uint64, bool) {
 	before, after := voters(c.members.latest()), voters(members)
 	moved := 0
 	for _, id := range before {
@@ -110,8 +110,8 @@
 	if !c.check(moved <= 1 && len(after) > 0, "one_voter_changes_at_a_time", "a change moves more than one voter") {
 		return 0, false
 	}
-	index := c.appendOwn(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_MEMBERS, mustMarshal(members))
-	c.syncProgress()
+	index := c.appendEntry(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_MEMBERS, mustMarshal(members))
+	c.updateProgress()
 	c.emit(MembersChanged{Members: members.GetMembers()})
 	return index, true
 }
@@ -124,29 +124,29 @@
 	return b
 }
 
-func (c *Core) copyMembers() *lilacv1.RaftMembers {
+func (c *Core) cloneMembers() *lilacv1.RaftMembers {
 	return proto.Clone(c.members.latest()).(*lilacv1.RaftMembers)
 }
 
-func without(members *lilacv1.RaftMembers, id string) *lilacv1.RaftMembers {
+func withoutMember(members *lilacv1.RaftMembers, id string) *lilacv1.RaftMembers {
 	members.Members = slices.DeleteFunc(members.Members, func(m *lilacv1.RaftMember) bool { return m.GetId() == id })
 	return members
 }
 
 // joinAsked takes a process in as a learner. One that bears the name of a
 // voter, with another identity, has lost its disk: it will replace that voter.
-func (c *Core) joinAsked(m *message) {
-	asks := m.GetMember()
-	if !c.mayChange() || find(c.members.latest(), asks.GetId()) != nil {
+func (c *Core) handleJoin(m *message) {
+	joiner := m.GetMember()
+	if !c.canChangeMembers() || findMember(c.members.latest(), joiner.GetId()) != nil {
 		return
 	}
-	members := c.copyMembers()
-	learner := &lilacv1.RaftMember{Id: asks.GetId(), Name: asks.GetName(), Address: asks.GetAddress(), DataCenter: asks.GetDataCenter()}
+	members := c.cloneMembers()
+	learner := &lilacv1.RaftMember{Id: joiner.GetId(), Name: joiner.GetName(), Address: joiner.GetAddress(), DataCenter: joiner.GetDataCenter()}
 	for _, member := range members.GetMembers() {
-		if member.GetName() != asks.GetName() {
+		if member.GetName() != joiner.GetName() {
 			continue
 		}
-		if member.GetId() == c.cfg.ID || c.recent(member.GetId()) {
+		if member.GetId() == c.cfg.ID || c.recentlyHeard(member.GetId()) {
 			return // Two processes run under one name; the first one stays.
 		}
 		learner.Replaces = member.GetId()
@@ -158,13 +158,13 @@
 		return !m.GetVoter() && m.GetName() == learner.GetName()
 	})
 	members.Members = append(members.Members, learner)
-	c.putMembers(members)
+	c.appendMembers(members)
 }
 
 // recent tells whether the member answered lately.
-func (c *Core) recent(id string) bool {
-	p := c.lead.progress[id]
-	return p != nil && c.now-p.heard <= 2*c.cfg.Election
+func (c *Core) recentlyHeard(id string) bool {
+	p := c.leaderState.progress[id]
+	return p != nil && c.now-p.lastHeard <= 2*c.cfg.Election
 }
 
 // repair moves the replacement of a lost voter on by one step: the lost
@@ -177,19 +177,19 @@
 // promotion is committed and synced by the new voter itself.
 func (c *Core) repair() {
 	c.reportRepair()
-	if !c.mayChange() {
+	if !c.canChangeMembers() {
 		return
 	}
-	if c.cfg.AutoMembers && c.regroup() {
+	if c.cfg.AutoMembers && c.adjustVoters() {
 		return
 	}
 	for _, member := range c.members.latest().GetMembers() {
 		if member.GetVoter() || member.GetReplaces() == "" || !c.caughtUp(member.GetId()) {
 			continue
 		}
-		if find(c.members.latest(), member.GetReplaces()) != nil {
-			if !c.recent(member.GetReplaces()) {
-				c.putMembers(without(c.copyMembers(), member.GetReplaces()))
+		if findMember(c.members.latest(), member.GetReplaces()) != nil {
+			if !c.recentlyHeard(member.GetReplaces()) {
+				c.appendMembers(withoutMember(c.cloneMembers(), member.GetReplaces()))
 			}
 			return
 		}
@@ -199,28 +199,28 @@
 }
 
 func (c *Core) promote(id string) (uint64, bool) {
-	members := c.copyMembers()
-	member := find(members, id)
+	members := c.cloneMembers()
+	member := findMember(members, id)
 	member.Voter, member.Replaces = true, ""
-	index, ok := c.putMembers(members)
+	index, ok := c.appendMembers(members)
 	if ok {
-		c.lead.repairID, c.lead.repairIndex = id, index
+		c.leaderState.repairID, c.leaderState.repairIndex = id, index
 	}
 	return index, ok
 }
 
 func (c *Core) reportRepair() {
-	p := c.lead.progress[c.lead.repairID]
-	if p != nil && c.commit >= c.lead.repairIndex && p.match >= c.lead.repairIndex {
-		c.lead.repairID = ""
+	p := c.leaderState.progress[c.leaderState.repairID]
+	if p != nil && c.commit >= c.leaderState.repairIndex && p.match >= c.leaderState.repairIndex {
+		c.leaderState.repairID = ""
 		c.emit(Repaired{Member: p.member})
 	}
 }
 
 // caughtUp tells whether the member has synced nearly all of the log just now.
 func (c *Core) caughtUp(id string) bool {
-	p := c.lead.progress[id]
-	return p != nil && p.transfer == nil && c.now-p.heard <= c.cfg.Election && p.match+promoteLag >= c.log.last() && p.match >= c.lead.firstIndex
+	p := c.leaderState.progress[id]
+	return p != nil && p.snapshotTransfer == nil && c.now-p.lastHeard <= c.cfg.Election && p.match+promoteLag >= c.log.last() && p.match >= c.leaderState.firstIndex
 }
 
 // changeMembers makes one step that an operator orders.
@@ -229,11 +229,11 @@
 		c.refuse(e.RequestID)
 		return
 	}
-	if !c.mayChange() {
+	if !c.canChangeMembers() {
 		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "another change of members is under way; try again shortly"})
 		return
 	}
-	index, detail := c.orderedChange(e)
+	index, detail := c.applyMemberChange(e)
 	if detail != "" {
 		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: detail})
 		return
@@ -241,17 +241,17 @@
 	c.emit(Accepted{RequestID: e.RequestID, Index: index, Term: c.term})
 }
 
-func (c *Core) orderedChange(e ChangeMembers) (uint64, string) {
-	member := find(c.members.latest(), e.Member.GetId())
+func (c *Core) applyMemberChange(e ChangeMembers) (uint64, string) {
+	member := findMember(c.members.latest(), e.Member.GetId())
 	switch {
 	case e.Kind == AddLearner && member != nil:
 		return 0, "it is a member already"
 	case e.Kind == AddLearner:
-		members := c.copyMembers()
+		members := c.cloneMembers()
 		learner := proto.Clone(e.Member).(*lilacv1.RaftMember)
 		learner.Voter = false
 		members.Members = append(members.Members, learner)
-		index, _ := c.putMembers(members)
+		index, _ := c.appendMembers(members)
 		return index, ""
 	case member == nil:
 		return 0, "no such member; list the members by the process's status"
@@ -265,7 +265,7 @@
 	case member.GetId() == c.cfg.ID:
 		return 0, "the leader can't take itself out; restart it to hand over, then try again"
 	default:
-		index, ok := c.putMembers(without(c.copyMembers(), member.GetId()))
+		index, ok := c.appendMembers(withoutMember(c.cloneMembers(), member.GetId()))
 		if !ok {
 			return 0, "the last voter can't be taken out"
 		}
@@ -276,6 +276,6 @@
 // membersCommitted ends the office of a leader that was taken out.
 func (c *Core) membersCommitted(entry *lilacv1.RaftEntry) {
 	if c.role == Leader && entry.GetIndex() == c.members.latestIndex() && !c.isVoter(c.cfg.ID) {
-		c.follow(c.term, "", "")
+		c.becomeFollower(c.term, "", "")
 	}
 }
--- a/process/replica/message.go
+++ b/process/replica/message.go
@@ -47,69 +47,69 @@
 // elected that lacks committed entries. It holds because an identity is random,
 // lives on that disk alone, and messages for another one are dropped.
 func (c *Core) receive(m *message) {
-	if c.otherGroup(m) {
+	if c.handleOtherGroup(m) {
 		return
 	}
 	switch m.GetKind() {
 	case kindHello:
-		c.hello(m)
+		c.handleHello(m)
 		return
 	case kindHelloReply:
-		c.helloReply(m)
+		c.handleHelloReply(m)
 		return
 	}
 	// Who asks to join may have no group yet; the identity alone must be right.
 	joins := m.GetKind() == kindJoin
-	if m.GetTo() != c.cfg.ID || (!joins && !c.sameGroup(m)) {
+	if m.GetTo() != c.cfg.ID || (!joins && !c.bindGroup(m)) {
 		c.IgnoredMessages++
 		return
 	}
 	if joins {
-		c.joinAsked(m)
+		c.handleJoin(m)
 		return
 	}
-	if m.GetTerm() > c.term && !c.higherTerm(m) {
+	if m.GetTerm() > c.term && !c.adoptHigherTerm(m) {
 		return
 	}
 	switch m.GetKind() {
 	case kindPreVote:
-		c.preVoteAsked(m)
+		c.handlePreVote(m)
 	case kindPreVoteReply:
-		c.preVoteReply(m)
+		c.handlePreVoteReply(m)
 	case kindVote:
-		c.voteAsked(m)
+		c.handleVote(m)
 	case kindVoteReply:
-		c.voteReply(m)
+		c.handleVoteReply(m)
 	case kindAppend:
-		c.appendAsked(m)
+		c.handleAppend(m)
 	case kindAppendReply:
-		c.appendReply(m)
+		c.handleAppendReply(m)
 	case kindSnapshot:
-		c.snapshotAsked(m)
+		c.handleSnapshot(m)
 	case kindSnapshotReply:
-		c.snapshotReply(m)
+		c.handleSnapshotReply(m)
 	case kindTimeoutNow:
-		c.timeoutNow(m)
+		c.handleTimeoutNow(m)
 	}
 }
 
 // sameGroup binds a process without a group to the first one that addresses
 // its identity; the binding is synced before any answer and never changes.
-func (c *Core) sameGroup(m *message) bool {
+func (c *Core) bindGroup(m *message) bool {
 	if c.group == "" && m.GetGroup() != "" {
 		switch m.GetKind() {
 		case kindPreVote, kindVote, kindAppend, kindSnapshot:
 			c.group, c.lineage.former, c.hardDirty = m.GetGroup(), m.GetFormer(), true
-			c.boundAt, c.join = c.now, joining{}
+			c.groupBoundAt, c.join = c.now, joinState{}
 			c.setRole(Follower, "", "")
-			c.resetElection()
+			c.resetElectionTimer()
 		}
 	}
 	return m.GetGroup() != "" && m.GetGroup() == c.group
 }
 
 // higherTerm follows a higher term; false if the message is to be ignored.
-func (c *Core) higherTerm(m *message) bool {
+func (c *Core) adoptHigherTerm(m *message) bool {
 	switch m.GetKind() {
 	case kindPreVote:
 		return true // It asks about a term that nobody has taken yet.
@@ -120,25 +120,25 @@
 	case kindVote:
 		// A candidate that can't hear the leader, or was taken out, must not
 		// unseat a leader that the others hear.
-		if c.hearsLeader() && !m.GetTransfer() {
+		if c.hasRecentLeader() && !m.GetTransfer() {
 			c.IgnoredMessages++
 			return false
 		}
 	}
-	c.follow(m.GetTerm(), "", "")
+	c.becomeFollower(m.GetTerm(), "", "")
 	return true
 }
 
 // hearsLeader tells whether a leader was heard within the shortest election timeout.
-func (c *Core) hearsLeader() bool {
+func (c *Core) hasRecentLeader() bool {
 	if c.role == Leader {
 		return true
 	}
-	return c.leader != "" && c.now-c.heardLeader < c.cfg.Election
+	return c.leader != "" && c.now-c.leaderHeardAt < c.cfg.Election
 }
 
 // follow takes the term and becomes a follower in it.
-func (c *Core) follow(term uint64, leader, address string) {
+func (c *Core) becomeFollower(term uint64, leader, address string) {
 	wasLeader := c.role == Leader
 	if term > c.term {
 		c.setTerm(term, "")
@@ -149,6 +149,6 @@
 	c.votes = nil
 	c.setRole(Follower, leader, address)
 	if wasLeader || leader == "" {
-		c.resetElection()
+		c.resetElectionTimer()
 	}
 }
--- a/process/replica/node.go
+++ b/process/replica/node.go
@@ -13,7 +13,7 @@
 
 const (
 	// eventQueue bounds the events that wait; callers wait beyond it.
-	eventQueue = 4096
+	eventQueueSize = 4096
 	// defaultMaxBatch bounds the events that share one sync.
 	defaultMaxBatch = 1024
 	// ticksPerHeartbeat is how often the core is told the time.
@@ -52,8 +52,8 @@
 		return nil, err
 	}
 	n := &Node{runner: runner, heartbeat: o.Heartbeat, election: o.Election,
-		events: make(chan Request, eventQueue), stop: make(chan struct{}), done: make(chan struct{})}
-	n.publish()
+		events: make(chan Request, eventQueueSize), stop: make(chan struct{}), done: make(chan struct{})}
+	n.publishStatus()
 	go n.run()
 	return n, nil
 }
@@ -68,26 +68,26 @@
 		batch := make([]Request, 0, 1)
 		select {
 		case <-n.stop:
-			n.end(nil)
+			n.shutdown(nil)
 			return
 		case <-ticker.C:
 			batch = append(batch, Request{Event: Tick{}})
-		case ask := <-n.events:
-			batch = append(batch, ask)
+		case request := <-n.events:
+			batch = append(batch, request)
 		}
-		if err := n.runner.ProcessBatch(n.drain(batch)); err != nil {
-			n.end(err)
+		if err := n.runner.ProcessBatch(n.fillBatch(batch)); err != nil {
+			n.shutdown(err)
 			return
 		}
-		n.publish()
+		n.publishStatus()
 	}
 }
 
-func (n *Node) drain(batch []Request) []Request {
+func (n *Node) fillBatch(batch []Request) []Request {
 	for len(batch) < n.runner.options.MaxBatch {
 		select {
-		case ask := <-n.events:
-			batch = append(batch, ask)
+		case request := <-n.events:
+			batch = append(batch, request)
 		default:
 			return batch
 		}
@@ -96,7 +96,7 @@
 }
 
 // end stops the node and fails all that waits.
-func (n *Node) end(err error) {
+func (n *Node) shutdown(err error) {
 	n.mu.Lock()
 	n.err = err
 	n.mu.Unlock()
@@ -106,7 +106,7 @@
 	n.runner.Close()
 }
 
-func stopped(options ...fault.Option) error {
+func stoppedError(options ...fault.Option) error {
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "the state process has stopped; ask another one", options...)
 }
 
@@ -115,29 +115,29 @@
 // may still run: NOT_LEADER, NO_QUORUM, DISK_FULL and OVERLOADED did not run,
 // OUTCOME_UNKNOWN may.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	o := n.ask(ctx, Propose{Command: command})
+	o := n.submit(ctx, Propose{Command: command})
 	return o.Result, o.Err
 }
 
 // Barrier returns once all that was committed before the call has been applied
 // here; only the leader can tell.
 func (n *Node) Barrier(ctx context.Context) error {
-	return n.ask(ctx, Read{}).Err
+	return n.submit(ctx, Read{}).Err
 }
 
 // AddLearner takes a process in that does not count for the quorum.
 func (n *Node) AddLearner(ctx context.Context, member *lilacv1.RaftMember) error {
-	return n.ask(ctx, ChangeMembers{Kind: AddLearner, Member: member}).Err
+	return n.submit(ctx, ChangeMembers{Kind: AddLearner, Member: member}).Err
 }
 
 // Promote makes a learner that has caught up a voter.
 func (n *Node) Promote(ctx context.Context, id string) error {
-	return n.ask(ctx, ChangeMembers{Kind: Promote, Member: &lilacv1.RaftMember{Id: id}}).Err
+	return n.submit(ctx, ChangeMembers{Kind: Promote, Member: &lilacv1.RaftMember{Id: id}}).Err
 }
 
 // Remove takes a member out.
 func (n *Node) Remove(ctx context.Context, id string) error {
-	return n.ask(ctx, ChangeMembers{Kind: Remove, Member: &lilacv1.RaftMember{Id: id}}).Err
+	return n.submit(ctx, ChangeMembers{Kind: Remove, Member: &lilacv1.RaftMember{Id: id}}).Err
 }
 
 // SetPeers replaces the processes that are asked for a group.
@@ -160,14 +160,14 @@
 	}
 }
 
-func (n *Node) ask(ctx context.Context, event Event) Outcome {
+func (n *Node) submit(ctx context.Context, event Event) Outcome {
 	reply := make(chan Outcome, 1)
 	select {
 	case n.events <- Request{Event: event, Reply: func(o Outcome) { reply <- o }}:
 	case <-ctx.Done():
 		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "the state process is too busy; come back later", notRun)}
 	case <-n.done:
-		return Outcome{Err: stopped(notRun)}
+		return Outcome{Err: stoppedError(notRun)}
 	}
 	select {
 	case o := <-reply:
@@ -179,7 +179,7 @@
 		case o := <-reply:
 			return o
 		default:
-			return Outcome{Err: stopped()}
+			return Outcome{Err: stoppedError()}
 		}
 	}
 }
@@ -188,14 +188,14 @@
 // It waits for the hand-over for at most an election timeout.
 func (n *Node) Close() error {
 	n.once.Do(func() {
-		n.leaveOffice()
+		n.transferLeadership()
 		close(n.stop)
 	})
 	<-n.done
 	return n.Err()
 }
 
-func (n *Node) leaveOffice() {
+func (n *Node) transferLeadership() {
 	if n.Status().Role != Leader {
 		return
 	}
--- a/process/replica/read.go
+++ b/process/replica/read.go
@@ -1,26 +1,26 @@
 package replica
 
 // read notes a read; flush gives it a heartbeat round.
-func (c *Core) read(e Read) {
+func (c *Core) queueRead(e Read) {
 	if c.role != Leader {
 		c.refuse(e.RequestID)
 		return
 	}
-	c.lead.newReads = append(c.lead.newReads, e.RequestID)
+	c.leaderState.newReads = append(c.leaderState.newReads, e.RequestID)
 }
 
 // startReads gives the reads that came since a round of heartbeats of their
 // own; it waits until an entry of the own term is committed, since before that
 // the leader does not know all that was committed.
 func (c *Core) startReads() bool {
-	if len(c.lead.newReads) == 0 || c.commit < c.lead.firstIndex {
+	if len(c.leaderState.newReads) == 0 || c.commit < c.leaderState.firstIndex {
 		return false
 	}
-	c.lead.round++
-	for _, ticket := range c.lead.newReads {
-		c.lead.reads = append(c.lead.reads, pendingRead{ticket: ticket, index: c.commit, round: c.lead.round})
+	c.leaderState.round++
+	for _, requestID := range c.leaderState.newReads {
+		c.leaderState.pendingReads = append(c.leaderState.pendingReads, pendingRead{requestID: requestID, index: c.commit, round: c.leaderState.round})
 	}
-	c.lead.newReads = nil
+	c.leaderState.newReads = nil
 	return true
 }
 
@@ -31,16 +31,16 @@
 // read came, so that no later leader had committed anything before it; clocks
 // play no part in it.
 func (c *Core) finishReads() {
-	for len(c.lead.reads) > 0 {
-		read := c.lead.reads[0]
+	for len(c.leaderState.pendingReads) > 0 {
+		read := c.leaderState.pendingReads[0]
 		echoed := map[string]bool{c.cfg.ID: true}
-		for id, p := range c.lead.progress {
+		for id, p := range c.leaderState.progress {
 			echoed[id] = p.round >= read.round
 		}
-		if !c.quorum(echoed) {
+		if !c.hasQuorum(echoed) {
 			return
 		}
-		c.emit(ReadReady{RequestID: read.ticket, Index: read.index})
-		c.lead.reads = c.lead.reads[1:]
+		c.emit(ReadReady{RequestID: read.requestID, Index: read.index})
+		c.leaderState.pendingReads = c.leaderState.pendingReads[1:]
 	}
 }
--- a/process/replica/return_test.go
+++ b/process/replica/recovered_group_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	returnStep = 10 * time.Millisecond
+	simStep = 10 * time.Millisecond
 	// maxTransit is the longest way of a message: a few regions away.
-	maxTransit = 60 * time.Millisecond
+	maxMessageDelay = 60 * time.Millisecond
 )
 
 // returning plays a recovered process a and old voters b and c that are started
 // again, over a network that delays messages and loses one in five.
-type returning struct {
+type recoverySim struct {
 	random   *rand.Rand
 	now      time.Duration
 	cores    map[string]*Core
 	replaced map[string]bool
 	// leads is true once an old voter has led.
-	leads    bool
-	inFlight []delivery
+	oldVoterLed bool
+	inFlight    []delivery
 }
 
 type delivery struct {
@@ -34,19 +34,19 @@
 	message *lilacv1.RaftMessage
 }
 
-func (r *returning) step(address string, e Event) {
+func (r *recoverySim) step(address string, e Event) {
 	actions := append([]Action(nil), r.cores[address].Step(r.now, e)...)
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Send:
 			if r.random.IntN(5) > 0 {
-				transit := time.Duration(r.random.Int64N(int64(maxTransit)))
-				r.inFlight = append(r.inFlight, delivery{r.now + transit, a.Address, a.Message})
+				delay := time.Duration(r.random.Int64N(int64(maxMessageDelay)))
+				r.inFlight = append(r.inFlight, delivery{r.now + delay, a.Address, a.Message})
 			}
 		case Replaced:
 			r.replaced[address] = true
 		case RoleChanged:
-			r.leads = r.leads || a.Role == Leader && address != "a"
+			r.oldVoterLed = r.oldVoterLed || a.Role == Leader && address != "a"
 		case Persist:
 			synced := Synced{HardTerm: a.Hard.GetTerm()}
 			if n := len(a.Entries); n > 0 {
@@ -57,10 +57,10 @@
 	}
 }
 
-func (r *returning) deliver() {
-	waiting := r.inFlight
+func (r *recoverySim) deliver() {
+	queued := r.inFlight
 	r.inFlight = nil
-	for _, d := range waiting {
+	for _, d := range queued {
 		if d.at > r.now {
 			r.inFlight = append(r.inFlight, d)
 			continue
@@ -71,8 +71,8 @@
 	}
 }
 
-func (r *returning) run(until time.Duration) {
-	for ; r.now < until; r.now += returnStep {
+func (r *recoverySim) run(until time.Duration) {
+	for ; r.now < until; r.now += simStep {
 		r.deliver()
 		for _, address := range []string{"a", "b", "c"} {
 			if r.cores[address] != nil && !r.replaced[address] {
@@ -82,7 +82,7 @@
 	}
 }
 
-func returnConfig(name string, seed uint64) Config {
+func threeVoterConfig(name string, seed uint64) Config {
 	config := Config{Name: name, Address: name, Heartbeat: testHeartbeat, Election: testElection, Seed: seed}
 	for _, peer := range []string{"a", "b", "c"} {
 		if peer != name {
@@ -104,15 +104,15 @@
 			members = testMembers("a2", "b", "c")
 			members.Members[1].Voter, members.Members[2].Voter = false, false
 		}
-		r := &returning{random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, replaced: map[string]bool{}}
-		r.cores["a"] = NewCore(returnConfig("a", seed), Restored{
+		r := &recoverySim{random: rand.New(rand.NewPCG(seed, 1)), cores: map[string]*Core{}, replaced: map[string]bool{}}
+		r.cores["a"] = NewCore(threeVoterConfig("a", seed), Restored{
 			Hard:     &lilacv1.RaftHardState{Id: "a2", Group: "h", Term: 2, Former: []string{"g"}},
 			Snapshot: &lilacv1.RaftSnapshotMeta{Index: 9, Term: 2, Members: members},
 		}, 0)
 		r.run(3 * testElection)
 		is.Equal(r.cores["a"].role, Leader)
 		for _, name := range []string{"b", "c"} {
-			r.cores[name] = NewCore(returnConfig(name, seed+uint64(name[0])<<32), Restored{
+			r.cores[name] = NewCore(threeVoterConfig(name, seed+uint64(name[0])<<32), Restored{
 				Hard:     &lilacv1.RaftHardState{Id: name, Group: "g", Term: 1},
 				Snapshot: &lilacv1.RaftSnapshotMeta{Index: 8, Term: 1, Members: testMembers("a", "b", "c")},
 			}, r.now)
@@ -120,8 +120,8 @@
 			r.run(r.now + time.Duration(r.random.Int64N(int64(2*testElection))))
 		}
 		r.run(r.now + 10*testElection)
-		if r.leads || !r.replaced["b"] || !r.replaced["c"] {
-			t.Fatalf("seed %d: an old voter led: %t; gave up: %v", seed, r.leads, r.replaced)
+		if r.oldVoterLed || !r.replaced["b"] || !r.replaced["c"] {
+			t.Fatalf("seed %d: an old voter led: %t; gave up: %v", seed, r.oldVoterLed, r.replaced)
 		}
 		is.Equal(r.cores["a"].role, Leader)
 	}
--- a/process/replica/runner.go
+++ b/process/replica/runner.go
@@ -107,30 +107,30 @@
 	store   *wal.Store
 	core    *Core
 
-	tickets   uint64
-	proposals map[uint64]Reply
-	byIndex   map[uint64]placed
-	reads     []waitingRead
-	readers   map[uint64]Reply
-	pending   []saving
-	full      bool
-	applied   uint64
+	lastRequestID    uint64
+	proposalReplies  map[uint64]Reply
+	proposalsByIndex map[uint64]pendingProposal
+	waitingReads     []waitingRead
+	readReplies      map[uint64]Reply
+	pendingWrites    []durableWrite
+	diskFull         bool
+	applied          uint64
 	// taken is the index of the last snapshot that was placed or installed,
 	// grownBytes the data applied since.
-	taken      uint64
-	grownBytes int
+	snapshotIndex      uint64
+	bytesSinceSnapshot int
 	// writing is the snapshot that is being written; nil if none is.
-	writing *writing
+	snapshotWrite *snapshotWrite
 	// snapshotAt is when a snapshot that failed may be tried again.
-	snapshotAt time.Duration
+	snapshotRetryAt time.Duration
 	// electedAt is when this process took office, until it has applied all that was
 	// committed before; 0 otherwise.
 	electedAt time.Duration
-	fatal     error
+	fatalErr  error
 }
 
 // placed is a proposal that stands in the log.
-type placed struct {
+type pendingProposal struct {
 	term  uint64
 	reply Reply
 }
@@ -142,13 +142,13 @@
 
 // NewRunner reads the data folder and restores the state machine.
 func NewRunner(o Options) (*Runner, error) {
-	o.fill()
+	o.setDefaults()
 	store, state, err := wal.Open(o.Folder, wal.Options{SegmentBytes: o.SegmentBytes})
 	if err != nil {
 		return nil, err
 	}
 	r := &Runner{options: o, logger: o.Logger, metrics: newMetrics(o.Registerer, o.Name), store: store,
-		proposals: map[uint64]Reply{}, byIndex: map[uint64]placed{}, readers: map[uint64]Reply{}}
+		proposalReplies: map[uint64]Reply{}, proposalsByIndex: map[uint64]pendingProposal{}, readReplies: map[uint64]Reply{}}
 	if err := r.restore(state); err != nil {
 		store.Close()
 		return nil, err
@@ -156,7 +156,7 @@
 	return r, nil
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
@@ -179,7 +179,7 @@
 
 func (r *Runner) restore(state *wal.State) error {
 	if state.TruncatedBytes > 0 {
-		r.metrics.cutBytes.Add(float64(state.TruncatedBytes))
+		r.metrics.truncatedBytes.Add(float64(state.TruncatedBytes))
 		r.logger.Warn("a crash tore the end of the log; it was cut", "file", state.TruncatedFile, "bytes", state.TruncatedBytes)
 	}
 	if by := state.Hard.GetReplacedBy(); by != "" {
@@ -197,7 +197,7 @@
 	config := Config{Name: o.Name, Address: o.Address, DataCenter: o.DataCenter, ID: identity(), SpareID: identity(), NewGroupID: identity(),
 		Peers: o.Peers, Bootstrap: o.Bootstrap, AutoMembers: o.AutoMembers, Heartbeat: o.Heartbeat, Election: o.Election, AppendBytes: o.AppendBytes, ChunkBytes: o.ChunkBytes, Seed: o.Random()}
 	r.core = NewCore(config, Restored{Hard: state.Hard, Snapshot: meta, Entries: state.Entries}, o.Clock())
-	r.applied, r.taken = r.core.applied, r.core.applied
+	r.applied, r.snapshotIndex = r.core.applied, r.core.applied
 	return nil
 }
 
--- a/process/replica/transfer.go
+++ b/process/replica/snapshot_transfer.go
@@ -7,7 +7,7 @@
 )
 
 // transfer is a snapshot on its way to one member, chunk by chunk.
-type transfer struct {
+type snapshotTransfer struct {
 	meta   *lilacv1.RaftSnapshotMeta
 	offset uint64
 	sentAt time.Duration
@@ -19,12 +19,12 @@
 	// transferSnapshotDelayFactor is how many times as long as usual the next snapshot is put
 	// off while one is on its way; each restart doubles it, up to maxRestarts times:
 	// the log then holds up to 16 times snapshotBytes, 256 MiB.
-	transferPatience = 4
-	maxRestarts      = 2
+	transferDelayFactor = 4
+	maxDelayDoublings   = 2
 )
 
 // incoming is a snapshot that arrives from the leader.
-type incoming struct {
+type incomingSnapshot struct {
 	meta *lilacv1.RaftSnapshotMeta
 	data []byte
 }
@@ -38,52 +38,52 @@
 // because the pause doubles with each restart, until a transfer fits in; the bound
 // keeps a member that is too slow from filling the others' memory with log.
 func (c *Core) SnapshotDelayFactor() int {
-	patience := 1
-	for _, p := range c.lead.progress {
-		if p.transfer != nil && c.now-p.heard <= c.cfg.Election {
-			patience = max(patience, transferPatience<<min(p.transfer.restarts, maxRestarts))
+	factor := 1
+	for _, p := range c.leaderState.progress {
+		if p.snapshotTransfer != nil && c.now-p.lastHeard <= c.cfg.Election {
+			factor = max(factor, transferDelayFactor<<min(p.snapshotTransfer.restarts, maxDelayDoublings))
 		}
 	}
-	return patience
+	return factor
 }
 
 func (c *Core) startTransfer(p *progress) {
-	p.transfer = &transfer{meta: c.snapshot}
+	p.snapshotTransfer = &snapshotTransfer{meta: c.snapshot}
 	p.inFlight = nil
 	c.sendChunk(p)
 }
 
 func (c *Core) sendChunk(p *progress) {
-	t := p.transfer
+	t := p.snapshotTransfer
 	if t.meta.GetIndex() != c.snapshot.GetIndex() {
 		t.meta, t.offset = c.snapshot, 0
 		t.restarts++
 	}
 	t.sentAt = c.now
-	m := &message{Kind: kindSnapshot, To: p.member.GetId(), Term: c.term, Snapshot: t.meta, Offset: t.offset, Round: c.lead.round}
+	m := &message{Kind: kindSnapshot, To: p.member.GetId(), Term: c.term, Snapshot: t.meta, Offset: t.offset, Round: c.leaderState.round}
 	m.From, m.FromAddress, m.Group = c.cfg.ID, c.cfg.Address, c.group
 	c.emit(Send{Address: p.member.GetAddress(), Message: m, SnapshotBytes: int(min(uint64(c.cfg.ChunkBytes), t.meta.GetSize()-t.offset))})
 }
 
 // resendChunk sends the chunk again whose answer is overdue.
 func (c *Core) resendChunk(p *progress) {
-	if p.transfer != nil && c.now-p.transfer.sentAt >= c.cfg.Election {
+	if p.snapshotTransfer != nil && c.now-p.snapshotTransfer.sentAt >= c.cfg.Election {
 		c.sendChunk(p)
 	}
 }
 
-func (c *Core) snapshotReply(m *message) {
-	p := c.answered(m)
-	if p == nil || p.transfer == nil || m.GetIndex() != p.transfer.meta.GetIndex() {
+func (c *Core) handleSnapshotReply(m *message) {
+	p := c.recordReply(m)
+	if p == nil || p.snapshotTransfer == nil || m.GetIndex() != p.snapshotTransfer.meta.GetIndex() {
 		return
 	}
 	if !m.GetReject() {
-		p.transfer = nil
-		c.matched(p, m.GetIndex())
+		p.snapshotTransfer = nil
+		c.advanceMatch(p, m.GetIndex())
 		return
 	}
-	if m.GetOffset() <= p.transfer.meta.GetSize() && m.GetOffset() != p.transfer.offset {
-		p.transfer.offset = m.GetOffset()
+	if m.GetOffset() <= p.snapshotTransfer.meta.GetSize() && m.GetOffset() != p.snapshotTransfer.offset {
+		p.snapshotTransfer.offset = m.GetOffset()
 		c.sendChunk(p)
 	}
 }
@@ -93,39 +93,39 @@
 // It guards against a snapshot that comes late, after entries past it have been
 // synced and counted here: to give those up would lose committed entries. It
 // holds because a log that holds the snapshot's last entry keeps all it has.
-func (c *Core) snapshotAsked(m *message) {
-	if !c.fromLeader(m) {
+func (c *Core) handleSnapshot(m *message) {
+	if !c.acceptLeader(m) {
 		return
 	}
 	meta := m.GetSnapshot()
 	answer := &message{Kind: kindSnapshotReply, Term: c.term, Index: meta.GetIndex(), Round: m.GetRound(), DiskFull: c.diskFull}
 	if term, held := c.log.term(meta.GetIndex()); meta.GetIndex() <= c.commit || (held && term == meta.GetTerm()) {
 		c.commit = max(c.commit, meta.GetIndex())
-		c.incoming = incoming{}
+		c.incomingSnapshot = incomingSnapshot{}
 		c.reply(m, answer)
 		return
 	}
-	if !c.collect(m) {
-		answer.Reject, answer.Offset = true, uint64(len(c.incoming.data))
+	if !c.addChunk(m) {
+		answer.Reject, answer.Offset = true, uint64(len(c.incomingSnapshot.data))
 		c.reply(m, answer)
 		return
 	}
-	data := c.incoming.data
-	c.incoming = incoming{}
+	data := c.incomingSnapshot.data
+	c.incomingSnapshot = incomingSnapshot{}
 	c.install(meta, data)
 	c.reply(m, answer)
 }
 
 // collect adds the chunk; true once the snapshot is whole.
-func (c *Core) collect(m *message) bool {
-	meta, held := m.GetSnapshot(), c.incoming.meta
+func (c *Core) addChunk(m *message) bool {
+	meta, held := m.GetSnapshot(), c.incomingSnapshot.meta
 	if held.GetIndex() != meta.GetIndex() || held.GetTerm() != meta.GetTerm() {
-		c.incoming = incoming{meta: meta}
+		c.incomingSnapshot = incomingSnapshot{meta: meta}
 	}
-	if m.GetOffset() == uint64(len(c.incoming.data)) && !c.diskFull {
-		c.incoming.data = append(c.incoming.data, m.GetChunk()...)
+	if m.GetOffset() == uint64(len(c.incomingSnapshot.data)) && !c.diskFull {
+		c.incomingSnapshot.data = append(c.incomingSnapshot.data, m.GetChunk()...)
 	}
-	return uint64(len(c.incoming.data)) == meta.GetSize() && !c.diskFull
+	return uint64(len(c.incomingSnapshot.data)) == meta.GetSize() && !c.diskFull
 }
 
 func (c *Core) install(meta *lilacv1.RaftSnapshotMeta, data []byte) {
--- a/process/replica/status.go
+++ b/process/replica/status.go
@@ -63,43 +63,43 @@
 func (r *Runner) Status() Status {
 	c := r.core
 	members := c.Members()
-	leader := find(c.members.latest(), c.leader)
+	leader := findMember(c.members.latest(), c.leader)
 	return Status{ID: c.cfg.ID, Group: c.group, Role: c.role, Term: c.term, Leader: c.leader, LeaderName: leader.GetName(), LeaderAddress: c.leaderAddress,
 		CommitIndex: c.commit, AppliedIndex: r.applied, LastIndex: c.log.last(), SnapshotIndex: c.snapshot.GetIndex(),
-		Members: members, DiskFull: r.full, Recoveries: len(c.lineage.former), RivalGroup: c.rival(), InvariantsChecked: c.InvariantsChecked, InvariantsViolated: c.InvariantsViolated,
-		Staleness: c.now - c.contactAt(), freshAt: c.contactAt()}
+		Members: members, DiskFull: r.diskFull, Recoveries: len(c.lineage.former), RivalGroup: c.rivalGroup(), InvariantsChecked: c.InvariantsChecked, InvariantsViolated: c.InvariantsViolated,
+		Staleness: c.now - c.freshAt(), freshAt: c.freshAt()}
 }
 
-func (n *Node) publish() {
+func (n *Node) publishStatus() {
 	s := n.runner.Status()
 	n.mu.Lock()
 	n.status = s
 	n.mu.Unlock()
-	n.runner.count(s)
+	n.runner.updateMetrics(s)
 }
 
-func (r *Runner) count(s Status) {
+func (r *Runner) updateMetrics(s Status) {
 	r.metrics.term.Set(float64(s.Term))
 	r.metrics.commit.Set(float64(s.CommitIndex))
 	r.metrics.applied.Set(float64(s.AppliedIndex))
-	r.metrics.leads.Set(boolean(s.Role == Leader))
+	r.metrics.leader.Set(boolToFloat(s.Role == Leader))
 	r.metrics.checked.Set(float64(s.InvariantsChecked))
 	r.metrics.ignored.Set(float64(r.core.IgnoredMessages))
 	r.metrics.recoveries.Set(float64(s.Recoveries))
-	r.metrics.rival.Set(boolean(s.RivalGroup != ""))
+	r.metrics.rival.Set(boolToFloat(s.RivalGroup != ""))
 	r.metrics.syncs.Set(float64(r.store.Syncs))
 }
 
 type metrics struct {
-	term, commit, applied, leads, checked, ignored, syncs, diskFull prometheus.Gauge
-	sent, dropped, cutBytes, installs, snapshots, repairs           prometheus.Counter
-	elections                                                       prometheus.Counter
-	recoveries, rival                                               prometheus.Gauge
-	syncSeconds                                                     prometheus.Histogram
-	broken, refused                                                 *prometheus.CounterVec
+	term, commit, applied, leader, checked, ignored, syncs, diskFull prometheus.Gauge
+	sent, dropped, truncatedBytes, installs, snapshots, repairs      prometheus.Counter
+	candidacies                                                      prometheus.Counter
+	recoveries, rival                                                prometheus.Gauge
+	syncSeconds                                                      prometheus.Histogram
+	broken, refused                                                  *prometheus.CounterVec
 }
 
-func boolean(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -125,25 +125,25 @@
 		return v
 	}
 	m := &metrics{
-		term:       gauge("term", "Term that the process is in."),
-		commit:     gauge("commit_index", "Last log entry known to be committed."),
-		applied:    gauge("applied_index", "Last log entry applied to the state machine."),
-		leads:      gauge("leader", "1 if the process leads the group."),
-		checked:    gauge("invariants_checked", "Invariants checked since the start."),
-		ignored:    gauge("messages_ignored", "Messages for another identity or group, or from a candidate nobody needs."),
-		syncs:      gauge("log_syncs", "Syncs of the log since the start."),
-		diskFull:   gauge("disk_full", "1 while the disk takes no more."),
-		recoveries: gauge("recoveries", "Recoveries of the group from a lost majority."),
-		rival:      gauge("rival_group", "1 while another group recovered from the same one is heard; changes are refused."),
-		sent:       counter("messages_sent_total", "Messages handed to the transport."),
-		dropped:    counter("messages_dropped_total", "Messages dropped because the process was too busy."),
-		cutBytes:   counter("log_cut_bytes_total", "Bytes of torn records cut at the start."),
-		installs:   counter("snapshots_installed_total", "Snapshots taken from the leader."),
-		snapshots:  counter("snapshots_written_total", "Snapshots written of the own state."),
-		repairs:    counter("repairs_total", "Lost voters replaced."),
-		elections:  counter("candidacies_total", "Candidacies of this process."),
-		broken:     vector("invariants_broken_total", "invariant", "Invariants that did not hold; the step was refused."),
-		refused:    vector("refused_total", "kind", "Proposals and reads refused, by kind."),
+		term:           gauge("term", "Term that the process is in."),
+		commit:         gauge("commit_index", "Last log entry known to be committed."),
+		applied:        gauge("applied_index", "Last log entry applied to the state machine."),
+		leader:         gauge("leader", "1 if the process leads the group."),
+		checked:        gauge("invariants_checked", "Invariants checked since the start."),
+		ignored:        gauge("messages_ignored", "Messages for another identity or group, or from a candidate nobody needs."),
+		syncs:          gauge("log_syncs", "Syncs of the log since the start."),
+		diskFull:       gauge("disk_full", "1 while the disk takes no more."),
+		recoveries:     gauge("recoveries", "Recoveries of the group from a lost majority."),
+		rival:          gauge("rival_group", "1 while another group recovered from the same one is heard; changes are refused."),
+		sent:           counter("messages_sent_total", "Messages handed to the transport."),
+		dropped:        counter("messages_dropped_total", "Messages dropped because the process was too busy."),
+		truncatedBytes: counter("log_cut_bytes_total", "Bytes of torn records cut at the start."),
+		installs:       counter("snapshots_installed_total", "Snapshots taken from the leader."),
+		snapshots:      counter("snapshots_written_total", "Snapshots written of the own state."),
+		repairs:        counter("repairs_total", "Lost voters replaced."),
+		candidacies:    counter("candidacies_total", "Candidacies of this process."),
+		broken:         vector("invariants_broken_total", "invariant", "Invariants that did not hold; the step was refused."),
+		refused:        vector("refused_total", "kind", "Proposals and reads refused, by kind."),
 	}
 	m.syncSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilacbridge_replica_sync_seconds", Help: "Time to write and sync a batch of the log.",
 		ConstLabels: labels, Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16)})
--- a/process/wal/read.go
+++ b/process/wal/read.go
@@ -15,15 +15,15 @@
 	state    *State
 	segments []segment
 	// garbage are names that a crash left unfinished.
-	garbage []string
+	unusedFiles []string
 	// keep is the length to which the torn file is cut; -1 if it goes whole.
-	keep int64
+	truncateTo int64
 	// base is the index before the first of entries.
 	base    uint64
 	records int
 	// rebase is true if the log ends before the snapshot: the next entry would
 	// not follow the last one in the files.
-	rebase bool
+	needsBaseRecord bool
 	// recovered is true if the snapshot of a recovery brings the hard state.
 	recovered bool
 }
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{folder: folder, state: &State{}, keep: -1}
+	r := &reader{folder: folder, state: &State{}, truncateTo: -1}
 	var logs, snapshots []string
 	for _, name := range names {
 		switch {
@@ -42,7 +42,7 @@
 		case strings.HasPrefix(name, snapshotPrefix) && !strings.HasSuffix(name, tempSuffix):
 			snapshots = append(snapshots, name)
 		case strings.HasSuffix(name, tempSuffix):
-			r.garbage = append(r.garbage, name)
+			r.unusedFiles = append(r.unusedFiles, name)
 		}
 	}
 	if err := r.readSnapshots(snapshots); err != nil {
@@ -53,13 +53,13 @@
 			return nil, err
 		}
 	}
-	return r, r.join()
+	return r, r.applySnapshot()
 }
 
 func (r *reader) readSnapshots(names []string) error {
 	for i, name := range names {
 		if i < len(names)-1 {
-			r.garbage = append(r.garbage, name)
+			r.unusedFiles = append(r.unusedFiles, name)
 			continue
 		}
 		meta, data, err := readSnapshot(r.folder, name)
@@ -74,10 +74,10 @@
 func (r *reader) readSegment(name string, first, last bool) error {
 	var number uint64
 	if _, err := fmt.Sscanf(name, "log-%016x", &number); err != nil {
-		return damaged(r.folder, name, 0, "not the name of a log file")
+		return corruptionError(r.folder, name, 0, "not the name of a log file")
 	}
 	if n := len(r.segments); !first && n > 0 && number != r.segments[n-1].number+1 {
-		return damaged(r.folder, name, 0, fmt.Sprintf("log file %d is missing before it", number-1))
+		return corruptionError(r.folder, name, 0, fmt.Sprintf("log file %d is missing before it", number-1))
 	}
 	size, err := r.folder.Size(name)
 	if err != nil {
@@ -92,7 +92,7 @@
 	for offset < len(data) {
 		payload := recordAt(data, offset)
 		if payload == nil {
-			return r.bad(name, data, offset, last)
+			return r.handleInvalidRecord(name, data, offset, last)
 		}
 		if err := r.replay(name, offset, payload); err != nil {
 			return err
@@ -100,7 +100,7 @@
 		offset += headerSize + len(payload)
 	}
 	if offset == 0 {
-		return r.bad(name, data, 0, last)
+		return r.handleInvalidRecord(name, data, 0, last)
 	}
 	return nil
 }
@@ -112,31 +112,31 @@
 // entries because a block in the middle went bad. A crash tears only the last
 // record of the last file, for each is synced before the next is written; so a
 // sound record after the bad one proves damage.
-func (r *reader) bad(name string, data []byte, offset int, last bool) error {
+func (r *reader) handleInvalidRecord(name string, data []byte, offset int, last bool) error {
 	if !last {
-		return damaged(r.folder, name, int64(offset), "a record is damaged and further log files follow")
+		return corruptionError(r.folder, name, int64(offset), "a record is damaged and further log files follow")
 	}
-	if after := soundAfter(data, offset); after >= 0 {
-		return damaged(r.folder, name, int64(offset), fmt.Sprintf("a record is damaged and a sound one follows at offset %d", after))
+	if after := nextValidRecord(data, offset); after >= 0 {
+		return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("a record is damaged and a sound one follows at offset %d", after))
 	}
 	r.state.TruncatedBytes, r.state.TruncatedFile = int64(len(data)-offset), name
 	if offset > 0 {
-		r.keep = int64(offset)
+		r.truncateTo = int64(offset)
 		return nil
 	}
 	r.segments = r.segments[:len(r.segments)-1]
-	r.garbage = append(r.garbage, name)
+	r.unusedFiles = append(r.unusedFiles, name)
 	return nil
 }
 
 func (r *reader) replay(name string, offset int, payload []byte) error {
 	record := &lilacv1.WalRecord{}
 	if err := proto.Unmarshal(payload, record); err != nil {
-		return damaged(r.folder, name, int64(offset), "a record does not decode")
+		return corruptionError(r.folder, name, int64(offset), "a record does not decode")
 	}
 	current := &r.segments[len(r.segments)-1]
 	if offset == 0 && record.GetSegment() != current.number {
-		return damaged(r.folder, name, 0, "the file does not begin with its own number")
+		return corruptionError(r.folder, name, 0, "the file does not begin with its own number")
 	}
 	r.records++
 	if record.GetHard() != nil {
@@ -147,8 +147,8 @@
 		current.last = max(current.last, base.GetIndex())
 	}
 	for _, entry := range record.GetEntries() {
-		if !r.place(entry) {
-			return damaged(r.folder, name, int64(offset), fmt.Sprintf("entry %d does not follow the one before", entry.GetIndex()))
+		if !r.putEntry(entry) {
+			return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("entry %d does not follow the one before", entry.GetIndex()))
 		}
 		current.last = max(current.last, entry.GetIndex())
 	}
@@ -156,7 +156,7 @@
 }
 
 // place puts the entry at its index; what stood there and after is given up.
-func (r *reader) place(entry *lilacv1.RaftEntry) bool {
+func (r *reader) putEntry(entry *lilacv1.RaftEntry) bool {
 	index := entry.GetIndex()
 	if len(r.state.Entries) == 0 {
 		if r.base != 0 && index > r.base+1 {
@@ -176,34 +176,34 @@
 }
 
 // join drops the entries that the snapshot covers and checks for gaps.
-func (r *reader) join() error {
+func (r *reader) applySnapshot() error {
 	s := r.state
 	if s.Snapshot == nil {
 		if r.base > 0 {
-			return damaged(r.folder, segmentName(r.segments[0].number), 0, fmt.Sprintf("the log begins after index %d and no snapshot covers what is before", r.base))
+			return corruptionError(r.folder, segmentName(r.segments[0].number), 0, fmt.Sprintf("the log begins after index %d and no snapshot covers what is before", r.base))
 		}
 		return nil
 	}
 	if s.Hard == nil {
-		return damaged(r.folder, "log-*", 0, "there is a snapshot but no log file")
+		return corruptionError(r.folder, "log-*", 0, "there is a snapshot but no log file")
 	}
-	if r.recover() {
+	if r.applyRecovery() {
 		return nil
 	}
 	index := s.Snapshot.GetIndex()
 	if len(s.Entries) == 0 {
-		r.rebase = r.base != index
+		r.needsBaseRecord = r.base != index
 		return nil
 	}
 	last := r.base + uint64(len(s.Entries))
 	switch {
 	case index < r.base:
-		return damaged(r.folder, snapshotName(s.Snapshot), 0, fmt.Sprintf("the log begins after index %d, which the snapshot does not reach", r.base))
+		return corruptionError(r.folder, snapshotName(s.Snapshot), 0, fmt.Sprintf("the log begins after index %d, which the snapshot does not reach", r.base))
 	case index == r.base:
 		return nil
 	case last <= index, s.Entries[index-r.base-1].GetTerm() != s.Snapshot.GetTerm():
 		// A crash came between the snapshot and the record that resets the log.
-		r.rebase = last != index || s.Entries[index-r.base-1].GetTerm() != s.Snapshot.GetTerm()
+		r.needsBaseRecord = last != index || s.Entries[index-r.base-1].GetTerm() != s.Snapshot.GetTerm()
 		s.Entries = nil
 	default:
 		s.Entries = s.Entries[index-r.base:]
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -15,7 +15,7 @@
 	// headerSize is the length (4 bytes) and the checksum (4 bytes) before a record.
 	headerSize = 8
 	// maxRecord bounds a record, so that a damaged length is seen as such.
-	maxRecord = 64 << 20
+	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -43,7 +43,7 @@
 		return nil
 	}
 	length := int(binary.LittleEndian.Uint32(data[offset:]))
-	if length == 0 || length > maxRecord || length > len(data)-offset-headerSize {
+	if length == 0 || length > maxRecordBytes || length > len(data)-offset-headerSize {
 		return nil
 	}
 	payload := data[offset+headerSize : offset+headerSize+length]
@@ -54,10 +54,10 @@
 }
 
 // soundAfter returns the offset of the first sound record after offset, or -1.
-func soundAfter(data []byte, offset int) int {
-	for at := offset + 1; at+headerSize < len(data); at++ {
-		if recordAt(data, at) != nil {
-			return at
+func nextValidRecord(data []byte, offset int) int {
+	for candidate := offset + 1; candidate+headerSize < len(data); candidate++ {
+		if recordAt(data, candidate) != nil {
+			return candidate
 		}
 	}
 	return -1
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("%s at offset %d: %s; the disk lost or changed synced data: move the data folder away and start with an empty one, so that this process joins again under a new identity", d.File, d.Offset, d.Reason)
 }
 
-func damaged(folder Folder, name string, offset int64, reason string) error {
+func corruptionError(folder Folder, name string, offset int64, reason string) error {
 	d := &CorruptionError{File: folder.Path() + "/" + name, Offset: offset, Reason: reason}
 	return fault.Wrap(d, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder is damaged")
 }
--- a/process/wal/recover.go
+++ b/process/wal/recover.go
@@ -17,24 +17,24 @@
 func (s *Store) Recover(hard *lilacv1.RaftHardState, meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	placed := proto.CloneOf(meta)
 	placed.Recovered = hard
-	return s.install(&lilacv1.WalRecord{Hard: hard, Base: placed}, data)
+	return s.installSnapshot(&lilacv1.WalRecord{Hard: hard, Base: placed}, data)
 }
 
 // recover takes the hard state from a snapshot that a recovery placed, if the
 // log's own one is older.
-func (r *reader) recover() bool {
+func (r *reader) applyRecovery() bool {
 	hard := r.state.Snapshot.GetRecovered()
 	if len(hard.GetFormer()) <= len(r.state.Hard.GetFormer()) {
 		return false
 	}
 	r.state.Hard, r.state.Entries = hard, nil
-	r.rebase, r.recovered = true, true
+	r.needsBaseRecord, r.recovered = true, true
 	return true
 }
 
 // plain returns the description without what only the own files need: another
 // process that took it over would take this one's identity.
-func plain(meta *lilacv1.RaftSnapshotMeta) *lilacv1.RaftSnapshotMeta {
+func withoutRecovered(meta *lilacv1.RaftSnapshotMeta) *lilacv1.RaftSnapshotMeta {
 	if meta.GetRecovered() == nil {
 		return meta
 	}
@@ -49,6 +49,6 @@
 	if err != nil {
 		return nil, err
 	}
-	r.state.Snapshot = plain(r.state.Snapshot)
+	r.state.Snapshot = withoutRecovered(r.state.Snapshot)
 	return r.state, nil
 }
--- a/process/wal/recover_test.go
+++ b/process/wal/recover_test.go
@@ -14,99 +14,99 @@
 
 // crashing fails every operation that changes files after the first so many, as
 // if the process had ended there.
-type crashing struct {
+type crashFolder struct {
 	Folder
-	left int
+	remaining int
 }
 
-func (f *crashing) step() error {
-	f.left--
-	if f.left < 0 {
+func (f *crashFolder) countOperation() error {
+	f.remaining--
+	if f.remaining < 0 {
 		return errCrash
 	}
 	return nil
 }
 
-func (f *crashing) Create(name string) (File, error) {
-	if err := f.step(); err != nil {
+func (f *crashFolder) Create(name string) (File, error) {
+	if err := f.countOperation(); err != nil {
 		return nil, err
 	}
 	file, err := f.Folder.Create(name)
-	return &crashingFile{file, f}, err
+	return &crashFile{file, f}, err
 }
 
-func (f *crashing) Append(name string) (File, error) {
+func (f *crashFolder) Append(name string) (File, error) {
 	file, err := f.Folder.Append(name)
-	return &crashingFile{file, f}, err
+	return &crashFile{file, f}, err
 }
 
-func (f *crashing) Rename(from, to string) error {
-	if err := f.step(); err != nil {
+func (f *crashFolder) Rename(from, to string) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	return f.Folder.Rename(from, to)
 }
 
-func (f *crashing) Remove(name string) error {
-	if err := f.step(); err != nil {
+func (f *crashFolder) Remove(name string) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	return f.Folder.Remove(name)
 }
 
-func (f *crashing) Truncate(name string, size int64) error {
-	if err := f.step(); err != nil {
+func (f *crashFolder) Truncate(name string, size int64) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	return f.Folder.Truncate(name, size)
 }
 
-type crashingFile struct {
+type crashFile struct {
 	File
-	folder *crashing
+	folder *crashFolder
 }
 
 // Write leaves half of the bytes where the crash falls on it.
-func (f *crashingFile) Write(b []byte) (int, error) {
-	if err := f.folder.step(); err != nil {
+func (f *crashFile) Write(b []byte) (int, error) {
+	if err := f.folder.countOperation(); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
 	return f.File.Write(b)
 }
 
-func (f *crashingFile) Sync() error {
-	if err := f.folder.step(); err != nil {
+func (f *crashFile) Sync() error {
+	if err := f.folder.countOperation(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-var _ io.Writer = (*crashingFile)(nil)
+var _ io.Writer = (*crashFile)(nil)
 
 // The process that recovers a folder ends at any one of its steps, and the state
 // process is started on the folder as it is. With the new members under the old
 // group's identity it would lead the old group alone, beside lost voters that
 // come back: the folder must be wholly the old one or wholly the new one.
-func TestRecoveryCutShortLeavesOneGroup(t *testing.T) {
+func TestInterruptedRecoveryLeavesOneGroup(t *testing.T) {
 	hard := &lilacv1.RaftHardState{Id: "new", Group: "h", Term: 2, Former: []string{"g"}}
 	meta := &lilacv1.RaftSnapshotMeta{Index: 61, Term: 2, Size: 5, Members: &lilacv1.RaftMembers{Members: []*lilacv1.RaftMember{{Id: "new", Voter: true}}}}
 	old, recovered := 0, 0
 	for steps := 0; ; steps++ {
 		is := is.New(t)
 		path := t.TempDir()
-		fill(t, path, 20)
+		writeBatches(t, path, 20)
 		folder, err := OSFolder(path)
 		is.NoErr(err)
-		store, _, err := Open(&crashing{folder, 1 << 30}, Options{SegmentBytes: 400})
+		store, _, err := Open(&crashFolder{folder, 1 << 30}, Options{SegmentBytes: 400})
 		is.NoErr(err)
-		store.folder.(*crashing).left = steps
+		store.folder.(*crashFolder).remaining = steps
 		whole := store.Recover(hard, meta, []byte("state"))
 		store.Close()
 
 		read, err := Read(folder)
 		is.NoErr(err)
-		store, state, err := open(t, path)
+		store, state, err := openStore(t, path)
 		is.NoErr(err)
 		is.Equal(read.Hard.GetGroup(), state.Hard.GetGroup())
 		switch state.Hard.GetGroup() {
@@ -130,7 +130,7 @@
 		is.NoErr(err)
 		is.Equal(string(part), "state")
 		store.Close()
-		store, state, err = open(t, path)
+		store, state, err = openStore(t, path)
 		is.NoErr(err)
 		is.Equal(state.Hard.GetTerm(), uint64(3))
 		is.Equal(len(state.Entries), 2)
--- a/process/wal/snapshot.go
+++ b/process/wal/snapshot.go
@@ -14,7 +14,7 @@
 	snapshotPrefix = "snapshot-"
 	tempSuffix     = ".tmp"
 	// snapshotPart is the state machine's data in one record, in bytes.
-	snapshotPart = 4 << 20
+	snapshotPartBytes = 4 << 20
 )
 
 func snapshotName(meta *lilacv1.RaftSnapshotMeta) string {
@@ -24,25 +24,25 @@
 // InstallSnapshot writes a snapshot that came from the leader and gives up the
 // log before it.
 func (s *Store) InstallSnapshot(meta *lilacv1.RaftSnapshotMeta, data []byte) error {
-	return s.install(&lilacv1.WalRecord{Base: meta}, data)
+	return s.installSnapshot(&lilacv1.WalRecord{Base: meta}, data)
 }
 
 // install places the snapshot that the record begins the log anew with.
-func (s *Store) install(record *lilacv1.WalRecord, data []byte) error {
+func (s *Store) installSnapshot(record *lilacv1.WalRecord, data []byte) error {
 	meta := record.GetBase()
-	if s.broken != nil {
-		return s.broken
+	if s.fatalErr != nil {
+		return s.fatalErr
 	}
 	if err := s.WriteSnapshot(meta, data); err != nil {
 		return err
 	}
-	if err := s.place(meta); err != nil {
+	if err := s.renameSnapshot(meta); err != nil {
 		return err
 	}
 	if err := s.append(record); err != nil {
 		return err
 	}
-	return s.compact(meta.GetIndex())
+	return s.removeSegments(meta.GetIndex())
 }
 
 // WriteSnapshot makes the file whole under a temporary name, where a start
@@ -54,12 +54,12 @@
 	name := snapshotName(meta)
 	file, err := s.folder.Create(name + tempSuffix)
 	if err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	if err := writeParts(file, meta, data); err != nil {
 		file.Close()
 		_ = s.folder.Remove(name + tempSuffix)
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	err = file.Sync()
 	file.Close()
@@ -78,19 +78,19 @@
 // one and removes what it makes superfluous, except segments that hold an entry
 // after keep.
 func (s *Store) PublishSnapshot(meta *lilacv1.RaftSnapshotMeta, keep uint64) error {
-	if err := s.place(meta); err != nil {
+	if err := s.renameSnapshot(meta); err != nil {
 		return err
 	}
-	return s.compact(min(keep, meta.GetIndex()))
+	return s.removeSegments(min(keep, meta.GetIndex()))
 }
 
-func (s *Store) place(meta *lilacv1.RaftSnapshotMeta) error {
-	if s.broken != nil {
-		return s.broken
+func (s *Store) renameSnapshot(meta *lilacv1.RaftSnapshotMeta) error {
+	if s.fatalErr != nil {
+		return s.fatalErr
 	}
 	name := snapshotName(meta)
 	if err := s.folder.Rename(name+tempSuffix, name); err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	if err := s.syncFolder(); err != nil {
 		return err
@@ -115,14 +115,14 @@
 			return nil
 		}
 		offset += int64(len(record))
-		n := min(len(data), snapshotPart)
+		n := min(len(data), snapshotPartBytes)
 		record = appendRecord(record[:0], offset, data[:n])
 		data = data[n:]
 	}
 }
 
 // compact removes the oldest segments whose entries all lie at or before index.
-func (s *Store) compact(index uint64) error {
+func (s *Store) removeSegments(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].last <= index {
 		if err := s.folder.Remove(segmentName(s.segments[0].number)); err != nil {
 			return err
@@ -137,10 +137,10 @@
 
 // ReadSnapshot returns up to n bytes of the newest snapshot's data from offset.
 func (s *Store) ReadSnapshot(offset uint64, n int) ([]byte, error) {
-	within := offset % snapshotPart
-	n = min(n, int(s.snapshot.GetSize()-offset), int(snapshotPart-within))
+	within := offset % snapshotPartBytes
+	n = min(n, int(s.snapshot.GetSize()-offset), int(snapshotPartBytes-within))
 	start := headerSize + uint64(len(marshal(s.snapshot)))
-	start += offset / snapshotPart * (headerSize + snapshotPart)
+	start += offset / snapshotPartBytes * (headerSize + snapshotPartBytes)
 	return s.folder.ReadAt(snapshotName(s.snapshot), int64(start+headerSize+within), n)
 }
 
@@ -156,14 +156,14 @@
 	meta := &lilacv1.RaftSnapshotMeta{}
 	head := recordAt(b, 0)
 	if head == nil || proto.Unmarshal(head, meta) != nil || snapshotName(meta) != name {
-		return nil, nil, damaged(folder, name, 0, "the snapshot's description is damaged")
+		return nil, nil, corruptionError(folder, name, 0, "the snapshot's description is damaged")
 	}
 	offset := headerSize + len(head)
 	data := make([]byte, 0, meta.GetSize())
 	for uint64(len(data)) < meta.GetSize() {
 		part := recordAt(b, offset)
 		if part == nil {
-			return nil, nil, damaged(folder, name, int64(offset), "the snapshot's data is damaged")
+			return nil, nil, corruptionError(folder, name, int64(offset), "the snapshot's data is damaged")
 		}
 		data = append(data, part...)
 		offset += headerSize + len(part)
@@ -213,7 +213,7 @@
 		Former: s.Hard.GetFormer(), ReplacedBy: s.Hard.GetReplacedBy(),
 		SnapshotIndex: s.Snapshot.GetIndex(), SnapshotBytes: s.Snapshot.GetSize(), Segments: len(r.segments), Records: r.records,
 		TornBytes: s.TruncatedBytes, Members: s.Snapshot.GetMembers().GetMembers()}
-	for _, name := range r.garbage {
+	for _, name := range r.unusedFiles {
 		if strings.HasSuffix(name, tempSuffix) {
 			report.Unfinished = append(report.Unfinished, name)
 		}
--- a/process/wal/store.go
+++ b/process/wal/store.go
@@ -16,7 +16,7 @@
 	defaultSegmentBytes = 8 << 20
 	// recordBytes is the data of entries above which a batch is split; far
 	// below maxRecord, which no reader accepts.
-	recordBytes = 8 << 20
+	maxBatchBytes = 8 << 20
 )
 
 // Options bound the files.
@@ -66,7 +66,7 @@
 	hard     *lilacv1.RaftHardState
 	snapshot *lilacv1.RaftSnapshotMeta
 	// broken is set after a failed sync: what the disk holds is not known.
-	broken error
+	fatalErr error
 	// Syncs counts syncs of the log.
 	Syncs uint64
 	// Bytes counts bytes written to the log.
@@ -98,13 +98,13 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range r.garbage {
+	for _, name := range r.unusedFiles {
 		if err := s.folder.Remove(name); err != nil {
 			return nil, err
 		}
 	}
-	if r.state.TruncatedBytes > 0 && r.keep >= 0 {
-		if err := s.folder.Truncate(r.state.TruncatedFile, r.keep); err != nil {
+	if r.state.TruncatedBytes > 0 && r.truncateTo >= 0 {
+		if err := s.folder.Truncate(r.state.TruncatedFile, r.truncateTo); err != nil {
 			return nil, err
 		}
 	}
@@ -121,10 +121,10 @@
 	if err := s.syncFolder(); err != nil {
 		return nil, err
 	}
-	if err := s.rebase(r); err != nil {
+	if err := s.writeBaseRecord(r); err != nil {
 		return nil, err
 	}
-	r.state.Snapshot = plain(r.state.Snapshot)
+	r.state.Snapshot = withoutRecovered(r.state.Snapshot)
 	return r.state, nil
 }
 
@@ -132,8 +132,8 @@
 // record that resets the log to it: the next entry would follow a gap, and the
 // start after that would take the log for damaged. It holds because the record
 // is made up for before anything else is written.
-func (s *Store) rebase(r *reader) error {
-	if !r.rebase {
+func (s *Store) writeBaseRecord(r *reader) error {
+	if !r.needsBaseRecord {
 		return nil
 	}
 	record := &lilacv1.WalRecord{Base: r.state.Snapshot}
@@ -153,7 +153,7 @@
 	record := &lilacv1.WalRecord{Hard: b.Hard}
 	bytes := 0
 	for _, entry := range b.Entries {
-		if bytes += len(entry.GetData()); bytes > recordBytes && len(record.Entries) > 0 {
+		if bytes += len(entry.GetData()); bytes > maxBatchBytes && len(record.Entries) > 0 {
 			if err := s.append(record); err != nil {
 				return err
 			}
@@ -165,11 +165,11 @@
 }
 
 func (s *Store) append(record *lilacv1.WalRecord) error {
-	if s.broken != nil {
-		return s.broken
+	if s.fatalErr != nil {
+		return s.fatalErr
 	}
 	if s.file == nil || s.size >= s.options.SegmentBytes {
-		if err := s.begin(); err != nil {
+		if err := s.startSegment(); err != nil {
 			return err
 		}
 	}
@@ -188,7 +188,7 @@
 
 // begin opens the next segment. Its first record repeats the hard state, so
 // that older segments can be removed.
-func (s *Store) begin() error {
+func (s *Store) startSegment() error {
 	number := uint64(1)
 	if n := len(s.segments); n > 0 {
 		number = s.segments[n-1].number + 1
@@ -196,9 +196,9 @@
 	name := segmentName(number)
 	file, err := s.folder.Create(name)
 	if err != nil {
-		return s.failed(err)
+		return s.writeError(err)
 	}
-	old, oldSize := s.file, s.size
+	previous, previousSize := s.file, s.size
 	s.file, s.size = file, 0
 	s.segments = append(s.segments, segment{number: number})
 	err = s.write(&lilacv1.WalRecord{Segment: number, Hard: s.hard})
@@ -207,12 +207,12 @@
 	}
 	if err != nil {
 		file.Close()
-		s.file, s.size = old, oldSize
+		s.file, s.size = previous, previousSize
 		s.segments = s.segments[:len(s.segments)-1]
 		return errors.Join(err, s.folder.Remove(name))
 	}
-	if old != nil {
-		old.Close()
+	if previous != nil {
+		previous.Close()
 	}
 	return nil
 }
@@ -222,11 +222,11 @@
 	if _, err := s.file.Write(b); err != nil {
 		// A part of the record may stand there: the next one must not follow it.
 		name := segmentName(s.segments[len(s.segments)-1].number)
-		if cut := s.folder.Truncate(name, s.size); cut != nil {
-			s.broken = fault.Wrap(errors.Join(err, cut), lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can't be written nor cut; check the disk and restart the process")
-			return s.broken
+		if truncateErr := s.folder.Truncate(name, s.size); truncateErr != nil {
+			s.fatalErr = fault.Wrap(errors.Join(err, truncateErr), lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can't be written nor cut; check the disk and restart the process")
+			return s.fatalErr
 		}
-		return s.failed(err)
+		return s.writeError(err)
 	}
 	if err := s.file.Sync(); err != nil {
 		return s.syncFailed(err)
@@ -241,8 +241,8 @@
 // again although the kernel has dropped the data: an answer would go out for a
 // record that is lost. It holds because nothing is written or answered any more.
 func (s *Store) syncFailed(err error) error {
-	s.broken = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of the log failed; check the disk and restart the process")
-	return s.broken
+	s.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of the log failed; check the disk and restart the process")
+	return s.fatalErr
 }
 
 func (s *Store) syncFolder() error {
@@ -253,7 +253,7 @@
 }
 
 // failed types an error of a write that left the files as before.
-func (s *Store) failed(err error) error {
+func (s *Store) writeError(err error) error {
 	if errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) {
 		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "disk of the data folder "+s.folder.Path()+" is full; free space there, the process goes on by itself",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -23,16 +23,16 @@
 	return all
 }
 
-func open(t *testing.T, path string) (*Store, *State, error) {
+func openStore(t *testing.T, path string) (*Store, *State, error) {
 	folder, err := OSFolder(path)
 	is.New(t).NoErr(err)
 	return Open(folder, Options{SegmentBytes: 400})
 }
 
 // fill writes batches of three entries each, over several segments.
-func fill(t *testing.T, path string, batches uint64) {
+func writeBatches(t *testing.T, path string, batches uint64) {
 	is := is.New(t)
-	store, _, err := open(t, path)
+	store, _, err := openStore(t, path)
 	is.NoErr(err)
 	is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 1}}))
 	for i := range batches {
@@ -47,18 +47,18 @@
 	return files[len(files)-1]
 }
 
-func TestEverythingSavedComesBack(t *testing.T) {
+func TestSavedStateIsRestored(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	fill(t, path, 20)
-	store, state, err := open(t, path)
+	writeBatches(t, path, 20)
+	store, state, err := openStore(t, path)
 	is.NoErr(err)
 	is.Equal(len(state.Entries), 60)
 	is.Equal(state.Hard.GetId(), "a")
 	// A new leader's entries replace the end.
 	is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 2, Vote: "b"}, Entries: entries(50, 52, 2)}))
 	is.NoErr(store.Close())
-	store, state, err = open(t, path)
+	store, state, err = openStore(t, path)
 	is.NoErr(err)
 	is.Equal(len(state.Entries), 52)
 	is.Equal(state.Entries[51].GetTerm(), uint64(2))
@@ -70,7 +70,7 @@
 	is.NoErr(err)
 	is.Equal(string(chunk), "ate")
 	is.NoErr(store.Close())
-	_, state, err = open(t, path)
+	_, state, err = openStore(t, path)
 	is.NoErr(err)
 	is.Equal(string(state.SnapshotData), "state")
 	is.Equal(state.Entries[0].GetIndex(), uint64(41))
@@ -79,14 +79,14 @@
 
 // The machine stops in the middle of a write. Whatever part of the last record
 // reached the disk, the process must start, with all batches before it.
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	fill(t, path, 3)
+	writeBatches(t, path, 3)
 	name := lastSegment(t, path)
 	whole, err := os.ReadFile(name)
 	is.NoErr(err)
-	store, before, err := open(t, path)
+	store, before, err := openStore(t, path)
 	is.NoErr(err)
 	is.NoErr(store.Save(Batch{Entries: entries(10, 12, 1)}))
 	is.NoErr(store.Close())
@@ -94,7 +94,7 @@
 	is.NoErr(err)
 	for size := len(whole) + 1; size < len(torn); size++ {
 		is.NoErr(os.WriteFile(name, torn[:size], 0o600))
-		store, state, err := open(t, path)
+		store, state, err := openStore(t, path)
 		is.NoErr(err)
 		is.Equal(len(state.Entries), len(before.Entries))
 		is.Equal(state.TruncatedBytes, int64(size-len(whole)))
@@ -108,7 +108,7 @@
 // A block of the disk goes bad under synced records. The process must not
 // start: it would forget, or take from there on, what it promised to keep. The
 // error names the file, the offset and what to do.
-func TestDamageStopsTheStart(t *testing.T) {
+func TestCorruptionPreventsOpen(t *testing.T) {
 	flip := func(offset int64) func(*testing.T, string) {
 		return func(t *testing.T, name string) {
 			data, err := os.ReadFile(name)
@@ -134,15 +134,15 @@
 		t.Run(c.what, func(t *testing.T) {
 			is := is.New(t)
 			path := t.TempDir()
-			fill(t, path, 20)
+			writeBatches(t, path, 20)
 			if strings.HasPrefix(c.file, "snapshot") {
-				store, _, err := open(t, path)
+				store, _, err := openStore(t, path)
 				is.NoErr(err)
 				is.NoErr(saveSnapshot(store, &lilacv1.RaftSnapshotMeta{Index: 40, Term: 1, Size: 20}, make([]byte, 20), 40))
 				is.NoErr(store.Close())
 			}
 			c.damage(t, filepath.Join(path, c.file))
-			_, _, err := open(t, path)
+			_, _, err := openStore(t, path)
 			var damage *CorruptionError
 			is.True(errors.As(err, &damage))
 			is.True(strings.Contains(err.Error(), path))
@@ -155,16 +155,16 @@
 
 // A crash can't reorder two synced records, so damage in the last file with a
 // sound record behind it is damage too.
-func TestDamageBeforeASoundRecordStopsTheStart(t *testing.T) {
+func TestCorruptionBeforeValidRecordPreventsOpen(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	fill(t, path, 3)
+	writeBatches(t, path, 3)
 	name := lastSegment(t, path)
 	data, err := os.ReadFile(name)
 	is.NoErr(err)
 	data[len(data)/2] ^= 1
 	is.NoErr(os.WriteFile(name, data, 0o600))
-	_, _, err = open(t, path)
+	_, _, err = openStore(t, path)
 	var damage *CorruptionError
 	is.True(errors.As(err, &damage))
 	is.True(damage.Offset > 0)
@@ -175,36 +175,36 @@
 func TestFolderIsLocked(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	store, _, err := open(t, path)
+	store, _, err := openStore(t, path)
 	is.NoErr(err)
-	_, _, err = open(t, path)
+	_, _, err = openStore(t, path)
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE))
 	is.True(strings.Contains(err.Error(), "give each process its own"))
 	is.NoErr(store.Close())
-	store, _, err = open(t, path)
+	store, _, err = openStore(t, path)
 	is.NoErr(err)
 	is.NoErr(store.Close())
 }
 
 // fullFolder takes only so many more bytes.
-type fullFolder struct {
+type limitedFolder struct {
 	Folder
-	space int
+	freeBytes int
 }
 
-type fullFile struct {
+type limitedFile struct {
 	File
-	folder *fullFolder
+	folder *limitedFolder
 }
 
-func (f *fullFolder) Create(name string) (File, error) {
+func (f *limitedFolder) Create(name string) (File, error) {
 	file, err := f.Folder.Create(name)
-	return &fullFile{file, f}, err
+	return &limitedFile{file, f}, err
 }
 
-func (f *fullFile) Write(b []byte) (int, error) {
-	n := min(len(b), f.folder.space)
-	f.folder.space -= n
+func (f *limitedFile) Write(b []byte) (int, error) {
+	n := min(len(b), f.folder.freeBytes)
+	f.folder.freeBytes -= n
 	if _, err := f.File.Write(b[:n]); err != nil || n == len(b) {
 		return n, err
 	}
@@ -213,12 +213,12 @@
 
 // The disk fills up in the middle of a record. The write fails as DISK_FULL,
 // nothing of it stays, and the same batch goes through once there is space.
-func TestFullDiskTakesTheBatchLater(t *testing.T) {
+func TestBatchIsRetriedAfterDiskFull(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
 	inner, err := OSFolder(path)
 	is.NoErr(err)
-	folder := &fullFolder{Folder: inner, space: 1000}
+	folder := &limitedFolder{Folder: inner, freeBytes: 1000}
 	store, _, err := Open(folder, Options{SegmentBytes: 400})
 	is.NoErr(err)
 	is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "a"}}))
@@ -227,10 +227,10 @@
 		if err != nil {
 			is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL))
 			is.Equal(fault.NotRunOf(err), lilacv1.NotRun_NOT_RUN_TRUE)
-			folder.space = 1000
+			folder.freeBytes = 1000
 			is.NoErr(store.Save(Batch{Entries: entries(i, i, 1)}))
 			is.NoErr(store.Close())
-			_, state, err := open(t, path)
+			_, state, err := openStore(t, path)
 			is.NoErr(err)
 			is.Equal(len(state.Entries), int(i))
 			is.Equal(state.TruncatedBytes, int64(0))
@@ -241,17 +241,17 @@
 
 // A state larger than a record, and a batch larger than a record: written in
 // one piece they would be refused as damaged at the next start.
-func TestLargeStateAndBatchComeBack(t *testing.T) {
+func TestLargeStateAndBatchAreRestored(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	store, _, err := open(t, path)
+	store, _, err := openStore(t, path)
 	is.NoErr(err)
 	var batch []*lilacv1.RaftEntry
 	for index := uint64(1); index <= 70; index++ {
 		batch = append(batch, &lilacv1.RaftEntry{Index: index, Term: 1, Data: make([]byte, 1<<20)})
 	}
 	is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 1}, Entries: batch}))
-	data := make([]byte, 2*snapshotPart+5)
+	data := make([]byte, 2*snapshotPartBytes+5)
 	for i := range data {
 		data[i] = byte(i / 7)
 	}
@@ -265,7 +265,7 @@
 	}
 	is.True(string(read) == string(data))
 	is.NoErr(store.Close())
-	store, state, err := open(t, path)
+	store, state, err := openStore(t, path)
 	is.NoErr(err)
 	is.Equal(len(state.Entries), 10)
 	is.True(string(state.SnapshotData) == string(data))
@@ -275,8 +275,8 @@
 func TestInspectReadsARunningFolder(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
-	fill(t, path, 20)
-	store, _, err := open(t, path)
+	writeBatches(t, path, 20)
+	store, _, err := openStore(t, path)
 	is.NoErr(err)
 	defer store.Close()
 	report, err := Inspect(ReadOnlyFolder(path))
