--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -38,7 +38,7 @@
 	case <-e.relay.Idle():
 	case <-time.After(e.settings.Drain.Duration):
 		e.logger.Warn("cutting requests off; raise drain in the settings", "in_flight", e.relay.InFlight())
-		e.relay.Cut()
+		e.relay.Abort()
 		<-e.relay.Idle()
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -55,7 +55,7 @@
 	RemoteShare               float64
 	Violations                map[string]uint64
 	// Estimate sums up how far the predicted answer lengths were off.
-	Estimate estimate.Error
+	Estimate estimate.ErrorStats
 }
 
 func (w *world) result(policyName string) *Result {
--- a/request/choose/choose_test.go
+++ b/request/choose/choose_test.go
@@ -10,20 +10,20 @@
 )
 
 func chooser() *Chooser {
-	return &Chooser{Filters: []Filter{Open{}, Room{}, Quarantine{}, OnTime{}}, Scorers: []Scorer{Finish{}, Remote{Price: 50 * time.Millisecond}, Crowd{Weight: 0.5}}, Picker: Least{}}
+	return &Chooser{Filters: []Filter{Available{}, WithinCapacity{}, Quarantine{}, OnTime{}}, Scorers: []Scorer{CompletionTime{}, Remote{Cost: 50 * time.Millisecond}, Contention{Weight: 0.5}}, Picker: LowestCost{}}
 }
 
 func TestFilters(t *testing.T) {
 	ms := time.Millisecond
-	ask := Request{FirstBy: 400 * ms, Between: 65 * ms, Left: 100, Avoid: "failed", Reserve: 1, Alone: true}
-	good := Candidate{Name: "good", Load: 3, Limit: 8, First: 100 * ms, Gap: 40 * ms}
+	ask := Request{FirstTokenBudget: 400 * ms, TokenGapTarget: 65 * ms, RemainingTokens: 100, Avoid: "failed", ReservedSlots: 1, Suspect: true}
+	good := Candidate{Name: "good", Load: 3, Limit: 8, FirstToken: 100 * ms, TokenGap: 40 * ms}
 	cases := map[string]func(*Candidate){
-		"barred":                     func(c *Candidate) { c.Barred = true },
+		"barred":                     func(c *Candidate) { c.Unavailable = true },
 		"failed just now":            func(c *Candidate) { c.Name = "failed" },
 		"no room beside the reserve": func(c *Candidate) { c.Load = 7 },
-		"another suspect":            func(c *Candidate) { c.Trial = true },
-		"first token late":           func(c *Candidate) { c.First = 500 * ms },
-		"gap too long":               func(c *Candidate) { c.Gap = 70 * ms },
+		"another suspect":            func(c *Candidate) { c.HasTrial = true },
+		"first token late":           func(c *Candidate) { c.FirstToken = 500 * ms },
+		"gap too long":               func(c *Candidate) { c.TokenGap = 70 * ms },
 	}
 	for name, spoil := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,11 +41,11 @@
 	is := is.New(t)
 	ms := time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
-	ask := Request{FirstBy: time.Second, Left: 100}
-	near := Candidate{Load: 6, Limit: 16, First: 100 * ms, Gap: 30 * ms}
-	far := Candidate{Remote: true, Load: 6, Limit: 16, First: 100 * ms, Gap: 30 * ms}
+	ask := Request{FirstTokenBudget: time.Second, RemainingTokens: 100}
+	near := Candidate{Load: 6, Limit: 16, FirstToken: 100 * ms, TokenGap: 30 * ms}
+	far := Candidate{Remote: true, Load: 6, Limit: 16, FirstToken: 100 * ms, TokenGap: 30 * ms}
 	is.Equal(chooser().Choose(&ask, []Candidate{far, near}, random), 1)
-	far.Gap, far.Load = 20*ms, 2
+	far.TokenGap, far.Load = 20*ms, 2
 	is.Equal(chooser().Choose(&ask, []Candidate{far, near}, random), 0)
 }
 
@@ -80,18 +80,18 @@
 func TestNearTakesTheHighestRankAmongCloseCosts(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
-	near := Near{First: 1, Second: 0.4, Share: 0.1}
+	near := NearLowestCost{FirstMargin: 1, SecondMargin: 0.4, Margin: 0.1}
 	for _, c := range []struct {
 		scores []float64
-		ranks  Ranks
+		ranks  Hashes
 		want   int
 	}{
-		{[]float64{10, 12, 20}, Ranks{[]uint64{1, 2, 3}, 3, 2}, 2},
-		{[]float64{10, 12, 21}, Ranks{[]uint64{1, 2, 3}, 3, 2}, 1},
-		{[]float64{12, 10, 21}, Ranks{[]uint64{2, 1, 3}, 3, 2}, 0},
-		{[]float64{10, 15, 21}, Ranks{[]uint64{1, 2, 3}, 3, 2}, 0},
-		{[]float64{10, 11, 12}, Ranks{[]uint64{1, 2, 3}, 9, 8}, 1}, // the first two are filtered
-		{nil, Ranks{}, -1},
+		{[]float64{10, 12, 20}, Hashes{[]uint64{1, 2, 3}, 3, 2}, 2},
+		{[]float64{10, 12, 21}, Hashes{[]uint64{1, 2, 3}, 3, 2}, 1},
+		{[]float64{12, 10, 21}, Hashes{[]uint64{2, 1, 3}, 3, 2}, 0},
+		{[]float64{10, 15, 21}, Hashes{[]uint64{1, 2, 3}, 3, 2}, 0},
+		{[]float64{10, 11, 12}, Hashes{[]uint64{1, 2, 3}, 9, 8}, 1}, // the first two are filtered
+		{nil, Hashes{}, -1},
 	} {
 		is.Equal(near.Pick(c.scores, &c.ranks, random), c.want)
 	}
--- a/request/choose/filter.go
+++ b/request/choose/filter.go
@@ -1,26 +1,26 @@
 package choose
 
-// Open bars servers that get no new work, and the one that failed just now.
-type Open struct{}
+// Available bars servers that get no new work, and the one that failed just now.
+type Available struct{}
 
-var _ Filter = Open{}
+var _ Filter = Available{}
 
 // Allow implements Filter.
-func (Open) Allow(r *Request, c *Candidate) bool {
-	return !c.Barred && (r.Avoid == "" || c.Name != r.Avoid)
+func (Available) Allow(r *Request, c *Candidate) bool {
+	return !c.Unavailable && (r.Avoid == "" || c.Name != r.Avoid)
 }
 
-// Room bars servers that would run more than keeps their targets, the
+// WithinCapacity bars servers that would run more than keeps their targets, the
 // reserve for more urgent tiers included.
-type Room struct{}
+type WithinCapacity struct{}
 
-var _ Filter = Room{}
+var _ Filter = WithinCapacity{}
 
 // Allow implements Filter.
-func (Room) Allow(r *Request, c *Candidate) bool {
+func (WithinCapacity) Allow(r *Request, c *Candidate) bool {
 	// An idle server takes anything: where it has fewer slots than the reserve,
 	// late and less urgent requests would never start at all.
-	return c.Load+1 <= max(c.Limit-r.Reserve+r.Over, 1)
+	return c.Load+1 <= max(c.Limit-r.ReservedSlots+r.Overcommit, 1)
 }
 
 // Quarantine keeps two suspects off the same server: if it crashed, nobody
@@ -31,36 +31,36 @@
 
 // Allow implements Filter.
 func (Quarantine) Allow(r *Request, c *Candidate) bool {
-	return !r.Alone || !c.Trial
+	return !r.Suspect || !c.HasTrial
 }
 
-// FirstOnTime bars servers that are expected to miss the target for the first
+// FirstTokenOnTime bars servers that are expected to miss the target for the first
 // token. The gap between tokens is left to the scores: beside a long prompt it
 // says nothing of the next answer's.
-type FirstOnTime struct{}
+type FirstTokenOnTime struct{}
 
-var _ Filter = FirstOnTime{}
+var _ Filter = FirstTokenOnTime{}
 
 // Allow implements Filter.
-func (FirstOnTime) Allow(r *Request, c *Candidate) bool {
-	return r.FirstBy <= 0 || c.First <= r.FirstBy
+func (FirstTokenOnTime) Allow(r *Request, c *Candidate) bool {
+	return r.FirstTokenBudget <= 0 || c.FirstToken <= r.FirstTokenBudget
 }
 
-// Once bars servers that would read again what another one holds or reads.
-type Once struct{}
+// NoDuplicatePrefill bars servers that would read again what another one holds or reads.
+type NoDuplicatePrefill struct{}
 
-var _ Filter = Once{}
+var _ Filter = NoDuplicatePrefill{}
 
 // Allow implements Filter.
-func (Once) Allow(_ *Request, c *Candidate) bool { return !c.Again }
+func (NoDuplicatePrefill) Allow(_ *Request, c *Candidate) bool { return !c.DuplicatePrefill }
 
-// Unintruded bars servers whose answers the prompt would hold up.
-type Unintruded struct{}
+// NoInterference bars servers whose answers the prompt would hold up.
+type NoInterference struct{}
 
-var _ Filter = Unintruded{}
+var _ Filter = NoInterference{}
 
 // Allow implements Filter.
-func (Unintruded) Allow(_ *Request, c *Candidate) bool { return !c.Intrudes }
+func (NoInterference) Allow(_ *Request, c *Candidate) bool { return !c.Interferes }
 
 // OnTime bars servers that are expected to miss the request's targets.
 type OnTime struct{}
@@ -69,8 +69,8 @@
 
 // Allow implements Filter.
 func (OnTime) Allow(r *Request, c *Candidate) bool {
-	if r.Between > 0 && c.Gap > r.Between {
+	if r.TokenGapTarget > 0 && c.TokenGap > r.TokenGapTarget {
 		return false
 	}
-	return r.FirstBy <= 0 || c.First <= r.FirstBy
+	return r.FirstTokenBudget <= 0 || c.FirstToken <= r.FirstTokenBudget
 }
--- a/request/choose/pick.go
+++ b/request/choose/pick.go
@@ -2,14 +2,14 @@
 
 import "math/rand/v2"
 
-// Least takes the least cost; equal costs are settled by chance, so that
+// LowestCost takes the least cost; equal costs are settled by chance, so that
 // instances that see the same do not all take the same server.
-type Least struct{}
+type LowestCost struct{}
 
-var _ Picker = Least{}
+var _ Picker = LowestCost{}
 
 // Pick implements Picker.
-func (Least) Pick(scores []float64, _ *Ranks, random *rand.Rand) int {
+func (LowestCost) Pick(scores []float64, _ *Hashes, random *rand.Rand) int {
 	best, equal := -1, 0
 	for i, score := range scores {
 		switch {
@@ -25,21 +25,21 @@
 	return best
 }
 
-// Near takes the highest rank among the costs close to the least. Instances
+// NearLowestCost takes the highest rank among the costs close to the least. Instances
 // that see loads a little differently then send copies of one request to the
 // same server, and different requests to different ones. The two highest ranks
 // of all may cost more to be taken: copies that differ then meet on two servers.
-type Near struct {
-	// First, Second and Share are how far above the least cost still counts as
+type NearLowestCost struct {
+	// FirstMargin, SecondMargin and Margin are how far above the least cost still counts as
 	// close, for the highest rank, the next one and all others.
-	First, Second, Share float64
+	FirstMargin, SecondMargin, Margin float64
 }
 
-var _ Picker = Near{}
+var _ Picker = NearLowestCost{}
 
 // Pick implements Picker.
-func (n Near) Pick(scores []float64, ranks *Ranks, random *rand.Rand) int {
-	best := Least{}.Pick(scores, ranks, random)
+func (n NearLowestCost) Pick(scores []float64, ranks *Hashes, random *rand.Rand) int {
+	best := LowestCost{}.Pick(scores, ranks, random)
 	if best < 0 {
 		return best
 	}
@@ -52,13 +52,13 @@
 	return best
 }
 
-func (n Near) share(rank uint64, ranks *Ranks) float64 {
+func (n NearLowestCost) share(rank uint64, ranks *Hashes) float64 {
 	switch rank {
-	case ranks.First:
-		return n.First
-	case ranks.Second:
-		return n.Second
+	case ranks.Highest:
+		return n.FirstMargin
+	case ranks.SecondHighest:
+		return n.SecondMargin
 	default:
-		return n.Share
+		return n.Margin
 	}
 }
--- a/request/choose/score.go
+++ b/request/choose/score.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Finish costs the expected time until the whole answer is there.
-type Finish struct{}
+// CompletionTime costs the expected time until the whole answer is there.
+type CompletionTime struct{}
 
-var _ Scorer = Finish{}
+var _ Scorer = CompletionTime{}
 
 // Score implements Scorer.
-func (Finish) Score(r *Request, c *Candidate) float64 {
-	return c.First.Seconds() + r.Left*c.Gap.Seconds()
+func (CompletionTime) Score(r *Request, c *Candidate) float64 {
+	return c.FirstToken.Seconds() + r.RemainingTokens*c.TokenGap.Seconds()
 }
 
 // Remote costs another data centre's time and volume.
-type Remote struct{ Price time.Duration }
+type Remote struct{ Cost time.Duration }
 
 var _ Scorer = Remote{}
 
@@ -22,83 +22,83 @@
 	if !c.Remote {
 		return 0
 	}
-	return s.Price.Seconds()
+	return s.Cost.Seconds()
 }
 
-// Crowd costs what the request adds to the gaps of those that run already:
+// Contention costs what the request adds to the gaps of those that run already:
 // each of them waits a little longer for each of the new one's tokens.
-type Crowd struct {
+type Contention struct {
 	// Weight is the share of that time that counts.
 	Weight float64
 }
 
-var _ Scorer = Crowd{}
+var _ Scorer = Contention{}
 
 // Score implements Scorer.
-func (s Crowd) Score(r *Request, c *Candidate) float64 {
+func (s Contention) Score(r *Request, c *Candidate) float64 {
 	if c.Limit <= 0 {
 		return 0
 	}
-	return s.Weight * r.Left * c.Gap.Seconds() * c.Load / c.Limit
+	return s.Weight * r.RemainingTokens * c.TokenGap.Seconds() * c.Load / c.Limit
 }
 
-// Stray costs what the request does outside the servers that are kept for its kind.
-type Stray struct{}
+// AffinityPenalty costs what the request does outside the servers that are kept for its kind.
+type AffinityPenalty struct{}
 
-var _ Scorer = Stray{}
+var _ Scorer = AffinityPenalty{}
 
 // Score implements Scorer.
-func (Stray) Score(_ *Request, c *Candidate) float64 { return c.Stray.Seconds() }
+func (AffinityPenalty) Score(_ *Request, c *Candidate) float64 { return c.AffinityPenalty.Seconds() }
 
-// Work costs the engine's time that the request's prompt takes. Weight counts
+// PrefillTime costs the engine's time that the request's prompt takes. Weight counts
 // what it takes from others too: while all engines are busy, a prompt read twice
 // delays everyone behind it, who then spread out and have theirs read twice.
-type Work struct{ Weight float64 }
+type PrefillTime struct{ Weight float64 }
 
-var _ Scorer = Work{}
+var _ Scorer = PrefillTime{}
 
 // Score implements Scorer.
-func (s Work) Score(_ *Request, c *Candidate) float64 { return s.Weight * c.Work.Seconds() }
+func (s PrefillTime) Score(_ *Request, c *Candidate) float64 { return s.Weight * c.PrefillTime.Seconds() }
 
-// Risk costs the danger of a late first token. A wait that is short against the
+// LatenessRisk costs the danger of a late first token. A wait that is short against the
 // target costs next to nothing, so that requests keep to the engines that hold
 // their prompt; close to the target it costs as much as a prompt of 50,000 tokens.
-type Risk struct{}
+type LatenessRisk struct{}
 
-var _ Scorer = Risk{}
+var _ Scorer = LatenessRisk{}
 
 // Score implements Scorer.
-func (Risk) Score(r *Request, c *Candidate) float64 {
-	if r.Target <= 0 {
-		return c.First.Seconds()
+func (LatenessRisk) Score(r *Request, c *Candidate) float64 {
+	if r.FirstTokenTarget <= 0 {
+		return c.FirstToken.Seconds()
 	}
-	waited := r.Target - r.FirstBy
-	share := (waited + c.First).Seconds() / r.Target.Seconds()
+	waited := r.FirstTokenTarget - r.FirstTokenBudget
+	share := (waited + c.FirstToken).Seconds() / r.FirstTokenTarget.Seconds()
 	return share * share * share
 }
 
-// Pace costs the time of the answer's tokens, at a share: a slower engine that
+// DecodeTime costs the time of the answer's tokens, at a share: a slower engine that
 // keeps the targets does little harm.
-type Pace struct{ Weight float64 }
+type DecodeTime struct{ Weight float64 }
 
-var _ Scorer = Pace{}
+var _ Scorer = DecodeTime{}
 
 // Score implements Scorer.
-func (s Pace) Score(r *Request, c *Candidate) float64 { return s.Weight * r.Left * c.Gap.Seconds() }
+func (s DecodeTime) Score(r *Request, c *Candidate) float64 { return s.Weight * r.RemainingTokens * c.TokenGap.Seconds() }
 
-// Trouble costs the failures that are to be expected, as time: a server that
+// FailurePenalty costs the failures that are to be expected, as time: a server that
 // answers its liveness check well and fails part of its requests gets fewer.
-type Trouble struct{}
+type FailurePenalty struct{}
 
-var _ Scorer = Trouble{}
+var _ Scorer = FailurePenalty{}
 
 // Score implements Scorer.
-func (Trouble) Score(_ *Request, c *Candidate) float64 { return c.Trouble.Seconds() }
+func (FailurePenalty) Score(_ *Request, c *Candidate) float64 { return c.FailurePenalty.Seconds() }
 
-// Ordered costs the server's place in the order that all instances take.
-type Ordered struct{}
+// DisplacementOrder costs the server's place in the order that all instances take.
+type DisplacementOrder struct{}
 
-var _ Scorer = Ordered{}
+var _ Scorer = DisplacementOrder{}
 
 // Score implements Scorer.
-func (Ordered) Score(_ *Request, c *Candidate) float64 { return c.Order }
+func (DisplacementOrder) Score(_ *Request, c *Candidate) float64 { return c.DisplacementOrder }
--- a/request/choose/subset.go
+++ b/request/choose/subset.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxSubset is how many servers of a pool an instance uses if its settings don't say.
-const MaxSubset = 100
+// DefaultSubsetSize is how many servers of a pool an instance uses if its settings don't say.
+const DefaultSubsetSize = 100
 
 // Subset returns the servers that an instance uses, by rendezvous hash of
 // instance and server: each instance gets its own, they stay the same while
 // others come and go, and all servers are used about equally often.
 func Subset(instance string, servers []string, size int) []string {
 	if size <= 0 {
-		size = MaxSubset
+		size = DefaultSubsetSize
 	}
 	if len(servers) <= size {
 		return servers
--- a/request/estimate/estimate.go
+++ b/request/estimate/estimate.go
@@ -101,11 +101,11 @@
 type Table struct {
 	classes map[string]*histogram
 	teams   map[Key]*histogram
-	errors  Error
+	errors  ErrorStats
 }
 
-// Error sums up how far estimates were off.
-type Error struct {
+// ErrorStats sums up how far estimates were off.
+type ErrorStats struct {
 	// Answers that were compared.
 	Answers int
 	// Absolute is the sum of |estimate - tokens|, Tokens the sum of tokens.
@@ -113,14 +113,14 @@
 }
 
 // Add takes in another table's errors.
-func (e *Error) Add(other Error) {
+func (e *ErrorStats) Add(other ErrorStats) {
 	e.Answers += other.Answers
 	e.Absolute += other.Absolute
 	e.Tokens += other.Tokens
 }
 
 // Relative is the mean absolute error as a share of the mean length.
-func (e Error) Relative() float64 {
+func (e ErrorStats) Relative() float64 {
 	if e.Tokens == 0 {
 		return 0
 	}
@@ -132,8 +132,8 @@
 	return &Table{classes: make(map[string]*histogram), teams: make(map[Key]*histogram)}
 }
 
-// Left estimates how many more tokens an answer gets that has got so far.
-func (t *Table) Left(key Key, got int) float64 {
+// Remaining estimates how many more tokens an answer gets that has got so far.
+func (t *Table) Remaining(key Key, got int) float64 {
 	class, known := 0.0, false
 	if h := t.classes[key.Class]; h != nil {
 		class, known = h.left(got)
@@ -184,4 +184,4 @@
 }
 
 // Errors returns how far the estimates made at the start were off.
-func (t *Table) Errors() Error { return t.errors }
+func (t *Table) Errors() ErrorStats { return t.errors }
--- a/request/limits/limits.go
+++ b/request/limits/limits.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Told takes in a peer's cumulative spending. A smaller number than before
+// ObserveSpent takes in a peer's cumulative spending. A smaller number than before
 // means that the peer started afresh.
-func (t *Table) Told(peer, team string, limit Limit, total uint64, now time.Time) {
+func (t *Table) ObserveSpent(peer, team string, limit Limit, total uint64, now time.Time) {
 	key := peerTeam{peer, team}
 	before, known := t.told[key]
 	t.told[key] = total
@@ -128,8 +128,8 @@
 	idle = 10 * time.Minute
 )
 
-// Recent returns the teams that spent here lately, in order of name.
-func (t *Table) Recent(now time.Time) []string {
+// RecentSpenders returns the teams that spent here lately, in order of name.
+func (t *Table) RecentSpenders(now time.Time) []string {
 	var names []string
 	for name, b := range t.buckets {
 		if b.spent > 0 && now.Sub(b.spentAt) < recent {
--- a/request/limits/limits_test.go
+++ b/request/limits/limits_test.go
@@ -15,8 +15,8 @@
 	is := is.New(t)
 	limit := Limit{Rate: 1000}
 	tables := []*Table{NewTable(), NewTable()}
-	tables[0].Told("1", "a", limit, 0, epoch)
-	tables[1].Told("0", "a", limit, 0, epoch)
+	tables[0].ObserveSpent("1", "a", limit, 0, epoch)
+	tables[1].ObserveSpent("0", "a", limit, 0, epoch)
 	spent := 0.0
 	const seconds = 60
 	for step := range seconds * 100 {
@@ -28,8 +28,8 @@
 			}
 		}
 		if step%50 == 0 {
-			tables[0].Told("1", "a", limit, tables[1].Spent("a"), now)
-			tables[1].Told("0", "a", limit, tables[0].Spent("a"), now)
+			tables[0].ObserveSpent("1", "a", limit, tables[1].Spent("a"), now)
+			tables[1].ObserveSpent("0", "a", limit, tables[0].Spent("a"), now)
 		}
 	}
 	is.True(spent/seconds < 1150)
--- a/request/outcome/claims.go
+++ b/request/outcome/claims.go
@@ -24,8 +24,8 @@
 	maxStorePause = 3 * time.Second
 	// storeTimeout is for one try.
 	storeTimeout = 3 * time.Second
-	// MaxStored is the largest answer that is kept for a second sender, in bytes.
-	MaxStored = 64 << 10
+	// MaxStoredBytes is the largest answer that is kept for a second sender, in bytes.
+	MaxStoredBytes = 64 << 10
 )
 
 // Ledger is the replicated record of non-idempotent requests.
@@ -125,7 +125,7 @@
 // Ran stores the whole answer.
 func (k *Claim) Ran(status int, contentType string, body []byte) {
 	answer := &lilacv1.StoredAnswer{Status: uint32(status), ContentType: contentType, Body: body}
-	if len(body) > MaxStored {
+	if len(body) > MaxStoredBytes {
 		answer.Body, answer.TooLarge = nil, true
 	}
 	k.store(lilacv1.ClaimState_CLAIM_STATE_RAN, answer)
--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -95,7 +95,7 @@
 func (c *core) charge(now time.Time, r *request) {
 	r.estimated = 1
 	if !r.pool.service {
-		r.estimated = c.estimates.Left(r.key(), 0)
+		r.estimated = c.estimates.Remaining(r.key(), 0)
 		if r.Hint > 0 {
 			r.estimated = float64(r.Hint)
 		}
@@ -121,7 +121,7 @@
 		Weight: weight, Cost: cost, Arrived: now,
 	}
 	r.item.Due = now.Add(r.first() - r.pool.expectFirst(r))
-	r.item.Kept = r.pool.withinShare(r)
+	r.item.Guaranteed = r.pool.withinShare(r)
 }
 
 // startMargin is how much longer than expected a first token may take, since
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -12,9 +12,9 @@
 func (s *server) candidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.outline(r, now, index)
 	if s.shunned || s.startsLeft < 1 {
-		c.Barred = true
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := c.Load + 1
@@ -30,14 +30,14 @@
 func (s *server) displaced(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.outline(r, now, index)
 	if s.displaceLeft < 1 {
-		c.Barred = true
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := min(c.Load+1, float64(s.slots))
 	c.Load -= s.yielding() + displaceOver*float64(s.slots)
-	c.Order = s.displaceOrder()
+	c.DisplacementOrder = s.displaceOrder()
 	s.assess(&c, r, now, h, n)
 	return c
 }
@@ -45,8 +45,8 @@
 // outline is what is known of the server without looking at the request's prompt.
 func (s *server) outline(r *request, now time.Time, index int) choose.Candidate {
 	return choose.Candidate{
-		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.barred(now),
-		Trial: s.trial != "" || s.peerTrials > 0,
+		Name: s.name, Index: index, Hash: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Unavailable: s.barred(now),
+		HasTrial: s.trial != "" || s.peerTrials > 0,
 		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.between()), r.between()),
 	}
 }
@@ -54,15 +54,15 @@
 // assess fills in what the request would meet on the server as one of n.
 func (s *server) assess(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
 	supply := h.supplyAt(s, r)
-	c.First = s.firstToken(n, supply.read, r.levelOf()) + s.fetchTime(supply.fetched)
-	c.Work = r.pool.readTime(supply.work())
-	c.Again = supply.again >= leastAgain
-	c.Stray = s.stray(r, h, supply.read)
-	c.Intrudes = s.intrudes(now, r, supply.read)
+	c.FirstToken = s.firstToken(n, supply.read, r.levelOf()) + s.fetchTime(supply.fetched)
+	c.PrefillTime = r.pool.readTime(supply.work())
+	c.DuplicatePrefill = supply.again >= leastAgain
+	c.AffinityPenalty = s.stray(r, h, supply.read)
+	c.Interferes = s.intrudes(now, r, supply.read)
 	if r.Anchored {
-		c.Trouble = time.Duration(s.trouble * float64(r.first()))
+		c.FailurePenalty = time.Duration(s.trouble * float64(r.first()))
 	}
 	if !s.service {
-		c.Gap = s.gapAt(n)
+		c.TokenGap = s.gapAt(n)
 	}
 }
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -73,23 +73,23 @@
 }
 
 func newChooser(weights settings.Policy) chooser {
-	scorers := []choose.Scorer{choose.Finish{}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Crowd{Weight: crowdWeight}, choose.Trouble{}}
-	anchored := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
-	late := []choose.Filter{choose.Open{}, choose.Room{}, choose.Quarantine{}}
+	scorers := []choose.Scorer{choose.CompletionTime{}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.Contention{Weight: crowdWeight}, choose.FailurePenalty{}}
+	anchored := []choose.Scorer{choose.PrefillTime{Weight: workWeight}, choose.LatenessRisk{}, choose.DecodeTime{Weight: paceWeight}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.AffinityPenalty{}, choose.FailurePenalty{}}
+	late := []choose.Filter{choose.Available{}, choose.WithinCapacity{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
-	apart := append(slices.Clone(late), choose.Unintruded{})
-	once := append(slices.Clone(apart), choose.Once{})
-	firstOnTime := append(slices.Clone(once), choose.FirstOnTime{})
-	picker := choose.Near{First: nearFirst, Second: nearSecond, Share: nearShare}
+	apart := append(slices.Clone(late), choose.NoInterference{})
+	once := append(slices.Clone(apart), choose.NoDuplicatePrefill{})
+	firstOnTime := append(slices.Clone(once), choose.FirstTokenOnTime{})
+	picker := choose.NearLowestCost{FirstMargin: nearFirst, SecondMargin: nearSecond, Margin: nearShare}
 	return chooser{
 		reserves:       reservesOf(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
-		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.Least{}},
-		anchoredLate:   choose.Chooser{Filters: apart, Scorers: anchored, Picker: choose.Least{}},
-		anchoredOnce:   choose.Chooser{Filters: once, Scorers: anchored, Picker: choose.Least{}},
-		displacingLate: choose.Chooser{Filters: once, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
-		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
+		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.LowestCost{}},
+		anchoredLate:   choose.Chooser{Filters: apart, Scorers: anchored, Picker: choose.LowestCost{}},
+		anchoredOnce:   choose.Chooser{Filters: once, Scorers: anchored, Picker: choose.LowestCost{}},
+		displacingLate: choose.Chooser{Filters: once, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
+		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
 	}
 }
 
@@ -103,7 +103,7 @@
 		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
 		return false
 	}
-	if len(servers) <= choose.Sample+choose.Sample/2 {
+	if len(servers) <= choose.SampleSize+choose.SampleSize/2 {
 		for i, s := range servers {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, &h))
 		}
@@ -116,7 +116,7 @@
 	}
 	start := c.random.IntN(len(servers))
 	step := 1 + c.random.IntN(len(servers)-1)
-	for i := range choose.Sample {
+	for i := range choose.SampleSize {
 		at := (start + i*step) % len(servers)
 		c.choice.candidates = append(c.choice.candidates, servers[at].candidate(r, now, at, &h))
 	}
@@ -224,8 +224,8 @@
 // pickBy returns the best of the described servers in one way of choosing.
 func (c *core) pickBy(way *choose.Chooser, now time.Time, r *request, h how) *server {
 	asked := choose.Request{
-		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
-		Left: r.left(c), Reserve: h.reserve, Over: h.over, Alone: h.alone,
+		FirstTokenBudget: r.firstBy(now), FirstTokenTarget: r.first(), TokenGapTarget: r.between(), Avoid: r.failedOn,
+		RemainingTokens: r.left(c), ReservedSlots: h.reserve, Overcommit: h.over, Suspect: h.alone,
 	}
 	if len(r.pool.servers) == 1 {
 		asked.Avoid = ""
@@ -247,7 +247,7 @@
 	for i := range c.choice.candidates {
 		candidate := &c.choice.candidates[i]
 		s := r.pool.servers[candidate.Index]
-		if !candidate.Barred && s.gapAt(1) <= between {
+		if !candidate.Unavailable && s.gapAt(1) <= between {
 			return true
 		}
 	}
@@ -259,7 +259,7 @@
 	if r.pool.service {
 		return 0
 	}
-	left := c.estimates.Left(r.key(), r.got)
+	left := c.estimates.Remaining(r.key(), r.got)
 	if r.Hint > r.got {
 		// Callers' guesses are right at the median, a class's lengths differ thirtyfold.
 		left = float64(r.Hint - r.got)
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -15,7 +15,7 @@
 	c.view = view
 	for digest := range old.Convictions {
 		if view.Convictions[digest] == nil {
-			c.suspects.Cleared(digest, now)
+			c.suspects.Clear(digest, now)
 		}
 	}
 	for digest := range view.Convictions {
--- a/request/policy/copies.go
+++ b/request/policy/copies.go
@@ -93,7 +93,7 @@
 // request would get one trial too many.
 func (c *core) blameStopped(now time.Time, s *server) {
 	for _, copy := range c.stopped {
-		if copy.server == s && now.Sub(copy.at) <= stoppedFor && c.suspects.Crashed(copy.digest, copy.team, s.name, now) {
+		if copy.server == s && now.Sub(copy.at) <= stoppedFor && c.suspects.RecordCrash(copy.digest, copy.team, s.name, now) {
 			c.accuse(copy.digest)
 			c.announce()
 		}
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -19,12 +19,12 @@
 			break
 		}
 	}
-	p.queue.Restore()
+	p.queue.RestoreSkipped()
 	p.noteRoom(now)
 }
 
 func (c *core) startOwed(now time.Time, p *pool) bool {
-	item := p.queue.Owed(now)
+	item := p.queue.NextByCredit(now)
 	if item == nil {
 		return false
 	}
@@ -33,7 +33,7 @@
 	if s == nil {
 		return false
 	}
-	p.queue.Settle(item)
+	p.queue.SpendCredit(item)
 	c.begin(now, r, s)
 	return true
 }
@@ -66,7 +66,7 @@
 		if c.requests[ID(item.ID)].blocked != BlockedByRoom {
 			return false
 		}
-		p.queue.Pass(item)
+		p.queue.Skip(item)
 	}
 	return false
 }
@@ -124,7 +124,7 @@
 		c.stats.Overtook++
 	}
 	r.pool.noteStart(now, r, s)
-	r.pool.queue.Served(r.Class, r.item.Cost, now)
+	r.pool.queue.AccrueCredit(r.Class, r.item.Cost, now)
 	c.start(now, r, s)
 }
 
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -110,7 +110,7 @@
 	if r.attempt >= maxAttempts || r.spent() || !c.budget.Take() {
 		return lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "the backend server failed and the retry budget is spent; send the request again after Retry-After", true
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Retries++
 	return 0, "", false
 }
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -96,7 +96,7 @@
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.spread(minRetryAfter))
 		return true
 	}
-	if r.class.GetLate() != lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM || r.item.Kept || !p.full(now, r) {
+	if r.class.GetLate() != lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM || r.item.Guaranteed || !p.full(now, r) {
 		return false
 	}
 	wait := p.startsIn(r)
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -35,7 +35,7 @@
 	if !c.told {
 		return
 	}
-	instances := float64(p.tiers.Instances())
+	instances := float64(p.tiers.InstanceCount())
 	for _, s := range p.servers {
 		s.displaceLeft = wholePart(c.random, s.yielding()/instances)
 		if open[s.lane] == 0 {
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -73,7 +73,7 @@
 	if s == nil || !c.cutShort(now, r, s) || !c.carries(now, r, s) || !c.budget.Take() {
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.transfer(now, r, s)
 	return true
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -113,7 +113,7 @@
 	if !s.stalled(r.pool) {
 		return false
 	}
-	return r.between() > 0 && r.pace(c.estimates.Left(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
+	return r.between() > 0 && r.pace(c.estimates.Remaining(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
 }
 
 // overdue tells whether the first token is later than it should be: the
@@ -146,7 +146,7 @@
 		r.failedOn = avoid
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.stop(now, r)
 	c.start(now, r, s)
@@ -160,6 +160,6 @@
 	if r.got == 0 {
 		return first <= r.firstBy(now)
 	}
-	left := c.estimates.Left(r.key(), r.got)
+	left := c.estimates.Remaining(r.key(), r.got)
 	return !s.stalled(r.pool) && r.pace(left, s.gapAt(n), now.Add(first)) <= r.between()
 }
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -76,7 +76,7 @@
 	Admitted map[string]int
 	Peers    []string
 	// Estimates is how far predicted answer lengths were off.
-	Estimates estimate.Error
+	Estimates estimate.ErrorStats
 	// Limited are the servers that name a limit, with it, in requests a second.
 	Limited map[string]float64
 	// Checked counts evaluations of invariants; Violations those that failed.
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -22,7 +22,7 @@
 // their class's setting they run late or are refused, never silently dropped.
 func (c *core) expireLate(now time.Time, p *pool) {
 	var refused []*request
-	p.queue.Expired(now, func(item *queue.Item) {
+	p.queue.MarkLate(now, func(item *queue.Item) {
 		if r := c.requests[ID(item.ID)]; r.got == 0 && r.refusedLate(now) {
 			refused = append(refused, r)
 		}
@@ -74,7 +74,7 @@
 	if p.tiers.Admits(tier) {
 		return false
 	}
-	if r.item.Kept {
+	if r.item.Guaranteed {
 		return false
 	}
 	if p.queue.LowestTier() > tier || !p.tiers.MayShed(tier, now) {
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -49,14 +49,14 @@
 		Sequence:    c.sequence,
 		Leaving:     c.draining,
 		Revision:    c.view.Revision,
-		Suspects:    c.suspects.Share(now),
+		Suspects:    c.suspects.Export(now),
 		Spends:      c.spends(now),
 		Readings:    c.toldReadings(now),
 		Work:        c.toldWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
 	for _, p := range c.poolOrder {
-		d.Cutoffs = append(d.Cutoffs, p.tiers.Tell(p.claim(), p.queue.LowestTier()))
+		d.Cutoffs = append(d.Cutoffs, p.tiers.Cutoff(p.claim(), p.queue.LowestTier()))
 		d.PromiseMs = shorterPromise(d.PromiseMs, p.tiers.Promise())
 	}
 	for _, s := range c.ordered {
@@ -76,7 +76,7 @@
 // spends lists what limited teams spent here lately.
 func (c *core) spends(now time.Time) []*lilacv1.TeamSpend {
 	var all []*lilacv1.TeamSpend
-	for _, name := range c.limits.Recent(now) {
+	for _, name := range c.limits.RecentSpenders(now) {
 		all = append(all, &lilacv1.TeamSpend{Team: name, Tokens: c.limits.Spent(name)})
 	}
 	return all
@@ -119,7 +119,7 @@
 	c.takeSuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
 		if team := c.view.Teams[spend.GetTeam()]; team != nil {
-			c.limits.Told(name, spend.GetTeam(), limitOf(team), spend.GetTokens(), now)
+			c.limits.ObserveSpent(name, spend.GetTeam(), limitOf(team), spend.GetTokens(), now)
 		}
 	}
 	for _, ejected := range d.GetEjected() {
@@ -140,7 +140,7 @@
 	case d.GetIncomplete():
 		return time.Time{}
 	case d.GetBindsMs() == 0:
-		return now.Add(tiers.Fresh)
+		return now.Add(tiers.DefaultValidity)
 	default:
 		return e.At.Add(time.Duration(d.GetBindsMs()) * time.Millisecond)
 	}
@@ -214,7 +214,7 @@
 	}
 	c.namePeers()
 	for _, pool := range c.poolOrder {
-		pool.tiers.Gone(name)
+		pool.tiers.RemovePeer(name)
 		pool.measure(now)
 		c.cutoff(now, pool)
 		c.dispatch(now, pool)
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -120,9 +120,9 @@
 // tighten brings what the classes in use ask of the pool up to date.
 func (p *pool) tighten(now time.Time) {
 	p.tight, p.shares = 0, tiers.Shares{}
-	others := p.tiers.Others()
-	p.lastLevel, p.lastTier = min(others.Last(), lateLevel-1), others.LastTier()
-	p.lastRank = model.RankOf(max(others.Last(), 0))
+	others := p.tiers.OthersDemand()
+	p.lastLevel, p.lastTier = min(others.LastPlace(), lateLevel-1), others.LastTier()
+	p.lastRank = model.RankOf(max(others.LastPlace(), 0))
 	for _, u := range p.uses {
 		if now.Sub(u.at) >= tightFor {
 			continue
--- a/request/policy/silent.go
+++ b/request/policy/silent.go
@@ -58,7 +58,7 @@
 		if most > 0 && r.sends+1 >= most || r.attempt >= maxAttempts || !c.budget.Take() {
 			continue
 		}
-		c.check(InvariantBudget, c.budget.Holds())
+		c.check(InvariantBudget, c.budget.WithinBudget())
 		r.sends++
 		r.failedOn = s.name
 		c.stop(now, r)
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -31,13 +31,13 @@
 
 // suspectCrash notes that the request was in flight on a server that crashed.
 func (c *core) suspectCrash(now time.Time, r *request, s *server) {
-	if c.suspects.Crashed(r.Digest, r.Team, s.name, now) {
+	if c.suspects.RecordCrash(r.Digest, r.Team, s.name, now) {
 		c.announce()
 	}
 	if e := c.suspects.Get(r.Digest); e != nil {
-		e.Own = true
+		e.OwnCrash = true
 	}
-	c.suspects.CrashedAfter(r.Digest, s.name, r.got)
+	c.suspects.RecordCrashPosition(r.Digest, s.name, r.got)
 	delete(c.identical.passed, r.Digest)
 	c.accuse(r.Digest)
 }
@@ -118,7 +118,7 @@
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, 0)
 		return true
 	}
-	if e.Convicted() || e.Pardoned && !c.calm(now) || c.unsettled(now) || c.mustWait(now, r, e) {
+	if e.Convicted() || e.AttributedToOutage && !c.calm(now) || c.unsettled(now) || c.mustWait(now, r, e) {
 		return false
 	}
 	s, mine := c.trialServer(now, r, e)
@@ -159,7 +159,7 @@
 // told of is tried only when no peer tries it.
 func (c *core) mustWait(now time.Time, r *request, e *suspect.Entry) bool {
 	holds := r.claims || r.reserved != nil
-	if !holds && (e.Trial != "" || now.Sub(e.Elsewhere) < elsewhereFor) {
+	if !holds && (e.Trial != "" || now.Sub(e.PeerTrialAt) < elsewhereFor) {
 		return true
 	}
 	if r.failedOn != "" && slices.Contains(e.Servers, r.failedOn) {
@@ -224,5 +224,5 @@
 // clearSuspect ends the trial of a request that ran past the place of the crash.
 func (c *core) clearSuspect(now time.Time, r *request) {
 	c.endTrial(now, r, r.server)
-	c.suspects.Cleared(r.Digest, now)
+	c.suspects.Clear(r.Digest, now)
 }
--- a/request/policy/told.go
+++ b/request/policy/told.go
@@ -33,7 +33,7 @@
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
 		p.hear(c.options.Instance, work, c.told)
-		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
+		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Word.Instances)
 		c.spreadStarts(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
--- a/request/policy/verdict.go
+++ b/request/policy/verdict.go
@@ -66,12 +66,12 @@
 // this instance's own judgement.
 func (c *core) guilty(now time.Time, digest string) bool {
 	e := c.suspects.Get(digest)
-	return c.barred(now, digest) || e.Convicted() && e.Guilty
+	return c.barred(now, digest) || e.Convicted() && e.Confirmed
 }
 
 // accuse has a request with two crashes wait for its verdict.
 func (c *core) accuse(digest string) {
-	if e := c.suspects.Get(digest); e.Convicted() && !e.Guilty && !slices.Contains(c.accused, digest) {
+	if e := c.suspects.Get(digest); e.Convicted() && !e.Confirmed && !slices.Contains(c.accused, digest) {
 		c.accused = append(c.accused, digest)
 	}
 }
@@ -82,10 +82,10 @@
 	changed := false
 	for _, digest := range c.accused {
 		e := c.suspects.Get(digest)
-		if !e.Convicted() || e.Guilty {
+		if !e.Convicted() || e.Confirmed {
 			continue
 		}
-		if now.Sub(e.Learned) < verdictPause {
+		if now.Sub(e.UpdatedAt) < verdictPause {
 			kept = append(kept, digest)
 			continue
 		}
@@ -100,13 +100,13 @@
 }
 
 func (c *core) decide(now time.Time, e *suspect.Entry) {
-	if !e.Pardoned && c.outage(e) {
+	if !e.AttributedToOutage && c.outage(e) {
 		c.stats.Pardoned++
-		c.suspects.Pardon(e.Digest, now)
+		c.suspects.AttributeToOutage(e.Digest, now)
 		return
 	}
-	e.Guilty = true
-	if e.Own {
+	e.Confirmed = true
+	if e.OwnCrash {
 		c.stats.Convicted++
 		c.emit(Convict{Digest: e.Digest, Team: e.Team, Servers: slices.Clone(e.Servers)})
 	}
@@ -116,10 +116,10 @@
 // same window as those that it did, and explain its crashes better.
 func (c *core) outage(e *suspect.Entry) bool {
 	others, goesOn := c.othersFell(e)
-	switch e.Places() {
-	case suspect.PlacesAgree:
+	switch e.ComparePositions() {
+	case suspect.PositionsMatch:
 		return false
-	case suspect.PlacesDiffer:
+	case suspect.PositionsDiffer:
 		return others > 0
 	default:
 		return others > outageOthers || others == outageOthers && goesOn
@@ -129,12 +129,12 @@
 // othersFell counts the crashes of others near the suspect's own, and tells
 // whether any came with the last of these or after it.
 func (c *core) othersFell(e *suspect.Entry) (others int, goesOn bool) {
-	last := e.CrashedAt[len(e.CrashedAt)-1]
+	last := e.CrashTimes[len(e.CrashTimes)-1]
 	for _, s := range c.ordered {
-		if s.fellAt.IsZero() || e.Blamed(s.name) {
+		if s.fellAt.IsZero() || e.CrashRecorded(s.name) {
 			continue
 		}
-		if slices.ContainsFunc(e.CrashedAt, func(at time.Time) bool { return s.fellAt.Sub(at).Abs() <= outageWindow }) {
+		if slices.ContainsFunc(e.CrashTimes, func(at time.Time) bool { return s.fellAt.Sub(at).Abs() <= outageWindow }) {
 			others++
 			goesOn = goesOn || last.Sub(s.fellAt) <= sameCrash
 		}
--- a/request/queue/class.go
+++ b/request/queue/class.go
@@ -55,9 +55,9 @@
 // ClassLen returns the number of the class's requests that wait.
 func (q *Queue) ClassLen(class string) int { return q.classOf(class).waiting }
 
-// Served earns credit for every class that waits, by its share of the tokens
+// AccrueCredit earns credit for every class that waits, by its share of the tokens
 // just given out, and more the longer its oldest request has waited.
-func (q *Queue) Served(class string, tokens float64, now time.Time) {
+func (q *Queue) AccrueCredit(class string, tokens float64, now time.Time) {
 	for _, name := range q.names {
 		c := q.classes[name]
 		if name == class {
@@ -73,11 +73,11 @@
 	}
 }
 
-// Owed returns the oldest request of the class whose share is owed to it by
+// NextByCredit returns the oldest request of the class whose share is owed to it by
 // now, or nil. Of several, the one with the most credit over its cost. A share
 // is not called in before half of the time to the latest start has passed:
 // until then the request may get its turn without it.
-func (q *Queue) Owed(now time.Time) *Item {
+func (q *Queue) NextByCredit(now time.Time) *Item {
 	var best *Item
 	most := 0.0
 	for _, name := range q.names {
@@ -96,8 +96,8 @@
 	return best
 }
 
-// Settle takes the item's cost out of its class's credit.
-func (q *Queue) Settle(item *Item) {
+// SpendCredit takes the item's cost out of its class's credit.
+func (q *Queue) SpendCredit(item *Item) {
 	c := q.classOf(item.Class)
 	c.credit = max(c.credit-item.Cost, 0)
 }
--- a/request/queue/pass.go
+++ b/request/queue/pass.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Pass takes the item aside until Restore: it can't start now, and those behind it may.
+// Skip takes the item aside until Restore: it can't start now, and those behind it may.
 // It still counts as waiting.
-func (q *Queue) Pass(item *Item) {
+func (q *Queue) Skip(item *Item) {
 	heap.Remove(q.levels[item.level()].all[item.Team].heap(item.Late), item.index)
 	item.passed = true
 	q.passed = append(q.passed, item)
 }
 
-// Restore gives the items that were taken aside their places back.
-func (q *Queue) Restore() {
+// RestoreSkipped gives the items that were taken aside their places back.
+func (q *Queue) RestoreSkipped() {
 	for _, item := range q.passed {
 		item.passed = false
 		t := &q.levels[item.level()]
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -38,9 +38,9 @@
 	Late bool
 	// Begun answers are never given up for load: their tokens would be wasted.
 	Begun bool
-	// Kept requests are within their class's guaranteed share and are not
+	// Guaranteed requests are within their class's guaranteed share and are not
 	// given up for more urgent tiers.
-	Kept bool
+	Guaranteed bool
 
 	index   int
 	waiting bool
@@ -52,7 +52,7 @@
 func (i *Item) level() int { return model.Level(i.Tier, i.Rank) }
 
 // held items are no part of what is shed.
-func (i *Item) held() bool { return i.Begun || i.Kept }
+func (i *Item) held() bool { return i.Begun || i.Guaranteed }
 
 // Waiting tells whether the item is in a queue.
 func (i *Item) Waiting() bool { return i.waiting }
@@ -309,9 +309,9 @@
 	}
 }
 
-// Expired moves requests whose latest start has passed to the late ones and
+// MarkLate moves requests whose latest start has passed to the late ones and
 // calls each with them.
-func (q *Queue) Expired(now time.Time, each func(*Item)) {
+func (q *Queue) MarkLate(now time.Time, each func(*Item)) {
 	for i := range q.levels {
 		t := &q.levels[i]
 		if t.count == t.late {
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -52,7 +52,7 @@
 	q.Push(item(1, 1, "a", 100))
 	q.Push(item(2, 1, "a", 900))
 	expired := 0
-	q.Expired(epoch.Add(500*time.Millisecond), func(*Item) { expired++ })
+	q.MarkLate(epoch.Add(500*time.Millisecond), func(*Item) { expired++ })
 	is.Equal(expired, 1)
 	is.Equal(q.Peek(1, 0, false).ID, uint64(2))
 	is.Equal(q.Peek(1, 0, true).ID, uint64(1))
@@ -84,15 +84,15 @@
 	now := epoch
 	for range 1000 {
 		now = now.Add(50 * time.Millisecond)
-		q.Served("c", 20, now) // 400 tokens a second
-		if owed := q.Owed(now); owed != nil {
+		q.AccrueCredit("c", 20, now) // 400 tokens a second
+		if owed := q.NextByCredit(now); owed != nil {
 			break
 		}
 	}
-	is.Equal(q.Owed(now), waiting)
+	is.Equal(q.NextByCredit(now), waiting)
 	is.True(now.Sub(epoch) < 12*time.Second)
-	q.Settle(waiting)
-	is.True(q.Owed(now) == nil)
+	q.SpendCredit(waiting)
+	is.True(q.NextByCredit(now) == nil)
 }
 
 // A tier's notes and its urgent queries wait together. By slack alone notes that
@@ -122,16 +122,16 @@
 	first, second := item(1, 1, "a", 100), item(2, 1, "a", 900)
 	q.Push(first)
 	q.Push(second)
-	q.Pass(first)
+	q.Skip(first)
 	is.Equal(q.Len(), 2)
 	is.Equal(q.Peek(1, 0, false), second)
 	q.Started(second)
 	is.True(q.Peek(1, 0, false) == nil)
-	q.Restore()
+	q.RestoreSkipped()
 	is.Equal(q.Peek(1, 0, false), first)
-	q.Pass(first)
+	q.Skip(first)
 	q.Remove(first)
-	q.Restore()
+	q.RestoreSkipped()
 	is.Equal(q.Len(), 0)
 	is.True(q.Peek(1, 0, false) == nil)
 }
--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -28,7 +28,7 @@
 	if c == nil {
 		return
 	}
-	room := outcome.MaxStored + 1 - len(c.body)
+	room := outcome.MaxStoredBytes + 1 - len(c.body)
 	c.body = append(c.body, b[:min(room, len(b))]...)
 }
 
--- a/request/relay/loop.go
+++ b/request/relay/loop.go
@@ -202,6 +202,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, f := range r.flights {
-		f.stopIfStalled(now.Add(-r.StallAfter))
+		f.stopIfStalled(now.Add(-r.StallTimeout))
 	}
 }
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -57,8 +57,8 @@
 	OnAnnounce func()
 	// Log tells what becomes of requests; nil writes nothing.
 	Log *logs.Log
-	// StallAfter is how long a stream that began may stay silent. Default 30s.
-	StallAfter time.Duration
+	// StallTimeout is how long a stream that began may stay silent. Default 30s.
+	StallTimeout time.Duration
 }
 
 const (
@@ -87,8 +87,8 @@
 
 // New returns a Relay; Run must be called for it to work.
 func New(options Options) *Relay {
-	if options.StallAfter == 0 {
-		options.StallAfter = defaultStall
+	if options.StallTimeout == 0 {
+		options.StallTimeout = defaultStall
 	}
 	if options.OnConvict == nil {
 		options.OnConvict = func(policy.Convict) {}
@@ -160,8 +160,8 @@
 	r.closeIdle()
 }
 
-// Cut ends the requests that are still in progress, each with a typed error.
-func (r *Relay) Cut() {
+// Abort ends the requests that are still in progress, each with a typed error.
+func (r *Relay) Abort() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
--- a/request/retry/budget.go
+++ b/request/retry/budget.go
@@ -34,5 +34,5 @@
 	return true
 }
 
-// Holds is the invariant: all retries fit what was earned plus the burst.
-func (b *Budget) Holds() bool { return float64(b.retries) <= b.earned+Burst }
+// WithinBudget is the invariant: all retries fit what was earned plus the burst.
+func (b *Budget) WithinBudget() bool { return float64(b.retries) <= b.earned+Burst }
--- a/request/retry/budget_test.go
+++ b/request/retry/budget_test.go
@@ -17,7 +17,7 @@
 				taken++
 			}
 		}
-		is.True(b.Holds())
+		is.True(b.WithinBudget())
 	}
 	is.True(taken >= Burst+99 && taken <= Burst+100)
 }
--- a/request/suspect/place.go
+++ b/request/suspect/place.go
@@ -3,23 +3,23 @@
 // earlyTokens is how far into its answer a request may be to have crashed early.
 const earlyTokens = 8
 
-// Places says what the places of two crashes, in tokens of the answer, tell.
-type Places int
+// PositionComparison says what the places of two crashes, in tokens of the answer, tell.
+type PositionComparison int
 
 const (
-	// PlacesUnknown: the instance did not see both, or they tell nothing: many
+	// PositionsUnknown: the instance did not see both, or they tell nothing: many
 	// innocents die before the first token of their trial.
-	PlacesUnknown Places = iota
-	// PlacesDiffer: as where the servers went down by themselves.
-	PlacesDiffer
-	// PlacesAgree: both early and after the same token. Chance does that to
+	PositionsUnknown PositionComparison = iota
+	// PositionsDiffer: as where the servers went down by themselves.
+	PositionsDiffer
+	// PositionsMatch: both early and after the same token. Chance does that to
 	// few: most requests are well into their answers.
-	PlacesAgree
+	PositionsMatch
 )
 
-// CrashedAfter notes how many tokens of the answer this instance held when the
+// RecordCrashPosition notes how many tokens of the answer this instance held when the
 // server crashed; of copies on it the one that was furthest counts.
-func (t *Table) CrashedAfter(digest, server string, tokens int) {
+func (t *Table) RecordCrashPosition(digest, server string, tokens int) {
 	e := t.Get(digest)
 	if e == nil {
 		return
@@ -30,14 +30,14 @@
 	e.places[server] = max(e.places[server], tokens)
 }
 
-// Places compares the crashes that count. A token may be lost on its way, so
+// ComparePositions compares the crashes that count. A token may be lost on its way, so
 // one more or less is no difference.
-func (e *Entry) Places() Places {
+func (e *Entry) ComparePositions() PositionComparison {
 	least, most := earlyTokens, 0
 	for i, server := range e.Servers {
 		at, known := e.places[server]
 		if !known {
-			return PlacesUnknown
+			return PositionsUnknown
 		}
 		if i == 0 {
 			least = at
@@ -46,10 +46,10 @@
 	}
 	switch {
 	case most-least > 1:
-		return PlacesDiffer
+		return PositionsDiffer
 	case most == least && most < earlyTokens:
-		return PlacesAgree
+		return PositionsMatch
 	default:
-		return PlacesUnknown
+		return PositionsUnknown
 	}
 }
--- a/request/suspect/table.go
+++ b/request/suspect/table.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// Crashes is the number of lost servers that convicts.
-	Crashes = 2
+	// ConvictionThreshold is the number of lost servers that convicts.
+	ConvictionThreshold = 2
 	// keep is how long a suspicion lasts without news.
 	keep = 10 * time.Minute
 	// share is how long a suspicion is told to the other instances.
@@ -32,18 +32,18 @@
 	Servers []string
 	// Trial is the server on which this instance tries it now.
 	Trial string
-	// Learned is when this instance last heard something new of it.
-	Learned time.Time
-	// Elsewhere is when a peer last told that it tries the request.
-	Elsewhere time.Time
-	// CrashedAt is when this instance learned of each crash that counts.
-	CrashedAt []time.Time
-	// Own is true where a crash broke a run of this instance's own.
-	Own bool
-	// Guilty is the verdict on two crashes; until then they only bar the request.
-	Guilty bool
-	// Pardoned is true once crashes were put down to an outage; only once.
-	Pardoned bool
+	// UpdatedAt is when this instance last heard something new of it.
+	UpdatedAt time.Time
+	// PeerTrialAt is when a peer last told that it tries the request.
+	PeerTrialAt time.Time
+	// CrashTimes is when this instance learned of each crash that counts.
+	CrashTimes []time.Time
+	// OwnCrash is true where a crash broke a run of this instance's own.
+	OwnCrash bool
+	// Confirmed is the verdict on two crashes; until then they only bar the request.
+	Confirmed bool
+	// AttributedToOutage is true once crashes were put down to an outage; only once.
+	AttributedToOutage bool
 	// places are how many tokens of its answer this instance held at each of
 	// its own crashes, by server.
 	places map[string]int
@@ -53,7 +53,7 @@
 }
 
 // Convicted tells whether the request must not run again.
-func (e *Entry) Convicted() bool { return e != nil && len(e.Servers) >= Crashes }
+func (e *Entry) Convicted() bool { return e != nil && len(e.Servers) >= ConvictionThreshold }
 
 // Table holds the suspects that one instance knows.
 type Table struct {
@@ -90,51 +90,51 @@
 	return e
 }
 
-// Crashed notes that a server went down with the request in flight. It
+// RecordCrash notes that a server went down with the request in flight. It
 // returns true where that is news.
-func (t *Table) Crashed(digest, team, server string, now time.Time) bool {
+func (t *Table) RecordCrash(digest, team, server string, now time.Time) bool {
 	e := t.entry(digest, team)
 	at, known := slices.BinarySearch(e.Servers, server)
 	if known || slices.Contains(e.forgiven, server) {
 		return false
 	}
 	e.Servers = slices.Insert(e.Servers, at, server)
-	e.CrashedAt = append(e.CrashedAt, now)
-	e.Learned = now
+	e.CrashTimes = append(e.CrashTimes, now)
+	e.UpdatedAt = now
 	return true
 }
 
-// Blamed tells whether the server's crash was ever put down to the request.
-func (e *Entry) Blamed(server string) bool {
+// CrashRecorded tells whether the server's crash was ever put down to the request.
+func (e *Entry) CrashRecorded(server string) bool {
 	return slices.Contains(e.Servers, server) || slices.Contains(e.forgiven, server)
 }
 
-// Pardon puts all crashes but one down to an outage: the request remains a
+// AttributeToOutage puts all crashes but one down to an outage: the request remains a
 // suspect. Each instance keeps the same crash, the first by name, so that
 // what they tell each other doesn't add up to two again.
-func (t *Table) Pardon(digest string, now time.Time) {
+func (t *Table) AttributeToOutage(digest string, now time.Time) {
 	e := t.Get(digest)
 	if e == nil {
 		return
 	}
 	e.forgiven = append(e.forgiven, e.Servers[1:]...)
 	e.Servers = e.Servers[:1]
-	e.CrashedAt = nil
-	e.Pardoned = true
-	e.Learned = now
+	e.CrashTimes = nil
+	e.AttributedToOutage = true
+	e.UpdatedAt = now
 }
 
-// Cleared ends the suspicion: the request ran past the place of the crash, or
+// Clear ends the suspicion: the request ran past the place of the crash, or
 // the operators lifted its conviction. The crashes so far are forgiven.
-func (t *Table) Cleared(digest string, now time.Time) {
+func (t *Table) Clear(digest string, now time.Time) {
 	e := t.Get(digest)
 	if e == nil {
 		return
 	}
 	e.forgiven = append(e.forgiven, e.Servers...)
-	e.Servers, e.Trial, e.CrashedAt, e.places = nil, "", nil, nil
-	e.Own, e.Guilty, e.Pardoned = false, false, false
-	e.Learned = now
+	e.Servers, e.Trial, e.CrashTimes, e.places = nil, "", nil, nil
+	e.OwnCrash, e.Confirmed, e.AttributedToOutage = false, false, false
+	e.UpdatedAt = now
 }
 
 // Merge takes in a peer's suspects; it returns true where one is convicted by it.
@@ -142,16 +142,16 @@
 	convicted := false
 	for _, s := range suspects {
 		if len(s.GetServers()) == 0 {
-			t.Cleared(s.GetDigest(), now)
+			t.Clear(s.GetDigest(), now)
 			continue
 		}
 		before := t.entries[s.GetDigest()].Convicted()
 		for _, server := range s.GetServers() {
-			t.Crashed(s.GetDigest(), s.GetTeam(), server, now)
+			t.RecordCrash(s.GetDigest(), s.GetTeam(), server, now)
 		}
 		e := t.Get(s.GetDigest())
 		if e != nil && s.GetTrial() != "" {
-			e.Elsewhere = now
+			e.PeerTrialAt = now
 		}
 		convicted = convicted || !before && e.Convicted()
 	}
@@ -162,7 +162,7 @@
 func (t *Table) Expire(now time.Time) {
 	kept := t.order[:0]
 	for _, digest := range t.order {
-		if e := t.entries[digest]; now.Sub(e.Learned) > keep {
+		if e := t.entries[digest]; now.Sub(e.UpdatedAt) > keep {
 			delete(t.entries, digest)
 		} else {
 			kept = append(kept, digest)
@@ -171,13 +171,13 @@
 	t.order = kept
 }
 
-// Share returns what the other instances should know: recent suspicions, and
+// Export returns what the other instances should know: recent suspicions, and
 // without servers those that were cleared.
-func (t *Table) Share(now time.Time) []*lilacv1.Suspect {
+func (t *Table) Export(now time.Time) []*lilacv1.Suspect {
 	var all []*lilacv1.Suspect
 	for _, digest := range t.order {
 		e := t.entries[digest]
-		if now.Sub(e.Learned) > share && e.Trial == "" {
+		if now.Sub(e.UpdatedAt) > share && e.Trial == "" {
 			continue
 		}
 		all = append(all, &lilacv1.Suspect{Digest: digest, Team: e.Team, Servers: e.Servers, Trial: e.Trial})
--- a/request/suspect/table_test.go
+++ b/request/suspect/table_test.go
@@ -14,13 +14,13 @@
 func TestTwoCrashesConvictOverInstances(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
-	is.True(a.Crashed("d", "t", "r1", epoch))
-	is.True(!a.Crashed("d", "t", "r1", epoch)) // the same crash twice
-	b.Crashed("d", "t", "r2", epoch)
+	is.True(a.RecordCrash("d", "t", "r1", epoch))
+	is.True(!a.RecordCrash("d", "t", "r1", epoch)) // the same crash twice
+	b.RecordCrash("d", "t", "r2", epoch)
 	is.True(!a.Get("d").Convicted())
-	is.True(a.Merge(b.Share(epoch), epoch))
+	is.True(a.Merge(b.Export(epoch), epoch))
 	is.True(a.Get("d").Convicted())
-	is.True(!a.Merge(b.Share(epoch), epoch)) // no news
+	is.True(!a.Merge(b.Export(epoch), epoch)) // no news
 }
 
 // An innocent request ran through its trial, but the others still tell of the
@@ -29,14 +29,14 @@
 func TestClearedStaysCleared(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
-	a.Crashed("d", "t", "r1", epoch)
-	b.Merge(a.Share(epoch), epoch)
-	a.Cleared("d", epoch)
-	a.Merge(b.Share(epoch), epoch)
+	a.RecordCrash("d", "t", "r1", epoch)
+	b.Merge(a.Export(epoch), epoch)
+	a.Clear("d", epoch)
+	a.Merge(b.Export(epoch), epoch)
 	is.True(a.Get("d") == nil)
-	b.Merge(a.Share(epoch), epoch)
+	b.Merge(a.Export(epoch), epoch)
 	is.True(b.Get("d") == nil)
-	is.True(a.Crashed("d", "t", "r2", epoch)) // a new crash counts
+	is.True(a.RecordCrash("d", "t", "r2", epoch)) // a new crash counts
 	is.True(!a.Get("d").Convicted())
 }
 
@@ -44,19 +44,19 @@
 	is := is.New(t)
 	for _, c := range []struct {
 		first, second int
-		want          Places
+		want          PositionComparison
 	}{
-		{0, 0, PlacesAgree}, {2, 2, PlacesAgree}, {2, 3, PlacesUnknown},
-		{40, 40, PlacesUnknown}, {40, 41, PlacesUnknown}, {40, 47, PlacesDiffer},
+		{0, 0, PositionsMatch}, {2, 2, PositionsMatch}, {2, 3, PositionsUnknown},
+		{40, 40, PositionsUnknown}, {40, 41, PositionsUnknown}, {40, 47, PositionsDiffer},
 	} {
 		a := NewTable()
 		for server, tokens := range map[string]int{"r1": c.first, "r2": c.second} {
-			a.Crashed("d", "t", server, epoch)
-			a.CrashedAfter("d", server, tokens)
+			a.RecordCrash("d", "t", server, epoch)
+			a.RecordCrashPosition("d", server, tokens)
 		}
-		is.Equal(a.Get("d").Places(), c.want)
-		a.Crashed("d", "t", "r3", epoch) // a peer's, of unknown place
-		is.Equal(a.Get("d").Places(), PlacesUnknown)
+		is.Equal(a.Get("d").ComparePositions(), c.want)
+		a.RecordCrash("d", "t", "r3", epoch) // a peer's, of unknown place
+		is.Equal(a.Get("d").ComparePositions(), PositionsUnknown)
 	}
 }
 
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	a := NewTable()
 	a.Merge([]*lilacv1.Suspect{{Digest: "d", Servers: []string{"r1"}, Trial: "r2"}}, epoch)
-	is.Equal(a.Get("d").Elsewhere, epoch)
+	is.Equal(a.Get("d").PeerTrialAt, epoch)
 	a.Expire(epoch.Add(keep + time.Second))
 	is.Equal(a.Len(), 0)
 }
@@ -76,17 +76,17 @@
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
 	for _, server := range []string{"r1", "r2"} {
-		a.Crashed("d", "t", server, epoch)
-		b.Crashed("d", "t", server, epoch)
+		a.RecordCrash("d", "t", server, epoch)
+		b.RecordCrash("d", "t", server, epoch)
 	}
-	a.Pardon("d", epoch)
-	a.Merge(b.Share(epoch), epoch)
+	a.AttributeToOutage("d", epoch)
+	a.Merge(b.Export(epoch), epoch)
 	is.True(!a.Get("d").Convicted())
 	is.True(a.Get("d") != nil) // still a suspect
-	b.Pardon("d", epoch)
-	b.Merge(a.Share(epoch), epoch)
+	b.AttributeToOutage("d", epoch)
+	b.Merge(a.Export(epoch), epoch)
 	is.True(!b.Get("d").Convicted())
-	is.True(a.Get("d").Blamed("r2"))
-	a.Crashed("d", "t", "r3", epoch)
+	is.True(a.Get("d").CrashRecorded("r2"))
+	a.RecordCrash("d", "t", "r3", epoch)
 	is.True(a.Get("d").Convicted())
 }
--- a/request/tiers/fleet_test.go
+++ b/request/tiers/fleet_test.go
@@ -145,7 +145,7 @@
 	e.sequence++
 	d := &lilacv1.Digest{
 		Instance: e.self.Name, DataCenter: e.self.DataCenter, Incarnation: "1", Sequence: e.sequence,
-		PromiseMs: uint32(e.table.Promise().Milliseconds()), Cutoffs: []*lilacv1.PoolCutoff{e.table.Tell(tiers.Demand{}, -1)},
+		PromiseMs: uint32(e.table.Promise().Milliseconds()), Cutoffs: []*lilacv1.PoolCutoff{e.table.Cutoff(tiers.Demand{}, -1)},
 	}
 	for i := range w.pools {
 		d.Cutoffs = append(d.Cutoffs, &lilacv1.PoolCutoff{Pool: fmt.Sprintf("model-%02d/dc", i), HeldBackTier: 2, AdmittedTier: 2, WaitingTier: 3})
@@ -165,7 +165,7 @@
 			w.observe(e, a)
 		case member.Gone:
 			delete(e.heard, a.Instance)
-			e.table.Gone(a.Instance)
+			e.table.RemovePeer(a.Instance)
 			w.update(e)
 		}
 	}
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -26,10 +26,10 @@
 )
 
 const (
-	// Fresh is how long a peer's word without a stated time counts after it was heard.
-	Fresh = 1200 * time.Millisecond
-	// LiftDelay is how long an own word binds until SetPromise says otherwise.
-	LiftDelay = 2 * time.Second
+	// DefaultValidity is how long a peer's word without a stated time counts after it was heard.
+	DefaultValidity = 1200 * time.Millisecond
+	// DefaultPromise is how long an own word binds until SetPromise says otherwise.
+	DefaultPromise = 2 * time.Second
 	// settle is how long a new instance sheds nothing but the least urgent tier:
 	// it has not heard all others yet.
 	settle = 3 * time.Second
@@ -44,8 +44,8 @@
 // Demand is the number of slots that are asked for, by place.
 type Demand [model.Places]float64
 
-// Last is the last place that anything is asked for at, or -1.
-func (d Demand) Last() int {
+// LastPlace is the last place that anything is asked for at, or -1.
+func (d Demand) LastPlace() int {
 	last := len(d) - 1
 	for last >= 0 && d[last] == 0 {
 		last--
@@ -105,7 +105,7 @@
 
 // NewTable returns a table that admits all tiers.
 func NewTable(pool string, now time.Time) *Table {
-	return &Table{pool: pool, born: now, peers: make(map[string]*peer), said: lowest, admitted: lowest, promise: LiftDelay, need: none}
+	return &Table{pool: pool, born: now, peers: make(map[string]*peer), said: lowest, admitted: lowest, promise: DefaultPromise, need: none}
 }
 
 // SetPromise sets how long own words are to bind. A shorter time counts when no
@@ -122,7 +122,7 @@
 // Observe takes in what a peer said of the pool without a stated time; nil
 // means it said nothing.
 func (t *Table) Observe(name string, cutoff *lilacv1.PoolCutoff, now time.Time) {
-	t.ObserveUntil(name, cutoff, now.Add(Fresh))
+	t.ObserveUntil(name, cutoff, now.Add(DefaultValidity))
 }
 
 // ObserveUntil takes in what a peer said of the pool, which binds until then.
@@ -161,8 +161,8 @@
 	return demand
 }
 
-// Gone forgets a peer that is no longer reached.
-func (t *Table) Gone(name string) { delete(t.peers, name) }
+// RemovePeer forgets a peer that is no longer reached.
+func (t *Table) RemovePeer(name string) { delete(t.peers, name) }
 
 // HoldBack notes that this instance wants to shed the tier.
 func (t *Table) HoldBack(tier int, now time.Time) {
@@ -231,9 +231,9 @@
 // Admitted returns the least urgent tier that is let in here.
 func (t *Table) Admitted() int { return t.admitted }
 
-// Tell returns the pool's part of the digest; waiting is the least urgent
+// Cutoff returns the pool's part of the digest; waiting is the least urgent
 // tier that waits, or -1.
-func (t *Table) Tell(demand Demand, waiting int) *lilacv1.PoolCutoff {
+func (t *Table) Cutoff(demand Demand, waiting int) *lilacv1.PoolCutoff {
 	cutoff := &lilacv1.PoolCutoff{Pool: t.pool, AdmittedTier: uint32(t.said + 1), WaitingTier: uint32(waiting + 1)}
 	if t.need != none {
 		cutoff.HeldBackTier = uint32(t.need + 1)
@@ -241,18 +241,18 @@
 	for _, count := range demand.byTier() {
 		cutoff.Demand = append(cutoff.Demand, uint32(math.Round(count)))
 	}
-	for _, count := range demand[:demand.Last()+1] {
+	for _, count := range demand[:demand.LastPlace()+1] {
 		cutoff.PlaceDemand = append(cutoff.PlaceDemand, uint32(math.Round(count)))
 	}
 	return cutoff
 }
 
-// Peers returns how many instances share the pool, besides this one.
-func (t *Table) Peers() int { return len(t.peers) }
+// PeerCount returns how many instances share the pool, besides this one.
+func (t *Table) PeerCount() int { return len(t.peers) }
 
-// Told takes in what all other instances ask for and how many they are, where that is
+// SetOthersDemand takes in what all other instances ask for and how many they are, where that is
 // told beside digests; no instances where it isn't known any more.
-func (t *Table) Told(demand Demand, instances int) { t.told, t.toldPeers = demand, instances }
+func (t *Table) SetOthersDemand(demand Demand, instances int) { t.told, t.toldPeers = demand, instances }
 
 // others is how many instances Others speaks for.
 func (t *Table) others() int {
@@ -262,11 +262,11 @@
 	return len(t.peers)
 }
 
-// Instances is how many share the pool, this one included.
-func (t *Table) Instances() int { return t.others() + 1 }
+// InstanceCount is how many share the pool, this one included.
+func (t *Table) InstanceCount() int { return t.others() + 1 }
 
-// Others returns what all reachable peers run and hold.
-func (t *Table) Others() Demand {
+// OthersDemand returns what all reachable peers run and hold.
+func (t *Table) OthersDemand() Demand {
 	if t.toldPeers > 0 {
 		return t.told
 	}
@@ -284,7 +284,7 @@
 // the rest is given out place by place. Within a place slots go in proportion to
 // demand. What nobody asks for is split evenly, and open to each place.
 func (t *Table) Split(capacity float64, own Demand, shares Shares) (split Demand, quota float64) {
-	total := t.Others()
+	total := t.OthersDemand()
 	left := capacity
 	var given Demand
 	for place := range own {
--- a/request/tiers/table_test.go
+++ b/request/tiers/table_test.go
@@ -36,8 +36,8 @@
 	is := is.New(t)
 	const queries, notes = 1, 2*model.Tiers + 1
 	busy, pressed := NewTable("m", epoch), NewTable("m", epoch)
-	pressed.Observe("busy", busy.Tell(Demand{notes: 80}, -1), epoch)
-	busy.Observe("pressed", pressed.Tell(Demand{queries: 80}, -1), epoch)
+	pressed.Observe("busy", busy.Cutoff(Demand{notes: 80}, -1), epoch)
+	busy.Observe("pressed", pressed.Cutoff(Demand{queries: 80}, -1), epoch)
 	is.Equal(quota(pressed, 100, Demand{queries: 80}, Shares{}), 80.0)
 	is.Equal(quota(busy, 100, Demand{notes: 80}, Shares{}), 20.0)
 }
@@ -87,7 +87,7 @@
 const (
 	instances = 5
 	// longestTravel keeps the promise that the package's comment asks for.
-	longestTravel = LiftDelay - Fresh - 20*time.Millisecond
+	longestTravel = DefaultPromise - DefaultValidity - 20*time.Millisecond
 )
 
 func randomRun(t *testing.T, seed uint64) (allowed int) {
@@ -148,7 +148,7 @@
 				at = m.at
 			}
 		}
-		inbox[to] = append(inbox[to], message{from: from, at: at, cutoff: table.Tell(Demand{}, -1)})
+		inbox[to] = append(inbox[to], message{from: from, at: at, cutoff: table.Cutoff(Demand{}, -1)})
 	}
 }
 
