--- a/request/choose/score.go
+++ b/request/choose/score.go
@@ -58,7 +58,9 @@
 var _ Scorer = PrefillTime{}
 
 // Score implements Scorer.
-func (s PrefillTime) Score(_ *Request, c *Candidate) float64 { return s.Weight * c.PrefillTime.Seconds() }
+func (s PrefillTime) Score(_ *Request, c *Candidate) float64 {
+	return s.Weight * c.PrefillTime.Seconds()
+}
 
 // LatenessRisk costs the danger of a late first token. A wait that is short against the
 // target costs next to nothing, so that requests keep to the engines that hold
@@ -84,7 +86,9 @@
 var _ Scorer = DecodeTime{}
 
 // Score implements Scorer.
-func (s DecodeTime) Score(r *Request, c *Candidate) float64 { return s.Weight * r.RemainingTokens * c.TokenGap.Seconds() }
+func (s DecodeTime) Score(r *Request, c *Candidate) float64 {
+	return s.Weight * r.RemainingTokens * c.TokenGap.Seconds()
+}
 
 // FailurePenalty costs the failures that are to be expected, as time: a server that
 // answers its liveness check well and fails part of its requests gets fewer.
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -47,7 +47,7 @@
 	return choose.Candidate{
 		Name: s.name, Index: index, Hash: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Unavailable: s.barred(now),
 		HasTrial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.between()), r.between()),
+		Load:     s.load(), Limit: s.limit(s.paced(r.pool, r.between()), r.between()),
 	}
 }
 
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -252,7 +252,9 @@
 
 // SetOthersDemand takes in what all other instances ask for and how many they are, where that is
 // told beside digests; no instances where it isn't known any more.
-func (t *Table) SetOthersDemand(demand Demand, instances int) { t.told, t.toldPeers = demand, instances }
+func (t *Table) SetOthersDemand(demand Demand, instances int) {
+	t.told, t.toldPeers = demand, instances
+}
 
 // others is how many instances Others speaks for.
 func (t *Table) others() int {
