--- a/request/policy/copies.go
+++ b/request/policy/copies.go
@@ -93,7 +93,7 @@
 // request would get one trial too many.
 func (c *core) suspectStopped(now time.Time, s *server) {
 	for _, copy := range c.stoppedCopies {
-		if copy.server == s && now.Sub(copy.at) <= stoppedCopyWindow && c.suspects.Crashed(copy.digest, copy.team, s.name, now) {
+		if copy.server == s && now.Sub(copy.at) <= stoppedCopyWindow && c.suspects.RecordCrash(copy.digest, copy.team, s.name, now) {
 			c.awaitVerdict(copy.digest)
 			c.announce()
 		}
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -113,7 +113,7 @@
 	if !s.stalled(r.pool) {
 		return false
 	}
-	return r.tokenGapTarget() > 0 && r.pace(c.estimates.Left(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
+	return r.tokenGapTarget() > 0 && r.pace(c.estimates.Remaining(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
 }
 
 // overdue tells whether the first token is later than it should be: the
@@ -146,7 +146,7 @@
 		r.failedOn = avoid
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.stop(now, r)
 	c.start(now, r, s)
@@ -160,6 +160,6 @@
 	if r.tokens == 0 {
 		return first <= r.slack(now)
 	}
-	left := c.estimates.Left(r.key(), r.tokens)
+	left := c.estimates.Remaining(r.key(), r.tokens)
 	return !s.stalled(r.pool) && r.pace(left, s.gapAt(n), now.Add(first)) <= r.tokenGapTarget()
 }
--- a/request/policy/peerloads.go
+++ b/request/policy/peerloads.go
@@ -33,7 +33,7 @@
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
 		p.applyPeerWork(c.options.Instance, work, c.boardActive)
-		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
+		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Word.Instances)
 		c.spreadStarts(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
