--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -105,8 +105,8 @@
 // prefillGap returns the gap between tokens beside long prompts, in seconds, that lanes are
 // formed by.
 func (p *pool) prefillGap() float64 {
-	if p.plan.By != "" {
-		return micro * float64(p.plan.Beside)
+	if p.plan.Author != "" {
+		return micro * float64(p.plan.InterTokenGapUs)
 	}
 	if current := p.engine.prefillGap(p.slots()); p.ownPrefillGap == 0 || math.Abs(current-p.ownPrefillGap) > gapHysteresis*p.ownPrefillGap {
 		p.ownPrefillGap = current
@@ -310,7 +310,7 @@
 
 // ownPlan returns this instance's lane sizes, to be shared with other instances.
 func (p *pool) ownPlan(instance string) loadboard.LanePlan {
-	plan := loadboard.LanePlan{By: instance, Beside: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
+	plan := loadboard.LanePlan{Author: instance, InterTokenGapUs: uint32(p.prefillGap() / micro), Sizes: make(map[uint32]loadboard.LaneSizes, len(p.sizes))}
 	for dataCenter, size := range p.sizes {
 		plan.Sizes[loadboard.Key(dataCenter)] = loadboard.LaneSizes{Tight: uint32(size[laneTight]), Quick: uint32(size[laneQuick])}
 	}
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -119,7 +119,7 @@
 	if !s.straggling(r.pool) {
 		return false
 	}
-	return r.tokenGapTarget() > 0 && r.meanGap(c.estimates.Left(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
+	return r.tokenGapTarget() > 0 && r.meanGap(c.estimates.Remaining(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
 }
 
 // overdue reports whether the first token is overdue: the server has more work than this instance
@@ -152,7 +152,7 @@
 		r.failedOn = failedOn
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.stop(now, r)
 	c.start(now, r, s)
@@ -166,6 +166,6 @@
 	if r.tokens == 0 {
 		return first <= r.slack(now)
 	}
-	left := c.estimates.Left(r.key(), r.tokens)
+	left := c.estimates.Remaining(r.key(), r.tokens)
 	return !s.straggling(r.pool) && r.meanGap(left, s.gapAt(n), now.Add(first)) <= r.tokenGapTarget()
 }
--- a/request/policy/peerloads.go
+++ b/request/policy/peerloads.go
@@ -11,7 +11,7 @@
 // PeerLoads brings what all other instances run on each server and sent there
 // lately, where they tell it to each other beside their digests; its loads are nil
 // once that isn't known any more.
-type PeerLoads struct{ Word loadboard.Word }
+type PeerLoads struct{ Word loadboard.Report }
 
 func (PeerLoads) event() {}
 
@@ -20,20 +20,20 @@
 	c.boardActive = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
-		s.boardLoad, s.boardBulk = float64(load.InFlight), float64(load.Yielding)
+		s.boardLoad, s.boardBulk = float64(load.InFlight), float64(load.Preemptible)
 		for level, units := range load.Backlog {
-			s.boardBacklog[level] = float64(units) * loadboard.Unit
+			s.boardBacklog[level] = float64(units) * loadboard.BacklogUnit
 		}
 		s.estimateOtherLoad(c.boardActive || len(c.peers) > 0)
 	}
-	for _, read := range e.Word.Readings {
+	for _, read := range e.Word.CachedPrefixes {
 		c.observePeerPrefill(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
 	}
 	c.applyPeerLimits(now, e.Word.Limits)
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
 		p.applyPeerWork(c.options.Instance, work, c.boardActive)
-		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
+		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Word.Instances)
 		c.drawStartBudgets(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
@@ -41,8 +41,8 @@
 
 // Work is told by lane, claims by place: both packages count the same ones.
 var (
-	_ [loadboard.Lanes]uint32   = [laneCount]uint32{}
-	_ [loadboard.Places]float64 = tiers.Demand{}
+	_ [loadboard.Lanes]uint32      = [laneCount]uint32{}
+	_ [loadboard.Positions]float64 = tiers.Demand{}
 )
 
 // hear takes in what others do in the pool and know of it; told is false while they tell
@@ -55,7 +55,7 @@
 	p.work.otherLaneDemand = work.LaneClaims
 	p.engine.setOthers(work.Engine)
 	p.plan = loadboard.LanePlan{}
-	if work.Plan.Before(loadboard.LanePlan{By: self}) {
+	if work.Plan.Precedes(loadboard.LanePlan{Author: self}) {
 		p.plan = work.Plan
 	}
 }
@@ -114,8 +114,8 @@
 
 // Loads is what this instance runs on each server and sent there lately, for the
 // others.
-func (c *core) Loads(now time.Time) loadboard.Word {
-	word := loadboard.Word{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
+func (c *core) Loads(now time.Time) loadboard.Report {
+	word := loadboard.Report{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
 	for _, p := range c.poolOrder {
 		work := p.ownWork(c.options.Instance)
 		work.Claims = p.slotDemand()
@@ -125,14 +125,14 @@
 		if len(s.running) == 0 {
 			continue
 		}
-		load := loadboard.Load{InFlight: uint32(len(s.running)), Yielding: uint32(s.ownBulk())}
+		load := loadboard.Load{InFlight: uint32(len(s.running)), Preemptible: uint32(s.ownBulk())}
 		for level, tokens := range s.ownBacklog {
-			load.Backlog[level] = uint32(tokens/loadboard.Unit + 0.5)
+			load.Backlog[level] = uint32(tokens/loadboard.BacklogUnit + 0.5)
 		}
 		word.Loads[s.key] = load
 	}
 	for _, read := range c.recentPrefills(now) {
-		word.Readings = append(word.Readings, loadboard.Reading{
+		word.CachedPrefixes = append(word.CachedPrefixes, loadboard.CachedPrefix{
 			Server: loadboard.Key(read.server), Hash: read.block.Hash, Tokens: uint32(read.tokens),
 		})
 	}
