--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -16,7 +16,7 @@
 		Self:    member.Peer{Name: d.settings.Name, Address: d.settings.LinkForOthers().Value, DataCenter: d.settings.DataCenter},
 		Dial:    d.dialer.dial,
 		Own:     d.ownLoads,
-		OnLoads: func(word loadboard.Report) { d.entry.relay.Post(policy.PeerLoads{Word: word}) },
+		OnLoads: func(word loadboard.Report) { d.entry.relay.Post(policy.PeerLoads{Report: word}) },
 	})
 }
 
--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// defaultClass serves requests that name no class, where it is configured.
+// defaultClass is the class of requests that name none, if it is configured.
 const defaultClass = "default"
 
 func (c *core) arrive(now time.Time, a Arrival) {
@@ -44,10 +44,10 @@
 	c.shedOverload(now, r.pool)
 }
 
-// admit checks what the configuration says of the request.
+// admit checks the request against the configuration and the limit of its team.
 func (c *core) admit(now time.Time, r *request) (Refuse, bool) {
 	if c.draining || c.view.Instances[c.options.Instance].GetDraining() {
-		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request again, another instance takes it", c.jitter(time.Second))
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request again, another instance will accept it", c.jitter(time.Second))
 	}
 	if r.Class == "" {
 		r.Class = defaultClass
@@ -72,12 +72,12 @@
 	}
 	r.limit = limitOf(team)
 	if wait, ok := c.limits.Allow(r.Team, r.limit, now); !ok {
-		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_LIMIT, fmt.Sprintf("team %q has spent its tokens a second; come back after Retry-After, or ask the operators to raise the limit", r.Team), c.jitter(max(wait, minRetryAfter)))
+		return refuseWith(lilacv1.ErrorKind_ERROR_KIND_LIMIT, fmt.Sprintf("team %q has exceeded its limit of tokens per second; send the request again after Retry-After, or ask the operators to raise the limit", r.Team), c.jitter(max(wait, minRetryAfter)))
 	}
 	return Refuse{}, true
 }
 
-// barred tells whether a conviction of the digest is in force.
+// convictionInForce reports whether a conviction of the digest is in force.
 func (c *core) convictionInForce(now time.Time, digest string) bool {
 	conviction := c.view.Convictions[digest]
 	if conviction == nil {
@@ -91,7 +91,8 @@
 	return Refuse{Kind: kind, Message: message, RetryAfter: after}, false
 }
 
-// charge takes the expected tokens out of the team's limit; the end settles the rest.
+// charge takes the expected tokens from the team's limit; forget corrects the
+// charge by the actual ones.
 func (c *core) charge(now time.Time, r *request) {
 	r.estimated = 1
 	if !r.pool.service {
@@ -107,7 +108,7 @@
 	c.limits.Spend(r.Team, r.limit, r.charged, now)
 }
 
-// prefillShare is what a prompt token costs of what a generated one does.
+// prefillCost is the cost of a prompt token relative to a generated one.
 const prefillCost = 0.05
 
 func (c *core) initItem(now time.Time, r *request) {
@@ -124,13 +125,14 @@
 	r.item.Guaranteed = r.pool.withinShare(r)
 }
 
-// startMargin is how much longer than expected a first token may take, since
-// other instances start requests on the server in the same moment. In a burst
-// each request starts at its latest start: without the margin a fifth of those that
-// started in time missed the target, most by less than a quarter of it.
+// startMargin is added to the expected time to the first token, since other
+// instances may start requests on the same server at the same moment. In a burst
+// each request starts at its latest start time: without the margin a fifth of
+// those that started in time missed the target, most by less than a quarter of it.
 const startMargin = 120 * time.Millisecond
 
-// expectFirst is the time to the first token that is kept free of waiting.
+// expectedFirst returns the part of the target for the first token that must not be
+// spent waiting.
 func (p *pool) expectedFirst(r *request) time.Duration {
 	best := time.Duration(-1)
 	for i := range min(len(p.servers), dueSampleSize) {
@@ -143,10 +145,12 @@
 	return min(best+best/4+startMargin, r.firstTokenTarget()/2)
 }
 
-// dueSample is how many servers are asked for the time to a first token.
+// dueSampleSize is how many servers are considered in the estimate of the time to
+// the first token.
 const dueSampleSize = 4
 
-// enqueue lets the request wait: as a suspect, or in its tier.
+// enqueue puts the request into the quarantine if it is a suspect, else into the
+// queue.
 func (c *core) enqueue(now time.Time, r *request) {
 	r.pool.dirty = true
 	r.suspect = false
@@ -157,7 +161,7 @@
 	}
 	r.item.Late, r.expectedLate = false, false
 	if r.tokens > 0 {
-		// A continued answer goes first where it would fall behind its pace.
+		// A continued answer is due when it would fall behind its class's rate.
 		r.item.Due = now.Add(max(r.slack(now), 0))
 		r.item.Begun = true
 	}
--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -1,10 +1,10 @@
-// Package policy decides, for one instance, which request runs when and on
-// which backend server, which waits, and which is refused.
+// Package policy schedules the requests of one instance: it decides which request
+// runs when and on which backend server, which waits, and which is refused.
 //
-// It is a deterministic core: Step takes the time and one event and returns
-// actions. It starts no goroutine, reads no clock, opens no socket and draws
-// its random numbers from a seeded source. The entry process and the bench run
-// the same core.
+// It is a deterministic core. Step takes the time and one event and returns
+// actions. It starts no goroutine, reads no clock, opens no socket, and draws
+// random numbers from a seeded source, so that the entry process and the bench
+// can drive the same code.
 package policy
 
 import (
@@ -16,108 +16,111 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// ID names a request within one instance's life.
+// ID identifies a request. It is unique within the lifetime of an instance.
 type ID uint64
 
-// Event is something that happened; see the types below.
+// Event is an input of Step. The types below implement it.
 type Event interface{ event() }
 
-// Action is something the shell must do at once; see the types below.
+// Action is an output of Step that the shell must carry out at once. The types
+// below implement it.
 type Action interface{ action() }
 
-// Arrival is a new request that passed the checks of its form.
+// Arrival is a new, well-formed request.
 type Arrival struct {
 	ID    ID
 	Class string
 	Team  string
-	// Target is the model or service that it asks for.
+	// Target is the requested model or service.
 	Target string
-	// Digest is SHA-256 of team, path and body, in hexadecimal.
+	// Digest is the SHA-256 of team, path and body, in hexadecimal.
 	Digest string
 	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// MaxTokens is the caller's bound on the answer; 0 means none.
+	// MaxTokens is the caller's limit on the answer's length; 0 means none.
 	MaxTokens int
-	// Hint is the caller's own guess of the answer's tokens; 0 means none.
+	// Hint is the caller's estimate of the answer's length in tokens; 0 means none.
 	Hint int
 	// Prefix holds the blocks of the prompt, in order.
 	Prefix []Block
-	// Deadline is the caller's own; zero means none.
+	// Deadline is set by the caller; zero means none.
 	Deadline time.Time
 	// Idempotent requests may be sent again after they reached a server.
 	Idempotent bool
-	// Pinned answers stay at the server that makes them until it fails: their
-	// callers could not tell a change of server from a fault.
+	// Pinned answers stay on the server that generates them until it fails, because
+	// their callers cannot tell a change of server from a failure.
 	Pinned bool
 }
 
-// Block is a piece of a prompt that other requests may share.
+// Block is a part of a prompt that other requests may share.
 type Block struct {
-	// Hash covers the block and all before it.
+	// Hash covers the block and all blocks before it.
 	Hash uint64
-	// End is the number of tokens up to its end.
+	// End is the number of prompt tokens up to the end of the block.
 	End int
 }
 
-// Canceled tells that the caller has gone.
+// Canceled reports that the caller has disconnected.
 type Canceled struct{ ID ID }
 
-// Sent tells that the first byte of an attempt may have been written.
+// Sent reports that the first byte of an attempt may have been written.
 type Sent struct {
 	ID      ID
 	Attempt int
 }
 
-// Tokens tells that the answer grew; the first one carries the first token.
+// Tokens reports new tokens of the answer; the first event of an attempt includes
+// the first token.
 type Tokens struct {
 	ID      ID
 	Attempt int
 	Count   int
 }
 
-// Recomputed tells that an attempt that was to go on with its KV cache could not
-// have it, and computes its prefix again.
+// Recomputed reports that an attempt that was to reuse a transferred KV cache did
+// not get it and computes its prefix again.
 type Recomputed struct {
 	ID      ID
 	Attempt int
 }
 
-// Finished tells that the whole answer came.
+// Finished reports that the answer is complete.
 type Finished struct {
 	ID      ID
 	Attempt int
 }
 
-// Failed tells that an attempt ended without a whole answer.
+// Failed reports that an attempt ended without a complete answer.
 type Failed struct {
 	ID      ID
 	Attempt int
-	// Sent is false only where it is proved that no byte was written.
+	// Sent is false only if it is certain that no byte was written.
 	Sent bool
-	// Crashed is true where the server itself went away (connection reset or refused).
+	// Crashed is true if the connection to the server was reset or refused.
 	Crashed bool
-	// RetryAfter is the server's own, where it refused for load.
+	// RetryAfter is the server's own value, if it refused the request because of load.
 	RetryAfter time.Duration
-	// Refused is true where the server refused the request and did not run it.
+	// Refused is true if the server refused the request and did not run it.
 	Refused bool
-	// Permanent is true where another server would answer the same, such as a bad request.
+	// Permanent is true if another server would give the same answer, such as for a
+	// bad request.
 	Permanent bool
-	// ServerError is true where the server ran the request and answered with a
-	// failure of its own: it is there, and may do better next time.
+	// ServerError is true if the server ran the request and returned an error of its
+	// own. The server is reachable and stays in use.
 	ServerError bool
 }
 
-// LoadReport is a server's own word on its load, late by Age.
+// LoadReport is a server's own report of its load, which is Age old.
 type LoadReport struct {
 	Server  string
 	Running int
 	Waiting int
-	// KVUsed is the used share of the KV cache, 0 to 1.
+	// KVUsed is the used share of the KV cache, from 0 to 1.
 	KVUsed float64
 	Age    time.Duration
 }
 
-// CacheEvent tells that a server stored or dropped a prefix block.
+// CacheEvent reports that a server stored or dropped prefix blocks.
 type CacheEvent struct {
 	Server   string
 	Sequence uint64
@@ -127,34 +130,36 @@
 	Cleared bool
 }
 
-// ServerState is what membership knows of a server besides the configuration.
+// ServerState is the state of a server according to membership, which is
+// independent of the configuration.
 type ServerState struct {
 	Server string
-	// Leaving servers get no new work.
+	// Leaving servers get no new requests.
 	Leaving bool
 	// Gone servers are down.
 	Gone bool
 }
 
-// Configured brings a newer revision into force.
+// Configured puts a newer configuration revision into force.
 type Configured struct{ View *model.View }
 
-// PeerDigest is another instance's digest; its promises are counted from At.
+// PeerDigest is the digest of another instance. The validity of the promises in
+// it is counted from At.
 type PeerDigest struct {
 	Digest *lilacv1.Digest
 	At     time.Time
 }
 
-// PeerGone tells that another instance is no longer reached.
+// PeerGone reports that another instance can no longer be reached.
 type PeerGone struct{ Instance string }
 
-// Draining tells that this instance takes no new requests.
+// Draining makes this instance refuse new requests.
 type Draining struct{}
 
-// Tick lets time-driven decisions happen; the shell sends one each TickInterval.
+// Tick lets the core act on elapsed time; the shell sends one each TickInterval.
 type Tick struct{}
 
-// TickInterval is how often the shell sends a Tick.
+// TickInterval is the interval at which the shell sends Tick events.
 const TickInterval = 10 * time.Millisecond
 
 // Start tells the shell to send the request to the server.
@@ -162,49 +167,52 @@
 	ID      ID
 	Server  string
 	Attempt int
-	// Priority is for engines that honour one; 0 is the most urgent.
+	// Priority is the tier, for engines that honor priorities; 0 is the most urgent.
 	Priority int
-	// Level is the priority with the rank within its tier, from 0 up to 9; requests
-	// that are late already have the last.
+	// Level is the priority by tier and rank, from 0 (most urgent) to 9. Requests that
+	// start after their target was missed have the last level.
 	Level int
-	// ResumeFrom names the server that holds the first part of a broken
-	// stream, where it may be resumed; empty otherwise. The tokens so far, which
-	// the shell keeps, go along as a prefix.
+	// ResumeFrom names the server that holds the KV cache of an interrupted answer, if
+	// it can be reused; else it is empty. The tokens so far, which the shell keeps, are
+	// sent along as a prefix.
 	ResumeFrom string
-	// FetchFrom names the engine that holds a shared part of the prompt that Server
-	// lacks, and from which it can fetch it; empty for none.
+	// FetchFrom names the engine from which Server can fetch a shared part of the
+	// prompt that it lacks; empty for none.
 	FetchFrom string
-	// Continue is true where the caller already holds a part of the answer.
+	// Continue is true if the caller already holds a part of the answer.
 	Continue bool
-	// Decision is what decided the place, for the log.
+	// Decision holds the reasons for choosing this server, for the log.
 	Decision Decision
 }
 
-// Decision holds the inputs of a choice, as of its moment.
+// Decision holds the inputs of a server choice at the time it was made.
 type Decision struct {
-	// Waited is how long the request waited here.
+	// Waited is how long the request waited at this instance.
 	Waited time.Duration
-	// Own is what this instance runs on the server, Load what all are thought to.
+	// Own is the number of requests that this instance runs on the server, Load the
+	// estimate for all instances.
 	Own  int
 	Load float64
-	// ReportAge is the age of the server's last word on its load; negative for none.
+	// ReportAge is the age of the server's last load report; negative for none.
 	ReportAge time.Duration
-	// Uncached is the part of the prompt that the server must read, in tokens, and
-	// Ahead what it must read before.
+	// Uncached is the part of the prompt that the server must compute, Ahead the
+	// prompt work before it, both in tokens.
 	Uncached, Ahead float64
-	// Fetched is the part of the prompt that it fetches from another engine, in tokens.
+	// Fetched is the part of the prompt that is fetched from another engine, in tokens.
 	Fetched float64
-	// Expected is the time to the first token.
+	// Expected is the expected time to the first token.
 	Expected time.Duration
-	// Remote is true on a server in another data centre.
+	// Remote is true if the server is in another region.
 	Remote bool
-	// Lane is true on an engine that is kept for tight answers.
+	// Lane is true if the engine is in a lane, that is, dedicated to answers with
+	// strict targets.
 	Lane bool
-	// Displaces is true where it starts in the place of bulk, Bulk how much of that all
-	// instances run there.
+	// Displaces is true if the request starts in place of bulk requests; Bulk is how
+	// many of those all instances run on the server.
 	Displaces bool
 	Bulk      float64
-	// Home is 1 or 2 on the engines that the request's shared prompt belongs to.
+	// Home is 1 or more if the server is one of the home engines of the request's
+	// shared prompt, by order of preference, else 0.
 	Home int
 }
 
@@ -215,53 +223,54 @@
 	Message    string
 	NotRun     fault.NotRun
 	RetryAfter time.Duration
-	// Queue is what the request waited for, for the log.
+	// Queue is the state in which the request was given up, for the log.
 	Queue QueueState
 }
 
-// QueueState says how a request stood when it was given up.
+// QueueState describes a request's place in the queue when it was given up.
 type QueueState struct {
-	// Level is its place in the order of urgency, -1 where it was refused before it had
-	// one; Before counts the requests that would have started before it.
+	// Level is the request's place in the order of urgency, -1 if it was refused
+	// before it was queued. Before counts the requests that would have started first.
 	Level, Before int
-	// Running and Slots are what this instance runs of its level and of more urgent
-	// ones, and what it may run.
+	// Running is the number of running requests of this instance of the same or a more
+	// urgent level, Slots how many of them it may run.
 	Running, Slots float64
-	// Blocked is why it had not started.
+	// Blocked is why the request had not started.
 	Blocked BlockReason
 }
 
-// BlockReason is why a waiting request did not start when it was last looked at.
+// BlockReason is why a waiting request could not start at the last attempt.
 type BlockReason string
 
 // The reasons for which requests wait.
 const (
-	// NotBlocked requests were refused before they waited.
+	// NotBlocked: the request was refused before it was queued.
 	NotBlocked BlockReason = ""
-	// BlockedByOrder: others that go first did not start.
+	// BlockedByOrder: requests before it in the queue could not start.
 	BlockedByOrder BlockReason = "order"
-	// BlockedByShare: this instance's part of the pool's slots is taken.
+	// BlockedByShare: this instance's share of the pool's slots is in use.
 	BlockedByShare BlockReason = "share"
-	// BlockedByRoom: no server that suits it has room.
+	// BlockedByRoom: no suitable server has a free slot.
 	BlockedByRoom BlockReason = "room"
 )
 
-// Stop tells the shell to cancel an attempt at its server, at once.
+// Stop tells the shell to cancel an attempt at its server at once.
 type Stop struct {
 	ID      ID
 	Server  string
 	Attempt int
 }
 
-// Convict tells the shell to propose that all instances refuse this request.
+// Convict tells the shell to propose a conviction: all instances then refuse
+// requests with this digest.
 type Convict struct {
 	Digest  string
 	Team    string
 	Servers []string
 }
 
-// Broken tells the shell to end a stream with an explicit error, since the
-// rest of the answer can't be had. It never looks complete.
+// Broken tells the shell to end a stream with an explicit error because the rest
+// of the answer is not available. The stream must not look complete.
 type Broken struct {
 	ID         ID
 	Kind       fault.Kind
@@ -270,7 +279,7 @@
 }
 
 // Announce tells the shell to send the digest to all other instances at once,
-// since it holds news that can't wait for the next interval.
+// since it holds information that cannot wait for the next interval.
 type Announce struct{}
 
 func (Announce) action()   {}
@@ -296,13 +305,14 @@
 func (Convict) action() {}
 func (Broken) action()  {}
 
-// Core is what the entry process and the bench drive. Calls must not overlap.
+// Core is the scheduler as the entry process and the bench use it. Calls must not
+// overlap.
 type Core interface {
 	Step(now time.Time, event Event) []Action
-	// Digest returns what the other instances must know, as of now.
+	// Digest returns the state that other instances need, as of now.
 	Digest(now time.Time) *lilacv1.Digest
-	// Loads is what this instance runs on each server and sent there lately.
+	// Loads returns this instance's report for the load board.
 	Loads(now time.Time) loadboard.Report
-	// Stats returns the counters and the invariants that were seen broken.
+	// Stats returns the counters and the invariant violations.
 	Stats() Stats
 }
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -6,20 +6,21 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// levels is the number of priorities at engines; 0 is the most urgent.
+// engineLevels is the number of engine priorities; 0 is the most urgent.
 const engineLevels = loadboard.Levels
 
-// lateLevel is that of requests that start when their target is missed already:
-// they run in what the others leave. Only the least urgent classes have it: a more
-// urgent request that is late must not be preempted before less urgent ones.
+// lateEngineLevel is the priority of requests that start after their target was
+// missed: they use the capacity that others leave. Only the least urgent classes
+// get it, since a late request of a more urgent class must not be preempted before
+// less urgent ones.
 const lateEngineLevel = engineLevels - 1
 
-// backlog is prompt work that waits at an engine, in tokens, by the priority of
-// its requests. Engines read the prompts of more urgent requests first, so only
-// the part up to a request's own level is before it.
+// backlog is the prompt work waiting at an engine, in tokens, by the priority of
+// its requests. Engines process the prompts of more urgent requests first, so a
+// request waits only for the work up to its own level.
 type backlog [engineLevels]float64
 
-// before is what is read before a prompt of the level.
+// before returns the work that precedes a prompt of the level.
 func (b *backlog) before(level int) float64 {
 	sum := 0.0
 	for _, tokens := range b[:level+1] {
@@ -28,13 +29,13 @@
 	return sum
 }
 
-// total is the whole backlog.
+// total returns the work of all levels.
 func (b *backlog) total() float64 { return b.before(engineLevels - 1) }
 
-// add puts tokens on, or takes them off where they are negative.
+// add adds tokens, or removes them if negative. The result is never below 0.
 func (b *backlog) add(level int, tokens float64) { b[level] = max(0, b[level]+tokens) }
 
-// told is the backlog as peers are told of it.
+// encode returns the backlog as digests carry it; nil if it is empty.
 func (b *backlog) encode() []uint32 {
 	if b.total() == 0 {
 		return nil
@@ -46,7 +47,7 @@
 	return list
 }
 
-// merge adds what a peer told, with the sign.
+// addEncoded adds a peer's encoded backlog, multiplied by sign.
 func (b *backlog) addEncoded(told []uint32, sign float64) {
 	for level, tokens := range told {
 		if level < engineLevels {
@@ -55,9 +56,9 @@
 	}
 }
 
-// levelOf is the request's priority at engines if it started now. Requests that
-// are not anchored may meet engines that read prompts in turn: they expect all
-// of the backlog before them.
+// engineLevel returns the engine priority that the request would start with now.
+// Requests that are not pinned may run on engines without priorities, so they are
+// expected to wait for the whole backlog.
 func (r *request) engineLevel() int {
 	switch {
 	case !r.Pinned:
@@ -68,19 +69,20 @@
 	return engineLevelOf(r.class)
 }
 
-// levelOf is the class's level in the queue, by tier and the rank within it.
+// queueLevel returns the class's level in the queue, by tier and then by rank.
 func queueLevel(class *lilacv1.Class) int {
 	return model.Level(int(class.GetTier()), int(class.GetRank()))
 }
 
-// placeOf is the position at which the class is given room, by rank and the tier
-// within it.
+// placeOf returns the class's position in the allocation of slots, by rank and then
+// by tier.
 func placeOf(class *lilacv1.Class) int {
 	return model.Place(int(class.GetTier()), int(class.GetRank()))
 }
 
-// usualLevel is the priority at engines of the class's requests that can be in time.
-// Engines preempt running requests by it: bulk before short urgent work of any tier.
+// engineLevelOf returns the engine priority of the class's requests that can still
+// meet their target. Engines preempt running requests by it: long answers of any
+// tier before short urgent ones.
 func engineLevelOf(class *lilacv1.Class) int {
 	return min(placeOf(class), lateEngineLevel-1)
 }
--- a/request/policy/claim.go
+++ b/request/policy/claim.go
@@ -6,14 +6,14 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Copies of a crashing request at several instances may die with the same
-// server. Each instance then had a crash of its own, waited the same pause and
-// tried its copy in the same moment: two more servers were lost. So an instance
-// claims the trial as soon as its copy died, and of several claims the first by
-// instance name stays. A claim is told as a trial on a server that the request
-// has crashed already, where no real trial ever runs.
+// Copies of a crashing request at several instances may be lost with the same
+// server. If each of these instances tried its copy again after the same delay,
+// several more servers would crash at once. So an instance claims the trial as soon
+// as its copy was lost; of several claims, the one of the first instance by name
+// stands. Digests carry a claim as a trial on a server that the request has already
+// crashed, since no real trial runs there.
 
-// claim has a copy that died with the server be the next trial.
+// claimTrial claims the next trial for a copy that was lost with the server.
 func (c *core) claimTrial(digest string, crashed *server) {
 	e := c.suspects.Get(digest)
 	if e == nil || e.Trial != "" || e.Convicted() || !slices.Contains(e.Servers, crashed.name) {
@@ -27,11 +27,13 @@
 	}
 }
 
-// isClaim tells a claim from a trial that runs or is announced.
+// isTrialClaim reports whether the announced trial is a claim, and not a trial that
+// is running or reserved.
 func isTrialClaim(s *lilacv1.Suspect) bool { return slices.Contains(s.GetServers(), s.GetTrial()) }
 
-// yield gives way to a peer that tries the same suspect, or will. A trial goes
-// before a claim whatever the names, since it may run already.
+// yieldTrial releases this instance's claim or reservation if the peer's has
+// precedence. A trial has precedence over a claim whatever the names, since it may
+// be running already.
 func (c *core) yieldTrial(peer string, s *lilacv1.Suspect) {
 	e := c.suspects.Get(s.GetDigest())
 	if e == nil || e.Trial == "" {
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -9,7 +9,7 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// configure brings a revision into force; requests that run go on.
+// configure puts a revision into force; running requests continue.
 func (c *core) configure(now time.Time, view *model.View) {
 	old := c.view
 	c.view = view
@@ -81,7 +81,8 @@
 	s.setClosed(now, &s.configLeaving, configured.GetDraining())
 }
 
-// region is that of the data centre; one that the settings don't name is its own.
+// region returns the region of the data centre. A data centre without a configured
+// region is a region of its own.
 func (c *core) region(dataCenter string) string {
 	if region := c.options.Weights.Regions[dataCenter]; region != "" {
 		return region
@@ -89,9 +90,10 @@
 	return dataCenter
 }
 
-// setEngineModel gives an engine with a large batch the pool's estimates in place of those of
-// small engines: by these a prompt of 17,000 tokens seems to miss a target of 2.5 s
-// anywhere, and nothing is measured until it is late.
+// setEngineModel gives an engine with a large batch the estimates of its pool's
+// model in place of the defaults for small engines. With the defaults, a prompt of
+// 17,000 tokens would be expected to miss a target of 2.5 s on any engine, so that
+// no request would start in time and nothing would be measured.
 func (s *server) setEngineModel(e *engineModel) {
 	if s.engine == e {
 		return
@@ -100,7 +102,7 @@
 	s.stepOffset, s.gapPerRequest, s.prefill = e.stepOffset(), e.perRequest, e.prefill
 }
 
-// applyEngineModel goes over to what was learned of the pool's engines since.
+// applyEngineModel updates the server's estimates from the current engine model.
 func (s *server) applyEngineModel() {
 	base := s.engine.stepOffset()
 	s.gapPerRequest *= (s.load() + s.stepOffset) / (s.load() + base)
@@ -108,11 +110,11 @@
 	s.prefill = s.engine.prefill * s.prefillRatio
 }
 
-// close sets one of the reasons for which a server gets no new work.
+// setClosed sets one of the reasons for which the server gets no new requests.
 func (s *server) setClosed(now time.Time, reason *bool, closed bool) {
-	before := s.closed()
+	wasClosed := s.closed()
 	*reason = closed
-	if !before && s.closed() {
+	if !wasClosed && s.closed() {
 		s.closedAt = now
 	}
 }
@@ -157,8 +159,8 @@
 	})
 }
 
-// reclass gives waiting and running requests their class's new settings. A
-// request whose class is gone keeps the old ones.
+// updateClasses applies the current class settings to waiting and running requests.
+// Requests of a removed class keep its last settings.
 func (c *core) updateClasses(now time.Time, p *pool) {
 	for _, u := range p.usages {
 		if class := c.view.Classes[u.class.GetName()]; class != nil {
@@ -193,7 +195,7 @@
 	if s == nil {
 		return
 	}
-	// A crashed server's last reports describe the time before the crash.
+	// Reports from before a crash do not describe the restarted server.
 	if now.Add(-e.Age).Before(s.crashedAt) {
 		s.reportAge = -1
 		return
--- a/request/policy/copies.go
+++ b/request/policy/copies.go
@@ -7,14 +7,14 @@
 	"github.com/lilacbridge/lilacbridge/request/suspect"
 )
 
-// A crashing request whose copies run on several servers when it takes its
-// first one down would take them all down. So all of them stop and wait, and
-// one is tried alone. A copy that crashes its server while the order to stop is
-// on its way is suspected for that all the same.
+// If a request crashes its server while copies of it run on other servers, these
+// would crash too. So all copies stop and wait, and one of them is tried alone. A
+// stopped that crashes its server before the stop arrives still counts as a suspect of
+// that crash.
 
-// holdCopies looks after the copies of a suspect here: what runs stops, and all
-// wait in the quarantine. Copies on the crashed server itself end by their own
-// news.
+// quarantineCopies stops the running copies of a suspect at this instance and puts
+// all copies into the quarantine. Copies on the crashed server end through their own
+// Failed events.
 func (c *core) quarantineCopies(now time.Time, digest string, crashed *server) {
 	e := c.suspects.Get(digest)
 	if e == nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// adopt takes a copy that runs already for the trial: it may not start again,
-// so stopping it would lose its answer.
+// adoptAsTrial makes a running stopped the trial: a stopped that must not be restarted
+// would lose its answer if it were stopped.
 func (c *core) adoptAsTrial(e *suspect.Entry, r *request) {
 	if e.Trial != "" || r.server.trial != "" || e.Convicted() {
 		return
@@ -51,9 +51,9 @@
 	c.announce()
 }
 
-// hold stops a running copy, which then waits as a suspect.
+// stopAndQuarantine stops a running stopped and puts it into the quarantine.
 func (c *core) stopAndQuarantine(now time.Time, r *request) {
-	c.stoppedCopies = slices.DeleteFunc(c.stoppedCopies, func(copy stoppedCopy) bool { return now.Sub(copy.at) > stoppedCopyWindow })
+	c.stoppedCopies = slices.DeleteFunc(c.stoppedCopies, func(stopped stoppedCopy) bool { return now.Sub(stopped.at) > stoppedCopyWindow })
 	s := r.server
 	c.stoppedCopies = append(c.stoppedCopies, stoppedCopy{digest: r.Digest, team: r.Team, server: s, at: now})
 	c.stop(now, r)
@@ -61,10 +61,11 @@
 	c.reserveWhereStopped(now, r, s)
 }
 
-// reserveStopped has a stopped copy tried where it ran. It may have taken that
-// server down already, and where nothing else ran there nobody hears of it: a
-// trial on any other server is one too many then. A copy that had just begun
-// did nothing yet, and must not go before one that may have.
+// reserveWhereStopped reserves the server of a stopped stopped for the trial. The stopped
+// may have crashed that server already, and if nothing else ran there no instance
+// finds out; a trial on another server would then crash one server too many. A stopped
+// that had just started is skipped: it did nothing yet, and must not be tried before
+// one that may have crashed its server.
 func (c *core) reserveWhereStopped(now time.Time, r *request, s *server) {
 	e := c.suspects.Get(r.Digest)
 	if e.Trial != "" || !c.trialAllowed(now, s, e, "") || now.Sub(r.started) < r.expectedFirst/2 {
@@ -76,31 +77,32 @@
 	c.announce()
 }
 
-// stoppedFor is how long after the order the word of a crash is put down to a
-// stopped copy: where nothing else ran on the server, its next start brings it.
+// stoppedCopyWindow is how long after the stop a reported crash is attributed to the
+// stopped stopped. If nothing else ran on the server, the crash is only reported when
+// the server restarts.
 const stoppedCopyWindow = 3 * time.Second
 
-// stoppedCopy is a copy that may have crashed its server before the order to
-// stop came there. Its own broken connection is no news any more.
+// stoppedCopy is a stopped that may have crashed its server before the stop arrived.
+// Its broken connection is no longer reported, since it has been stopped.
 type stoppedCopy struct {
 	digest, team string
 	server       *server
 	at           time.Time
 }
 
-// blameStopped suspects the copies that were stopped on a server just before
-// the word of its crash. Without it such a crash would be nobody's, and the
-// request would get one trial too many.
+// suspectStopped records the crash against the copies that were stopped on the
+// server shortly before it was reported. Otherwise nothing would be suspected, and
+// the request would get one trial too many.
 func (c *core) suspectStopped(now time.Time, s *server) {
-	for _, copy := range c.stoppedCopies {
-		if copy.server == s && now.Sub(copy.at) <= stoppedCopyWindow && c.suspects.RecordCrash(copy.digest, copy.team, s.name, now) {
-			c.awaitVerdict(copy.digest)
+	for _, stopped := range c.stoppedCopies {
+		if stopped.server == s && now.Sub(stopped.at) <= stoppedCopyWindow && c.suspects.RecordCrash(stopped.digest, stopped.team, s.name, now) {
+			c.awaitVerdict(stopped.digest)
 			c.announce()
 		}
 	}
 }
 
-// copies returns the requests that match, in order of ID.
+// findRequests returns the requests that match, ordered by ID.
 func (c *core) findRequests(match func(r *request) bool) []*request {
 	var found []*request
 	for _, r := range c.requests {
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// slowTick is the interval of work that needn't be done at each tick.
+	// slowTick is the interval of the work that is not needed at every tick.
 	slowTick = 100 * time.Millisecond
-	// expireEvery is how often old suspicions are dropped.
+	// expireInterval is how often expired suspects and limits are removed.
 	expireInterval = time.Minute
 )
 
-// core is the state of one instance's policy.
+// core is the state of one instance's scheduler.
 type core struct {
 	options  Options
 	view     *model.View
@@ -26,29 +26,31 @@
 	requests map[ID]*request
 	servers  map[string]*server
 	ordered  []*server
-	// byKey holds the servers by the names that they have in told loads.
+	// byKey holds the servers by their keys on the load board.
 	byKey map[uint32]*server
-	// told is true while others tell their loads beside their digests.
+	// boardActive is true while other instances report their loads on the load board
+	// in addition to their digests.
 	boardActive bool
 	pools       map[string]*pool
 	poolOrder   []*pool
 	peers       map[string]*peer
 	fleet       fleet
 	peerNames   []string
-	// known counts instances that were ever heard, this one included.
+	// knownInstances holds the instances ever heard from, this one included.
 	knownInstances map[string]bool
-	// heardOf is when any instance of a data centre was last heard.
+	// dataCenterHeard is when any instance of a data centre was last heard from.
 	dataCenterHeard map[string]time.Time
 	timers          timers
 	estimates       *estimate.Table
 	budget          *retry.Budget
 	kv              kvCost
-	// notice is how long servers stay after the word that they leave.
+	// noticePeriod is the learned time from the notice that a server leaves until it
+	// is gone.
 	noticePeriod time.Duration
 	suspects     *suspect.Table
 	limits       *limits.Table
 	choice       chooser
-	// identical are the running requests that a copy must join.
+	// identical tracks running requests that copies must join.
 	identical identicalRequests
 	draining  bool
 	running   int
@@ -61,14 +63,15 @@
 	announced bool
 	// readings are the shared parts that others must hear of.
 	readings []prefillRecord
-	// accused are digests whose verdict is due; lastFall is the last new crash.
+	// awaitingVerdict holds the digests with two crashes that are not decided yet.
+	// lastNewCrash is when the last new crash was reported.
 	awaitingVerdict []string
 	lastNewCrash    time.Time
-	// stopped are copies that were ordered to stop just now.
+	// stoppedCopies are copies that were stopped recently.
 	stoppedCopies []stoppedCopy
 }
 
-// New returns a core that refuses everything until its first Configured event.
+// New returns a core that refuses every request until its first Configured event.
 func New(options Options) Core {
 	return &core{
 		options:         options,
@@ -93,8 +96,8 @@
 	}
 }
 
-// Step takes one event and returns what the shell must do, in order. The slice
-// is valid until the next call.
+// Step handles one event and returns the actions that the shell must carry out, in
+// order. The slice is valid until the next call.
 func (c *core) Step(now time.Time, event Event) []Action {
 	clear(c.actions)
 	c.actions = c.actions[:0]
@@ -144,7 +147,7 @@
 	c.actions = append(c.actions, action)
 }
 
-// announce has the digest sent at once, at most once for each event.
+// announce has the digest sent at once, at most once per event.
 func (c *core) announce() {
 	if !c.announced {
 		c.announced = true
@@ -175,7 +178,7 @@
 	c.housekeep(now)
 }
 
-// housekeep does what needs doing ten times a second.
+// housekeep runs every slowTick.
 func (c *core) housekeep(now time.Time) {
 	for _, s := range c.ordered {
 		s.sampleLoad(now)
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -59,7 +59,7 @@
 	p := c.pools["llm"]
 	var work loadboard.PoolWork
 	work.Claims[model.Place(1, 0)] = 2 * p.capacity
-	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 193}})
+	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 193}})
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.True(p.quota < p.capacity/10)
 	c.Step(epoch.Add(slowTick), PeerLoads{})
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -8,9 +8,9 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// dispatch starts waiting requests while servers have room: first what a class
-// is owed by its guaranteed share, then by place what can still be on time,
-// then by place what is late.
+// dispatch starts waiting requests while servers have free slots: first classes
+// below their guaranteed share, then requests that can meet their target, by place,
+// then late ones, by place.
 func (c *core) dispatch(now time.Time, p *pool) {
 	p.dirty = false
 	c.tryTrials(now, p)
@@ -38,8 +38,8 @@
 	return true
 }
 
-// mostPassed is how many requests of a level are passed over in one dispatch: their
-// engines are full, and those behind them may belong to others.
+// maxPassedOver is how many requests of a level are passed over in one dispatch. The
+// engines suitable for them are full, but those behind them may suit other engines.
 const maxPassedOver = 4
 
 func (c *core) startNext(now time.Time, p *pool) bool {
@@ -53,7 +53,8 @@
 	return false
 }
 
-// startOf starts the first request of a rank within its tier that finds a server.
+// startRank starts the first request of a rank within its tier for which a server is
+// available.
 func (c *core) startRank(now time.Time, p *pool, tier, rank int, late bool) bool {
 	for range maxPassedOver {
 		item := p.queue.Peek(tier, rank, late)
@@ -107,8 +108,9 @@
 	return true
 }
 
-// reserveTier is the tier whose reserve the request leaves free. Bulk leaves that of the
-// last tier in use: it must not take a slot that short work of any tier leaves free.
+// reserveTier returns the tier whose reserve of slots the request leaves free. Long
+// answers leave that of the least urgent tier in use, since they must not take a
+// slot reserved for short requests of any tier.
 func (p *pool) reserveTier(r *request) int {
 	tier := r.tier()
 	if r.class.GetRank() == 0 || p.service {
@@ -117,7 +119,7 @@
 	return max(tier, p.lastTier)
 }
 
-// begin takes the request out of the queue and starts it.
+// startQueued takes the request out of the queue and starts it.
 func (c *core) startQueued(now time.Time, r *request, s *server) {
 	r.pool.queue.Started(&r.item)
 	if r.pool.queue.Before(&r.item) > r.pool.onTimeWaiting(r) {
@@ -128,7 +130,8 @@
 	c.start(now, r, s)
 }
 
-// waitingAt counts the requests of the request's own level that wait and can be in time.
+// onTimeWaiting counts the waiting requests of the request's level that can still
+// meet their target.
 func (p *pool) onTimeWaiting(r *request) int {
 	waiting, late := p.queue.LevelLen(queueLevel(r.class))
 	return waiting - late
@@ -136,8 +139,8 @@
 
 func (c *core) start(now time.Time, r *request, s *server) { c.startWith(now, r, s, nil) }
 
-// startWith starts an attempt; the KV cache comes along from the server that
-// held the answer, unless that is nil.
+// startWith starts an attempt. Its KV cache is transferred from the given server,
+// which held the answer; nil for none.
 func (c *core) startWith(now time.Time, r *request, s, from *server) {
 	if !c.check(InvariantIdempotent, r.Idempotent || !r.everSent) {
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, 0)
@@ -187,7 +190,8 @@
 	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.tokens > 0, Decision: why})
 }
 
-// why notes what speaks for the server before the request is on it.
+// decision records the inputs of the choice. It must be called before the request is
+// attached to the server.
 func (c *core) decision(now time.Time, r *request, s *server) Decision {
 	return Decision{
 		Waited: now.Sub(r.item.Arrived), Own: len(s.running), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
@@ -196,7 +200,7 @@
 	}
 }
 
-// leave takes the request off its server.
+// detachFromServer removes the request from its server, if it has one.
 func (c *core) detachFromServer(now time.Time, r *request) {
 	s := r.server
 	if s == nil {
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -33,7 +33,7 @@
 	for _, s := range c.pools["llm"].servers {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots), Preemptible: bulk}
 	}
-	c.Step(now, PeerLoads{Word: loadboard.Report{Loads: loads, Instances: instances - 1}})
+	c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: instances - 1}})
 }
 
 // Digests filled the engines, which put them back for any review. Reviews counted them as
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxAttempts bounds the starts of one request.
+	// maxAttempts limits the starts of one request. Refusals do not count towards it if
+	// the class sets no maximum of its own, but see unservable.
 	maxAttempts = 10
 
 	outcomeMessage   = "the backend server failed after the request was sent; ask for its outcome by its Idempotency-Key"
-	convictedMessage = "this request crashed two backend servers and is barred; change it, or ask the operators to lift the conviction"
+	convictedMessage = "this request crashed two backend servers and is blocked; change it, or ask the operators to lift the conviction"
 )
 
 func (c *core) failed(now time.Time, e Failed) {
@@ -26,7 +27,7 @@
 		c.suspectCrash(now, r, s)
 	}
 	if e.Refused {
-		// The server says that it did not run what it was sent.
+		// The server stated that it did not run the request.
 		r.attemptSent = false
 	}
 	if e.Sent || e.Refused {
@@ -58,13 +59,14 @@
 	c.dispatch(now, r.pool)
 }
 
-// spent tells whether the request was sent to as many servers as its class allows.
+// attemptsExhausted reports whether the request was sent to as many servers as its
+// class allows.
 func (r *request) attemptsExhausted() bool {
 	most := int(r.class.GetMaxAttempts())
 	return most > 0 && r.serversTried >= most
 }
 
-// blame draws the server's part from a failure.
+// penalizeServer updates the server's state after a failed attempt.
 func (c *core) penalizeServer(now time.Time, s *server, e Failed) {
 	switch {
 	case e.Refused:
@@ -83,32 +85,33 @@
 		s.reportAge = -1
 		s.cache.clear()
 	default:
-		// No word at all: the server hangs, or the way to it is cut.
+		// No response: the server hangs or is unreachable.
 		s.eject(now)
 	}
 }
 
-// verdict says whether a failed request is given up, and as what. A retry is
-// taken from the budget unless the server did not run the request at all.
+// failureOutcome reports whether a failed request is given up, with the error kind
+// and message. A retry is taken from the budget unless no byte was sent, or the
+// server refused the request and its class sets no maximum number of attempts.
 func (c *core) failureOutcome(now time.Time, r *request, e Failed) (fault.Kind, string, bool) {
 	if c.convicted(now, r.Digest) {
 		return lilacv1.ErrorKind_ERROR_KIND_CONVICTED, convictedMessage, true
 	}
 	if e.Permanent {
-		return lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the backend server refused the request itself; change it", true
+		return lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the backend server rejected the request as invalid; change it", true
 	}
 	if !r.Idempotent && r.everSent {
 		return lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, true
 	}
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
-		return lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline passed; allow more time", true
+		return lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline was exceeded; allow more time", true
 	}
 	bounded := r.class.GetMaxAttempts() > 0
 	if !e.Sent && !e.Refused || e.Refused && !bounded {
 		return 0, "", false
 	}
 	if r.attempt >= maxAttempts || r.attemptsExhausted() || !c.budget.Take() {
-		return lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "the backend server failed and the retry budget is spent; send the request again after Retry-After", true
+		return lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "the backend server failed and the retry budget is exhausted; send the request again after Retry-After", true
 	}
 	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Retries++
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -41,7 +41,7 @@
 	var load loadboard.Load
 	load.InFlight = 10
 	load.Backlog[lateEngineLevel-1] = tokens / loadboard.BacklogUnit
-	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{loadboard.Key(server): load}}})
+	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{loadboard.Key(server): load}}})
 }
 
 // In a burst of one kind of request the engine that holds a prompt has four
@@ -84,7 +84,7 @@
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
 	finish(c, epoch.Add(slowTick), home)
-	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}}})
+	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}}})
 	leaves := epoch.Add(2 * time.Second)
 	c.Step(leaves, ServerState{Server: home.Server, Leaving: true})
 	away := only[Start](t, c.Step(leaves.Add(time.Second), digest(2, 7)))
--- a/request/policy/final.go
+++ b/request/policy/final.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound what callers are told.
+	// minRetryAfter and maxRetryAfter bound the Retry-After sent to callers.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// spread lengthens a delay by up to its half, so that callers don't return together.
+// jitter lengthens the delay by up to one half, so that callers do not all return at
+// the same time.
 func (c *core) jitter(delay time.Duration) time.Duration {
 	return delay + time.Duration(c.random.Int64N(int64(delay)/2+1))
 }
 
-// retryAfter is when the queue of now will have been served, spread out.
+// retryAfter returns the expected time to serve the current queue, with jitter.
 func (c *core) retryAfter(p *pool) time.Duration {
 	return c.jitter(min(max(p.queueWait(), minRetryAfter), maxRetryAfter))
 }
 
-// end gives the request its one final action, by what its caller holds already.
+// end emits the request's final action: Broken if the caller holds a part of the
+// answer, else Refuse.
 func (c *core) end(now time.Time, r *request, kind fault.Kind, message string, after time.Duration) {
 	if !c.check(InvariantOneFinal, c.requests[r.ID] == r) {
 		return
@@ -43,7 +45,7 @@
 	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Queue: r.queueState()})
 }
 
-// heldBy is what the request waits for.
+// queueState returns the request's place in the queue and why it has not started.
 func (r *request) queueState() QueueState {
 	place := placeOf(r.class)
 	slots := 0.0
@@ -53,7 +55,7 @@
 	return QueueState{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runningUpTo(place), Slots: slots, Blocked: r.blocked}
 }
 
-// forget drops the request and settles what its team was charged.
+// forget removes the request and corrects the charge to its team's limit.
 func (c *core) forget(now time.Time, r *request) {
 	delete(c.requests, r.ID)
 	used := float64(r.tokens)
@@ -64,7 +66,7 @@
 	r.pool.queue.Charge(&r.item, float64(r.tokens)-r.estimated)
 }
 
-// stop takes the request out of the queue or off its server.
+// stop removes the request from the queue or cancels it at its server.
 func (c *core) stop(now time.Time, r *request) {
 	if r.server == nil {
 		c.dequeue(r)
@@ -97,7 +99,7 @@
 	c.dispatch(now, r.pool)
 }
 
-// unmade is the expected rest of an answer that an engine makes now.
+// remainingTokens estimates the rest of an answer that an engine is generating now.
 func (c *core) remainingTokens(r *request) uint64 {
 	if r.server == nil || !r.attemptSent {
 		return 0
@@ -108,5 +110,5 @@
 func (c *core) expire(now time.Time, r *request) {
 	c.stats.SavedTokens.Expired += c.remainingTokens(r)
 	c.stop(now, r)
-	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline passed; allow more time, or use a more urgent class", 0)
+	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the deadline was exceeded; allow more time, or use a more urgent class", 0)
 }
--- a/request/policy/giveup.go
+++ b/request/policy/giveup.go
@@ -6,26 +6,26 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// A request without a deadline would wait for ever where no server takes it:
-// its engine always refuses for load, or the whole pool is leaving. Callers
-// would hold their connections open and never learn that they should go
-// elsewhere. So waiting is bounded, but only for want of a server: what waits
-// behind others is the queue's affair, which sheds by tier.
+// Without a limit, a request that has no deadline would wait forever if no server
+// accepts it: its engines always refuse because of load, or the whole pool is
+// leaving. Its caller would keep the connection open and never learn to try
+// elsewhere. So the wait for a server is bounded. Time spent waiting behind other
+// requests is not; the queue sheds these by tier.
 const (
-	// giveUpEvery is how often waiting requests are looked at.
+	// giveUpInterval is how often waiting requests are checked.
 	giveUpInterval = 500 * time.Millisecond
-	// closedWait is the longest wait in a pool without any open server.
+	// maxClosedWait is the longest wait in a pool without any available server.
 	maxClosedWait = 3 * time.Second
-	// refusedWait is the longest wait while attempts fail: by nobody else of the
-	// pool getting on either, or by maxAttempts refusals of the request itself.
+	// maxRefusedWait is the longest wait while attempts fail: either no request of the
+	// pool makes progress, or the request itself was refused maxAttempts times.
 	maxRefusedWait = 20 * time.Second
-	// trialWait is the longest wait of a suspect for its trial.
+	// maxTrialWait is the longest wait of a suspect for its trial.
 	maxTrialWait = 30 * time.Second
 
-	noServerMessage = "no backend server of the pool takes the request; send it again after Retry-After, or ask the operators for the state of the pool"
+	noServerMessage = "no backend server of the pool accepts the request; send it again after Retry-After, or ask the operators for the state of the pool"
 )
 
-// giveUp ends what waits in vain.
+// giveUp ends the waiting requests that no server is expected to accept.
 func (c *core) giveUp(now time.Time) {
 	if now.Before(c.giveUpAt) {
 		return
@@ -42,7 +42,7 @@
 	}
 }
 
-// inVain tells whether the waiting request has no server to hope for.
+// unservable reports whether the waiting request has no prospect of a server.
 func (r *request) unservable(now time.Time) bool {
 	waited := now.Sub(r.idleSince)
 	p := r.pool
@@ -59,7 +59,8 @@
 	return stuck || r.rejections >= maxAttempts
 }
 
-// open tells whether any server of the pool may get work, now or after a pause.
+// hasOpenServer reports whether any server of the pool is available now or will be
+// after a pause.
 func (p *pool) hasOpenServer(now time.Time) bool {
 	for _, s := range p.servers {
 		if !s.closed() && !s.unreachable && !now.Before(s.leavingUntil) {
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -30,7 +30,7 @@
 		for l := range c.pools["llm"].laneStartRates {
 			c.pools["llm"].laneStartRates[l] = 10
 		}
-		c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loads, Instances: n - 1}})
+		c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: n - 1}})
 		fleet = append(fleet, c)
 	}
 	return fleet
@@ -75,7 +75,7 @@
 			full[other.key] = loadboard.Load{InFlight: uint32(other.slots)}
 		}
 	}
-	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: full, Instances: 3}})
+	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: full, Instances: 3}})
 	s.skipped = false
 	for id := range ID(60) {
 		c.Step(epoch, draft(id+1))
--- a/request/policy/identical.go
+++ b/request/policy/identical.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// Copies of a request that nobody suspects yet each take a server down if they
-// crash before the first one's news can stop them. Within one instance all of
-// them are known: so a copy joins the first on its server, or waits, until one
-// of them got as far as clears a suspect. Together they cost one server.
+// Copies of a request that is not suspected yet each crash a server if they run on
+// different ones before the first crash is reported. All copies at one instance are
+// known there. So a copy joins the first one on its server, or waits, until one of
+// them has run past the point at which a suspect is cleared. Together they crash one
+// server at most.
 const (
-	// joinFor is how long copies follow the first, at most: a caller that sends
-	// again since the first hangs shall not be bound to it.
+	// joinWindow is how long copies join the first one at most: a caller that sends its
+	// request again because the first copy hangs must not be bound to the same server.
 	joinWindow = 3 * time.Second
-	// passedFor is how long copies of a request that passed run freely: popular
-	// requests must not share one server for ever.
+	// passedTTL is how long copies of a request that passed may run anywhere, so that
+	// popular requests do not all share one server.
 	passedTTL = 10 * time.Minute
-	// maxPassed bounds the memory of those; when it is full it begins anew.
+	// maxPassed limits the number of remembered digests; all are dropped when it is
+	// reached.
 	maxPassed = 4096
 )
 
-// identical knows the requests that run and have not passed yet.
+// identicalRequests tracks the running requests that have not passed yet.
 type identicalRequests struct {
-	// first is the first running copy of each digest; the next ones hang on it.
+	// first is the first running copy of each digest; nextCopy links the others.
 	first map[string]*request
-	// passed is when a digest that came more than once passed.
+	// passed is when a digest with more than one copy passed.
 	passed map[string]time.Time
 }
 
@@ -32,8 +34,8 @@
 	return identicalRequests{first: make(map[string]*request), passed: make(map[string]time.Time)}
 }
 
-// joins returns the server of the first copy that runs, or nil where the
-// request is free to go anywhere.
+// serverToJoin returns the server of the first running copy, or nil if the request
+// may run on any server.
 func (i *identicalRequests) serverToJoin(now time.Time, r *request) *server {
 	first := i.first[r.Digest]
 	if first == nil || first == r || now.Sub(first.started) > joinWindow {
@@ -60,7 +62,7 @@
 	first.nextCopy = r
 }
 
-// left drops a copy that no longer runs; the next one is the first then.
+// remove drops a copy that no longer runs. The next one becomes the first.
 func (i *identicalRequests) remove(r *request) {
 	at := i.first[r.Digest]
 	if at == r {
@@ -83,7 +85,8 @@
 	i.first[digest] = r
 }
 
-// proved notes that a copy ran past the place where a suspect is cleared.
+// markPassed records that a copy ran past the point at which a suspect is cleared.
+// waiting is true if another copy is waiting.
 func (i *identicalRequests) markPassed(now time.Time, r *request, waiting bool) {
 	first := i.first[r.Digest]
 	if first == nil {
@@ -101,14 +104,14 @@
 	delete(i.first, r.Digest)
 }
 
-// park sets a copy aside that may only join the first, whose server has no
-// room: it must not keep others of its tier from starting.
+// park sets a copy aside that may only join the first one, whose server is full. In
+// the queue it would keep other requests of its tier from starting.
 func (c *core) park(r *request) {
 	r.pool.queue.Remove(&r.item)
 	r.pool.parked = append(r.pool.parked, r)
 }
 
-// unpark lets the parked copies try again.
+// unpark puts the parked copies back into the queue.
 func (c *core) unpark(now time.Time, p *pool) {
 	parked := slices.Clone(p.parked)
 	p.parked = p.parked[:0]
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -30,7 +30,7 @@
 // setOtherWork tells that all other instances start so much work in each lane, in tokens a
 // second.
 func setOtherWork(c *core, now time.Time, long, quick, tight uint32) {
-	c.Step(now, PeerLoads{Word: loadboard.Report{
+	c.Step(now, PeerLoads{Report: loadboard.Report{
 		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [laneCount]uint32{long, quick, tight}}},
 	}})
 }
@@ -172,7 +172,7 @@
 	work := loadboard.PoolWork{Rates: [laneCount]uint32{800000, 0, 100000}}
 	tell := func(now time.Time, drafts, digests float64) {
 		work.LaneClaims = [laneCount]float64{laneLong: digests, laneTight: drafts}
-		c.Step(now, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
+		c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
 		c.Step(now, Tick{})
 	}
 	tell(epoch.Add(slowTick), 10, 50)
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -3,39 +3,40 @@
 import "time"
 
 const (
-	// firstNotice is the time from the word that a server leaves until it is
-	// gone, before any was seen to go.
+	// initialNotice is the assumed time from the notice that a server leaves until it is
+	// gone, before any was observed.
 	initialNotice = 4 * time.Second
-	// leastNotice bounds what is learned from servers that went at once.
+	// minNotice is the lower bound of an observed notice period, for servers that go at
+	// once.
 	minNotice = time.Second
-	// noticeLearn is the weight of a notice longer than was known; a shorter one
-	// counts at once.
+	// noticeWeight is the weight of a notice period that is longer than the learned one;
+	// a shorter one replaces it at once.
 	noticeWeight = 0.3
-	// moveWindow is how long before a server goes its answers are moved, besides
-	// the time that the move itself takes: until then they get on where they are
-	// and leave other servers' slots to what waits.
+	// moveWindow is how long before its server goes an answer is moved, in addition to
+	// the time of the move itself. Until then the answer makes progress where it is and
+	// leaves slots of other servers to waiting requests.
 	moveWindow = 400 * time.Millisecond
 )
 
-// A server that the platform takes back vanishes with all that runs on it. What
-// its answers hold is then computed again elsewhere, unless their KV cache went
-// there before. On a server that operators drain all answers stay: it waits for
-// them.
+// A server that the platform reclaims disappears with everything that runs on it.
+// Its answers would be computed again elsewhere, unless their KV cache is
+// transferred first. Answers on a server that an operator drains stay there, since
+// draining waits for them.
 
-// leaves tells whether the platform says that the server is leaving.
+// isLeaving reports whether the platform has announced that the server leaves.
 func (s *server) isLeaving(now time.Time) bool {
 	return s.leaving || s.gone || now.Before(s.leavingUntil)
 }
 
-// noteLeaving remembers the first word that the server leaves. Called before
-// the word itself is noted.
+// recordLeaving records the first notice that the server leaves. It must be called
+// before the notice itself is stored.
 func (s *server) recordLeaving(now time.Time) {
 	if !s.isLeaving(now) {
 		s.leavingNoticeAt = now
 	}
 }
 
-// noteGone learns how long servers stay after the word that they leave.
+// recordGone learns the notice period from a server that is gone.
 func (c *core) recordGone(now time.Time, s *server) {
 	if !s.isLeaving(now) || s.goneAt.After(s.leavingNoticeAt) {
 		return
@@ -48,7 +49,8 @@
 	c.noticePeriod = stayed
 }
 
-// moveLeaving takes answers off servers that vanish before the answer's end.
+// moveLeaving moves answers off servers that are expected to go before the answer
+// ends.
 func (c *core) moveLeaving(now time.Time, p *pool) {
 	if p.service {
 		return
@@ -62,9 +64,10 @@
 	}
 }
 
-// moveOff lets an answer on a leaving server go on elsewhere with its KV cache,
-// where nothing as urgent waits for the slot. What would have to be computed
-// again stays until it is cut off: going earlier would save nothing.
+// moveOffLeaving moves an answer from a leaving server to another one with its KV
+// cache, unless an equally or more urgent request waits for the slot. An answer that
+// would have to be computed again stays until its server goes, since moving it early
+// saves nothing.
 func (c *core) moveOffLeaving(now time.Time, r *request) bool {
 	if !r.server.isLeaving(now) || !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaiting(r) {
 		return false
@@ -79,7 +82,7 @@
 	return true
 }
 
-// urgentWaits tells whether a request as urgent as this one or more waits for a slot.
+// urgentWaiting reports whether a request of the same or a more urgent tier waits.
 func (p *pool) urgentWaiting(r *request) bool {
 	for tier := range r.tier() + 1 {
 		if p.queue.TierLen(tier) > 0 {
@@ -89,7 +92,8 @@
 	return false
 }
 
-// cutShort tells whether the answer is about to be cut off with its server.
+// aboutToBeLost reports whether the answer must move now, since it will not end
+// before its server goes.
 func (c *core) aboutToBeLost(now time.Time, r *request, to *server) bool {
 	s := r.server
 	goes := s.leavingNoticeAt.Add(c.noticePeriod)
--- a/request/policy/limitshare.go
+++ b/request/policy/limitshare.go
@@ -8,45 +8,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A server's limit holds for all instances together. An equal part for each of hundreds
-// would be a request in a minute, and one request of each at the same moment breaks it. So
-// few instances send to a server in need, each its part of the limit; all others none. They
-// are picked by rendezvous hash among the living instances of the server's data centre, so
-// all agree on them without a message, and a data centre that is cut off goes on by itself.
+// A server's limit applies to all instances together. Among hundreds of instances an
+// equal share would be a request a minute each, and one request from each at the same
+// moment exceeds the limit. So only a few instances send to a limited server, each
+// with its share of the limit, and the others send nothing. They are selected by
+// rendezvous hashing among the live instances of the server's data centre, so that
+// all instances agree without a message and a data centre that is cut off continues
+// by itself.
 
 const (
-	// leastSenders is how many instances send to a server with the least limit; each whole
-	// request a second allows one more. With leastBurst and burstFor a server gets, in any
-	// four seconds, at most five times its limit and two: the rest of what it bears is left
-	// for times in which instances disagree on who lives.
+	// minSenders is how many instances send to a server with the lowest limit; each whole
+	// request per second of the limit adds one. With minBurst and burstWindow a server
+	// gets at most five times its limit plus two requests in any four seconds. The rest
+	// of what it tolerates is left for times when instances disagree on which are live.
 	minSenders = 2
-	// leastBurst is how many requests a sender may save up, at least; burstFor the time in
-	// which it may save more.
+	// minBurst is the lower bound of the requests that a sender may accumulate;
+	// burstWindow is the time over which it may accumulate more.
 	minBurst    = 1.0
 	burstWindow = 500 * time.Millisecond
-	// missingFor is how long an instance that is no longer heard keeps its part: it may go
-	// on sending beyond a cut.
+	// missingTTL is how long an instance that is no longer heard from keeps its share: it
+	// may still be sending on the other side of a network partition.
 	missingTTL = 10 * time.Second
-	// limitedHold is for how long a request of a limited server counts as running there,
-	// in what the pool can run.
+	// limitedSlotTime is how long a request counts as running on a limited server when
+	// the capacity of the pool is computed.
 	limitedSlotTime = 4 * time.Second
 )
 
-// Instance is another instance of the fleet.
+// Instance identifies an instance of the fleet.
 type Instance struct{ Name, DataCenter string }
 
-// Fleet names the other instances that live.
+// Fleet lists the other live instances.
 type Fleet struct{ Others []Instance }
 
 func (Fleet) event() {}
 
-// living is an instance; missingSince is when it was no longer heard, zero while it is.
+// fleetMember is another instance. missingSince is when it was first missing from a
+// Fleet event; zero while it is live.
 type fleetMember struct {
 	Instance
 	missingSince time.Time
 }
 
-// fleet is what is known of all instances, this one included.
+// fleet is this instance and the other ones that are live or recently missing.
 type fleet struct {
 	self    Instance
 	members map[string]fleetMember
@@ -54,7 +57,7 @@
 
 func newFleet(self Instance) fleet { return fleet{self: self, members: make(map[string]fleetMember)} }
 
-// alive takes in who lives.
+// update replaces the live instances; those no longer listed become missing.
 func (f *fleet) update(now time.Time, others []Instance) {
 	for name, m := range f.members {
 		if m.missingSince.IsZero() {
@@ -66,7 +69,7 @@
 	}
 }
 
-// forget drops who has been missing for some time.
+// expire removes instances that have been missing for longer than missingTTL.
 func (f *fleet) expire(now time.Time) {
 	for name, m := range f.members {
 		if !m.missingSince.IsZero() && now.Sub(m.missingSince) > missingTTL {
@@ -75,41 +78,42 @@
 	}
 }
 
-// senders are the instances that send to the server, in order of their names' hashes.
+// senders returns the instances that send to the server, ordered by hash.
 func (f *fleet) senders(s *server) []string {
-	near, all := []string{}, []string{f.self.Name}
+	local, all := []string{}, []string{f.self.Name}
 	if f.self.DataCenter == s.dataCenter {
-		near = append(near, f.self.Name)
+		local = append(local, f.self.Name)
 	}
 	for name, m := range f.members {
 		all = append(all, name)
 		if m.DataCenter == s.dataCenter {
-			near = append(near, name)
+			local = append(local, name)
 		}
 	}
-	if len(near) == 0 {
-		near = all
+	if len(local) == 0 {
+		local = all
 	}
-	slices.SortFunc(near, func(a, b string) int {
+	slices.SortFunc(local, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(s.name+"/"+a), xxhash.Sum64String(s.name+"/"+b)), cmp.Compare(a, b))
 	})
-	return near[:min(len(near), minSenders+int(s.limited.PerSecond))]
+	return local[:min(len(local), minSenders+int(s.limited.PerSecond))]
 }
 
-// allowance is what this instance may send to a limited server.
+// allowance is a token bucket for requests to a limited server.
 type allowance struct {
-	// share is in requests a second; credit is what is saved up, as of at.
+	// share is the refill rate in requests per second; credit is the number of requests
+	// available as of at.
 	share, credit float64
 	at            time.Time
 }
 
-// refresh brings the credit up to date.
+// refresh updates the credit to now.
 func (a *allowance) refresh(now time.Time) {
 	a.credit = min(a.credit+a.share*now.Sub(a.at).Seconds(), max(minBurst, a.share*burstWindow.Seconds()))
 	a.at = now
 }
 
-// shareLimit works out this instance's part of the server's limit.
+// shareLimit computes this instance's share of the server's limit.
 func (c *core) shareLimit(now time.Time, s *server) {
 	if !s.limited.Advertised {
 		s.allowed = allowance{}
@@ -125,7 +129,8 @@
 	}
 }
 
-// held tells whether the server's limit leaves no request to this instance now.
+// limitReached reports whether this instance may not send a request to the server
+// now because of its limit.
 func (s *server) limitReached(now time.Time) bool {
 	if !s.limited.Advertised {
 		return false
@@ -134,7 +139,7 @@
 	return s.allowed.credit < 1
 }
 
-// spend takes a request that starts on the server out of its allowance.
+// takeAllowance takes a started request out of the server's allowance.
 func (s *server) takeAllowance(now time.Time) {
 	if s.limited.Advertised {
 		s.allowed.refresh(now)
@@ -142,8 +147,8 @@
 	}
 }
 
-// shut tells whether no server of the pool ever takes a request from this instance, while
-// limits stand as they do.
+// closedByLimits reports whether every available server of the pool is limited and
+// this instance is not a sender of any of them.
 func (p *pool) closedByLimits() bool {
 	limited := false
 	for _, s := range p.servers {
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -7,26 +7,26 @@
 	"github.com/lilacbridge/lilacbridge/request/estimate"
 )
 
-// Options are what a core needs to know of its instance.
+// Options configure a core.
 type Options struct {
 	// Instance is the name of this instance.
 	Instance string
-	// DataCenter that the instance stands in.
+	// DataCenter is the data centre of this instance.
 	DataCenter string
-	// Incarnation is fresh at each start of the process.
+	// Incarnation is different at each start of the process.
 	Incarnation string
-	// Seed of the random numbers for spread and picks.
+	// Seed initializes the random numbers used for jitter and server selection.
 	Seed uint64
-	// Weights are the fleet's own, from the settings.
+	// Weights are the fleet-wide settings.
 	Weights settings.Policy
 }
 
-// Invariant names a property that the core checks of itself.
+// Invariant names a property that the core checks at run time.
 type Invariant string
 
-// The invariants, as they stand in docs/PROOFS.md.
+// The invariants, as listed in docs/PROOFS.md.
 const (
-	// InvariantTier: no higher tier is shed or preempted for a lower one.
+	// InvariantTier: no request is shed or preempted for one of a less urgent tier.
 	InvariantTier Invariant = "tier_order"
 	// InvariantOneFinal: each ID gets exactly one final action.
 	InvariantOneFinal Invariant = "one_final"
@@ -34,17 +34,18 @@
 	InvariantLeaving Invariant = "leaving_server"
 	// InvariantBudget: retries stay within their budget.
 	InvariantBudget Invariant = "retry_budget"
-	// InvariantIdempotent: no restart of a sent request that isn't idempotent.
+	// InvariantIdempotent: a non-idempotent request is not restarted once sent.
 	InvariantIdempotent Invariant = "at_most_once"
 	// InvariantLimit: no start on a server beyond this instance's part of its limit.
 	InvariantLimit Invariant = "server_limit"
 	// InvariantDeadline: no start after the deadline.
 	InvariantDeadline Invariant = "deadline"
-	// InvariantSuspects: no suspect shares an engine, none runs after two crashes.
+	// InvariantSuspects: no two suspects share an engine, and none runs after two
+	// crashes.
 	InvariantSuspects Invariant = "suspects"
 )
 
-// Stats are counters since the start, and the invariants seen broken.
+// Stats are counters since the start of the process, and invariant violations.
 type Stats struct {
 	Arrivals  uint64
 	Starts    uint64
@@ -56,42 +57,43 @@
 	Continued uint64
 	Preempted uint64
 	Moved     uint64
-	// MovedByKV counts those of the moved that went with their KV cache.
+	// MovedByKV counts moved requests whose KV cache was transferred.
 	MovedByKV uint64
-	// PriorityInversions counts requests that started while more urgent ones of their pool, which could
-	// still be in time, waited.
+	// PriorityInversions counts requests that started while more urgent ones of their
+	// pool waited that could still meet their target.
 	PriorityInversions uint64
-	// SavedTokens are the tokens that engines did not have to make.
+	// SavedTokens counts tokens that engines did not have to compute.
 	SavedTokens SavedTokens
-	// Unresponsive counts servers that were taken out for their silence.
+	// Unresponsive counts servers that were ejected because they sent nothing.
 	Unresponsive uint64
 	Crashes      uint64
 	Convicted    uint64
-	// Pardoned counts suspects whose crashes were put down to an outage.
+	// Pardoned counts suspects whose crashes were attributed to an outage.
 	Pardoned uint64
-	// Waiting and Running are as of now.
+	// Waiting and Running are the current numbers of requests.
 	Waiting int
 	Running int
-	// Admitted is the least urgent tier let in, by pool; Peers the instances reached.
+	// Admitted is the least urgent admitted tier by pool. Peers names the reachable
+	// instances.
 	Admitted map[string]int
 	Peers    []string
-	// Estimates is how far predicted answer lengths were off.
+	// Estimates is the error of the predicted answer lengths.
 	Estimates estimate.ErrorStats
-	// Limited are the servers that name a limit, with it, in requests a second.
+	// Limited is the stated rate limits by server, in requests per second.
 	Limited map[string]float64
-	// Checked counts evaluations of invariants; Violations those that failed.
+	// Checked counts evaluations of invariants, Violations the failed ones.
 	Checked    uint64
 	Violations map[Invariant]uint64
 }
 
-// SavedTokens counts tokens that engines did not have to make. The rest of an answer
-// that was stopped is the estimate's, since nobody knows it.
+// SavedTokens counts tokens that engines did not have to compute. The rest of a
+// stopped answer is estimated, since its real length is unknown.
 type SavedTokens struct {
-	// Canceled is the rest of answers whose caller left, Expired of those whose
-	// deadline passed while they ran.
+	// Canceled is the rest of answers whose caller disconnected, Expired that of
+	// answers whose deadline passed while they ran.
 	Canceled, Expired uint64
-	// Moved is the length of answers, prompts included, that went on elsewhere
-	// with their KV cache, of which nothing was computed again.
+	// Moved is the length of answers, prompts included, that continued on another
+	// server with their KV cache, so that nothing was computed again.
 	Moved uint64
 }
 
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// maxWait is the longest queue, as the time that serving it takes.
+	// maxQueueTime is the longest queue, measured as the time to serve it.
 	maxQueueTime = 20 * time.Second
-	// minQueue is how many requests may wait in any case.
+	// minQueueLen is the number of requests that may always wait.
 	minQueueLen = 8
 
-	limitedMessage  = "all backend servers name limits, and others send what they take; send the request again after Retry-After, another instance may take it"
+	limitedMessage  = "all backend servers limit their request rate, and other instances use up the limits; send the request again after Retry-After, another instance may accept it"
 	overloadMessage = "all backend servers are busy; send the request again after Retry-After"
-	lateMessage     = "the class's target can't be met any more and its setting refuses late answers; send the request again after Retry-After"
+	lateMessage     = "the class's latency target can no longer be met and its late policy refuses late answers; send the request again after Retry-After"
 )
 
-// expireLate looks after requests that can't meet their target any more: by
-// their class's setting they run late or are refused, never silently dropped.
+// expireLate handles requests that have missed their target. The late policy of
+// their class decides whether they run late or are refused; they are never dropped
+// without an answer.
 func (c *core) expireLate(now time.Time, p *pool) {
 	var refused []*request
 	p.queue.MarkLate(now, func(item *queue.Item) {
@@ -30,7 +31,8 @@
 	c.refuseLate(now, p, refused)
 }
 
-// refuseWaitingLate refuses what became late while there was room, and waits in a full pool now.
+// refuseWaitingLate refuses requests that became late while the pool had free slots
+// and still wait now that it is full.
 func (c *core) refuseWaitingLate(now time.Time, p *pool) {
 	var refused []*request
 	p.queue.EachLate(func(item *queue.Item) {
@@ -49,7 +51,8 @@
 	}
 }
 
-// refusedLate tells whether the class's setting refuses the request once it is late.
+// refusedLate reports whether the class's late policy refuses the request once it is
+// late.
 func (r *request) refusedLate(now time.Time) bool {
 	switch r.class.GetLate() {
 	case lilacv1.LatePolicy_LATE_POLICY_REFUSE:
@@ -60,15 +63,17 @@
 	return false
 }
 
-// cutoff brings the pool's cutoff up to date with what the peers said.
+// updateCutoff recomputes the least urgent admitted tier of the pool, and announces a
+// change.
 func (c *core) updateCutoff(now time.Time, p *pool) {
 	if p.tiers.Update(now) {
 		c.announce()
 	}
 }
 
-// cutOff refuses an arrival of a tier that is cut off, so that all instances
-// may shed more urgent ones, unless it is within its class's share.
+// refuseCutOff refuses an arrival of a tier that is cut off, so that more urgent
+// tiers can be shed on all instances, unless it is within its class's guaranteed
+// share.
 func (c *core) refuseCutOff(now time.Time, r *request) bool {
 	p, tier := r.pool, r.tier()
 	if p.tiers.Admits(tier) {
@@ -85,18 +90,19 @@
 	return true
 }
 
-// withinShare tells whether the class's guaranteed share serves the request
-// by its target, with all of the class that waits here before it; one request
-// is within in any case. Such a request is not shed for load: it delays others
-// but takes the place of none.
+// withinShare reports whether the class's guaranteed share serves the request within
+// its target, after all waiting requests of the class at this instance. One request
+// is always within the share. Such a request is not shed for load: it delays others
+// but displaces none.
 func (p *pool) withinShare(r *request) bool {
 	waiting := float64(p.queue.ClassLen(r.Class))
 	served := guaranteedShare(r.class) * p.tokenRate * r.firstTokenTarget().Seconds()
 	return waiting < 1 || (waiting+1)*r.item.Cost <= served
 }
 
-// relieve sheds while the queue takes longer than maxWait: the lowest tier
-// that waits, and only as far as all instances have cut the lower ones off.
+// shedOverload sheds requests while the queue takes longer than maxQueueTime: of the
+// least urgent waiting tier first, and only once all instances have cut off the tiers
+// below it.
 func (c *core) shedOverload(now time.Time, p *pool) {
 	for p.queue.Len() > minQueueLen && p.queueWait() > maxQueueTime {
 		tier := p.queue.LowestTier()
@@ -114,7 +120,8 @@
 	}
 }
 
-// shed gives one request of the tier up; it returns false where all have begun.
+// shed refuses one waiting request of the tier. It returns false if none can be shed
+// because all have begun.
 func (c *core) shed(now time.Time, p *pool, tier int) bool {
 	item := p.queue.Victim(tier)
 	if item == nil {
--- a/request/policy/partition.go
+++ b/request/policy/partition.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// peersSilent is how long no instance of a data centre is heard until it
-	// counts as cut off.
+	// peerSilenceTimeout is how long no instance of a data centre is heard from until
+	// the data centre counts as unreachable.
 	peerSilenceTimeout = 1300 * time.Millisecond
-	// answersSilent is the same for the answers that come from there, all at
-	// once: two engines don't stall in the same moment.
+	// answerSilenceTimeout is the same for running answers, if all those from the data
+	// centre stop at once. At least minSilentAnswers must be running: two engines do not
+	// stall at the same moment.
 	answerSilenceTimeout = 350 * time.Millisecond
 	minSilentAnswers     = 2
-	// giveUpSilent is when an answer from a cut-off data centre is had elsewhere.
+	// partitionMoveDelay is how long an answer from an unreachable data centre may be
+	// silent before it is moved to another server.
 	partitionMoveDelay = time.Second
 )
 
-// noticeCuts finds data centres that are out of reach. A silent partition
-// breaks no connection: it shows as answers that stop all at once, and as
-// digests that no longer come; a healed one as digests that come again. So no
-// request need be sent there to find out.
+// detectPartitions marks the servers of unreachable data centres. A silent network
+// partition breaks no connection: all answers stop at once and digests no longer
+// arrive. Once it heals, digests arrive again, so no probe request is needed.
 func (c *core) detectPartitions(now time.Time) {
 	for dataCenter, heard := range c.dataCenterHeard {
 		if dataCenter == c.options.DataCenter {
@@ -32,7 +33,8 @@
 	}
 }
 
-// answersStopped tells whether several answers came from there and none does now.
+// answersStopped reports whether several answers are running in the data centre and
+// all of them have stopped.
 func (c *core) answersStopped(now time.Time, dataCenter string) bool {
 	expected := 0
 	for _, s := range c.ordered {
--- a/request/policy/peerloads.go
+++ b/request/policy/peerloads.go
@@ -8,47 +8,48 @@
 	"github.com/lilacbridge/lilacbridge/request/tiers"
 )
 
-// PeerLoads brings what all other instances run on each server and sent there
-// lately, where they tell it to each other beside their digests; its loads are nil
-// once that isn't known any more.
-type PeerLoads struct{ Word loadboard.Report }
+// PeerLoads brings the load board's sum of the reports of all other instances. Large
+// fleets exchange it in addition to digests. Its Loads are nil if the sum is no longer
+// known.
+type PeerLoads struct{ Report loadboard.Report }
 
 func (PeerLoads) event() {}
 
-// takeTold puts what others run in the place of what was told before.
+// applyPeerLoads replaces the previous state of the load board.
 func (c *core) applyPeerLoads(now time.Time, e PeerLoads) {
-	c.boardActive = e.Word.Loads != nil
+	c.boardActive = e.Report.Loads != nil
 	for _, s := range c.ordered {
-		load := e.Word.Loads[s.key]
+		load := e.Report.Loads[s.key]
 		s.boardLoad, s.boardBulk = float64(load.InFlight), float64(load.Preemptible)
 		for level, units := range load.Backlog {
 			s.boardBacklog[level] = float64(units) * loadboard.BacklogUnit
 		}
 		s.estimateOtherLoad(c.boardActive || len(c.peers) > 0)
 	}
-	for _, read := range e.Word.CachedPrefixes {
-		c.observePeerPrefill(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
+	for _, prefix := range e.Report.CachedPrefixes {
+		c.observePeerPrefill(now, c.byKey[prefix.Server], prefix.Hash, int(prefix.Tokens))
 	}
-	c.applyPeerLimits(now, e.Word.Limits)
+	c.applyPeerLimits(now, e.Report.Limits)
 	for _, p := range c.poolOrder {
-		work := e.Word.Work[loadboard.Key(p.name)]
+		work := e.Report.Work[loadboard.Key(p.name)]
 		p.applyPeerWork(c.options.Instance, work, c.boardActive)
-		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Word.Instances)
+		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Report.Instances)
 		c.drawStartBudgets(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
 }
 
-// Work is told by lane, claims by place: both packages count the same ones.
+// Work is reported by lane and demand by place; loadboard and this package must agree
+// on the number of each.
 var (
 	_ [loadboard.Lanes]uint32      = [laneCount]uint32{}
 	_ [loadboard.Positions]float64 = tiers.Demand{}
 )
 
-// hear takes in what others do in the pool and know of it; told is false while they tell
-// nothing.
-func (p *pool) applyPeerWork(self string, work loadboard.PoolWork, told bool) {
-	p.otherWorkKnown = told
+// applyPeerWork sets what other instances do in the pool and have learned of it;
+// known is false if they report nothing.
+func (p *pool) applyPeerWork(self string, work loadboard.PoolWork, known bool) {
+	p.otherWorkKnown = known
 	for l, rate := range work.Rates {
 		p.work.otherRates[l] = float64(rate)
 	}
@@ -60,7 +61,7 @@
 	}
 }
 
-// ownWork is what this instance does in the pool and knows of it, for the others.
+// ownWork returns what this instance does in the pool and has learned of it.
 func (p *pool) ownWork(self string) loadboard.PoolWork {
 	work := loadboard.PoolWork{Engine: p.engine.sums(), Plan: p.ownPlan(self), LaneClaims: p.laneDemand()}
 	for l, rate := range p.work.rates {
@@ -69,7 +70,7 @@
 	return work
 }
 
-// toldWork is the same of all pools, for peers that exchange digests directly.
+// encodeWork returns the work in all pools for peers that exchange digests directly.
 func (c *core) encodeWork() []*lilacv1.PoolWork {
 	var all []*lilacv1.PoolWork
 	for _, p := range c.poolOrder {
@@ -81,45 +82,44 @@
 	return all
 }
 
-// takeWork takes in what a peer does, where peers exchange their digests directly.
+// applyWork stores the work from the digest of a directly connected peer.
 func (c *core) applyWork(p *peer, work []*lilacv1.PoolWork) {
 	p.work = nil
 	if len(work) > 0 {
 		p.work = make(loadboard.Work, len(work))
 	}
-	for _, told := range work {
-		p.work[told.GetPool()] = loadboard.DecodeWork(told)
+	for _, encoded := range work {
+		p.work[encoded.GetPool()] = loadboard.DecodeWork(encoded)
 	}
 	c.sumPeerWork()
 }
 
-// sumWork adds up the work of all peers; where loads are told beside digests, the
-// work is told there.
+// sumPeerWork adds up the work of all peers. While the load board is active, the work
+// comes from there.
 func (c *core) sumPeerWork() {
 	if c.boardActive {
 		return
 	}
 	for _, p := range c.poolOrder {
 		var sum loadboard.PoolWork
-		heard := false
+		found := false
 		for _, peer := range c.peers {
 			if work, known := peer.work[loadboard.Key(p.name)]; known {
 				sum.Add(work)
-				heard = true
+				found = true
 			}
 		}
-		p.applyPeerWork(c.options.Instance, sum, heard)
+		p.applyPeerWork(c.options.Instance, sum, found)
 	}
 }
 
-// Loads is what this instance runs on each server and sent there lately, for the
-// others.
+// Loads implements Core.
 func (c *core) Loads(now time.Time) loadboard.Report {
-	word := loadboard.Report{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
+	report := loadboard.Report{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
 	for _, p := range c.poolOrder {
 		work := p.ownWork(c.options.Instance)
 		work.Claims = p.slotDemand()
-		word.Work[loadboard.Key(p.name)] = work
+		report.Work[loadboard.Key(p.name)] = work
 	}
 	for _, s := range c.ordered {
 		if len(s.running) == 0 {
@@ -129,12 +129,12 @@
 		for level, tokens := range s.ownBacklog {
 			load.Backlog[level] = uint32(tokens/loadboard.BacklogUnit + 0.5)
 		}
-		word.Loads[s.key] = load
+		report.Loads[s.key] = load
 	}
-	for _, read := range c.recentPrefills(now) {
-		word.CachedPrefixes = append(word.CachedPrefixes, loadboard.CachedPrefix{
-			Server: loadboard.Key(read.server), Hash: read.block.Hash, Tokens: uint32(read.tokens),
+	for _, prefill := range c.recentPrefills(now) {
+		report.CachedPrefixes = append(report.CachedPrefixes, loadboard.CachedPrefix{
+			Server: loadboard.Key(prefill.server), Hash: prefill.block.Hash, Tokens: uint32(prefill.tokens),
 		})
 	}
-	return word
+	return report
 }
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// peerEject is how long a peer's word of a crash keeps a server out.
+	// peerCrashEjection is how long a server stays ejected after a peer reported its
+	// crash.
 	peerCrashEjection = 2 * time.Second
-	// peerLeaving is how long a peer's word that a server leaves holds: many
-	// digests, so that lost ones let nothing through.
+	// peerLeavingTTL is how long a peer's report that a server leaves is valid: the
+	// interval of many digests, so that lost ones do not make the server available again.
 	peerLeavingTTL = 10 * time.Second
-	// crashNews is how long a crash is told to the peers.
+	// crashReportWindow is how long digests report a crash.
 	crashReportWindow = time.Second
 )
 
-// peer is another instance, by its last digest.
+// peer is the state of another instance according to its last digest.
 type peer struct {
 	incarnation string
 	sequence    uint64
@@ -28,7 +29,7 @@
 	at          time.Time
 	leaving     bool
 	loads       []peerLoad
-	// work is what it does in each pool.
+	// work is the peer's work by pool.
 	work   loadboard.Work
 	trials []*server
 }
@@ -39,7 +40,7 @@
 	backlog  []uint32
 }
 
-// Digest tells the other instances what this one does.
+// Digest implements Core.
 func (c *core) Digest(now time.Time) *lilacv1.Digest {
 	c.sequence++
 	d := &lilacv1.Digest{
@@ -73,7 +74,7 @@
 	return d
 }
 
-// spends lists what limited teams spent here lately.
+// teamSpends lists the tokens that limited teams spent here recently.
 func (c *core) teamSpends(now time.Time) []*lilacv1.TeamSpend {
 	var all []*lilacv1.TeamSpend
 	for _, name := range c.limits.RecentSpenders(now) {
@@ -86,7 +87,7 @@
 	return limits.Limit{Rate: float64(team.GetTokensPerSecond()), Burst: float64(team.GetBurstTokens())}
 }
 
-// shorterPromise is the promise of all pools together: the shortest.
+// minPromise returns the shorter one of the promises; 0 ms means none yet.
 func minPromise(ms uint32, promise time.Duration) uint32 {
 	if ms == 0 {
 		return uint32(promise.Milliseconds())
@@ -134,7 +135,8 @@
 	c.applyCutoffs(now, e)
 }
 
-// bindsUntil is when the digest's cutoffs bind no longer; zero if they never did.
+// cutoffsValidUntil returns when the digest's cutoffs expire; zero if they must not
+// be relied on.
 func (e PeerDigest) cutoffsValidUntil(now time.Time) time.Time {
 	switch d := e.Digest; {
 	case d.GetIncomplete():
@@ -184,8 +186,8 @@
 	p.loads = p.loads[:0]
 }
 
-// takeEjected believes a peer's word that a server crashed: its connections
-// broke before ours noticed.
+// applyEjected ejects a server whose crash a peer reported: the peer's connections
+// broke before those of this instance.
 func (c *core) applyEjected(now time.Time, name string) {
 	s := c.servers[name]
 	if s != nil {
@@ -209,7 +211,7 @@
 	delete(c.peers, name)
 	c.sumPeerWork()
 	if p.leaving {
-		// It went in order and spends nothing any more.
+		// It shut down in an orderly way and spends no more tokens.
 		delete(c.knownInstances, name)
 	}
 	c.updatePeerNames()
@@ -221,7 +223,8 @@
 	}
 }
 
-// namePeers keeps the reachable instances in order, this one included.
+// updatePeerNames sets peerNames to the reachable instances in order, this one
+// included.
 func (c *core) updatePeerNames() {
 	c.peerNames = append(c.peerNames[:0], c.options.Instance)
 	for name := range c.peers {
@@ -231,7 +234,8 @@
 	c.limits.SetShare(len(c.peerNames), len(c.knownInstances))
 }
 
-// rank is this instance's place among the reachable ones.
+// instanceRank returns the position of this instance among the reachable ones, and
+// their number.
 func (c *core) instanceRank() (place, of int) {
 	if len(c.peerNames) == 0 {
 		return 0, 1
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -41,7 +41,7 @@
 		byName[c.options.Instance] = i
 		r.boards[i].SetOwn(r.now, c.Loads(r.now))
 		if others, known := r.boards[i].Others(r.now); known {
-			r.apply(c, c.Step(r.now, PeerLoads{Word: others}))
+			r.apply(c, c.Step(r.now, PeerLoads{Report: others}))
 		}
 	}
 	for i, board := range r.boards {
--- a/request/policy/request.go
+++ b/request/policy/request.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/request/queue"
 )
 
-// request is one request from its arrival to its final action.
+// request is the state of a request from its arrival to its final action.
 type request struct {
 	Arrival
 	class *lilacv1.Class
@@ -20,56 +20,62 @@
 	// server is nil while the request waits.
 	server  *server
 	attempt int
-	// sentNow: the present attempt may have written a byte; sentEver: any did
-	// that ended without the server's word that it did not run.
+	// attemptSent is true if the current attempt may have written a byte. everSent is
+	// true if any attempt may have been run: it returned tokens, or it ended after it
+	// was sent without the server stating that it did not run it.
 	attemptSent bool
 	everSent    bool
-	// got counts the tokens that the caller holds, gotNow those of this attempt.
+	// tokens counts the tokens that the caller holds, attemptTokens those of the
+	// current attempt.
 	tokens, attemptTokens int
 	started               time.Time
 	firstAt               time.Time
 	lastAt                time.Time
-	// estimated is the length predicted at the arrival, charged what the team paid.
+	// estimated is the answer length predicted on arrival, charged the tokens taken
+	// from the team's limit.
 	estimated float64
 	charged   float64
-	// uncached is the prompt work of this attempt, ahead what stood before it.
+	// uncached is the prompt work of the current attempt, workAhead the work before it.
 	uncached, workAhead float64
 	// fetched is the part of the prompt that the server fetches from another one.
 	fetched float64
-	// behind is true where it starts although no engine is expected to be in time.
+	// expectedLate is true if the request starts although no engine is expected to
+	// meet its target.
 	expectedLate bool
-	// displacing is true where it started in the place of bulk.
+	// displacing is true if the request started in place of bulk requests.
 	displacing bool
-	// level is its priority at the engine, as it started.
+	// level is the engine priority with which the current attempt started.
 	level int
-	// blocked is why it did not start when it was last looked at.
+	// blocked is why the request could not start at the last attempt.
 	blocked       BlockReason
 	expectedFirst time.Duration
-	// carried is the length of the KV cache that this attempt came with, at the
-	// rate carriedAt; 0 and nil if it came without.
+	// kvTransferred is the length of the KV cache that this attempt received, at the
+	// rate kvTransferRate; 0 and nil for none.
 	kvTransferred  float64
 	kvTransferRate *kvRate
-	// sends counts the servers that were sent the request and failed or refused it.
+	// serversTried counts the servers that got the request and failed or refused it.
 	serversTried int
 	// failedOn names the server of the last failed attempt.
 	failedOn string
-	// trial is true while it runs as a suspect; held is since when it waits as one.
+	// trial is true while the request runs as a suspect. quarantinedAt is when it
+	// started to wait as one.
 	trial         bool
 	quarantinedAt time.Time
-	// reserved is the server that was announced for its trial.
+	// trialReservation is the server announced for the request's trial.
 	trialReservation *server
 	trialReservedAt  time.Time
-	// nextCopy is the next copy that runs here; see identical.
+	// nextCopy is the next running copy of the same request; see identical.go.
 	nextCopy *request
-	// claims is true while it waits and this instance tells that it will be
-	// the one to try it.
+	// claimsTrial is true while the request waits and this instance announces that it
+	// will run the trial.
 	claimsTrial bool
-	// idleSince is the arrival or the last token; rejections counts attempts that
-	// no server took. suspect is true while it waits for a trial.
+	// idleSince is the time of the arrival or of the last token. rejections counts the
+	// attempts that no server accepted. suspect is true while the request waits for a
+	// trial.
 	idleSince  time.Time
 	rejections int
 	suspect    bool
-	// ownAt and poolAt are its places in its server's and its pool's lists.
+	// serverIndex and poolIndex are the positions in the lists of the server and pool.
 	serverIndex, poolIndex int
 }
 
@@ -85,8 +91,8 @@
 	return time.Duration(r.class.GetBetweenTokensMs()) * time.Millisecond
 }
 
-// firstBy is the time left for the first token; an answer that has begun has
-// time as far as it is ahead of its class's pace.
+// slack returns the time left for the first token. Once an answer has begun, it is
+// the time by which the answer is ahead of its class's rate.
 func (r *request) slack(now time.Time) time.Duration {
 	if r.tokens == 0 {
 		return r.item.Arrived.Add(r.firstTokenTarget()).Sub(now)
@@ -94,13 +100,13 @@
 	return r.firstAt.Add(time.Duration(r.tokens) * r.tokenGapTarget()).Sub(now)
 }
 
-// timer is the moment at which a request's deadline passes.
+// timer is the deadline of a request.
 type timer struct {
 	at time.Time
 	id ID
 }
 
-// timers is a heap by time; entries of ended requests are skipped when due.
+// timers is a heap by time; entries of finished requests are skipped when due.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -6,58 +6,58 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// A server in need names how many requests a second it takes from all instances
-// together, for as long as it says so. Instances tell each other what their answers say,
-// since most of them never have one of that server.
+// An overloaded server states in its answers how many requests per second it accepts
+// from all instances together. Instances share what their answers say, since most of
+// them get none from that server.
 
 const (
-	// limitTold is how long an instance tells what an answer to itself said.
+	// limitReportTTL is how long an instance reports what an answer to itself stated.
 	limitReportTTL = 3 * time.Second
-	// limitKept is how long a limit is believed without any word of it: a server to which
-	// nobody sends anything says nothing.
+	// limitTTL is how long a limit is kept if no new report of it arrives: a server that
+	// gets no requests states nothing.
 	limitTTL = 30 * time.Second
 )
 
-// serverLimit is the limit that a server names.
+// serverLimit is the limit stated by a server.
 type serverLimit struct {
 	loadboard.Limit
-	// ownAt is when an answer to this instance last stated or denied a limit; zero where
-	// none ever stated one.
+	// reportedAt is when an answer to this instance last stated a limit or none; zero if
+	// no limit was ever stated.
 	reportedAt time.Time
 }
 
-// LimitSource is who told of a server's limit.
+// LimitSource is the origin of a change of a server's limit.
 type LimitSource string
 
 // The sources of a limit.
 const (
 	LimitFromResponse LimitSource = "answer"
 	LimitFromPeer     LimitSource = "instance"
-	// LimitExpired: nobody told of it any more.
+	// LimitExpired: no report of the limit arrived within limitTTL.
 	LimitExpired LimitSource = "silence"
-	// LimitFromFleet: the limit stands, and other instances live now.
+	// LimitFromFleet: the limit is unchanged, but the set of live instances changed.
 	LimitFromFleet LimitSource = "fleet"
 )
 
-// LimitReport is what an answer of the server says of its limit.
+// LimitReport is what an answer of the server states about its limit.
 type LimitReport struct {
 	Server string
-	// Named is false where the answer names none: the server takes what comes.
+	// Named is false if the answer states no limit.
 	Named bool
-	// PerSecond is in requests a second, of all instances together.
+	// PerSecond is the limit in requests per second for all instances together.
 	PerSecond float64
 }
 
-// LimitChanged tells the shell that a server's limit, or this instance's part of it, is
-// believed to be another one.
+// LimitChanged reports a new limit of a server, or a new share of it for this
+// instance.
 type LimitChanged struct {
 	Server    string
 	Named     bool
 	PerSecond float64
 	Source    LimitSource
-	// Age is that of the word.
+	// Age is the age of the server's statement.
 	Age time.Duration
-	// Share is what this instance may send, in requests a second.
+	// Share is what this instance may send, in requests per second.
 	Share float64
 }
 
@@ -73,14 +73,14 @@
 	s.limited.reportedAt = now
 }
 
-// setLimit takes in news of a server's limit, unless newer ones are known.
-func (c *core) setLimit(now time.Time, s *server, told loadboard.Limit, source LimitSource) {
+// setLimit stores a limit unless a newer one is known.
+func (c *core) setLimit(now time.Time, s *server, reported loadboard.Limit, source LimitSource) {
 	before := s.limited.Limit
-	if told.At.Before(before.At) {
+	if reported.At.Before(before.At) {
 		return
 	}
-	s.limited.Limit = told
-	if told.Advertised == before.Advertised && told.PerSecond == before.PerSecond {
+	s.limited.Limit = reported
+	if reported.Advertised == before.Advertised && reported.PerSecond == before.PerSecond {
 		return
 	}
 	c.shareLimit(now, s)
@@ -96,7 +96,7 @@
 	})
 }
 
-// ownLimits are what answers to this instance said lately.
+// ownLimits returns what answers to this instance stated recently.
 func (c *core) ownLimits(now time.Time) loadboard.Limits {
 	limits := make(loadboard.Limits)
 	for _, s := range c.ordered {
@@ -107,17 +107,17 @@
 	return limits
 }
 
-// hearLimits takes in what answers to other instances said.
-func (c *core) applyPeerLimits(now time.Time, told loadboard.Limits) {
-	for key, limit := range told {
+// applyPeerLimits stores what answers to other instances stated.
+func (c *core) applyPeerLimits(now time.Time, reported loadboard.Limits) {
+	for key, limit := range reported {
 		if s := c.byKey[key]; s != nil {
 			c.setLimit(now, s, limit, LimitFromPeer)
 		}
 	}
 }
 
-// keepLimits drops limits that nobody has told of for long, and brings the shares of the
-// others up to date.
+// refreshLimits drops expired limits and recomputes this instance's shares of the
+// others.
 func (c *core) refreshLimits(now time.Time) {
 	c.fleet.expire(now)
 	for _, s := range c.ordered {
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -36,7 +36,7 @@
 	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	here.Step(epoch, namedLimit("a-1", 1.8))
 	word := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
-	there.Step(epoch.Add(200*ms), PeerLoads{Word: loadboard.DecodeReport(epoch.Add(200*ms), word)})
+	there.Step(epoch.Add(200*ms), PeerLoads{Report: loadboard.DecodeReport(epoch.Add(200*ms), word)})
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
 }
 
@@ -48,7 +48,7 @@
 	c.Step(epoch, namedLimit("a-1", 2))
 	c.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Advertised: true, At: epoch.Add(500 * ms)}}
-	c.Step(epoch.Add(1100*ms), PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}, Limits: old}})
+	c.Step(epoch.Add(1100*ms), PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}, Limits: old}})
 	is.True(!c.servers["a-1"].limited.Advertised)
 }
 
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// trialTokens is how far a suspect must get past its start to be cleared.
+	// trialTokens is how many tokens an attempt of a suspect must return for the suspect
+	// to be cleared.
 	trialTokens = 16
-	// askPause is how long an instance waits for the others' word before it
-	// tries a suspect that it learned of, plus rankPause for each rank, so that
-	// two instances don't begin together.
+	// peerSuspectDelay is how long an instance waits for reports of the others before it
+	// tries a suspect that it learned of from a peer, plus rankDelay for each rank, so
+	// that two instances do not start at the same time.
 	peerSuspectDelay = 700 * time.Millisecond
 	rankDelay        = 100 * time.Millisecond
-	// ownPause is the same after a crash of one's own: another copy may have
-	// taken another server down in the same moment, and its news is on the way.
+	// ownCrashDelay is the same after a crash at this instance: another copy may have
+	// crashed another server at the same moment, and the report is on its way.
 	ownCrashDelay = 600 * time.Millisecond
-	// reserveFor is how long a trial on another instance's server is announced
-	// before it starts: two digests, so that a lost one does no harm.
+	// reservationDelay is how long a trial on a server assigned to another instance is
+	// announced before it starts: two digest intervals, so that one may be lost.
 	reservationDelay = 1100 * time.Millisecond
-	// elsewhereFor is how long a peer's word of a trial counts.
+	// peerTrialTTL is how long a peer's report of a trial is valid.
 	peerTrialTTL = 1500 * time.Millisecond
-	// ownServersFor is how long a suspect waits for one of the servers that
-	// are this instance's for trials before it takes any.
+	// ownServersWindow is how long a suspect waits for one of the servers assigned to
+	// this instance for trials before it takes any server.
 	ownServersWindow = time.Second
 )
 
-// suspectCrash notes that the request was in flight on a server that crashed.
+// suspectCrash records that the request was running on a server that crashed.
 func (c *core) suspectCrash(now time.Time, r *request, s *server) {
 	if c.suspects.RecordCrash(r.Digest, r.Team, s.name, now) {
 		c.announce()
@@ -42,7 +43,7 @@
 	c.awaitVerdict(r.Digest)
 }
 
-// takeSuspects takes in a peer's suspects and the servers that it tries them on.
+// applySuspects merges a peer's suspects and marks the servers of its trials.
 func (c *core) applySuspects(now time.Time, name string, p *peer, suspects []*lilacv1.Suspect) {
 	c.removeTrials(p)
 	for _, s := range suspects {
@@ -54,7 +55,7 @@
 	if len(suspects) == 0 {
 		return
 	}
-	news := c.unknownSuspects(suspects)
+	isNew := c.unknownSuspects(suspects)
 	if c.suspects.Merge(suspects, now) {
 		for _, s := range suspects {
 			c.awaitVerdict(s.GetDigest())
@@ -62,7 +63,7 @@
 		c.stopAwaitingVerdict(now)
 	}
 	for _, s := range suspects {
-		if news[s.GetDigest()] {
+		if isNew[s.GetDigest()] {
 			c.quarantineCopies(now, s.GetDigest(), nil)
 		}
 		if s.GetTrial() != "" {
@@ -71,15 +72,15 @@
 	}
 }
 
-// unknown returns the digests that are no suspects here yet.
+// unknownSuspects returns the digests that are not suspects at this instance yet.
 func (c *core) unknownSuspects(suspects []*lilacv1.Suspect) map[string]bool {
-	news := make(map[string]bool)
+	isNew := make(map[string]bool)
 	for _, s := range suspects {
 		if len(s.GetServers()) > 0 && c.suspects.Get(s.GetDigest()) == nil {
-			news[s.GetDigest()] = true
+			isNew[s.GetDigest()] = true
 		}
 	}
-	return news
+	return isNew
 }
 
 func (c *core) removeTrials(p *peer) {
@@ -89,7 +90,7 @@
 	p.trials = p.trials[:0]
 }
 
-// tryTrials starts suspects, each alone of its kind on its server.
+// tryTrials starts trials of suspects. A server runs at most one at a time.
 func (c *core) tryTrials(now time.Time, p *pool) {
 	for i := 0; i < len(p.quarantine); {
 		r := p.quarantine[i]
@@ -103,7 +104,7 @@
 	}
 }
 
-// tryTrial returns true once the request no longer waits for a trial.
+// tryTrial reports whether the request no longer waits for a trial.
 func (c *core) tryTrial(now time.Time, r *request) bool {
 	e := c.suspects.Get(r.Digest)
 	if e == nil {
@@ -121,7 +122,7 @@
 	if e.Convicted() || e.AttributedToOutage && !c.crashFree(now) || c.multipleCrashes(now) || c.mustDelayTrial(now, r, e) {
 		return false
 	}
-	s, mine := c.trialServer(now, r, e)
+	s, assigned := c.trialServer(now, r, e)
 	if s == nil {
 		return false
 	}
@@ -131,7 +132,7 @@
 		s.trial = r.Digest
 		c.announce()
 	}
-	if !mine && now.Sub(r.trialReservedAt) < reservationDelay {
+	if !assigned && now.Sub(r.trialReservedAt) < reservationDelay {
 		return false
 	}
 	r.trialReservation = nil
@@ -140,7 +141,7 @@
 	return true
 }
 
-// release gives up a claim and gives a reserved server back.
+// releaseTrial gives up the request's claim and its reservation of a server.
 func (c *core) releaseTrial(r *request) {
 	if r.trialReservation == nil && !r.claimsTrial {
 		return
@@ -154,9 +155,9 @@
 	}
 }
 
-// mustWait tells whether another copy of the suspect runs, or may soon. After
-// a crash of one's own the first trial is one's own; a suspect that a peer
-// told of is tried only when no peer tries it.
+// mustDelayTrial reports whether another copy of the suspect runs or may start soon.
+// After a crash at this instance, the first trial runs here; a suspect reported by a
+// peer is tried only while no peer tries it.
 func (c *core) mustDelayTrial(now time.Time, r *request, e *suspect.Entry) bool {
 	holds := r.claimsTrial || r.trialReservation != nil
 	if !holds && (e.Trial != "" || now.Sub(e.PeerTrialAt) < peerTrialTTL) {
@@ -169,11 +170,11 @@
 	return now.Sub(r.quarantinedAt) < peerSuspectDelay+time.Duration(rank)*rankDelay
 }
 
-// trialServer finds the server for a suspect. Each reachable instance has
-// servers of its own for trials, where it may begin at once; on others it
-// must announce itself first. So no two instances put their suspects together
-// before either has told of it.
-func (c *core) trialServer(now time.Time, r *request, e *suspect.Entry) (best *server, mine bool) {
+// trialServer selects the server for a trial. Each reachable instance is assigned
+// some servers on which it may start a trial at once; on others it must announce the
+// trial first. So no two instances run suspects on the same server before either has
+// announced it.
+func (c *core) trialServer(now time.Time, r *request, e *suspect.Entry) (best *server, assigned bool) {
 	rank, of := c.instanceRank()
 	if s := r.trialReservation; s != nil {
 		if c.trialAllowed(now, s, e, r.Digest) {
@@ -185,18 +186,19 @@
 		if !c.trialAllowed(now, s, e, "") || s.load() >= float64(s.slots) {
 			continue
 		}
-		own := i%of == rank
-		if !own && (mine || now.Sub(r.quarantinedAt) < ownServersWindow+time.Duration(rank)*rankDelay) {
+		isAssigned := i%of == rank
+		if !isAssigned && (assigned || now.Sub(r.quarantinedAt) < ownServersWindow+time.Duration(rank)*rankDelay) {
 			continue
 		}
-		if best == nil || own && !mine || s.load() < best.load() {
-			best, mine = s, own
+		if best == nil || isAssigned && !assigned || s.load() < best.load() {
+			best, assigned = s, isAssigned
 		}
 	}
-	return best, mine
+	return best, assigned
 }
 
-// mayTry tells whether no other suspect holds the server, and whether it is up.
+// trialAllowed reports whether the server is available and reserved for no suspect but
+// holder.
 func (c *core) trialAllowed(now time.Time, s *server, e *suspect.Entry, holder string) bool {
 	return !s.unavailable(now) && s.trial == holder && s.peerTrials == 0 && !slices.Contains(e.Servers, s.name)
 }
@@ -213,7 +215,8 @@
 	r.pool.dirty = true
 }
 
-// passed notes that a request ran past the place of the crash, if there is one.
+// passedCrashPoint records that an attempt returned trialTokens tokens, after which a
+// crash is no longer expected.
 func (c *core) passedCrashPoint(now time.Time, r *request) {
 	c.identical.markPassed(now, r, slices.ContainsFunc(r.pool.parked, func(p *request) bool { return p.Digest == r.Digest }))
 	if r.trial {
@@ -221,7 +224,7 @@
 	}
 }
 
-// clearSuspect ends the trial of a request that ran past the place of the crash.
+// clearSuspect ends the trial of a request that returned trialTokens tokens.
 func (c *core) clearSuspect(now time.Time, r *request) {
 	c.endTrial(now, r, r.server)
 	c.suspects.Clear(r.Digest, now)
--- a/request/policy/unresponsive.go
+++ b/request/policy/unresponsive.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// A server that loses power, or whose machine is cut off, breaks no connection:
-// requests sent there get nothing until their callers' time ends. An engine that
-// works sends tokens of some answer all the time, and a service answers within a
-// tenth of a second, so silence towards all requests of this instance shows it.
+// A server that loses power or its network breaks no connection: requests sent there
+// get no answer until their callers time out. An engine that works sends tokens of
+// some answer all the time, and a service answers within a tenth of a second, so a
+// server that sends nothing for any request of this instance has failed.
 const (
-	// silentFor is the silence after which a server is taken for gone, besides
-	// twice the time in which its oldest request was expected to be answered.
+	// unresponsiveTimeout is the silence after which a server counts as failed, in
+	// addition to twice the expected time to the first token of its oldest request.
 	unresponsiveTimeout = 700 * time.Millisecond
 )
 
-// noticeSilent takes servers that fell silent out, and has what may run again and
-// has not begun to be answered run elsewhere.
+// ejectUnresponsive ejects servers that stopped responding, and retries their
+// unanswered idempotent requests elsewhere.
 func (c *core) ejectUnresponsive(now time.Time) {
 	for _, s := range c.ordered {
 		oldest := s.oldestUnanswered()
@@ -33,13 +33,14 @@
 	}
 }
 
-// owesSigns tells whether silence says anything. An engine that reads long prompts
-// of other instances gives nothing to one whose answers have all not begun: with 76
-// instances that is the rule in a burst, and leaving such engines had 4,200k tokens
-// read again on a day of overload.
+// expectsProgress reports whether silence indicates a failure. While an engine
+// processes long prompts of other instances it sends nothing to an instance whose
+// answers have all not begun. With 76 instances that is common in a burst, and
+// ejecting such engines had 4,200k tokens computed again on a day of overload.
 func (s *server) expectsProgress() bool { return s.service || s.decoding > 0 }
 
-// oldestUnanswered is the request that waits longest for its answer to begin.
+// oldestUnanswered returns the request that has waited longest for its answer to
+// begin, or nil.
 func (s *server) oldestUnanswered() *request {
 	var oldest *request
 	for _, r := range s.running {
@@ -50,12 +51,12 @@
 	return oldest
 }
 
-// moveUnanswered sends requests of a silent server to others, as far as their
-// kind, their class and the retry budget allow it.
+// retryUnanswered sends unanswered requests of the server to others, as far as
+// idempotence, their class and the retry budget allow.
 func (c *core) retryUnanswered(now time.Time, s *server) {
 	for _, r := range c.findRequests(func(r *request) bool { return r.server == s && r.attemptTokens == 0 && r.Idempotent }) {
-		most := int(r.class.GetMaxAttempts())
-		if most > 0 && r.serversTried+1 >= most || r.attempt >= maxAttempts || !c.budget.Take() {
+		maxServers := int(r.class.GetMaxAttempts())
+		if maxServers > 0 && r.serversTried+1 >= maxServers || r.attempt >= maxAttempts || !c.budget.Take() {
 			continue
 		}
 		c.check(InvariantBudget, c.budget.WithinBudget())
--- a/request/policy/verdict.go
+++ b/request/policy/verdict.go
@@ -8,34 +8,36 @@
 	"github.com/lilacbridge/lilacbridge/request/suspect"
 )
 
-// When many backend servers go down within seconds, a suspect's second server
-// may be one of them, and an innocent request would be refused everywhere for a
-// day. So two crashes bar a request at once, but the verdict waits for what
-// else crashes: a request explains the crashes of servers that it ran on and no
-// others. If others crashed besides, an outage explains them all better.
+// When many backend servers crash within seconds, the second server of a suspect may
+// be one of them by chance, and an innocent request would be refused everywhere for
+// a day. So two crashes block a request at once, but the conviction waits for further
+// crashes. A request explains only crashes of servers that it ran on. If other servers
+// crashed as well, an outage is the better explanation.
 const (
-	// verdictPause is how long two crashes wait for their verdict.
+	// verdictDelay is the time from the second crash to the decision.
 	verdictDelay = 3 * time.Second
-	// outageWindow is how far from a suspect's crash others tell of an outage.
+	// outageWindow is how far from a crash of the suspect crashes of other servers
+	// indicate an outage.
 	outageWindow = 5 * time.Second
-	// outageOthers is the number of such servers. One is left to a second
-	// crashing request or chance; where there are no more, one of them must have
-	// crashed with the request's last server or after it.
+	// outageServers is the number of other crashed servers that indicates an outage. One
+	// may be due to a second crashing request or to chance. With exactly this number, one
+	// of them must have crashed with the request's last server or after it.
 	outageServers = 2
-	// sameCrash is how far apart the news of crashes of one moment may come.
+	// sameCrashWindow is how far apart the reports of simultaneous crashes may arrive.
 	sameCrashWindow = 500 * time.Millisecond
-	// calmAfter is how long after the last crash a pardoned request is tried.
+	// crashFreePeriod is how long after the last crash a pardoned request is tried.
 	crashFreePeriod = 3 * time.Second
-	// unsettledFor is how long after the last crash no suspect is tried, where
-	// unsettledServers crashed within outageWindow: an outage may go on, and take
-	// an innocent's second server with it.
+	// multiCrashDelay is how long after the last crash no suspect is tried, if
+	// multiCrashServers crashed within outageWindow: an outage may be going on and crash
+	// the second server of an innocent request.
 	multiCrashDelay   = 1500 * time.Millisecond
 	multiCrashServers = 2
-	// fallFor is how long without word of a crash the next one is a new one.
+	// crashReportGap is how long no crash of a server must be reported for the next report
+	// to count as a new crash.
 	crashReportGap = 10 * time.Second
 )
 
-// noteCrash takes in any word of a server's crash, its own or a peer's.
+// recordCrash records the report of a server's crash, by this instance or a peer.
 func (c *core) recordCrash(now time.Time, s *server) {
 	if s.crashFirstReportedAt.IsZero() || now.Sub(s.crashLastReportedAt) > crashReportGap {
 		s.crashFirstReportedAt = now
@@ -45,38 +47,38 @@
 	c.suspectStopped(now, s)
 }
 
-// calm tells whether no server has newly crashed for a while.
+// crashFree reports whether no new crash was reported for crashFreePeriod.
 func (c *core) crashFree(now time.Time) bool { return now.Sub(c.lastNewCrash) >= crashFreePeriod }
 
-// unsettled tells whether several servers crashed just now.
+// multipleCrashes reports whether several servers crashed just now.
 func (c *core) multipleCrashes(now time.Time) bool {
 	if now.Sub(c.lastNewCrash) >= multiCrashDelay {
 		return false
 	}
-	fell := 0
+	crashed := 0
 	for _, s := range c.ordered {
 		if !s.crashFirstReportedAt.IsZero() && now.Sub(s.crashFirstReportedAt) < outageWindow {
-			fell++
+			crashed++
 		}
 	}
-	return fell >= multiCrashServers
+	return crashed >= multiCrashServers
 }
 
-// guilty tells whether the verdict on a suspect is known here, by the log or by
-// this instance's own judgement.
+// convicted reports whether the request is convicted, according to the replicated log
+// or to this instance's own decision.
 func (c *core) convicted(now time.Time, digest string) bool {
 	e := c.suspects.Get(digest)
 	return c.convictionInForce(now, digest) || e.Convicted() && e.Confirmed
 }
 
-// accuse has a request with two crashes wait for its verdict.
+// awaitVerdict schedules the decision on a request with two crashes.
 func (c *core) awaitVerdict(digest string) {
 	if e := c.suspects.Get(digest); e.Convicted() && !e.Confirmed && !slices.Contains(c.awaitingVerdict, digest) {
 		c.awaitingVerdict = append(c.awaitingVerdict, digest)
 	}
 }
 
-// judge gives the verdicts that are due.
+// decideVerdicts makes the decisions that are due.
 func (c *core) decideVerdicts(now time.Time) {
 	kept := c.awaitingVerdict[:0]
 	changed := false
@@ -99,6 +101,8 @@
 	}
 }
 
+// decideVerdict pardons the suspect if an outage explains its crashes, else convicts
+// it.
 func (c *core) decideVerdict(now time.Time, e *suspect.Entry) {
 	if !e.AttributedToOutage && c.explainedByOutage(e) {
 		c.stats.Pardoned++
@@ -112,23 +116,23 @@
 	}
 }
 
-// outage tells whether servers that the request did not run on crashed in the
-// same window as those that it did, and explain its crashes better.
+// explainedByOutage reports whether crashes of servers on which the request did not
+// run, in the same window, make an outage the better explanation.
 func (c *core) explainedByOutage(e *suspect.Entry) bool {
-	others, goesOn := c.otherCrashes(e)
+	others, ongoing := c.otherCrashes(e)
 	switch e.ComparePositions() {
 	case suspect.PositionsMatch:
 		return false
 	case suspect.PositionsDiffer:
 		return others > 0
 	default:
-		return others > outageServers || others == outageServers && goesOn
+		return others > outageServers || others == outageServers && ongoing
 	}
 }
 
-// othersFell counts the crashes of others near the suspect's own, and tells
+// otherCrashes counts crashes of other servers close to the suspect's, and reports
 // whether any came with the last of these or after it.
-func (c *core) otherCrashes(e *suspect.Entry) (others int, goesOn bool) {
+func (c *core) otherCrashes(e *suspect.Entry) (others int, ongoing bool) {
 	last := e.CrashTimes[len(e.CrashTimes)-1]
 	for _, s := range c.ordered {
 		if s.crashFirstReportedAt.IsZero() || e.CrashRecorded(s.name) {
@@ -136,14 +140,14 @@
 		}
 		if slices.ContainsFunc(e.CrashTimes, func(at time.Time) bool { return s.crashFirstReportedAt.Sub(at).Abs() <= outageWindow }) {
 			others++
-			goesOn = goesOn || last.Sub(s.crashFirstReportedAt) <= sameCrashWindow
+			ongoing = ongoing || last.Sub(s.crashFirstReportedAt) <= sameCrashWindow
 		}
 	}
-	return others, goesOn
+	return others, ongoing
 }
 
-// holdAccused takes the copies of barred requests off their servers. They
-// wait for the verdict; what may not start again ends now.
+// stopAwaitingVerdict stops the running copies of requests with two crashes. They wait
+// for the verdict; those that must not be restarted end now.
 func (c *core) stopAwaitingVerdict(now time.Time) {
 	for _, r := range c.findRequests(func(r *request) bool { return c.suspects.Get(r.Digest).Convicted() }) {
 		c.stop(now, r)
@@ -155,7 +159,7 @@
 	}
 }
 
-// endGuilty ends the copies of convicted requests here.
+// refuseConvicted ends the requests at this instance that are convicted.
 func (c *core) refuseConvicted(now time.Time) {
 	for _, r := range c.findRequests(func(r *request) bool { return c.convicted(now, r.Digest) }) {
 		c.stop(now, r)
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -17,7 +17,7 @@
 	for _, s := range full {
 		loads[s.key] = loadboard.Load{InFlight: uint32(s.slots)}
 	}
-	c.Step(now, PeerLoads{Word: loadboard.Report{Loads: loads, Instances: 74}})
+	c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: 74}})
 }
 
 // homesFull is an instance before 40 engines of which the request's homes are full.
@@ -115,7 +115,7 @@
 	for _, s := range c.ordered {
 		loads[s.key] = loadboard.Load{InFlight: load}
 	}
-	c.Step(now, PeerLoads{Word: loadboard.Report{Loads: loads, Instances: 74}})
+	c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: 74}})
 }
 
 // Notes of teams of the first priority began, ten times as long, while scans of the other
