--- a/request/policy/verdict.go
+++ b/request/policy/conviction.go
@@ -10,12 +10,13 @@
 
 // When many backend servers crash within seconds, the second server of a suspect may
 // be one of them by chance, and an innocent request would be refused everywhere for
-// a day. So two crashes block a request at once, but the conviction waits for further
-// crashes. A request explains only crashes of servers that it ran on. If other servers
-// crashed as well, an outage is the better explanation.
+// a day. So two crashes block a request at once, but the conviction is only confirmed
+// after a delay in which further crashes may be reported. A request explains only
+// crashes of servers that it ran on. If other servers crashed as well, an outage is
+// the better explanation.
 const (
-	// verdictDelay is the time from the second crash to the decision.
-	verdictDelay = 3 * time.Second
+	// confirmationDelay is the time from the second crash to the decision.
+	confirmationDelay = 3 * time.Second
 	// outageWindow is how far from a crash of the suspect crashes of other servers
 	// indicate an outage.
 	outageWindow = 5 * time.Second
@@ -25,7 +26,8 @@
 	outageServers = 2
 	// sameCrashWindow is how far apart the reports of simultaneous crashes may arrive.
 	sameCrashWindow = 500 * time.Millisecond
-	// crashFreePeriod is how long after the last crash a pardoned request is tried.
+	// crashFreePeriod is how long after the last crash a request is tried whose crashes
+	// were attributed to an outage.
 	crashFreePeriod = 3 * time.Second
 	// multiCrashDelay is how long after the last crash no suspect is tried, if
 	// multiCrashServers crashed within outageWindow: an outage may be going on and crash
@@ -71,41 +73,41 @@
 	return c.convictionInForce(now, digest) || e.Convicted() && e.Confirmed
 }
 
-// awaitVerdict schedules the decision on a request with two crashes.
-func (c *core) awaitVerdict(digest string) {
-	if e := c.suspects.Get(digest); e.Convicted() && !e.Confirmed && !slices.Contains(c.awaitingVerdict, digest) {
-		c.awaitingVerdict = append(c.awaitingVerdict, digest)
+// scheduleConfirmation schedules the decision on a request with two crashes.
+func (c *core) scheduleConfirmation(digest string) {
+	if e := c.suspects.Get(digest); e.Convicted() && !e.Confirmed && !slices.Contains(c.unconfirmed, digest) {
+		c.unconfirmed = append(c.unconfirmed, digest)
 	}
 }
 
-// decideVerdicts makes the decisions that are due.
-func (c *core) decideVerdicts(now time.Time) {
-	kept := c.awaitingVerdict[:0]
+// confirmSuspects makes the decisions that are due.
+func (c *core) confirmSuspects(now time.Time) {
+	kept := c.unconfirmed[:0]
 	changed := false
-	for _, digest := range c.awaitingVerdict {
+	for _, digest := range c.unconfirmed {
 		e := c.suspects.Get(digest)
 		if !e.Convicted() || e.Confirmed {
 			continue
 		}
-		if now.Sub(e.UpdatedAt) < verdictDelay {
+		if now.Sub(e.UpdatedAt) < confirmationDelay {
 			kept = append(kept, digest)
 			continue
 		}
 		changed = true
-		c.decideVerdict(now, e)
+		c.confirmSuspect(now, e)
 	}
-	c.awaitingVerdict = kept
+	c.unconfirmed = kept
 	if changed {
 		c.announce()
 		c.refuseConvicted(now)
 	}
 }
 
-// decideVerdict pardons the suspect if an outage explains its crashes, else convicts
-// it.
-func (c *core) decideVerdict(now time.Time, e *suspect.Entry) {
+// confirmSuspect attributes the suspect's crashes to an outage if that explains them,
+// else it confirms the conviction.
+func (c *core) confirmSuspect(now time.Time, e *suspect.Entry) {
 	if !e.AttributedToOutage && c.explainedByOutage(e) {
-		c.stats.Pardoned++
+		c.stats.AttributedToOutage++
 		c.suspects.AttributeToOutage(e.Digest, now)
 		return
 	}
@@ -146,9 +148,9 @@
 	return others, ongoing
 }
 
-// stopAwaitingVerdict stops the running copies of requests with two crashes. They wait
-// for the verdict; those that must not be restarted end now.
-func (c *core) stopAwaitingVerdict(now time.Time) {
+// stopUnconfirmed stops the running copies of requests with two crashes. They wait for
+// the decision; those that must not be restarted end now.
+func (c *core) stopUnconfirmed(now time.Time) {
 	for _, r := range c.findRequests(func(r *request) bool { return c.suspects.Get(r.Digest).Convicted() }) {
 		c.stop(now, r)
 		if !r.Idempotent && r.everSent {
--- a/request/policy/copies.go
+++ b/request/policy/copies.go
@@ -9,7 +9,7 @@
 
 // If a request crashes its server while copies of it run on other servers, these
 // would crash too. So all copies stop and wait, and one of them is tried alone. A
-// stopped that crashes its server before the stop arrives still counts as a suspect of
+// copy that crashes its server before the stop arrives still counts as a suspect of
 // that crash.
 
 // quarantineCopies stops the running copies of a suspect at this instance and puts
@@ -39,7 +39,7 @@
 	}
 }
 
-// adoptAsTrial makes a running stopped the trial: a stopped that must not be restarted
+// adoptAsTrial makes a running copy the trial: a copy that must not be restarted
 // would lose its answer if it were stopped.
 func (c *core) adoptAsTrial(e *suspect.Entry, r *request) {
 	if e.Trial != "" || r.server.trial != "" || e.Convicted() {
@@ -51,7 +51,7 @@
 	c.announce()
 }
 
-// stopAndQuarantine stops a running stopped and puts it into the quarantine.
+// stopAndQuarantine stops a running copy and puts it into the quarantine.
 func (c *core) stopAndQuarantine(now time.Time, r *request) {
 	c.stoppedCopies = slices.DeleteFunc(c.stoppedCopies, func(stopped stoppedCopy) bool { return now.Sub(stopped.at) > stoppedCopyWindow })
 	s := r.server
@@ -61,9 +61,9 @@
 	c.reserveWhereStopped(now, r, s)
 }
 
-// reserveWhereStopped reserves the server of a stopped stopped for the trial. The stopped
+// reserveWhereStopped reserves the server of a stopped copy for the trial. The copy
 // may have crashed that server already, and if nothing else ran there no instance
-// finds out; a trial on another server would then crash one server too many. A stopped
+// finds out; a trial on another server would then crash one server too many. A copy
 // that had just started is skipped: it did nothing yet, and must not be tried before
 // one that may have crashed its server.
 func (c *core) reserveWhereStopped(now time.Time, r *request, s *server) {
@@ -78,12 +78,12 @@
 }
 
 // stoppedCopyWindow is how long after the stop a reported crash is attributed to the
-// stopped stopped. If nothing else ran on the server, the crash is only reported when
+// stopped copy. If nothing else ran on the server, the crash is only reported when
 // the server restarts.
 const stoppedCopyWindow = 3 * time.Second
 
-// stoppedCopy is a stopped that may have crashed its server before the stop arrived.
-// Its broken connection is no longer reported, since it has been stopped.
+// stoppedCopy is a copy that may have crashed its server before the stop arrived. The
+// breaking of its own connection goes unnoticed, since it was stopped.
 type stoppedCopy struct {
 	digest, team string
 	server       *server
@@ -96,7 +96,7 @@
 func (c *core) suspectStopped(now time.Time, s *server) {
 	for _, stopped := range c.stoppedCopies {
 		if stopped.server == s && now.Sub(stopped.at) <= stoppedCopyWindow && c.suspects.RecordCrash(stopped.digest, stopped.team, s.name, now) {
-			c.awaitVerdict(stopped.digest)
+			c.scheduleConfirmation(stopped.digest)
 			c.announce()
 		}
 	}
--- a/request/policy/copies_test.go
+++ b/request/policy/copies_test.go
@@ -60,7 +60,7 @@
 		c.Step(now, Sent{ID: r.ID, Attempt: r.attempt})
 		c.Step(now, Failed{ID: r.ID, Attempt: r.attempt, Sent: true, Crashed: true})
 	}
-	for end := now.Add(verdictDelay + slowTick); !now.After(end); now = now.Add(slowTick) {
+	for end := now.Add(confirmationDelay + slowTick); !now.After(end); now = now.Add(slowTick) {
 		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0) // barred until the verdict
 	}
 	is.Equal(len(c.requests), 0) // convicted and refused
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -63,10 +63,10 @@
 	announced bool
 	// readings are the shared parts that others must hear of.
 	readings []prefillRecord
-	// awaitingVerdict holds the digests with two crashes that are not decided yet.
+	// unconfirmed holds the digests with two crashes whose conviction is pending.
 	// lastNewCrash is when the last new crash was reported.
-	awaitingVerdict []string
-	lastNewCrash    time.Time
+	unconfirmed  []string
+	lastNewCrash time.Time
 	// stoppedCopies are copies that were stopped recently.
 	stoppedCopies []stoppedCopy
 }
@@ -185,7 +185,7 @@
 	}
 	c.detectPartitions(now)
 	c.ejectUnresponsive(now)
-	c.decideVerdicts(now)
+	c.confirmSuspects(now)
 	c.refreshLimits(now)
 	c.giveUp(now)
 	for _, p := range c.poolOrder {
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -163,8 +163,8 @@
 	r.uncached, r.fetched, r.workAhead = source.prefill, source.fetched, s.backlogBefore(r.level)
 	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
 	c.setCarried(now, r, s, from)
-	why := c.decision(now, r, s)
-	why.Home = h.position(s)
+	decision := c.decision(now, r, s)
+	decision.Home = h.position(s)
 	s.attach(r)
 	c.identical.add(r)
 	s.ownBacklog.add(r.level, r.uncached)
@@ -187,7 +187,7 @@
 	if from != nil {
 		resume = from.name
 	}
-	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.tokens > 0, Decision: why})
+	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.tokens > 0, Decision: decision})
 }
 
 // decision records the inputs of the choice. It must be called before the request is
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxAttempts limits the starts of one request. Refusals do not count towards it if
-	// the class sets no maximum of its own, but see unservable.
+	// maxAttempts limits the starts of one request. It is not applied after an attempt
+	// that no server ran, unless the class limits attempts; unservable bounds these.
 	maxAttempts = 10
 
 	outcomeMessage   = "the backend server failed after the request was sent; ask for its outcome by its Idempotency-Key"
@@ -62,8 +62,8 @@
 // attemptsExhausted reports whether the request was sent to as many servers as its
 // class allows.
 func (r *request) attemptsExhausted() bool {
-	most := int(r.class.GetMaxAttempts())
-	return most > 0 && r.serversTried >= most
+	maxServers := int(r.class.GetMaxAttempts())
+	return maxServers > 0 && r.serversTried >= maxServers
 }
 
 // penalizeServer updates the server's state after a failed attempt.
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -68,8 +68,8 @@
 	Unresponsive uint64
 	Crashes      uint64
 	Convicted    uint64
-	// Pardoned counts suspects whose crashes were attributed to an outage.
-	Pardoned uint64
+	// AttributedToOutage counts suspects whose crashes were attributed to an outage.
+	AttributedToOutage uint64
 	// Waiting and Running are the current numbers of requests.
 	Waiting int
 	Running int
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -40,7 +40,7 @@
 	}
 	c.suspects.RecordCrashPosition(r.Digest, s.name, r.tokens)
 	delete(c.identical.passed, r.Digest)
-	c.awaitVerdict(r.Digest)
+	c.scheduleConfirmation(r.Digest)
 }
 
 // applySuspects merges a peer's suspects and marks the servers of its trials.
@@ -58,9 +58,9 @@
 	isNew := c.unknownSuspects(suspects)
 	if c.suspects.Merge(suspects, now) {
 		for _, s := range suspects {
-			c.awaitVerdict(s.GetDigest())
+			c.scheduleConfirmation(s.GetDigest())
 		}
-		c.stopAwaitingVerdict(now)
+		c.stopUnconfirmed(now)
 	}
 	for _, s := range suspects {
 		if isNew[s.GetDigest()] {
