--- a/request/policy/copies_test.go
+++ b/request/policy/copies_test.go
@@ -30,14 +30,14 @@
 	return found
 }
 
-// tellSuspect is a peer's digest that tells of the request.
+// suspectDigest returns a peer's digest that lists the request as a suspect.
 func suspectDigest(peer string, sequence uint64, trial string, servers ...string) PeerDigest {
 	told := &lilacv1.Suspect{Digest: "same", Team: "a", Servers: servers, Trial: trial}
 	return PeerDigest{Digest: &lilacv1.Digest{Instance: peer, Sequence: sequence, Suspects: []*lilacv1.Suspect{told}}}
 }
 
-// A caller sends a crashing request three times at one instance before anyone
-// suspects it. Each copy took an engine of its own down: three were lost.
+// A caller sends a crashing request three times to one instance before it is a
+// suspect. On different servers, each copy would crash one.
 func TestCopiesAtOneInstanceShareAServer(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
@@ -61,15 +61,15 @@
 		c.Step(now, Failed{ID: r.ID, Attempt: r.attempt, Sent: true, Crashed: true})
 	}
 	for end := now.Add(confirmationDelay + slowTick); !now.After(end); now = now.Add(slowTick) {
-		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0) // barred until the verdict
+		is.Equal(len(all[Start](c.Step(now, Tick{}))), 0) // blocked until the decision
 	}
 	is.Equal(len(c.requests), 0) // convicted and refused
 	is.Equal(len(c.stats.Violations), 0)
 }
 
-// A popular request comes again and again. If all its copies had to share one
-// server, most would wait there while others stood idle.
-func TestCopiesRunFreelyOnceOnePassed(t *testing.T) {
+// If all copies of a popular request had to share one server, most would wait there
+// while other servers are idle.
+func TestCopiesRunAnywhereOnceOnePassed(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
 	first := sendCopy(c, 1)[0].Server
@@ -81,7 +81,7 @@
 	is.Equal(len(p.parked), 1)
 	other := arrival(99, "alerts")
 	other.Digest = "other"
-	is.Equal(len(all[Start](c.Step(epoch, other))), 1) // it is not held up
+	is.Equal(len(all[Start](c.Step(epoch, other))), 1) // other requests are not blocked
 	c.Step(epoch, Tokens{ID: 1, Attempt: 1, Count: trialTokens})
 	c.Step(epoch.Add(slowTick), Tick{})
 	waited := c.requests[ID(room+1)]
@@ -93,9 +93,9 @@
 	is.Equal(len(c.identical.first), 0)
 }
 
-// A first copy hangs; its caller sends again after seconds. The second copy
-// must not be bound to the server that hangs.
-func TestCopyIsFreeOnceTheFirstHangs(t *testing.T) {
+// The first copy hangs and its caller sends the request again after seconds. The
+// second copy must not be bound to the hanging server.
+func TestCopyDoesNotJoinAHangingServer(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
 	sendCopy(c, 1)
@@ -106,10 +106,10 @@
 	is.True(c.identical.serverToJoin(epoch.Add(joinWindow+1), r) == nil)
 }
 
-// Copies run at two instances when a third tells of the crash. The one that
-// went on as the trial took another engine down while the other copy's crash
-// was on its way, and a third engine was lost.
-func TestCopiesStopAndAreBlamedForCrashesOnTheWay(t *testing.T) {
+// Copies run at two instances when a third reports the crash. If one continued as the
+// trial while the other copy's crash was not reported yet, two more engines could be
+// lost.
+func TestStoppedCopiesAreSuspectedForPendingCrashes(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
 	server := sendCopy(c, 1)[0].Server
@@ -122,8 +122,9 @@
 	is.True(c.suspects.Get("same").Convicted())
 }
 
-// A server crashes long after a copy was stopped on it: that copy is not to blame.
-func TestStoppedCopyIsNotBlamedForLaterCrashes(t *testing.T) {
+// A server crashes long after a copy was stopped on it. The copy is not a suspect of
+// that crash.
+func TestStoppedCopyIsNotSuspectedForLaterCrashes(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
 	server := sendCopy(c, 1)[0].Server
@@ -133,16 +134,16 @@
 	is.Equal(c.suspects.Get("same").Servers, []string{"r9"})
 }
 
-// Copies at two instances die with the same engine. Each instance waited the
-// same time and tried its own copy in the same moment: two more were lost.
-func TestOfTwoClaimsTheFirstByNameStays(t *testing.T) {
+// Copies at two instances are lost with the same engine. Without claims both instances
+// would try their copy after the same delay, and two more engines could be lost.
+func TestFirstTrialClaimByNameWins(t *testing.T) {
 	for _, other := range []string{"e0", "e2"} {
 		t.Run(other, func(t *testing.T) {
 			is := is.New(t)
 			c := poolOf(4)
 			server := sendCopy(c, 1)[0].Server
 			c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
-			is.Equal(c.suspects.Get("same").Trial, server) // told as a claim
+			is.Equal(c.suspects.Get("same").Trial, server) // announced as a claim
 			c.Step(epoch, suspectDigest(other, 1, server, server))
 			starts := 0
 			for now := epoch; now.Before(epoch.Add(peerTrialTTL)); now = now.Add(slowTick) {
@@ -154,7 +155,7 @@
 	}
 }
 
-// A claim waits while a peer's copy runs already, whatever their names.
+// A claim waits while a peer's copy is running, whatever the names of the instances.
 func TestClaimYieldsToATrial(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
@@ -166,9 +167,9 @@
 	}
 }
 
-// Two servers crash within a second, then a third. The suspects of the first
-// two were tried before the third went down, and it convicted some of them.
-func TestNoTrialWhileServersGoOnCrashing(t *testing.T) {
+// Two servers crash within a second, then a third. If suspects of the first two were
+// tried before the third crash, it would convict some of them.
+func TestNoTrialWhileServersKeepCrashing(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
 	sendCopy(c, 1)
@@ -187,8 +188,8 @@
 	is.Equal(len(all[Start](c.Step(at.Add(multiCrashDelay+slowTick), Tick{}))), 1)
 }
 
-// A peer's copy clears the request while a claim waits here. The claim must not
-// outlive the suspicion: it would end a later trial of another copy.
+// A peer's copy clears the request while a claim waits here. The claim must end too,
+// or it would end a later trial of another copy.
 func TestClaimEndsWithTheSuspicion(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
@@ -201,8 +202,9 @@
 	is.True(c.requests[1].server != nil)
 }
 
-// Peers convict a request that this instance holds for a later trial. The log
-// told it, but the copy that waited was tried all the same and took a server.
+// Peers convict a request that waits here for a later trial. The conviction arrives
+// through the replicated log and must end the waiting copy, or its trial would crash
+// another server.
 func TestConvictionByTheLogEndsWaitingCopies(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(4)
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -61,7 +61,7 @@
 	stats     Stats
 	actions   []Action
 	announced bool
-	// readings are the shared parts that others must hear of.
+	// readings are the recent prefills of shared blocks that digests report.
 	readings []prefillRecord
 	// unconfirmed holds the digests with two crashes whose conviction is pending.
 	// lastNewCrash is when the last new crash was reported.
--- a/request/policy/core_test.go
+++ b/request/policy/core_test.go
@@ -38,7 +38,8 @@
 	return Arrival{ID: id, Class: class, Team: "a", Target: "redaction", Digest: string(rune('a' + id)), PromptTokens: 10, Idempotent: true}
 }
 
-// only returns the one action of its type; a second one, or none, ends the test.
+// only returns the single action of type A and fails the test if there is not exactly
+// one.
 func only[A Action](t *testing.T, actions []Action) A {
 	t.Helper()
 	var found []A
@@ -48,7 +49,7 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d actions of the type wanted, among %v", len(found), actions)
+		t.Fatalf("got %d actions of the type, want 1, in %v", len(found), actions)
 	}
 	return found[0]
 }
@@ -71,8 +72,8 @@
 	is.Equal(refusal.NotRun, lilacv1.NotRun_NOT_RUN_TRUE)
 }
 
-// A booking is sent, then its server crashes. The caller must learn that the
-// outcome is unknown; a second try could book the berth twice.
+// A booking is sent, then its server crashes. A second attempt could book twice, so
+// the caller must be told that the outcome is unknown.
 func TestNonIdempotentIsNotSentTwice(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
@@ -85,8 +86,8 @@
 	is.Equal(refusal.NotRun, lilacv1.NotRun_NOT_RUN_UNKNOWN)
 }
 
-// The connection to a server breaks in the middle of an answer. The caller
-// holds two tokens; the rest comes from the other server.
+// The connection to a server breaks after two tokens of the answer. The rest must come
+// from the other server.
 func TestBrokenStreamIsContinuedElsewhere(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
@@ -94,11 +95,11 @@
 	c.Step(epoch, Tokens{ID: 1, Attempt: 1, Count: 2})
 	for _, action := range c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true}) {
 		_, started := action.(Start)
-		is.True(!started) // a suspect waits for what the other instances know
+		is.True(!started) // a suspect waits for reports of the other instances
 	}
 	again := only[Start](t, c.Step(epoch.Add(ownCrashDelay), Tick{}))
 	is.True(again.Server != start.Server)
 	is.True(again.Continue)
 	is.Equal(len(c.Step(epoch, Tokens{ID: 1, Attempt: 1, Count: 1})), 0)
-	is.Equal(c.requests[1].tokens, 2) // a late token of the first attempt counts for nothing
+	is.Equal(c.requests[1].tokens, 2) // a late token of the first attempt is ignored
 }
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -11,11 +11,11 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// A burst at one instance leaves hundreds of urgent requests there that are too
-// late for their target. They asked for all slots of the pool, so that other
-// instances' requests became late in their turn. They may ask for a few only; a
-// few late ones, as at an instance without the burst, ask for all they need.
-func TestLateRequestsAskForFewSlots(t *testing.T) {
+// A burst at one instance leaves hundreds of urgent requests there that have missed
+// their target. If they demanded slots for all of them, requests of other instances
+// would become late as well. A few late requests, as at an instance without the burst,
+// still demand all that they need.
+func TestLateRequestsDemandFewSlots(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	for id := range ID(12) {
@@ -34,10 +34,10 @@
 	is.Equal(p.demand()[0], float64(len(p.running)+2))
 }
 
-// A burst of tier 3 comes in at another instance and leaves few slots to this one,
-// which runs some tier 3 answers of its own. A tier 1 call waited here for seconds
-// until they ended: they held the slots that the split had given to it.
-func TestLowerTiersHoldNoUrgentRequestBack(t *testing.T) {
+// A burst of tier 3 at another instance leaves few slots to this one, which runs tier 3
+// answers of its own. If these counted against the slots of a tier 1 request, it would
+// wait for seconds until they end.
+func TestLowerTiersDoNotBlockUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	c := poolOf(1)
 	for id := range ID(3) {
@@ -47,12 +47,12 @@
 	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: "e2", Cutoffs: []*lilacv1.PoolCutoff{burst}}})
 	is.Equal(only[Start](t, c.Step(epoch, arrival(4, "officers"))).ID, ID(4))
 	c.Step(epoch, arrival(5, "batch"))
-	is.Equal(c.running, 4) // of tier 3 the burst's share is all
+	is.Equal(c.running, 4) // tier 3 has used up its share
 }
 
-// An instance of a large fleet, whose digests travel in a tree, knew of no other's
-// demand, and took half of the pool's slots for its own.
-func TestLargeFleetsSplitSlotsByWhatIsTold(t *testing.T) {
+// In a large fleet digests travel in a tree. Without the load board an instance would
+// not know the demand of the others and take half of the pool's slots for itself.
+func TestLargeFleetSplitsSlotsByReportedDemand(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(coreWithEngines("e1", 2, "a"))
 	c.Step(epoch, draft(1))
@@ -64,5 +64,5 @@
 	is.True(p.quota < p.capacity/10)
 	c.Step(epoch.Add(slowTick), PeerLoads{})
 	c.Step(epoch.Add(2*slowTick), Tick{})
-	is.True(p.quota > p.capacity/3) // nothing is known any more
+	is.True(p.quota > p.capacity/3) // the others' demand is unknown again
 }
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -60,7 +60,7 @@
 	for i := range instances {
 		c := coreFullOfBulk(fmt.Sprintf("e%d", i), bulk, instances)
 		for id := range ID(5) {
-			for _, start := range starts(c.Step(epoch, review(id+1, uint64(id)))) {
+			for _, start := range allStarts(c.Step(epoch, review(id+1, uint64(id)))) {
 				started[start.Server]++
 			}
 		}
@@ -76,7 +76,7 @@
 func TestDisplacedSlotIsReusedByNextRequest(t *testing.T) {
 	is := is.New(t)
 	c := coreFullOfBulk("e1", 1, 1)
-	first := starts(c.Step(epoch, review(1, 1)))
+	first := allStarts(c.Step(epoch, review(1, 1)))
 	is.Equal(len(first), 1)
 	s := c.servers[first[0].Server]
 	is.Equal(s.displaceBudget, 0.0)
@@ -91,7 +91,7 @@
 	used := make(map[string]bool)
 	for i := range 8 {
 		c := coreFullOfBulk(fmt.Sprintf("e%d", i), 12, 8)
-		for _, start := range starts(c.Step(epoch, review(1, uint64(i)))) {
+		for _, start := range allStarts(c.Step(epoch, review(1, uint64(i)))) {
 			used[start.Server] = true
 		}
 	}
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -16,8 +16,8 @@
 // less traffic.
 func scaledReplay(slots int, slowdown float64) *replay {
 	scale := func(d time.Duration) time.Duration { return time.Duration(slowdown * float64(d)) }
-	s := engineSpeed{step: scale(workshopSpeed.step), perRequest: scale(workshopSpeed.perRequest), prefill: scale(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
-	kinds := workshop()
+	s := engineSpeed{step: scale(smallFleetSpeed.step), perRequest: scale(smallFleetSpeed.perRequest), prefill: scale(smallFleetSpeed.prefill), fixed: smallFleetSpeed.fixed}
+	kinds := smallFleetKinds()
 	for i := range kinds {
 		kinds[i].perSecond /= max(slowdown, 1)
 	}
@@ -34,7 +34,7 @@
 				r := scaledReplay(slots, times)
 				// As many requests come in the longer time.
 				r.run(time.Duration(12*max(times, 1))*time.Second, steady)
-				truth := times * workshopSpeed.prefill.Seconds()
+				truth := times * smallFleetSpeed.prefill.Seconds()
 				for _, c := range r.cores {
 					learned := c.pools["llm"].engine.prefill
 					is.True(learned > truth/2)
@@ -97,7 +97,7 @@
 		is := is.New(t)
 		r := scaledReplay(slots, 4)
 		r.run(48*time.Second, steady)
-		truth := 4 * workshopSpeed.prefill.Seconds()
+		truth := 4 * smallFleetSpeed.prefill.Seconds()
 		for _, c := range r.cores {
 			learned := c.pools["llm"].engine.prefill
 			is.True(learned > truth/1.6)
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// engines returns a core before n large engines in each data centre, with a tight
-// class, a loose one and a plain service.
+// coreWithEngines returns a core with n large engines in each data centre, a class with
+// a strict target between tokens, one with a loose target, and a plain service.
 func coreWithEngines(instance string, n int, centres ...string) *core {
 	snapshot := &lilacv1.Snapshot{
 		Revision: 1,
@@ -44,7 +44,8 @@
 	return c
 }
 
-// digest is a long prompt about a subject, draft a short one.
+// digest is a request with a long prompt about a subject, draft one with a short
+// prompt.
 func digest(id ID, subject uint64) Arrival {
 	return Arrival{ID: id, Class: "digest", Team: "a", Target: "llm", Digest: fmt.Sprint(id), PromptTokens: 17000, Pinned: true,
 		Prefix: []Block{{Hash: subject, End: 13300}, {Hash: 1<<40 + uint64(id), End: 17000}}, Deadline: epoch.Add(time.Minute)}
@@ -59,15 +60,15 @@
 	return Arrival{ID: id, Class: "lookup", Team: "a", Target: "desk", Digest: fmt.Sprint(id), PromptTokens: 1, Idempotent: true, Pinned: true, Deadline: epoch.Add(2 * time.Minute)}
 }
 
-// finish ends a started request whose first token took as long as was expected.
+// finish ends a started request whose first token took the expected time.
 func finish(c *core, now time.Time, start Start) {
 	c.Step(now, Sent{ID: start.ID, Attempt: start.Attempt})
 	c.Step(now.Add(start.Decision.Expected), Tokens{ID: start.ID, Attempt: start.Attempt, Count: 3})
 	c.Step(now.Add(start.Decision.Expected), Finished{ID: start.ID, Attempt: start.Attempt})
 }
 
-// Digests of a few subjects come to two instances in turn. If each instance went
-// by its own memory alone, a subject's 13,300 shared tokens would be read on two
+// Digests of a few subjects arrive at two instances in turn. If each instance used only
+// its own cache state, the 13,300 shared tokens of a subject would be computed on two
 // engines, a quarter of a second each time.
 func TestInstancesAgreeOnTheEngineOfASharedPrompt(t *testing.T) {
 	is := is.New(t)
@@ -87,8 +88,8 @@
 	}
 }
 
-// Two data centres stand a millisecond apart. Each read the prompts of all subjects
-// for itself, as if the other were a region away.
+// Two data centres of a region are a millisecond apart. They must share the home
+// engines of a subject and not compute its prompt in each data centre.
 func TestDataCentresOfARegionShareHomes(t *testing.T) {
 	is := is.New(t)
 	used := make(map[string]bool)
@@ -110,9 +111,9 @@
 	is.Equal(len(used), 1)
 }
 
-// Drafts want an event each 200 ms. Beside a digest's prompt a step takes 60 ms,
-// three of them an event: drafts on the same engines are late. So one engine of
-// each data centre takes no digests while the others have room.
+// Drafts need an event every 200 ms. During the prefill of a digest's prompt a step takes
+// 60 ms, and an event three steps, so drafts on the same engine are late. Therefore one
+// engine of each data centre gets no digests while others have free slots.
 func TestTightAnswersHaveEnginesWithoutLongPrompts(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a", "b", "c")
@@ -130,8 +131,8 @@
 	}
 }
 
-// A data centre's only open engine is left: drafts and digests share it.
-func TestOneEngineIsNoLane(t *testing.T) {
+// Only one engine of the data centre is available: drafts and digests share it.
+func TestSingleEngineHasNoLane(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a")
 	c.Step(epoch.Add(slowTick), Tick{})
@@ -140,9 +141,9 @@
 	only[Start](t, c.Step(epoch.Add(slowTick), digest(2, 1)))
 }
 
-// While all is cold another instance sends a long prompt to an engine. This one
-// must count it as work before its own, and as held from then on.
-func TestWhatPeersSentIsWorkAndCache(t *testing.T) {
+// Another instance sends a long prompt to an engine with a cold cache. This instance
+// must count it as backlog before its own requests, and as cached from then on.
+func TestPeerPrefillsCountAsBacklogAndCache(t *testing.T) {
 	is := is.New(t)
 	c, peer := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	peer.Step(epoch, Tick{})
@@ -157,12 +158,12 @@
 	is.Equal(s.uncachedTokens(mine), 3700.0)
 	c.Step(epoch, PeerGone{Instance: "e2"})
 	is.Equal(s.backlogBefore(engineLevels-1), 0.0)
-	is.Equal(s.uncachedTokens(mine), 3700.0) // the engine still holds it
+	is.Equal(s.uncachedTokens(mine), 3700.0) // still cached at the engine
 	is.Equal(len(peer.Digest(epoch.Add(2*prefillRecordTTL)).GetReadings()), 0)
 }
 
-// An engine reads urgent prompts first. A draft is not behind the digests that
-// wait there, a digest is behind the drafts.
+// An engine processes urgent prompts first. A draft does not wait for the digests there,
+// but a digest waits for the drafts.
 func TestOnlyMoreUrgentPromptsAreBeforeARequest(t *testing.T) {
 	is := is.New(t)
 	var b backlog
@@ -180,9 +181,9 @@
 	is.Equal(b.total(), 1000.0)
 }
 
-// Prompts wait behind work that this instance does not know of: one in three is
-// read at the engine's own rate, the others take ten times as long. The engine
-// must not be taken for ten times slower.
+// Prompts wait behind work that this instance does not know of: one in three takes its
+// real time, the others ten times as long. The engine's estimate must not become ten
+// times slower.
 func TestUnknownWorkDoesNotMakeAnEngineSlow(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a")
@@ -200,28 +201,28 @@
 	}
 	is.True(s.prefill < 2*rate)
 	for range 100 {
-		read(5 * rate) // it has really turned slow
+		read(5 * rate) // the engine has become slow
 	}
 	is.True(s.prefill > 3*rate)
 }
 
-// A route allows one server for each request. A full one refuses it: the caller is
-// told that it did not run, and no second server is asked.
+// A route allows one server per request and the server refuses it for load. The caller
+// must be told that the request did not run, and no second server is tried.
 func TestRequestIsSentToNoMoreServersThanAllowed(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, draft(1)))
 	refuse := only[Refuse](t, c.Step(epoch.Add(ms), Failed{ID: 1, Attempt: start.Attempt, Refused: true}))
 	is.Equal(refuse.NotRun, lilacv1.NotRun_NOT_RUN_TRUE)
-	// An attempt of which no byte went out is none.
+	// An attempt without a byte sent does not count.
 	start = only[Start](t, c.Step(epoch.Add(time.Second), draft(2)))
 	again := only[Start](t, c.Step(epoch.Add(time.Second+ms), Failed{ID: 2, Attempt: start.Attempt, Crashed: true}))
 	is.True(again.Server != start.Server)
 }
 
-// A service answers some look-ups with a failure of its own. It is not down: it
-// must go on getting requests, and the look-up is tried once more elsewhere.
-func TestFailedAnswerIsRetriedAndEjectsNobody(t *testing.T) {
+// A service answers some lookups with an error of its own. It is not down: it must keep
+// getting requests, and the lookup is tried once more on another server.
+func TestServerErrorIsRetriedWithoutEjection(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a", "b")
 	start := only[Start](t, c.Step(epoch, lookup(1)))
@@ -234,14 +235,14 @@
 	is.Equal(refuse.NotRun, lilacv1.NotRun_NOT_RUN_UNKNOWN)
 }
 
-// A service's server fails half of its requests while its liveness check is good.
-// The others of the data centre must get most of them, and it must be tried again.
-func TestServerThatFailsOftenGetsLess(t *testing.T) {
+// A service's server fails half of its requests while its health check succeeds. The
+// other servers must get most of the requests, and it must be tried again later.
+func TestServerWithHighFailureRateGetsFewerRequests(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a", "b")
-	grey := c.servers["desk-a"]
+	failing := c.servers["desk-a"]
 	for range 10 {
-		grey.failureRate += failureSampleWeight * (1 - grey.failureRate)
+		failing.failureRate += failureSampleWeight * (1 - failing.failureRate)
 	}
 	start := only[Start](t, c.Step(epoch, lookup(1)))
 	is.Equal(start.Server, "desk-b")
@@ -254,13 +255,13 @@
 	is.Equal(start.Server, "desk-a")
 }
 
-// A digest that no engine can read in time starts all the same, but behind all that
-// can be.
-func TestLateRequestsGoLastAtTheEngine(t *testing.T) {
+// A digest that no engine can process in time starts anyway, but with a lower priority
+// than all requests that can meet their target.
+func TestLateRequestsGetTheLastEnginePriority(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a")
 	s := c.servers["a-0"]
-	s.ownBacklog.add(4, 200000) // 3.7 s to read
+	s.ownBacklog.add(4, 200000) // 3.7 s of prefill
 	var late Start
 	if starts := c.Step(epoch, digest(1, 1)); len(starts) > 0 {
 		late = only[Start](t, starts)
@@ -276,9 +277,9 @@
 	is.Equal(only[Start](t, c.Step(epoch.Add(5*time.Second), draft(2))).Level, model.Place(1, 0))
 }
 
-// One engine of a large pool holds the prompt. A sample of the pool would miss it
-// four times in five, and 40 subjects' prompts would be read 160 times.
-func TestHomesAreLookedAtInALargePool(t *testing.T) {
+// One engine of a large pool holds the prompt. A random sample of the pool would miss it
+// four times in five, and the prompts of 40 subjects would be computed 160 times.
+func TestHomesAreCandidatesInALargePool(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 10, "a", "b", "c", "d", "e", "f")
 	c.Step(epoch.Add(slowTick), Tick{})
@@ -295,10 +296,10 @@
 	is.True(read <= 44) // once each, and one in ten again where lanes move
 }
 
-// A service's machine loses power while look-ups are on their way. No connection
-// breaks. The look-up must be answered elsewhere well before its caller gives up,
-// a booking must not run twice, and nothing more goes to the dark server.
-func TestSilentServerLosesWhatMayRunAgain(t *testing.T) {
+// The machine of a service loses power while lookups are running, and no connection
+// breaks. The lookup must be answered elsewhere well before its caller gives up, a
+// booking must not run twice, and the failed server must get no more requests.
+func TestUnresponsiveServerLosesIdempotentRequests(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a", "b")
 	first := only[Start](t, c.Step(epoch, lookup(1)))
@@ -323,10 +324,10 @@
 	is.True(c.servers[first.Server].unavailable(now))
 }
 
-// In a burst an engine reads other instances' prompts for seconds. An instance with
-// one waiting request there gets no sign of life; it must not leave the engine, or
-// the prompt is read once more elsewhere.
-func TestBusyEngineIsNotTakenForSilent(t *testing.T) {
+// In a burst an engine processes other instances' prompts for seconds, and an instance
+// with one waiting request gets no response. It must not eject the engine, or the prompt
+// would be computed again elsewhere.
+func TestBusyEngineIsNotUnresponsive(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
 	start := only[Start](t, c.Step(epoch, digest(1, 1)))
--- a/request/policy/giveup_test.go
+++ b/request/policy/giveup_test.go
@@ -9,8 +9,8 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// playUntilRefused sends the request, ticks on and lets answer play the servers' part for each
-// start; it returns the refusal and how long it took.
+// runUntilRefused sends the request and runs ticks until it is refused. answer returns the
+// server's response to each start. It returns the refusal and the time it took.
 func runUntilRefused(t *testing.T, c *core, first Arrival, answer func(s Start) Event) (Refuse, time.Duration) {
 	t.Helper()
 	actions := append([]Action(nil), c.Step(epoch, first)...)
@@ -40,9 +40,9 @@
 	is.True(refusal.RetryAfter >= minRetryAfter)
 }
 
-// An engine answers 429 to everything. The caller set no deadline and saw its
-// connection stay open without a word, since each refusal allowed another try.
-func TestAlwaysRefusingEnginesAreGivenUp(t *testing.T) {
+// Each engine answers 429. Since a refusal allows another attempt, a request without a
+// deadline would keep its connection open forever.
+func TestRequestRefusedByAllEnginesIsGivenUp(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	refuse := func(s Start) Event {
@@ -54,9 +54,9 @@
 	is.Equal(len(c.requests), 0)
 }
 
-// All servers of a pool are taken out while a request waits, and another
-// arrives afterwards. Neither has a server to hope for.
-func TestAPoolThatIsLeavingIsGivenUp(t *testing.T) {
+// All servers of a pool leave before a request arrives. It has no prospect of a server
+// and must not wait forever.
+func TestRequestsOfALeavingPoolAreGivenUp(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	for _, name := range []string{"r1", "r2"} {
@@ -67,9 +67,9 @@
 	is.True(waited <= maxClosedWait+2*giveUpInterval)
 }
 
-// Servers work, but they are full for longer than any bound here. That is a
-// queue, not a want of servers: what waits must not be given up out of tier order.
-func TestAQueueIsNotGivenUp(t *testing.T) {
+// Servers work but are full for longer than any of the limits here. Waiting behind other
+// requests must not end a request; that would ignore the order of tiers.
+func TestQueuedRequestsAreNotGivenUp(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	for id := range ID(8) {
@@ -88,9 +88,8 @@
 	is.Equal(len(c.requests), 8)
 }
 
-// A nightly request waits for an engine of two slots. It is idle, but the free
-// slots that the request must leave for others were more than it has, so that
-// it never started.
+// A low-priority request waits for an idle engine with two slots. If it had to leave more
+// slots free than the engine has, it would never start.
 func TestAnIdleServerTakesAnyRequest(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
--- a/request/policy/leaving_test.go
+++ b/request/policy/leaving_test.go
@@ -10,7 +10,8 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// longAnswer has begun on a server whose name is returned.
+// longAnswer starts a request, returns the first tokens of its answer, and returns the
+// name of the server.
 func longAnswer(t *testing.T, c *core, a Arrival) string {
 	t.Helper()
 	start := only[Start](t, c.Step(epoch, a))
@@ -18,9 +19,9 @@
 	return start.Server
 }
 
-// runFor sends ticks, and a token of the answer now and then; it returns the
-// time of the first Start, with it, or nil.
-func runFor(c *core, id ID, from, to time.Time) (time.Time, *Start) {
+// runUntilStart sends ticks, and a token of the answer every 50 ms, until the first Start
+// or until to. It returns the time of the Start, with it, or nil.
+func runUntilStart(c *core, id ID, from, to time.Time) (time.Time, *Start) {
 	for now := from; now.Before(to); now = now.Add(TickInterval) {
 		if now.Sub(from)%(50*time.Millisecond) == 0 {
 			c.Step(now, Tokens{ID: id, Attempt: 1, Count: 1})
@@ -40,34 +41,34 @@
 	return a
 }
 
-// The platform takes a server back in the middle of a long answer. The server
-// vanishes seconds later, and the whole prompt was computed again elsewhere.
+// The platform reclaims a server in the middle of a long answer. Unless the answer moves
+// before the server is gone, its whole prompt is computed again elsewhere.
 func TestAnswerMovesBeforeItsServerVanishes(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(initialNotice))
+	at, start := runUntilStart(c, 1, told, told.Add(initialNotice))
 	is.True(start != nil)
 	is.Equal(start.ResumeFrom, from)
 	is.True(start.Server != from)
-	is.True(at.Sub(told) > initialNotice-2*moveWindow) // it gets on where it is till then
+	is.True(at.Sub(told) > initialNotice-2*moveWindow) // it makes progress where it is until then
 	c.Step(at.Add(120*time.Millisecond), Tokens{ID: 1, Attempt: 2, Count: 1})
 	stats := c.Stats()
 	is.Equal(stats.MovedByKV, uint64(1))
 	is.True(stats.SavedTokens.Moved > 2000)
 }
 
-// The old engine no longer holds the answer, so that its prompt is computed
-// again after all. That must not count as spared, and makes moving dearer.
-func TestFailedMoveIsNoSparedToken(t *testing.T) {
+// The old engine no longer has the KV cache of the answer, so the prompt is computed again
+// after the move. That must not count as saved, and must raise the estimated cost of moves.
+func TestFailedMoveSavesNoTokens(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(initialNotice))
+	at, start := runUntilStart(c, 1, told, told.Add(initialNotice))
 	before := c.kv.near.expect(at, 2000)
 	c.Step(at.Add(100*time.Millisecond), Recomputed{ID: 1, Attempt: start.Attempt})
 	c.Step(at.Add(500*time.Millisecond), Tokens{ID: 1, Attempt: start.Attempt, Count: 1})
@@ -76,22 +77,22 @@
 	is.Equal(c.servers[start.Server].ownBacklog.total(), 0.0)
 }
 
-// Another server is slow to take KV caches, so that each move is overdue and
-// goes on elsewhere before its first token. Nothing was learned from such moves.
-func TestSlowMoveIsLearnedThoughItIsGivenUp(t *testing.T) {
+// The target is slow to receive KV caches, so that a move is overdue and abandoned before
+// its first token. Its duration must still be learned.
+func TestAbandonedMoveIsLearned(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	from := longAnswer(t, c, longPrompt(1))
 	told := epoch.Add(400 * time.Millisecond)
 	c.Step(told, ServerState{Server: from, Leaving: true})
-	at, start := runFor(c, 1, told, told.Add(initialNotice))
+	at, start := runUntilStart(c, 1, told, told.Add(initialNotice))
 	before := c.kv.near.expect(at, 2000)
 	c.Step(at.Add(2*time.Second), Failed{ID: 1, Attempt: start.Attempt, Refused: true})
 	is.True(c.kv.near.expect(at, 2000) > 2*before)
 }
 
-// What moving an answer would not help, or must not be done twice, stays: a
-// short prompt, a booking, and all on a server that operators drain.
+// Answers stay if a move does not help or must not happen: a short prompt, a booking, and
+// all answers on a server that operators drain.
 func TestAnswersThatStayOnALeavingServer(t *testing.T) {
 	for name, a := range map[string]Arrival{"short prompt": arrival(1, "alerts"), "booking": longPrompt(1), "drained": longPrompt(1)} {
 		t.Run(name, func(t *testing.T) {
@@ -104,7 +105,7 @@
 			} else {
 				c.Step(told, ServerState{Server: from, Leaving: true})
 			}
-			_, start := runFor(c, 1, told, told.Add(2*initialNotice))
+			_, start := runUntilStart(c, 1, told, told.Add(2*initialNotice))
 			is := is.New(t)
 			is.Equal(start, nil)
 			is.Equal(c.requests[1].server.name, from)
@@ -128,9 +129,9 @@
 	return model.NewView(snapshot)
 }
 
-// Servers here go two seconds after the word that they leave. Answers that were
-// moved at the end of the longer usual notice came too late, each time anew.
-func TestNoticeIsLearned(t *testing.T) {
+// Servers go two seconds after the notice. Answers that are moved at the end of the longer
+// default notice period would always be moved too late.
+func TestNoticePeriodIsLearned(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	from := longAnswer(t, c, longPrompt(1))
@@ -140,8 +141,8 @@
 	is.Equal(c.noticePeriod, 2*time.Second)
 }
 
-// Engines that move answers slowly are found out by measuring, and tried again
-// once the measurement is old.
+// Slow moves raise the estimate, and it decays so that moving is tried again once the
+// measurement is old.
 func TestCostOfMovingIsLearnedAndForgotten(t *testing.T) {
 	is := is.New(t)
 	k := newKVCost()
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -10,7 +10,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// fleetViews are the views of n instances of three data centres, each of which knows all.
+// fleetViews returns the views of n instances in three data centres, each of which knows
+// all others.
 func fleetViews(n int) []fleet {
 	var all []Instance
 	for i := range n {
@@ -24,9 +25,10 @@
 	return views
 }
 
-// Each of 194 instances took an equal part, rounded up to a request. In any four seconds all
-// instances together must stay under one and a half times the limit and five.
-func TestAllPartsOfALimitStayWithinIt(t *testing.T) {
+// If each of 194 instances rounded its equal share up to one request, the sum would exceed
+// the limit. In any four seconds all instances together must stay below one and a half
+// times the limit plus five.
+func TestSharesOfALimitStayWithinIt(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 75, 194} {
 		for _, perSecond := range []float64{0, 0.1, 0.4, 1, 1.8, 2, 7, 40, 300} {
 			is := is.New(t)
@@ -45,15 +47,15 @@
 				share += s.allowed.share
 			}
 			is.True(share <= perSecond+1e-9)
-			is.True(share >= perSecond-1e-9) // nothing of the limit is lost
+			is.True(share >= perSecond-1e-9) // the shares add up to the limit
 			is.True(limitSpan.Seconds()*share+burst <= 1.5*limitSpan.Seconds()*perSecond+5)
 		}
 	}
 }
 
-// Two halves of a fleet can't hear each other. Each must not take over the other's part while
-// that may still send.
-func TestACutOffInstanceKeepsItsPart(t *testing.T) {
+// Two halves of a fleet cannot reach each other. Neither may take over the share of the
+// other half while that may still be sending.
+func TestUnreachableInstanceKeepsItsShare(t *testing.T) {
 	is := is.New(t)
 	views := fleetViews(8)
 	s := newServer("i-1")
@@ -65,11 +67,11 @@
 	views[0].expire(epoch.Add(time.Minute + missingTTL))
 	is.Equal(views[0].senders(s), before)
 	views[0].expire(epoch.Add(time.Minute + missingTTL + time.Second))
-	is.Equal(views[0].senders(s), []string{views[0].self.Name}) // nobody else is left
+	is.Equal(views[0].senders(s), []string{views[0].self.Name}) // no other instance is left
 }
 
-// A limited engine holds the prompt of a request that it may not get now. The request waited
-// for it rather than have the prompt read elsewhere.
+// A limited engine has the cached prompt of a request but cannot accept it now. The request
+// must not wait for it, but have its prompt computed on another engine.
 func TestARequestDoesNotWaitForALimitedHome(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -80,7 +82,7 @@
 	is.Equal(c.Stats().Violations[InvariantLimit], uint64(0))
 }
 
-// Every start on the server counts: also those of requests that failed elsewhere first.
+// Every start on the server counts, including those of requests that failed elsewhere.
 func TestRetriesCountAgainstALimit(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 2, "a")
@@ -103,9 +105,9 @@
 	return a
 }
 
-// Another instance starts, and this one's part of a limit becomes smaller. It must be told, and
-// show in the log.
-func TestAPartOfALimitFollowsTheFleet(t *testing.T) {
+// Another instance starts, so this instance's share of a limit becomes smaller. The change
+// must be reported, since the log shows it.
+func TestShareOfALimitFollowsTheFleet(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 2, "a")
 	is.Equal(only[LimitChanged](t, c.Step(epoch, namedLimit("a-0", 0.5))).Share, 0.5)
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -11,9 +11,9 @@
 
 const withRoom = lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM
 
-// workshop is a load of short urgent queries, quick scans and long notes on 12
-// engines, which do it with half of their time.
-func workshop() []requestKind {
+// smallFleetKinds is a load of short urgent queries, short scans and long notes. It takes
+// half of the capacity of 12 engines.
+func smallFleetKinds() []requestKind {
 	return []requestKind{
 		{class: &lilacv1.Class{Name: "query", Tier: 1, Rank: 0, FirstTokenMs: 500, BetweenTokensMs: 41, MaxAttempts: 1, Late: withRoom}, perSecond: 16, shared: 200, own: 630, subjects: 150, answer: 290, deadline: 12 * time.Second},
 		{class: &lilacv1.Class{Name: "scan", Tier: 1, Rank: 1, FirstTokenMs: 600, BetweenTokensMs: 66, MaxAttempts: 1, Late: withRoom}, perSecond: 32, shared: 570, own: 1800, subjects: 300, answer: 23, deadline: 3 * time.Second},
@@ -21,10 +21,10 @@
 	}
 }
 
-var workshopSpeed = engineSpeed{step: 3 * ms, perRequest: 150 * time.Microsecond, prefill: 12 * time.Microsecond, fixed: 20 * ms}
+var smallFleetSpeed = engineSpeed{step: 3 * ms, perRequest: 150 * time.Microsecond, prefill: 12 * time.Microsecond, fixed: 20 * ms}
 
-// steady is a load that doesn't change; surge has so many times the traffic from the
-// second second to the twelfth.
+// steady is a constant load; surge multiplies the load from the second second to the
+// twelfth.
 func steady(time.Duration) float64 { return 1 }
 
 func surge(times float64) func(time.Duration) float64 {
@@ -36,12 +36,12 @@
 	}
 }
 
-// Three and a half times the traffic comes for ten seconds. Slots and engines' time went to long
-// notes, and queries and scans, more urgent and a tenth as long, got nothing.
+// In ten seconds of 3.5 times the usual load, long notes must not take the slots and engine
+// time of queries and scans, which are more urgent and a tenth as long.
 func TestUrgentRequestsAreServedInAnOverload(t *testing.T) {
 	for seed := range uint64(3) {
 		is := is.New(t)
-		r := newReplay(seed, 8, 4, 64, workshopSpeed, workshop())
+		r := newReplay(seed, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 		r.run(16*time.Second, surge(3.5))
 		for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
 			for kind := range 2 {
@@ -51,16 +51,15 @@
 		}
 		notes, queries := r.tally(2, 2*time.Second, 12*time.Second), r.tally(0, 2*time.Second, 12*time.Second)
 		is.True(queries.inTime*4 >= queries.arrived*3)
-		is.True((notes.arrived-notes.unanswered)*4 >= notes.arrived) // no kind is starved
+		is.True((notes.arrived-notes.unanswered)*4 >= notes.arrived) // notes are not starved
 	}
 }
 
-// In an overload notes waited here for 15 s, until their callers gave up, though it
-// was clear after two that they would be late. They are refused while their callers
-// can still do something about it.
-func TestWhatCanNotBeInTimeIsRefusedAtOnce(t *testing.T) {
+// In an overload a note must not wait 15 s until its caller gives up if it is clear after
+// two that it will be late. It is refused while the caller can still act on it.
+func TestRequestsThatCannotBeInTimeAreRefusedEarly(t *testing.T) {
 	is := is.New(t)
-	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
+	r := newReplay(1, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 	r.run(16*time.Second, surge(3.5))
 	refused, soon := 0, 0
 	for _, end := range r.outcomes {
@@ -75,13 +74,13 @@
 		}
 	}
 	is.True(refused > 0)
-	is.True(soon*2 >= refused) // most are told before they waited at all
+	is.True(soon*2 >= refused) // most are refused on arrival
 }
 
-// Without an overload nothing is turned away.
+// Without an overload nothing is refused.
 func TestNothingIsRefusedWhileEnginesHaveRoom(t *testing.T) {
 	is := is.New(t)
-	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
+	r := newReplay(1, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 	r.run(10*time.Second, steady)
 	for kind := range r.kinds {
 		all := r.tally(kind, time.Second, 8*time.Second)
@@ -90,12 +89,12 @@
 	}
 }
 
-// At four times the traffic notes that began in the first seconds held half of the slots
-// for ten more, and scans got nothing.
+// At four times the usual load, notes that began in the first seconds must not hold half of
+// the slots for ten more while scans get none.
 func TestUrgentRequestsAreServedAtFourTimes(t *testing.T) {
 	for seed := range uint64(5) {
 		is := is.New(t)
-		r := newReplay(seed, 8, 4, 64, workshopSpeed, workshop())
+		r := newReplay(seed, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 		r.run(16*time.Second, surge(4))
 		for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
 			for kind := range 2 {
@@ -106,9 +105,9 @@
 	}
 }
 
-// Each of 75 instances started an urgent request in the place of a note of its own on the
-// same small engine, which put nine times as many notes back as before.
-func TestSmallEnginesDoNotPutBulkBack(t *testing.T) {
+// If each of 75 instances started an urgent request in place of a note on the same small
+// engine, it would preempt nine times as many notes.
+func TestSmallEnginesDoNotDisplaceBulk(t *testing.T) {
 	is := is.New(t)
 	for slots, want := range map[int]float64{64: 1, 12: 0} {
 		c := coreWithEngines("e1", 1, "a")
@@ -122,10 +121,10 @@
 	}
 }
 
-// Requests waited out their target and were refused, and nothing said what they had waited for.
-func TestARefusalSaysWhatTheRequestWaitedFor(t *testing.T) {
+// A request that waited past its target and was refused must report what it waited for.
+func TestRefusalReportsTheQueueState(t *testing.T) {
 	is := is.New(t)
-	r := newReplay(1, 8, 4, 64, workshopSpeed, workshop())
+	r := newReplay(1, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 	seen := make(map[BlockReason]int)
 	r.onRefuse = func(refusal Refuse) {
 		is.True(refusal.Queue.Level >= 0)
@@ -133,5 +132,5 @@
 	}
 	r.run(8*time.Second, surge(3.5))
 	is.True(seen[BlockedByShare]+seen[BlockedByRoom]+seen[BlockedByOrder] > 0)
-	is.True(seen[NotBlocked] > 0) // turned away before they waited
+	is.True(seen[NotBlocked] > 0) // refused on arrival
 }
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -138,7 +138,7 @@
 	}
 	outcome := r.outcomes[j.start.ID]
 	if j.generated == 1 {
-		e.limiter.answer(r, j)
+		e.limiter.sendReport(r, j)
 	}
 	if outcome.firstTokenAt.IsZero() {
 		outcome.firstTokenAt = r.now
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -189,7 +189,7 @@
 	e.held[a.Prefix[0].Hash] = true
 	job := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, unread: unread, left: r.kinds[outcome.kind].answer, rank: r.kinds[outcome.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
 	e.waiting = append(e.waiting, job)
-	e.limiter.got(r.now, c)
+	e.limiter.recordArrival(r.now, c)
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
 }
 
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -42,8 +42,8 @@
 // LimitReport is what an answer of the server states about its limit.
 type LimitReport struct {
 	Server string
-	// Named is false if the answer states no limit.
-	Named bool
+	// Advertised is false if the answer states no limit.
+	Advertised bool
 	// PerSecond is the limit in requests per second for all instances together.
 	PerSecond float64
 }
@@ -51,10 +51,10 @@
 // LimitChanged reports a new limit of a server, or a new share of it for this
 // instance.
 type LimitChanged struct {
-	Server    string
-	Named     bool
-	PerSecond float64
-	Source    LimitSource
+	Server     string
+	Advertised bool
+	PerSecond  float64
+	Source     LimitSource
 	// Age is the age of the server's statement.
 	Age time.Duration
 	// Share is what this instance may send, in requests per second.
@@ -66,10 +66,10 @@
 
 func (c *core) limitReport(now time.Time, e LimitReport) {
 	s := c.servers[e.Server]
-	if s == nil || !e.Named && s.limited.At.IsZero() {
+	if s == nil || !e.Advertised && s.limited.At.IsZero() {
 		return
 	}
-	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Advertised: e.Named, At: now}, LimitFromResponse)
+	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Advertised: e.Advertised, At: now}, LimitFromResponse)
 	s.limited.reportedAt = now
 }
 
@@ -92,7 +92,7 @@
 
 func (c *core) emitLimitChanged(now time.Time, s *server, source LimitSource) {
 	c.emit(LimitChanged{
-		Server: s.name, Named: s.limited.Advertised, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
+		Server: s.name, Advertised: s.limited.Advertised, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
 	})
 }
 
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -9,29 +9,29 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// names is an answer of the server that names a limit.
+// namedLimit is an answer of the server that states a limit.
 func namedLimit(server string, perSecond float64) LimitReport {
-	return LimitReport{Server: server, Named: true, PerSecond: perSecond}
+	return LimitReport{Server: server, Advertised: true, PerSecond: perSecond}
 }
 
-// An instance that never had an answer of the server in need must know of it, or it would be
-// one more that sends its share.
-func TestInstancesTellEachOtherOfLimits(t *testing.T) {
+// An instance without an answer from the limited server must learn of the limit, or it would
+// send its share in addition.
+func TestDigestsCarryLimits(t *testing.T) {
 	is := is.New(t)
 	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	changed := only[LimitChanged](t, here.Step(epoch, namedLimit("a-1", 1.8)))
 	is.Equal(changed.Source, LimitFromResponse)
 	there.Step(epoch.Add(100*ms), PeerDigest{Digest: here.Digest(epoch.Add(50 * ms)), At: epoch})
 	is.Equal(there.servers["a-1"].limited.PerSecond, 1.8)
-	is.Equal(len(there.Digest(epoch.Add(200*ms)).GetLimits()), 0) // who heard of it doesn't tell it on
+	is.Equal(len(there.Digest(epoch.Add(200*ms)).GetLimits()), 0) // an instance that learned of it from a peer does not report it
 	here.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	there.Step(epoch.Add(1100*ms), PeerDigest{Digest: here.Digest(epoch.Add(time.Second)), At: epoch})
 	is.True(!there.servers["a-1"].limited.Advertised)
 	is.Equal(there.Stats().Limited, map[string]float64{})
 }
 
-// The same in a large fleet, whose digests say nothing of servers.
-func TestBoardsTellOfLimits(t *testing.T) {
+// In a large fleet digests carry no server state, so the load board carries the limits.
+func TestLoadBoardCarriesLimits(t *testing.T) {
 	is := is.New(t)
 	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	here.Step(epoch, namedLimit("a-1", 1.8))
@@ -40,9 +40,9 @@
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
 }
 
-// News of a limit come on several ways. An older word that comes later must not bring a
-// limit back that the server has given up.
-func TestTheNewestWordOfALimitCounts(t *testing.T) {
+// Reports of a limit arrive over several paths. An older one that arrives later must not
+// restore a limit that the server has lifted.
+func TestNewestReportOfALimitWins(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
 	c.Step(epoch, namedLimit("a-1", 2))
@@ -52,8 +52,8 @@
 	is.True(!c.servers["a-1"].limited.Advertised)
 }
 
-// A server with a limit to which nobody sends anything says nothing more of it.
-func TestALimitIsForgottenWithoutAnyWord(t *testing.T) {
+// A limited server that gets no requests sends no answers, so its limit must expire.
+func TestLimitExpiresWithoutReports(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
 	c.Step(epoch, namedLimit("a-1", 2))
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilacbridge/lilacbridge/request/tiers"
 )
 
-// crowd tells that others fill the engines.
+// reportFull reports that other instances fill the given engines.
 func reportFull(c *core, now time.Time, full ...*server) {
 	loads := loadboard.Loads{}
 	for _, s := range full {
@@ -20,7 +20,7 @@
 	c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: 74}})
 }
 
-// homesFull is an instance before 40 engines of which the request's homes are full.
+// coreWithFullHomes returns a core with 40 engines of which the request's homes are full.
 func coreWithFullHomes(a Arrival) *core {
 	c := withIndirectDigests(coreWithEngines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
@@ -31,8 +31,8 @@
 	return c
 }
 
-// Scans whose four homes were full waited out their target beside idle engines and were
-// refused, though their prompt takes 20 ms to read anywhere.
+// The four homes of a scan are full. It must not wait past its target while other engines are
+// idle, since its prompt takes 20 ms anywhere.
 func TestAShortPromptLeavesItsFullHomes(t *testing.T) {
 	is := is.New(t)
 	c := coreWithFullHomes(draft(1))
@@ -41,9 +41,9 @@
 	is.Equal(start.Decision.Waited, time.Duration(0))
 }
 
-// A digest waited for the engine that holds its prompt, and with it all digests behind it
-// whose engines were idle.
-func TestARequestThatWaitsForItsHomeHoldsNobodyUp(t *testing.T) {
+// A digest waits for the engine that holds its prompt. Digests behind it whose engines are
+// idle must start.
+func TestRequestWaitingForItsHomeDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(coreWithEngines("e1", 20, "a", "b"))
 	c.Step(epoch, Tick{})
@@ -53,16 +53,16 @@
 	c.Step(epoch.Add(start.Decision.Expected), Tokens{ID: 1, Attempt: 1, Count: 3})
 	now := epoch.Add(start.Decision.Expected)
 	for _, s := range c.pools["llm"].servers {
-		s.fetchPerToken = 0 // the prompt can't be fetched
+		s.fetchPerToken = 0 // the prompt cannot be fetched
 	}
 	reportFull(c, now, c.servers[start.Server])
 	c.Step(now, digest(2, 1))
-	is.True(c.requests[2].server == nil) // it waits rather than have its prompt read twice
+	is.True(c.requests[2].server == nil) // it waits; its prompt is not computed twice
 	is.True(only[Start](t, c.Step(now.Add(700*ms), digest(3, 2))).Server != start.Server)
 }
 
-// Requests of two ranks wait for the same room: the more urgent rank of the tier starts,
-// though the other came first.
+// Requests of two ranks wait for the same slot. The more urgent rank of the tier starts first,
+// although the other one arrived first.
 func TestTheMoreUrgentRankOfATierStartsFirst(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(coreWithEngines("e1", 1, "a"))
@@ -72,13 +72,13 @@
 	c.Step(epoch.Add(ms), draft(2))
 	is.Equal(c.running, 0)
 	reportFull(c, epoch.Add(2*ms))
-	starts := starts(c.Step(epoch.Add(3*ms), Tick{}))
+	starts := allStarts(c.Step(epoch.Add(3*ms), Tick{}))
 	is.True(len(starts) > 0)
 	is.Equal(starts[0].ID, ID(2))
 }
 
-// starts are the requests that an event starts, in order.
-func starts(actions []Action) []Start {
+// allStarts returns the starts among the actions, in order.
+func allStarts(actions []Action) []Start {
 	var all []Start
 	for _, action := range actions {
 		if start, ok := action.(Start); ok {
@@ -88,8 +88,8 @@
 	return all
 }
 
-// fleetOfTwelves is an instance before engines of 12 slots, to which drafts and reviews of a
-// usual team and digests of an urgent one come.
+// coreWithSmallEngines returns a core with engines of 12 slots, drafts and reviews of a usual
+// team, and digests of an urgent one.
 func coreWithSmallEngines(n int) *core {
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", n, "a")))
 	c.view.Classes["urgent-digest"] = &lilacv1.Class{Name: "urgent-digest", Tier: 0, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 266, MaxAttempts: 1}
@@ -109,7 +109,7 @@
 	return a
 }
 
-// busy tells that others run so many requests on each engine.
+// reportLoad reports that other instances run load requests on each engine.
 func reportLoad(c *core, now time.Time, load uint32) {
 	loads := loadboard.Loads{}
 	for _, s := range c.ordered {
@@ -118,8 +118,8 @@
 	c.Step(now, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: 74}})
 }
 
-// Notes of teams of the first priority began, ten times as long, while scans of the other
-// teams waited for the same slots until they were refused.
+// Notes of teams of the first tier are ten times as long as scans of other teams. They must not
+// start while such scans wait for the same slots.
 func TestBulkOfAnUrgentTeamStartsAfterShortWorkOfOthers(t *testing.T) {
 	is := is.New(t)
 	c := coreWithSmallEngines(1)
@@ -128,27 +128,26 @@
 	c.Step(epoch.Add(ms), review(2, 2))
 	is.Equal(c.running, 0)
 	reportLoad(c, epoch.Add(2*ms), 0)
-	started := starts(c.Step(epoch.Add(3*ms), Tick{}))
+	started := allStarts(c.Step(epoch.Add(3*ms), Tick{}))
 	is.True(len(started) > 0)
 	is.Equal(started[0].ID, ID(2))
 }
 
-// An engine had a slot left that a scan had to leave free and a note of an urgent team
-// might take.
+// A slot that a scan must leave free must not be taken by a note of a more urgent team.
 func TestBulkOfAnUrgentTeamLeavesAsManySlotsFree(t *testing.T) {
 	for load := range uint32(12) {
 		is := is.New(t)
 		short, bulk := coreWithSmallEngines(1), coreWithSmallEngines(1)
 		reportLoad(short, epoch, load)
 		reportLoad(bulk, epoch, load)
-		shortStarts := len(starts(short.Step(epoch, review(1, 1)))) > 0
-		bulkStarts := len(starts(bulk.Step(epoch, urgentDigest(1)))) > 0
+		shortStarts := len(allStarts(short.Step(epoch, review(1, 1)))) > 0
+		bulkStarts := len(allStarts(bulk.Step(epoch, urgentDigest(1)))) > 0
 		is.True(shortStarts || !bulkStarts)
 	}
 }
 
-// A request became late while there was room, and the pool filled up then: it waited until
-// its deadline and was told neither that it did not run nor when to come back.
+// A request becomes late while there are free slots, and the pool fills up afterwards. It must
+// be refused with a retry time and not wait until its deadline.
 func TestALateRequestIsRefusedOnceThePoolIsFull(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(coreWithEngines("e1", 1, "a"))
@@ -158,15 +157,15 @@
 	c.Step(epoch, draft(1))
 	late := epoch.Add(300 * ms)
 	c.Step(late, Tick{})
-	is.True(c.requests[1].item.Late) // the pool isn't full yet
+	is.True(c.requests[1].item.Late) // the pool is not full yet
 	refusal := only[Refuse](t, c.Step(epoch.Add(fullAfter+slowTick), Tick{}))
 	is.Equal(refusal.Kind, lilacv1.ErrorKind_ERROR_KIND_LATE)
 	is.True(refusal.RetryAfter > 0)
 }
 
-// Digests waited for room, and reviews, more urgent and half as long, were turned away on
-// arrival for a full pool while other digests began.
-func TestBulkThatWaitsDoesNotTurnUrgentRequestsAway(t *testing.T) {
+// Digests wait for a slot. Reviews, which are more urgent and half as long, must not be refused
+// on arrival for a full pool while other digests start.
+func TestWaitingBulkDoesNotRejectUrgentRequests(t *testing.T) {
 	is := is.New(t)
 	c := coreWithSmallEngines(1)
 	c.view.Classes["review"].Late, c.view.Classes["digest"].Late = withRoom, withRoom
@@ -177,12 +176,12 @@
 	for id := ID(2); id < 5; id++ {
 		is.Equal(len(c.Step(now, review(id, uint64(id)))), 0) // it waits
 	}
-	turnedAway := only[Refuse](t, c.Step(now, digest(5, 5)))
-	is.Equal(turnedAway.Kind, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED)
+	rejected := only[Refuse](t, c.Step(now, digest(5, 5)))
+	is.Equal(rejected.Kind, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED)
 }
 
-// Nothing showed that bulk began while more urgent requests waited.
-func TestStartsBeforeMoreUrgentRequestsAreCounted(t *testing.T) {
+// Starts of bulk requests while more urgent ones wait must be visible in the counters.
+func TestPriorityInversionsAreCounted(t *testing.T) {
 	is := is.New(t)
 	c := coreWithFullHomes(digest(1, 1))
 	c.Step(epoch.Add(ms), draft(2))
@@ -190,15 +189,15 @@
 	c = coreWithFullHomes(review(1, 1))
 	withReviews(c)
 	c.Step(epoch.Add(ms), review(1, 1))
-	is.Equal(c.running, 0) // its prompt is worth the wait for its homes
+	is.Equal(c.running, 0) // it waits for a home, to reuse the cached prompt
 	c.Step(epoch.Add(2*ms), digest(2, 5))
 	is.Equal(c.running, 1)
 	is.Equal(c.Stats().PriorityInversions, uint64(1))
 }
 
-// Reviews, which hold their slots for seconds, used up their own part of the slots. They were
-// refused beside a third of the instance's slots, kept for drafts that did not come.
-func TestOnlyTheLeastUrgentBulkKeepsOutOfUnusedSlots(t *testing.T) {
+// Reviews, which hold their slots for seconds, have used up their share of the slots. They may
+// use slots that are kept for drafts that do not arrive; only the least urgent class may not.
+func TestOnlyTheLeastUrgentBulkLeavesUnusedSlots(t *testing.T) {
 	is := is.New(t)
 	c := coreWithSmallEngines(4)
 	for id, name := range []string{"draft", "review", "digest"} {
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -168,7 +168,7 @@
 		j.relay.logBadLimit(j.flight, t.start, limit.Unreadable)
 		return
 	}
-	j.relay.Post(policy.LimitReport{Server: t.start.Server, Named: limit.Named, PerSecond: limit.PerSecond})
+	j.relay.Post(policy.LimitReport{Server: t.start.Server, Advertised: limit.Named, PerSecond: limit.PerSecond})
 }
 
 // passWhole reads the answer to its end before its first byte goes out.
--- a/request/relay/log.go
+++ b/request/relay/log.go
@@ -44,6 +44,6 @@
 
 // logLimit tells of a limit that a server names, or names no longer.
 func (r *Relay) logLimit(a policy.LimitChanged) {
-	r.Log.Line(logs.Belief, "server limit", "server", a.Server, "named", a.Named, "per_second", a.PerSecond,
+	r.Log.Line(logs.Belief, "server limit", "server", a.Server, "named", a.Advertised, "per_second", a.PerSecond,
 		"source", string(a.Source), "age_ms", a.Age.Milliseconds(), "share", a.Share)
 }
--- a/request/relay/rows.go
+++ b/request/relay/rows.go
@@ -24,7 +24,7 @@
 func (r *Relay) noteLimit(now time.Time, a policy.LimitChanged) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !a.Named {
+	if !a.Advertised {
 		delete(r.limits, a.Server)
 		return
 	}
--- a/request/relay/rows_test.go
+++ b/request/relay/rows_test.go
@@ -25,7 +25,7 @@
 	}
 	r.Configure(view(1, "a", "b"))
 	at := time.Unix(1_800_000_000, 0)
-	r.noteLimit(at, policy.LimitChanged{Server: "b", Named: true, PerSecond: 1.8, Share: 0.6, Source: policy.LimitFromPeer, Age: time.Second})
+	r.noteLimit(at, policy.LimitChanged{Server: "b", Advertised: true, PerSecond: 1.8, Share: 0.6, Source: policy.LimitFromPeer, Age: time.Second})
 	columns, rows := r.Servers()
 	is.Equal(columns[5:], []string{"limit", "share", "limit_source", "limit_since"})
 	is.Equal(rows[0].GetValues()[5:], []string{"", "", "", ""})
@@ -33,7 +33,7 @@
 	r.noteLimit(at, policy.LimitChanged{Server: "b"})
 	_, rows = r.Servers()
 	is.Equal(rows[1].GetValues()[5], "")
-	r.noteLimit(at, policy.LimitChanged{Server: "b", Named: true})
+	r.noteLimit(at, policy.LimitChanged{Server: "b", Advertised: true})
 	r.Configure(view(2, "a"))
 	is.Equal(len(r.limits), 0)
 }
