--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -55,9 +55,9 @@
 
 // homesOf ranks the available engines by the request's last shared part.
 func (c *core) homesOf(now time.Time, r *request) homes {
-	h := homes{assumeCached: c.peers[member.Others] != nil && !c.told}
+	h := homes{assumeCached: c.peers[member.Others] != nil && !c.boardActive}
 	lastShared := len(r.Prefix) - 2
-	if !r.Anchored || lastShared < 0 {
+	if !r.Pinned || lastShared < 0 {
 		return h
 	}
 	remoteCost := c.options.Weights.RemoteCost.Duration.Seconds()
@@ -94,7 +94,7 @@
 	if !h.assumeCached || s != h.first() {
 		return uncached
 	}
-	return min(uncached, float64(max(r.PromptTokens+r.got-r.Prefix[len(r.Prefix)-2].End, 1)))
+	return min(uncached, float64(max(r.PromptTokens+r.tokens-r.Prefix[len(r.Prefix)-2].End, 1)))
 }
 
 const (
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -47,20 +47,20 @@
 	return choose.Candidate{
 		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.unavailable(now),
 		Trial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.gapTarget(r.pool, r.between()), r.between()),
+		Load:  s.load(), Limit: s.limit(s.gapTarget(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
 	}
 }
 
 // fillCosts fills in the expected latencies and costs of the request as one of n on the server.
 func (s *server) fillCosts(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
 	source := h.sourceAt(s, r)
-	c.First = s.firstToken(n, source.prefill, r.levelOf()) + s.fetchTime(source.fetched)
+	c.First = s.firstToken(n, source.prefill, r.engineLevel()) + s.fetchTime(source.fetched)
 	c.Work = r.pool.prefillTime(source.cost())
 	c.Again = source.duplicate >= minDuplicatePrefill
 	c.Stray = s.lanePenalty(r, h, source.prefill)
 	c.Intrudes = s.intrudes(now, r, source.prefill)
-	if r.Anchored {
-		c.Trouble = time.Duration(s.failureRate * float64(r.first()))
+	if r.Pinned {
+		c.Trouble = time.Duration(s.failureRate * float64(r.firstTokenTarget()))
 	}
 	if !s.service {
 		c.Gap = s.gapAt(n)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -98,7 +98,7 @@
 func (c *core) collectCandidates(now time.Time, r *request, wide bool) (narrow bool) {
 	servers, h := r.pool.servers, c.homesOf(now, r)
 	c.choice.candidates = c.choice.candidates[:0]
-	if index := slices.Index(servers, c.identical.joins(now, r)); index >= 0 {
+	if index := slices.Index(servers, c.identical.serverToJoin(now, r)); index >= 0 {
 		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 		return false
 	}
@@ -109,7 +109,7 @@
 		return false
 	}
 	c.collectLimited(now, r, &h)
-	if r.Anchored && h.first() != nil && !wide {
+	if r.Pinned && h.first() != nil && !wide {
 		c.collectHomes(now, r, &h)
 		return true
 	}
@@ -126,7 +126,7 @@
 // Only a few instances may send to them, and capacity that one of these leaves unused is lost.
 func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Named && !s.held(now) {
+		if s.limited.Named && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
@@ -180,7 +180,7 @@
 	s := c.pickWith(&c.choice.displacing, now, r, opts)
 	if s == nil {
 		s = c.pickWith(&c.choice.displacingLate, now, r, opts)
-		r.behind = s != nil
+		r.expectedLate = s != nil
 	}
 	if s != nil {
 		s.displaceBudget--
@@ -199,7 +199,7 @@
 // pick returns the best of the collected candidates, or nil.
 func (c *core) pick(now time.Time, r *request, opts chooseOptions) *server {
 	selector := &c.choice.onTime
-	anchored := r.Anchored && !r.pool.service
+	anchored := r.Pinned && !r.pool.service
 	if anchored {
 		selector = &c.choice.anchored
 	}
@@ -213,7 +213,7 @@
 	if s == nil && selector == &c.choice.anchored {
 		// No engine is in time: prefer the wait at an engine that has the prompt.
 		s = c.pickWith(&c.choice.anchoredOnce, now, r, opts)
-		r.behind = s != nil
+		r.expectedLate = s != nil
 	}
 	return s
 }
@@ -221,7 +221,7 @@
 // pickWith returns the best of the collected candidates by the selector, or nil.
 func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
 	req := choose.Request{
-		FirstBy: r.firstBy(now), Target: r.first(), Between: r.between(), Avoid: r.failedOn,
+		FirstBy: r.slack(now), Target: r.firstTokenTarget(), Between: r.tokenGapTarget(), Avoid: r.failedOn,
 		Left: r.tokensLeft(c), Reserve: opts.reserve, Over: opts.over, Alone: opts.alone,
 	}
 	if len(r.pool.servers) == 1 {
@@ -237,7 +237,7 @@
 // gapAchievable reports whether any candidate keeps the target between tokens even when idle; if
 // none does, waiting would not help.
 func (c *core) gapAchievable(r *request) bool {
-	between := r.between()
+	between := r.tokenGapTarget()
 	if between == 0 || r.pool.service {
 		return true
 	}
@@ -256,13 +256,13 @@
 	if r.pool.service {
 		return 0
 	}
-	left := c.estimates.Left(r.key(), r.got)
-	if r.Hint > r.got {
+	left := c.estimates.Left(r.key(), r.tokens)
+	if r.Hint > r.tokens {
 		// A caller's hint is right at the median; answer lengths of a class differ thirtyfold.
-		left = float64(r.Hint - r.got)
+		left = float64(r.Hint - r.tokens)
 	}
 	if r.MaxTokens > 0 {
-		left = min(left, float64(max(r.MaxTokens-r.got, 1)))
+		left = min(left, float64(max(r.MaxTokens-r.tokens, 1)))
 	}
 	return left
 }
--- a/request/policy/displace.go
+++ b/request/policy/displace.go
@@ -26,7 +26,7 @@
 // to limit, the request can displace.
 func (s *server) preemptibleSlots(r *request, limit float64) float64 {
 	maxSlots := maxPreemptibleShare * float64(s.slots)
-	if s.engine == nil || !r.Anchored || limit < float64(s.slots) || maxSlots < minPreemptibleSlots {
+	if s.engine == nil || !r.Pinned || limit < float64(s.slots) || maxSlots < minPreemptibleSlots {
 		return 0
 	}
 	rank, bulk := r.class.GetRank(), 0.0
@@ -46,12 +46,12 @@
 // isBulk reports whether engines preempt the request for any more urgent one.
 func (r *request) isBulk() bool {
 	rank := int(r.class.GetRank())
-	return r.Anchored && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsSlotsLong(r)
+	return r.Pinned && rank > 0 && rank >= r.pool.lastRank && r.pool.holdsSlotsLong(r)
 }
 
 // mayDisplace reports whether the request may displace bulk.
 func (r *request) mayDisplace() bool {
-	return r.Anchored && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
+	return r.Pinned && !r.pool.service && int(r.class.GetRank()) < r.pool.lastRank
 }
 
 // bulkLoad returns the number of all instances' bulk requests on the engine.
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -108,7 +108,7 @@
 // the long answers first, and other requests must not go without while slots stand idle.
 func (p *pool) withinSplit(r *request) bool {
 	place := placeOf(r.class)
-	if p.service || !r.Anchored {
+	if p.service || !r.Pinned {
 		return true
 	}
 	if p.holdsSlotsLong(r) && model.RankOf(place) >= p.lastRank {
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -43,7 +43,7 @@
 // sourceAt returns how the server would obtain the request's prompt.
 func (h *homes) sourceAt(s *server, r *request) promptSource {
 	source := promptSource{prefill: h.uncachedAt(s, r)}
-	held := float64(r.PromptTokens+r.got) - source.prefill
+	held := float64(r.PromptTokens+r.tokens) - source.prefill
 	fetched := h.heldTokens - held
 	if h.holder != nil && s != h.holder && s.fetchPerToken > 0 && r.pool.prefillTime(fetched) >= minFetchGain {
 		source.prefill, source.fetched, source.from = source.prefill-fetched, fetched, h.holder
@@ -69,7 +69,7 @@
 // updateHolders updates the engines that hold, or were sent, the most of the request's shared
 // parts.
 func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
-	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.held(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
+	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.limitReached(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
 		h.assigned, h.assignedTokens = s, assignedTokens
 	}
 	heldTokens := float64(s.cache.readyTokens(now, r.Prefix[:lastShared+1]))
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -53,7 +53,7 @@
 func (p *pool) observeStart(now time.Time, r *request, s *server) {
 	p.startRate += 1 / startRateWindow.Seconds()
 	p.laneStartRates[s.lane] += 1 / startRateWindow.Seconds()
-	bound := &p.queueBounds[levelOf(r.class)]
+	bound := &p.queueBounds[queueLevel(r.class)]
 	if now.Sub(r.item.Arrived) < r.item.Due.Sub(now) {
 		*bound = min(*bound+1, maxQueueBound)
 	}
@@ -93,17 +93,17 @@
 // requests at least as urgent count as ahead of it, and no less urgent request gets its place.
 func (c *core) refuseWhenFull(now time.Time, r *request) bool {
 	p := r.pool
-	if p.shut() {
-		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.spread(minRetryAfter))
+	if p.closedByLimits() {
+		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, limitedMessage, c.jitter(minRetryAfter))
 		return true
 	}
 	if r.class.GetLate() != lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM || r.item.Kept || !p.full(now, r) {
 		return false
 	}
 	wait := p.expectedStartWait(r)
-	if now.Add(wait).Before(r.item.Due) && !p.queueBoundReached(levelOf(r.class)) {
+	if now.Add(wait).Before(r.item.Due) && !p.queueBoundReached(queueLevel(r.class)) {
 		return false
 	}
-	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, c.spread(min(max(wait, minRetryAfter), maxRetryAfter)))
+	c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, overloadMessage, c.jitter(min(max(wait, minRetryAfter), maxRetryAfter)))
 	return true
 }
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -7,7 +7,7 @@
 // observeGap records a gap between two tokens.
 func (s *server) observeGap(gap time.Duration) {
 	sample := gap.Seconds() / (s.load() + s.stepOffset)
-	if s.engine != nil && s.backlogBefore(levels-1) == 0 {
+	if s.engine != nil && s.backlogBefore(engineLevels-1) == 0 {
 		s.engine.observeStep(s.load(), gap.Seconds())
 	}
 	weight := sampleWeight
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -32,7 +32,7 @@
 			openCount[s.lane]++
 		}
 	}
-	if !c.told {
+	if !c.boardActive {
 		return
 	}
 	instances := float64(p.tiers.Instances())
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -15,7 +15,7 @@
 func mostlyFullFleet(n int, idle ...string) []*core {
 	var fleet []*core
 	for i := range n {
-		c := withIndirectDigests(engines(fmt.Sprintf("e%d", i), 20, "a", "b"))
+		c := withIndirectDigests(coreWithEngines(fmt.Sprintf("e%d", i), 20, "a", "b"))
 		c.random = rand.New(rand.NewPCG(uint64(i), 1))
 		c.view.Classes["draft"].FirstTokenMs = 2000
 		c.pools["llm"].recordUse(c.view.Classes["draft"], epoch)
@@ -30,7 +30,7 @@
 		for l := range c.pools["llm"].laneStartRates {
 			c.pools["llm"].laneStartRates[l] = 10
 		}
-		c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: loads, Instances: n - 1}})
+		c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loads, Instances: n - 1}})
 		fleet = append(fleet, c)
 	}
 	return fleet
@@ -75,7 +75,7 @@
 			full[other.key] = loadboard.Load{InFlight: uint32(other.slots)}
 		}
 	}
-	c.Step(epoch, LoadsTold{Word: loadboard.Word{Loads: full, Instances: 3}})
+	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: full, Instances: 3}})
 	s.skipped = false
 	for id := range ID(60) {
 		c.Step(epoch, draft(id+1))
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -336,10 +336,10 @@
 // intrudes reports whether the engine excludes long prompts and the request, which is not tight,
 // would delay its tight answers, given the backlog there.
 func (s *server) intrudes(now time.Time, r *request, prefillTokens float64) bool {
-	if !s.excludesLongPrompts(now) || !r.Anchored || r.pool.isTight(r.class) {
+	if !s.excludesLongPrompts(now) || !r.Pinned || r.pool.isTight(r.class) {
 		return false
 	}
-	prefillSeconds := s.prefill * (prefillTokens + s.backlogBefore(levels-1))
+	prefillSeconds := s.prefill * (prefillTokens + s.backlogBefore(engineLevels-1))
 	return prefillSeconds > maxIntrusionGaps*r.pool.minBetween.Seconds()
 }
 
@@ -348,7 +348,7 @@
 func (s *server) lanePenalty(r *request, h *homes, prefillTokens float64) time.Duration {
 	assigned := r.assignedLane()
 	switch {
-	case s.service || !r.Anchored:
+	case s.service || !r.Pinned:
 		return 0
 	case s.lane == assigned:
 		return h.penalty(s)
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -65,7 +65,7 @@
 		if v.tier() != lowestTier || !c.pausable(now, v) || !c.meetsTargets(now, r, v.server) {
 			continue
 		}
-		if best == nil || v.firstBy(now) > best.firstBy(now) {
+		if best == nil || v.slack(now) > best.slack(now) {
 			best = v
 		}
 	}
@@ -75,7 +75,7 @@
 // pausable reports whether the request can be paused: it is idempotent, well ahead of its pace
 // and no suspect.
 func (c *core) pausable(now time.Time, v *request) bool {
-	return v.Idempotent && !v.Anchored && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
+	return v.Idempotent && !v.Pinned && !v.trial && v.attemptTokens > 0 && v.attempt < maxAttempts/2 && v.slack(now) > time.Second
 }
 
 // meetsTargets reports whether the server, with one request less, would meet the targets of the
@@ -85,8 +85,8 @@
 		return false
 	}
 	load := s.load()
-	return load <= s.limit(r.pool.minBetween, r.between()) &&
-		(r.between() == 0 || s.gapAt(load) <= r.between()) && s.firstToken(load, s.uncachedTokens(r), r.levelOf()) <= r.firstBy(now)
+	return load <= s.limit(r.pool.minBetween, r.tokenGapTarget()) &&
+		(r.tokenGapTarget() == 0 || s.gapAt(load) <= r.tokenGapTarget()) && s.firstToken(load, s.uncachedTokens(r), r.engineLevel()) <= r.slack(now)
 }
 
 // moveStragglers moves requests off stragglers that miss their target there and would meet it on
@@ -106,26 +106,26 @@
 }
 
 func (c *core) shouldMove(now time.Time, r *request) bool {
-	if !r.Idempotent || r.Anchored || r.trial || r.attempt >= maxAttempts {
+	if !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts {
 		return false
 	}
 	s := r.server
 	if s.unreachable {
-		return now.Sub(r.lastAt) > giveUpSilent || r.gotNow == 0 && now.Sub(r.started) > answersSilent
+		return now.Sub(r.lastAt) > partitionMoveDelay || r.attemptTokens == 0 && now.Sub(r.started) > answerSilenceTimeout
 	}
-	if r.gotNow == 0 {
+	if r.attemptTokens == 0 {
 		return c.overdue(now, r)
 	}
 	if !s.straggling(r.pool) {
 		return false
 	}
-	return r.between() > 0 && r.meanGap(c.estimates.Left(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
+	return r.tokenGapTarget() > 0 && r.meanGap(c.estimates.Left(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
 }
 
 // overdue reports whether the first token is overdue: the server has more work than this instance
 // knows of. It then gets no new requests for lateServerPause.
 func (c *core) overdue(now time.Time, r *request) bool {
-	if now.Sub(r.started) < overdueFactor*r.expected+overdueFloor {
+	if now.Sub(r.started) < overdueFactor*r.expectedFirst+overdueFloor {
 		return false
 	}
 	r.server.fullUntil = now.Add(lateServerPause)
@@ -140,7 +140,7 @@
 // meanGap returns the mean gap of the whole answer if the remaining tokens come at the given gap.
 func (r *request) meanGap(left float64, gap time.Duration, now time.Time) time.Duration {
 	past := now.Sub(r.firstAt)
-	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.got) + left))
+	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.tokens) + left))
 }
 
 // move moves the request to another server that would be in time, and reports whether it did.
@@ -162,10 +162,10 @@
 // improves reports whether the answer would still meet its targets on the server.
 func (c *core) improves(now time.Time, r *request, s *server) bool {
 	n := s.load() + 1
-	first := s.firstToken(n, s.uncachedTokens(r), r.levelOf())
-	if r.got == 0 {
-		return first <= r.firstBy(now)
+	first := s.firstToken(n, s.uncachedTokens(r), r.engineLevel())
+	if r.tokens == 0 {
+		return first <= r.slack(now)
 	}
-	left := c.estimates.Left(r.key(), r.got)
-	return !s.straggling(r.pool) && r.meanGap(left, s.gapAt(n), now.Add(first)) <= r.between()
+	left := c.estimates.Left(r.key(), r.tokens)
+	return !s.straggling(r.pool) && r.meanGap(left, s.gapAt(n), now.Add(first)) <= r.tokenGapTarget()
 }
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -122,14 +122,14 @@
 func (p *pool) updateClassUse(now time.Time) {
 	p.minBetween, p.shares = 0, tiers.Shares{}
 	others := p.tiers.Others()
-	p.lastLevel, p.lastTier = min(others.Last(), lateLevel-1), others.LastTier()
+	p.lastLevel, p.lastTier = min(others.Last(), lateEngineLevel-1), others.LastTier()
 	p.lastRank = model.RankOf(max(others.Last(), 0))
 	for _, u := range p.usages {
 		if now.Sub(u.lastAt) >= classUseWindow {
 			continue
 		}
 		p.shares[placeOf(u.class)] += guaranteedShare(u.class)
-		p.lastLevel = max(p.lastLevel, usualLevel(u.class))
+		p.lastLevel = max(p.lastLevel, engineLevelOf(u.class))
 		p.lastTier = max(p.lastTier, int(u.class.GetTier()))
 		p.lastRank = max(p.lastRank, model.RankOf(placeOf(u.class)))
 		target := time.Duration(u.class.GetBetweenTokensMs()) * time.Millisecond
@@ -186,7 +186,7 @@
 		gapsPerRequest += s.gapPerRequest
 		n := s.limit(s.gapTarget(p, 0), p.minBetween)
 		if s.limited.Named {
-			n = min(n, s.limited.PerSecond*limitedHold.Seconds())
+			n = min(n, s.limited.PerSecond*limitedSlotTime.Seconds())
 		}
 		p.capacity += n
 		p.tokenRate += s.tokenRateAt(n)
@@ -249,15 +249,15 @@
 }
 
 func (p *pool) attach(r *request) {
-	r.poolAt = len(p.running)
+	r.poolIndex = len(p.running)
 	p.running = append(p.running, r)
 	p.runningByPlace[placeOf(r.class)]++
 }
 
 func (p *pool) detach(r *request) {
 	last := len(p.running) - 1
-	p.running[r.poolAt] = p.running[last]
-	p.running[r.poolAt].poolAt = r.poolAt
+	p.running[r.poolIndex] = p.running[last]
+	p.running[r.poolIndex].poolIndex = r.poolIndex
 	p.running[last] = nil
 	p.running = p.running[:last]
 	p.runningByPlace[placeOf(r.class)]--
--- a/request/policy/prefills.go
+++ b/request/policy/prefills.go
@@ -33,7 +33,7 @@
 // recordPrefills records the shared parts of a request that starts on the server which the server
 // is not known to hold. It must be called before they are inserted into the server's cache.
 func (c *core) recordPrefills(now time.Time, r *request, s *server) {
-	if !r.Anchored {
+	if !r.Pinned {
 		return
 	}
 	start := 0
@@ -72,6 +72,6 @@
 // already known keeps its position in the order of use, since records are repeated.
 func (c *core) observePeerPrefill(now time.Time, s *server, hash uint64, tokens int) {
 	if s != nil && s.cache.blocks[hash] == nil {
-		s.cache.add(hash, tokens, now.Add(s.firstToken(s.load(), float64(tokens), levels-1)))
+		s.cache.add(hash, tokens, now.Add(s.firstToken(s.load(), float64(tokens), engineLevels-1)))
 	}
 }
--- a/request/policy/prefix.go
+++ b/request/policy/prefix.go
@@ -143,7 +143,7 @@
 // uncachedTokens returns the number of tokens that the server would have to prefill for the
 // request.
 func (s *server) uncachedTokens(r *request) float64 {
-	return float64(max(r.PromptTokens+r.got-s.cache.cachedTokens(r.Prefix), 1))
+	return float64(max(r.PromptTokens+r.tokens-s.cache.cachedTokens(r.Prefix), 1))
 }
 
 func (c *core) cacheEvent(e CacheEvent) {
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -156,7 +156,7 @@
 func (s *server) closed() bool { return s.configLeaving || s.leaving || s.gone }
 
 func (s *server) unavailable(now time.Time) bool {
-	if s.closed() || s.unreachable || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.held(now) {
+	if s.closed() || s.unreachable || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.limitReached(now) {
 		return true
 	}
 	return s.probing && len(s.running) > 0
@@ -227,9 +227,9 @@
 		s.serviceTime += sampleWeight * (took.Seconds() - s.serviceTime)
 		return
 	}
-	work := r.uncached + r.ahead
+	work := r.uncached + r.workAhead
 	if s.engine != nil {
-		if r.fetched == 0 && r.ahead <= maxBacklogRatio*r.uncached {
+		if r.fetched == 0 && r.workAhead <= maxBacklogRatio*r.uncached {
 			s.observePrefill(took, work)
 		}
 		return
@@ -354,14 +354,14 @@
 }
 
 func (s *server) attach(r *request) {
-	r.ownAt = len(s.running)
+	r.serverIndex = len(s.running)
 	s.running = append(s.running, r)
 }
 
 func (s *server) detach(r *request) {
 	last := len(s.running) - 1
-	s.running[r.ownAt] = s.running[last]
-	s.running[r.ownAt].ownAt = r.ownAt
+	s.running[r.serverIndex] = s.running[last]
+	s.running[r.serverIndex].serverIndex = r.serverIndex
 	s.running[last] = nil
 	s.running = s.running[:last]
 }
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -18,7 +18,7 @@
 // server.
 func (c *core) transferPays(now time.Time, r *request, to *server) bool {
 	from := r.server
-	if r.gotNow == 0 || from.unreachable || now.Before(from.ejectedUntil) {
+	if r.attemptTokens == 0 || from.unreachable || now.Before(from.ejectedUntil) {
 		return false
 	}
 	return c.kv.rate(from, to).expect(now, r.tokensHeld())+minTransferGain < to.prefillTime(to.uncachedTokens(r))
@@ -27,17 +27,17 @@
 // setCarried records that the attempt gets its KV cache from another server; from is nil for
 // none.
 func (c *core) setCarried(now time.Time, r *request, to, from *server) {
-	r.carried, r.carriedAt = 0, nil
+	r.kvTransferred, r.kvTransferRate = 0, nil
 	if from == nil {
 		return
 	}
-	r.carried, r.carriedAt = r.tokensHeld(), c.kv.rate(from, to)
+	r.kvTransferred, r.kvTransferRate = r.tokensHeld(), c.kv.rate(from, to)
 	r.uncached = 0
-	r.expected = to.gapAt(to.load()+1) + r.carriedAt.expect(now, r.carried)
+	r.expectedFirst = to.gapAt(to.load()+1) + r.kvTransferRate.expect(now, r.kvTransferred)
 }
 
 // tokensHeld returns the length of the prompt and of the answer so far.
-func (r *request) tokensHeld() float64 { return float64(r.PromptTokens + r.got) }
+func (r *request) tokensHeld() float64 { return float64(r.PromptTokens + r.tokens) }
 
 // prefillTime returns the time to prefill so many tokens.
 func (s *server) prefillTime(tokens float64) time.Duration {
@@ -47,17 +47,17 @@
 // observeTransfer records the time from the start of a move to its first token.
 func (c *core) observeTransfer(now time.Time, r *request) {
 	took := now.Sub(r.started) - r.server.gapAt(r.server.load())
-	r.carriedAt.observe(now, r.carried, took)
+	r.kvTransferRate.observe(now, r.kvTransferred, took)
 	c.stats.MovedByKV++
-	c.stats.Spared.Moved += uint64(r.carried)
+	c.stats.SavedTokens.Moved += uint64(r.kvTransferred)
 }
 
 // observeAbandonedTransfer learns from a move that ended before its first token: it would have
 // taken at least this long. Without it, slow moves would never be measured, since they become
 // overdue and the request goes elsewhere.
 func (c *core) observeAbandonedTransfer(now time.Time, r *request) {
-	if took := now.Sub(r.started); took > r.expected {
-		r.carriedAt.observe(now, r.carried, took)
+	if took := now.Sub(r.started); took > r.expectedFirst {
+		r.kvTransferRate.observe(now, r.kvTransferred, took)
 	}
 }
 
@@ -65,12 +65,12 @@
 // itself. The lost time counts as that of the move.
 func (c *core) recomputed(now time.Time, e Recomputed) {
 	r := c.currentAttempt(e.ID, e.Attempt)
-	if r == nil || r.carriedAt == nil || r.gotNow > 0 {
+	if r == nil || r.kvTransferRate == nil || r.attemptTokens > 0 {
 		return
 	}
 	s := r.server
 	r.uncached = s.uncachedTokens(r)
 	s.ownBacklog.add(r.level, r.uncached)
-	r.carriedAt.observe(now, r.carried, now.Sub(r.started)+s.prefillTime(r.uncached))
-	r.carried, r.carriedAt = 0, nil
+	r.kvTransferRate.observe(now, r.kvTransferred, now.Sub(r.started)+s.prefillTime(r.uncached))
+	r.kvTransferred, r.kvTransferRate = 0, nil
 }
