--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -33,7 +33,7 @@
 	// workWeight keeps requests with the engine that has their shared prompt until it is about to
 	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
 	workWeight = 6
-	// paceWeight is the weight of the gap between tokens of an anchored answer.
+	// paceWeight is the weight of the gap between tokens of a pinned answer.
 	paceWeight = 0.2
 	// nearFirst, nearSecond and nearShare are how much more than the cheapest server another one
 	// may cost and still be chosen so that copies of a request meet on it: the first and second
@@ -62,9 +62,9 @@
 	// onTime requires a server to meet the targets, late does not.
 	onTime choose.Chooser
 	late   choose.Chooser
-	// anchored and anchoredLate are the same for anchored requests, which have homes instead of
-	// the rendezvous rank. anchoredOnce allows a late first token but no duplicate prefill.
-	anchored, anchoredLate, anchoredOnce choose.Chooser
+	// pinned and pinnedLate are the same for pinned requests, which have homes instead of the
+	// rendezvous rank. pinnedOnce allows a late first token but no duplicate prefill.
+	pinned, pinnedLate, pinnedOnce choose.Chooser
 	// displacing is for urgent requests that displace bulk, displacingLate for those that cannot
 	// be in time.
 	displacing, displacingLate choose.Chooser
@@ -74,7 +74,7 @@
 
 func newChooser(weights settings.Policy) chooser {
 	scorers := []choose.Scorer{choose.Finish{}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Crowd{Weight: crowdWeight}, choose.Trouble{}}
-	anchored := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
+	pinnedScorers := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
 	late := []choose.Filter{choose.Open{}, choose.Room{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
 	unintruded := append(slices.Clone(late), choose.Unintruded{})
@@ -85,9 +85,9 @@
 		reserves:       tierReserves(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
-		anchored:       choose.Chooser{Filters: firstOnTime, Scorers: anchored, Picker: choose.Least{}},
-		anchoredLate:   choose.Chooser{Filters: unintruded, Scorers: anchored, Picker: choose.Least{}},
-		anchoredOnce:   choose.Chooser{Filters: noDuplicate, Scorers: anchored, Picker: choose.Least{}},
+		pinned:         choose.Chooser{Filters: firstOnTime, Scorers: pinnedScorers, Picker: choose.Least{}},
+		pinnedLate:     choose.Chooser{Filters: unintruded, Scorers: pinnedScorers, Picker: choose.Least{}},
+		pinnedOnce:     choose.Chooser{Filters: noDuplicate, Scorers: pinnedScorers, Picker: choose.Least{}},
 		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
 	}
@@ -199,20 +199,20 @@
 // pick returns the best of the collected candidates, or nil.
 func (c *core) pick(now time.Time, r *request, opts chooseOptions) *server {
 	selector := &c.choice.onTime
-	anchored := r.Pinned && !r.pool.service
-	if anchored {
-		selector = &c.choice.anchored
+	pinned := r.Pinned && !r.pool.service
+	if pinned {
+		selector = &c.choice.pinned
 	}
 	if opts.late || !c.gapAchievable(r) {
 		selector = &c.choice.late
-		if anchored {
-			selector = &c.choice.anchoredLate
+		if pinned {
+			selector = &c.choice.pinnedLate
 		}
 	}
 	s := c.pickWith(selector, now, r, opts)
-	if s == nil && selector == &c.choice.anchored {
+	if s == nil && selector == &c.choice.pinned {
 		// No engine is in time: prefer the wait at an engine that has the prompt.
-		s = c.pickWith(&c.choice.anchoredOnce, now, r, opts)
+		s = c.pickWith(&c.choice.pinnedOnce, now, r, opts)
 		r.expectedLate = s != nil
 	}
 	return s
@@ -237,14 +237,14 @@
 // gapAchievable reports whether any candidate keeps the target between tokens even when idle; if
 // none does, waiting would not help.
 func (c *core) gapAchievable(r *request) bool {
-	between := r.tokenGapTarget()
-	if between == 0 || r.pool.service {
+	target := r.tokenGapTarget()
+	if target == 0 || r.pool.service {
 		return true
 	}
 	for i := range c.choice.candidates {
 		candidate := &c.choice.candidates[i]
 		s := r.pool.servers[candidate.Index]
-		if !candidate.Barred && s.gapAt(1) <= between {
+		if !candidate.Barred && s.gapAt(1) <= target {
 			return true
 		}
 	}
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -159,7 +159,7 @@
 	source := h.sourceAt(s, r)
 	r.uncached, r.fetched, r.workAhead = source.prefill, source.fetched, s.backlogBefore(r.level)
 	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
-	c.setCarried(now, r, s, from)
+	c.setTransferred(now, r, s, from)
 	why := c.decision(now, r, s)
 	why.Home = h.position(s)
 	s.attach(r)
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -64,5 +64,5 @@
 // freeSlots returns how many more requests the engine can take at its known load; negative above
 // its limit.
 func (s *server) freeSlots(p *pool) float64 {
-	return s.limit(s.gapTarget(p, 0), p.minBetween) - staleLoadReserve - s.load()
+	return s.limit(s.gapTarget(p, 0), p.minTokenGapTarget) - staleLoadReserve - s.load()
 }
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -340,7 +340,7 @@
 		return false
 	}
 	prefillSeconds := s.prefill * (prefillTokens + s.backlogBefore(engineLevels-1))
-	return prefillSeconds > maxIntrusionGaps*r.pool.minBetween.Seconds()
+	return prefillSeconds > maxIntrusionGaps*r.pool.minTokenGapTarget.Seconds()
 }
 
 // lanePenalty returns the cost of running the request outside its lane or homes, where
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	load := s.load()
-	return load <= s.limit(r.pool.minBetween, r.tokenGapTarget()) &&
+	return load <= s.limit(r.pool.minTokenGapTarget, r.tokenGapTarget()) &&
 		(r.tokenGapTarget() == 0 || s.gapAt(load) <= r.tokenGapTarget()) && s.firstToken(load, s.uncachedTokens(r), r.engineLevel()) <= r.slack(now)
 }
 
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -28,8 +28,8 @@
 	quarantine []*request
 	// parked holds copies of a running request that may only join it; see identical.go.
 	parked []*request
-	// minBetween is the strictest target between tokens of the classes in use.
-	minBetween time.Duration
+	// minTokenGapTarget is the strictest target between tokens of the classes in use.
+	minTokenGapTarget time.Duration
 	// lastLevel is the least urgent engine priority of any instance's requests.
 	lastLevel int
 	// lastTier and lastRank are the least urgent ones of the classes in use at any instance.
@@ -120,7 +120,7 @@
 
 // updateClassUse recomputes what depends on the classes in use.
 func (p *pool) updateClassUse(now time.Time) {
-	p.minBetween, p.shares = 0, tiers.Shares{}
+	p.minTokenGapTarget, p.shares = 0, tiers.Shares{}
 	others := p.tiers.Others()
 	p.lastLevel, p.lastTier = min(others.Last(), lateEngineLevel-1), others.LastTier()
 	p.lastRank = model.RankOf(max(others.Last(), 0))
@@ -133,8 +133,8 @@
 		p.lastTier = max(p.lastTier, int(u.class.GetTier()))
 		p.lastRank = max(p.lastRank, model.RankOf(placeOf(u.class)))
 		target := time.Duration(u.class.GetBetweenTokensMs()) * time.Millisecond
-		if target > 0 && (p.minBetween == 0 || target < p.minBetween) {
-			p.minBetween = target
+		if target > 0 && (p.minTokenGapTarget == 0 || target < p.minTokenGapTarget) {
+			p.minTokenGapTarget = target
 		}
 	}
 }
@@ -184,7 +184,7 @@
 		}
 		open++
 		gapsPerRequest += s.gapPerRequest
-		n := s.limit(s.gapTarget(p, 0), p.minBetween)
+		n := s.limit(s.gapTarget(p, 0), p.minTokenGapTarget)
 		if s.limited.Named {
 			n = min(n, s.limited.PerSecond*limitedSlotTime.Seconds())
 		}
--- a/request/policy/spared_test.go
+++ b/request/policy/saved_tokens_test.go
@@ -9,7 +9,7 @@
 
 // A caller leaves, or its deadline passes, in the middle of an answer. What the
 // engine need not make any more is counted; of one that waits nothing is.
-func TestSparedTokensAreCounted(t *testing.T) {
+func TestSavedTokensAreCounted(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	longAnswer(t, c, longPrompt(1))
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -199,7 +199,7 @@
 	if s.engine != nil && p.hasLane[laneTight] && s.lane != laneTight {
 		return classTarget
 	}
-	return p.minBetween
+	return p.minTokenGapTarget
 }
 
 const (
--- a/request/policy/transfer.go
+++ b/request/policy/transfer.go
@@ -24,9 +24,9 @@
 	return c.kv.rate(from, to).expect(now, r.tokensHeld())+minTransferGain < to.prefillTime(to.uncachedTokens(r))
 }
 
-// setCarried records that the attempt gets its KV cache from another server; from is nil for
+// setTransferred records that the attempt gets its KV cache from another server; from is nil for
 // none.
-func (c *core) setCarried(now time.Time, r *request, to, from *server) {
+func (c *core) setTransferred(now time.Time, r *request, to, from *server) {
 	r.kvTransferred, r.kvTransferRate = 0, nil
 	if from == nil {
 		return
