--- a/request/policy/decision_test.go
+++ b/request/policy/decision_test.go
@@ -28,8 +28,8 @@
 	return c
 }
 
-// BenchmarkDecision is one request's whole life in the core: arrival with the
-// choice of a server, its bytes sent, four tokens, and the end.
+// BenchmarkDecision measures a request's whole life in the core: arrival with the choice of a
+// server, send, four tokens, and the end.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{13, 500, 5900} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// BenchmarkDecisionToken is one token of an answer.
+// BenchmarkDecisionToken measures one token of an answer.
 func BenchmarkDecisionToken(b *testing.B) {
 	c := poolOf(13)
 	a := arrival(1, "alerts")
@@ -68,7 +68,8 @@
 	}
 }
 
-// BenchmarkDecisionFullQueue is an arrival where 2,000 wait and no server has room.
+// BenchmarkDecisionFullQueue measures an arrival while 2,000 requests wait and no server has a
+// free slot.
 func BenchmarkDecisionFullQueue(b *testing.B) {
 	c := poolOf(13)
 	for i := range 2000 {
--- a/request/policy/displace_test.go
+++ b/request/policy/displace_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// coreFullOfBulk is an instance before 20 engines of 12 slots that are full, by what others
-// tell; so much of it is bulk.
+// coreFullOfBulk returns an instance with 20 engines of 12 slots that are full by the load board,
+// with so much bulk on each.
 func coreFullOfBulk(instance string, bulk uint32, instances int) *core {
 	c := withIndirectDigests(withReviews(coreWithEngines(instance, 20, "a")))
 	for _, s := range c.ordered {
@@ -36,23 +36,23 @@
 	c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loads, Instances: instances - 1}})
 }
 
-// Digests filled the engines, which put them back for any review. Reviews counted them as
+// Digests filled the engines, which preempt them for any review. Reviews treated the engines as
 // full and waited until they were refused.
 func TestUrgentRequestsDisplaceBulk(t *testing.T) {
 	is := is.New(t)
 	c := coreFullOfBulk("e1", 0, 4)
 	c.Step(epoch, review(1, 1))
-	is.Equal(c.running, 0) // no bulk there
+	is.Equal(c.running, 0) // there is no bulk
 	c = coreFullOfBulk("e1", 12, 4)
 	start := only[Start](t, c.Step(epoch, review(1, 1)))
 	is.True(start.Decision.Displaces)
 	is.Equal(start.Decision.Bulk, 12.0)
 	is.Equal(c.running, 1)
 	c.Step(epoch, digest(2, 2))
-	is.Equal(c.running, 1) // bulk doesn't take the place of bulk
+	is.Equal(c.running, 1) // bulk does not displace bulk
 }
 
-// Seventy-five instances started an urgent request each in the place of the same bulk.
+// 75 instances each started an urgent request to displace the same bulk.
 func TestDisplacingRequestsAreBoundedByBulk(t *testing.T) {
 	is := is.New(t)
 	const instances, bulk = 75, 12
@@ -71,8 +71,8 @@
 	}
 }
 
-// What one urgent request displaced is there for the next one once it ends, so that the
-// engine's slots don't go back to bulk between them.
+// When a displacing request ends, the next urgent request may use its slot, so that it does not
+// go back to bulk in between.
 func TestDisplacedSlotIsReusedByNextRequest(t *testing.T) {
 	is := is.New(t)
 	c := coreFullOfBulk("e1", 1, 1)
@@ -84,8 +84,8 @@
 	is.Equal(s.displaceBudget, 1.0)
 }
 
-// Instances that see bulk on many engines begin with the same ones: the rest of the bulk
-// isn't put back and read again.
+// Instances that see bulk on many engines displace it on the same ones first, so that the other
+// bulk is not preempted and prefilled again.
 func TestInstancesDisplaceBulkOnSameEngines(t *testing.T) {
 	is := is.New(t)
 	used := make(map[string]bool)
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// scaledReplay is the workshop on engines that take so many times as long, with so much
-// less traffic.
+// scaledReplay returns the workshop replay on engines that are slower by the given factor, with
+// as much less traffic.
 func scaledReplay(slots int, slowdown float64) *replay {
 	scale := func(d time.Duration) time.Duration { return time.Duration(slowdown * float64(d)) }
 	s := engineSpeed{step: scale(workshopSpeed.step), perRequest: scale(workshopSpeed.perRequest), prefill: scale(workshopSpeed.prefill), fixed: workshopSpeed.fixed}
@@ -24,15 +24,15 @@
 	return newReplay(2, 8, 4, slots, s, kinds)
 }
 
-// The same load came to engines of other speeds or with smaller batches. They were
-// taken for eight times slower than they are, and requests waited for idle engines.
+// Engines of other speeds, or with smaller batches, were estimated to be eight times slower than
+// they are, and requests waited while engines were idle.
 func TestSpeedIsLearnedForAllEngineTypes(t *testing.T) {
 	for _, slots := range []int{64, 12} {
 		for _, times := range []float64{0.5, 1, 4} {
 			t.Run(fmt.Sprintf("%d slots, %.1f times as slow", slots, times), func(t *testing.T) {
 				is := is.New(t)
 				r := scaledReplay(slots, times)
-				// As many requests come in the longer time.
+				// The longer time has as many requests.
 				r.run(time.Duration(12*max(times, 1))*time.Second, steady)
 				truth := times * workshopSpeed.prefill.Seconds()
 				for _, c := range r.cores {
@@ -45,8 +45,8 @@
 	}
 }
 
-// An instance that sees few answers must not need hundreds of them to find out that its
-// engines are ten times slower than assumed at first.
+// An instance that sees few answers must not need hundreds of them to learn that its engines are
+// ten times slower than the initial estimate.
 func TestPrefillRateIsLearnedFromFewAnswers(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
@@ -58,8 +58,8 @@
 	is.True(e.prefill > 5*initialPrefill)
 }
 
-// A clean series of gaps at small and large batches gives step and slope; the gaps
-// beside prompts that nobody told of must not.
+// Gaps at small and large batches determine step and slope; gaps lengthened by prompts that are
+// not known must not change them.
 func TestStepIsLearnedFromGapsWithoutPrompts(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
@@ -78,8 +78,8 @@
 	is.True(e.perRequest > 0.0001 && e.perRequest < 0.0002)
 }
 
-// A class is tight by what its pool's engines do: beside prompts that they read fast
-// its answers keep their pace, beside slow ones they don't.
+// Whether a class is tight depends on its pool's engines: it keeps its target beside prompts on
+// fast engines, but not on slow ones.
 func TestLanesDependOnEngineSpeed(t *testing.T) {
 	is := is.New(t)
 	p := newPool("llm", epoch)
@@ -90,8 +90,8 @@
 	is.True(!p.isTight(class))
 }
 
-// Slow engines were taken for faster than they are: the estimate rose too slowly, and
-// gaps beside long prompts were taken off the time of reading.
+// Slow engines were estimated to be faster than they are: the estimate rose too slowly, and the
+// gaps beside long prompts were subtracted from the prefill time.
 func TestSlowEngineSpeedIsLearnedAccurately(t *testing.T) {
 	for _, slots := range []int{64, 12} {
 		is := is.New(t)
@@ -106,9 +106,9 @@
 	}
 }
 
-// Engines four times as slow run small batches. Joined with what is assumed of a full
-// batch of a quick engine, their step seemed not to grow with the batch, and batches of
-// any size seemed to keep every pace.
+// Engines that are four times as slow run small batches. Fitted together with the initial
+// estimate for a full batch of a fast engine, their step time seemed independent of the batch
+// size, and batches of any size seemed to meet every target.
 func TestStepIsLearnedFromSmallBatchesOfSlowEngines(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
@@ -123,8 +123,8 @@
 	is.True(e.step > 0.008 && e.step < 0.016)
 }
 
-// An instance that has seen no answer yet knows the engines from the others, and one
-// strange answer of its own doesn't outweigh theirs.
+// An instance without own samples uses the estimates of the other instances, and a single outlier
+// of its own does not outweigh them.
 func TestEngineEstimatesComeFromOtherInstances(t *testing.T) {
 	is := is.New(t)
 	e := newEngineModel()
@@ -137,11 +137,11 @@
 	e.observePrefill(s, 10*60e-6*8000, 8000)
 	is.True(e.prefill < 65e-6)
 	e.setOthers(loadboard.EngineSums{})
-	is.True(e.prefill != 0) // alone again, it has its own
+	is.True(e.prefill != 0) // alone again, it uses its own estimate
 }
 
-// Three instances in four saw answers that waited behind prompts that nobody told of. Their
-// engines seem twice as slow; the mean of all must stay near what the fourth saw.
+// Three of four instances saw answers that queued behind unknown prompts, so their engines seem
+// twice as slow. The mean of all must stay near what the fourth measured.
 func TestQueueingAtMostInstancesDoesNotInflatePrefillEstimate(t *testing.T) {
 	is := is.New(t)
 	var told loadboard.PoolWork
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// enableFetch lets the core's engines fetch KV cache, as long as the wire takes for it.
+// enableFetch lets the core's engines fetch KV cache at a typical network speed.
 func enableFetch(c *core) *core {
 	for _, s := range c.ordered {
 		if !s.service {
@@ -21,22 +21,23 @@
 	return c
 }
 
-// withIndirectDigests has the core believe that digests travel in a tree: a prompt's home is
-// taken to hold it.
+// withIndirectDigests simulates digests that travel in a tree, so that the home of a prompt is
+// assumed to hold it.
 func withIndirectDigests(c *core) *core {
 	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: member.Others, Incarnation: "1", Sequence: 1}, At: epoch})
 	return c
 }
 
-// coreWithCachedPrompt returns a core whose engines can fetch, and the start of the first
-// digest of subject 7, at its home.
+// coreWithCachedPrompt returns a core whose engines can fetch, and the start of the first digest
+// of subject 7 at its home.
 func coreWithCachedPrompt(t *testing.T) (*core, Start) {
 	c := withIndirectDigests(enableFetch(coreWithEngines("e1", 3, "a", "b", "c")))
 	c.Step(epoch.Add(slowTick), Tick{})
 	return c, only[Start](t, c.Step(epoch.Add(slowTick), digest(1, 7)))
 }
 
-// setOtherBacklog has others run so much prompt work on the server, at the level of digests.
+// setOtherBacklog reports that other instances have so many prompt tokens waiting on the server,
+// at the level of digests.
 func setOtherBacklog(c *core, server string, tokens uint32) {
 	var load loadboard.Load
 	load.InFlight = 10
@@ -44,11 +45,10 @@
 	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{loadboard.Key(server): load}}})
 }
 
-// In a burst of one kind of request the engine that holds a prompt has four
-// seconds of others' prompts to read, which this instance never saw. Without their
-// word all requests of the prompt went there and were late; reading it on another
-// engine costs a quarter of a second. So it goes elsewhere and the prompt is
-// fetched.
+// In a burst of one kind of request, the engine that holds a prompt has four seconds of prefill
+// for other instances. Without their reports all requests of the prompt went there and were late.
+// A prefill on another engine costs a quarter of a second, so the request goes to another engine,
+// which fetches the prompt.
 func TestRequestLeavesBusyHomeAndFetchesPrompt(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -63,10 +63,10 @@
 	is.Equal(away.Decision.Uncached, 3700.0)
 }
 
-// A prompt has just come to its home, which has four seconds to read before. No
-// engine can fetch it yet, and reading it a second time would make more than one
-// other request late: 0.4 s of an engine for 13,300 tokens while all are busy. So the
-// request waits where its prompt is, behind those that can be in time.
+// A prompt was just sent to its home, which has four seconds of prefill before it. No engine can
+// fetch it yet, and a second prefill would make more than one other request late: 13,300 tokens
+// take 0.4 s of an engine while all are busy. The request waits at the home, behind those that
+// can be in time.
 func TestRequestWaitsForPromptInsteadOfDuplicatePrefill(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -78,8 +78,8 @@
 	is.Equal(same.Level, lateEngineLevel)
 }
 
-// A leaving engine is asked for nothing new, but what it holds can be fetched while
-// it is there: its prompts are not read again by those who take its place.
+// A leaving engine gets no new requests but serves fetches while it exists, so that its prompts
+// are not prefilled again by the engines that take over.
 func TestLeavingEngineServesFetches(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -94,8 +94,8 @@
 	is.True(late.FetchFrom != home.Server)
 }
 
-// Once the others' word ends, what they ran must not keep requests from a prompt's
-// engine for ever.
+// After the load updates from other instances stop, the last ones must not keep requests away
+// from the engine that holds their prompt.
 func TestBoardLoadsExpireWithoutUpdates(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -106,8 +106,8 @@
 	is.Equal(again.Server, home.Server)
 }
 
-// The engine that holds the prompt went down, or can't pass anything on: the
-// prompt is read, and no engine waits for another that never answers.
+// The engine that holds the prompt is down or engines cannot fetch: the prompt is prefilled, and
+// no engine waits for one that never answers.
 func TestNoFetchFromEjectedEngine(t *testing.T) {
 	is := is.New(t)
 	c, home := coreWithCachedPrompt(t)
@@ -120,7 +120,7 @@
 	is.Equal(only[Start](t, plain.Step(epoch.Add(slowTick), digest(3, 7))).FetchFrom, "")
 }
 
-// A short shared part is read sooner than a fetch begins.
+// The prefill of a short shared part takes less time than the start of a fetch.
 func TestShortPrefixesAreNotFetched(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(enableFetch(coreWithEngines("e1", 3, "a", "b", "c")))
@@ -130,7 +130,8 @@
 	is.Equal(only[Start](t, c.Step(epoch.Add(slowTick), draft(2))).FetchFrom, "")
 }
 
-// What this instance runs is told by server and priority, and ends with the answer.
+// The load board gets the running requests and the backlog of this instance by server and
+// priority, until the answer ends.
 func TestOwnLoadsAreReported(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
--- a/request/policy/fleet_replay_test.go
+++ b/request/policy/fleet_replay_test.go
@@ -11,8 +11,8 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// largeFleetKinds is the load of a workshop whose teams differ in priority, on 48 engines of
-// 12 slots, which do it with a third of them.
+// largeFleetKinds is the load of three teams of different tiers on 48 engines with 12 slots each,
+// at a third of their capacity.
 func largeFleetKinds() []requestKind {
 	var kinds []requestKind
 	for tier, share := range []float64{0.2, 0.6, 0.2} {
@@ -33,7 +33,7 @@
 
 var largeFleetSpeed = engineSpeed{step: 3 * ms, perRequest: 120 * time.Microsecond, prefill: 11 * time.Microsecond, fixed: 60 * ms}
 
-// rankTally sums up the kinds of a rank.
+// rankTally adds up the tallies of the kinds of a rank.
 func (r *replay) rankTally(rank uint32, from, to time.Duration) (sum tally) {
 	for kind, k := range r.kinds {
 		if k.class.GetRank() == rank {
@@ -44,7 +44,8 @@
 	return sum
 }
 
-// priorityInversions counts the requests that were put back while a less urgent kind ran on.
+// priorityInversions returns the number of requests that were preempted while one of a less
+// urgent kind kept running.
 func (r *replay) priorityInversions() (count int) {
 	for _, e := range r.engines {
 		count += e.priorityInversions
@@ -52,7 +53,8 @@
 	return count
 }
 
-// firstSeed is added to a replay's seeds: the number in FIRST_SEED, for runs by hand.
+// firstSeed returns the value of FIRST_SEED, which is added to the seeds of replays for manual
+// runs; 0 if it is not set.
 func firstSeed(t *testing.T) uint64 {
 	text := os.Getenv("FIRST_SEED")
 	if text == "" {
@@ -63,8 +65,8 @@
 	return seed
 }
 
-// checkUrgent checks that few queries and scans of any five seconds got nothing, and that few
-// were put back while a less urgent kind ran on.
+// checkUrgent checks that in any five seconds few queries and scans remain unanswered, and that
+// few were preempted while one of a less urgent kind kept running.
 func (r *replay) checkUrgent(is *is.I) {
 	is.Helper()
 	for from := 2 * time.Second; from+5*time.Second <= 14*time.Second; from += time.Second {
@@ -83,36 +85,36 @@
 	return r
 }
 
-// Three times the traffic came to a large fleet before engines of few slots. Queries and
-// scans waited beside engines with room and got nothing while notes, ten times as long,
-// began; or they were put back for them.
+// At three times the traffic in a large fleet with few slots per engine, queries and scans waited
+// beside engines with free slots and remained unanswered while notes, ten times as long, were
+// started; or they were preempted for notes.
 func TestUrgentRequestsAreServedInALargeFleet(t *testing.T) {
 	for seed := range uint64(2) {
 		is := is.New(t)
 		r := runLargeFleet(seed, 15*time.Second, surge(3))
 		r.checkUrgent(is)
 		notes := r.rankTally(2, 2*time.Second, 12*time.Second)
-		is.True(notes.unanswered < notes.arrived) // the least urgent kind isn't shut out
+		is.True(notes.unanswered < notes.arrived) // the least urgent kind is not starved
 	}
 }
 
-// Four times the traffic: a quarter to a third of the scans got nothing in five seconds,
-// while notes began.
+// At four times the traffic a quarter to a third of the scans in five seconds remained unanswered
+// while notes were started.
 func TestUrgentRequestsAreServedInALargeFleetAtFourTimes(t *testing.T) {
 	for seed := range uint64(4) {
 		runLargeFleet(firstSeed(t)+seed, 15*time.Second, surge(4)).checkUrgent(is.New(t))
 	}
 }
 
-// Five times: more than half of the scans got nothing.
+// At five times the traffic more than half of the scans remained unanswered.
 func TestUrgentRequestsAreServedInALargeFleetAtFiveTimes(t *testing.T) {
 	for seed := range uint64(4) {
 		runLargeFleet(firstSeed(t)+seed, 15*time.Second, surge(5)).checkUrgent(is.New(t))
 	}
 }
 
-// With the usual traffic everything is served, in a large fleet too, and in time once its
-// engines are learned.
+// A large fleet answers its usual load completely, and in time once it has learned the speed of
+// its engines.
 func TestALargeFleetServesItsUsualLoad(t *testing.T) {
 	is := is.New(t)
 	r := runLargeFleet(3, 10*time.Second, steady)
@@ -123,8 +125,8 @@
 	}
 }
 
-// The same from the first second on: while engines are not learned yet, queries pause for too
-// long beside other prompts.
+// The same from the first second on: while the speed of the engines is not learned yet, queries
+// have too long gaps beside other prompts.
 func TestALargeFleetServesItsUsualLoadWhileCold(t *testing.T) {
 	is := is.New(t)
 	r := runLargeFleet(3, 10*time.Second, steady)
@@ -135,8 +137,8 @@
 	}
 }
 
-// In the first second scans, which bear longer pauses, were taken for answers with short ones by
-// an estimate from one sample, and filled the queries' lane.
+// In the first second an estimate from a single sample made scans, which allow longer gaps, count
+// as tight, and they filled the queries' lane.
 func TestALargeFleetServesItsUsualLoadInItsFirstSecond(t *testing.T) {
 	is := is.New(t)
 	r := runLargeFleet(7+firstSeed(t), 3*time.Second, steady)
--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -10,8 +10,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// mostlyFullFleet is n instances before 40 engines, of which all but a few run as much as they
-// can, by what all are told.
+// mostlyFullFleet returns n instances with 40 engines that are full by the load board, except for
+// the idle ones.
 func mostlyFullFleet(n int, idle ...string) []*core {
 	var fleet []*core
 	for i := range n {
@@ -36,8 +36,8 @@
 	return fleet
 }
 
-// Seventy-five instances heard in the same moment that two engines had room, and sent each
-// forty requests before the next word.
+// 75 instances learned at the same moment that two engines had free slots, and each sent them
+// forty requests before the next load update.
 func TestFewInstancesUseAnEngineWithFreeSlots(t *testing.T) {
 	is := is.New(t)
 	users := 0
@@ -49,7 +49,7 @@
 	is.True(users > 0 && users < 75/4)
 }
 
-// Where most engines have room nobody is kept from any.
+// While most engines have free slots, every instance may use all of them.
 func TestEnginesWithFreeSlotsAreOpenToAllInstances(t *testing.T) {
 	is := is.New(t)
 	var all []string
@@ -63,8 +63,8 @@
 	}
 }
 
-// One instance had one of two engines with room open, and sent it all requests that came
-// until the next word.
+// Of two engines with free slots one was open to the instance, which sent it all requests that
+// arrived before the next load update.
 func TestInstanceStartsOnlyItsPartBetweenUpdates(t *testing.T) {
 	is := is.New(t)
 	c := mostlyFullFleet(4)[0]
@@ -81,5 +81,5 @@
 		c.Step(epoch, draft(id+1))
 	}
 	is.True(len(s.running) > 0)
-	is.True(len(s.running) <= s.slots/2) // a quarter is its part
+	is.True(len(s.running) <= s.slots/2) // its part is a quarter
 }
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -13,7 +13,8 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// review is a prompt of middle length whose answer is wanted within 0.8 s.
+// review returns a request with a prompt of medium length and a target of 0.8 s for the first
+// token.
 func review(id ID, subject uint64) Arrival {
 	a := digest(id, subject)
 	a.Class, a.PromptTokens = "review", 9000
@@ -21,21 +22,20 @@
 	return a
 }
 
-// withReviews adds the class of reviews.
+// withReviews adds the class of review requests.
 func withReviews(c *core) *core {
 	c.view.Classes["review"] = &lilacv1.Class{Name: "review", Tier: 1, Rank: 1, FirstTokenMs: 800, BetweenTokensMs: 100, MaxAttempts: 2}
 	return c
 }
 
-// setOtherWork tells that all other instances start so much work in each lane, in tokens a
-// second.
+// setOtherWork reports the work that all other instances start in each lane, in tokens a second.
 func setOtherWork(c *core, now time.Time, long, quick, tight uint32) {
 	c.Step(now, PeerLoads{Word: loadboard.Word{
 		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [laneCount]uint32{long, quick, tight}}},
 	}})
 }
 
-// laneSizes counts the engines of each lane.
+// laneSizes returns the number of engines in each lane.
 func laneSizes(c *core) (count [laneCount]int) {
 	for _, s := range c.pools["llm"].servers {
 		count[s.lane]++
@@ -43,9 +43,9 @@
 	return count
 }
 
-// A burst of drafts comes to 78 instances. Each sees five of them a second; by its
-// own requests alone it would take 20 s to give them more engines, and the burst
-// lasts ten. By the work of all it takes the time of one word.
+// A burst of drafts is spread over 78 instances, each of which sees five a second. From its own
+// requests alone an instance would take 20 s to enlarge the lane, but the burst lasts ten. From
+// the work of all instances it takes one load update.
 func TestLaneSizesFollowWorkOfAllInstances(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", 15, "a", "b")))
@@ -57,8 +57,8 @@
 	is.Equal(laneSizes(c), [laneCount]int{laneLong: 12, laneQuick: 4, laneTight: 14})
 }
 
-// The work of two lanes differs a little from one word to the next. If each
-// difference moved an engine, the prompts whose home it is would be read again.
+// The work of two lanes varies slightly between load updates. If each variation moved an engine,
+// the prompts at home there would be prefilled again.
 func TestSmallWorkChangesDoNotResizeLanes(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", 15, "a")))
@@ -73,9 +73,9 @@
 	}
 }
 
-// An engine reads a prompt that it has begun to its end. Beside digests of 17,000
-// tokens a review, which is wanted within 0.8 s, waits 0.4 s for the one in progress;
-// so reviews have engines of their own where there are enough.
+// An engine finishes a prompt that it has begun. Beside digests of 17,000 tokens, a review with a
+// target of 0.8 s waits 0.4 s for the one in progress, so reviews have their own engines if there
+// are enough.
 func TestQuickAnswersAvoidLongPrompts(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", 15, "a")))
@@ -88,9 +88,9 @@
 	is.Equal(few.servers[only[Start](t, few.Step(epoch.Add(slowTick), review(1, 5))).Server].lane, laneLong)
 }
 
-// Memory runs out at an engine, which preempts the least urgent of its requests. A
-// late draft that had been sent as less urgent than the digests beside it would go
-// before them, though its class is more urgent than theirs.
+// An engine that runs out of memory preempts its least urgent request. A late draft sent at a
+// less urgent level than the digests beside it would be preempted before them, although its class
+// is more urgent.
 func TestLateUrgentRequestKeepsItsLevel(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a")
@@ -101,9 +101,9 @@
 	is.Equal(start.Level, model.Place(1, 0))
 }
 
-// Sixty requests of as many new subjects come between two words of the others. All
-// instances see the same engine as the least loaded one; if they went by that, it
-// would have a million tokens to read. Each subject has homes of its own.
+// Sixty requests with different new prompts arrive between two load updates. All instances see
+// the same engine as the least loaded one; if they all chose it, it would have a million tokens
+// to prefill. Each prompt has its own homes.
 func TestNewPromptsSpreadOverEngines(t *testing.T) {
 	is := is.New(t)
 	used := make(map[string]int)
@@ -121,8 +121,8 @@
 	is.True(used["a-3"] <= 15) // four homes of 36 engines: 7 expected
 }
 
-// Engines preempt the least urgent of their requests first. Queries of a less urgent team
-// were preempted while another team's bulk ran on.
+// Engines preempt the least urgent request first. They preempted queries of a less urgent team
+// while bulk of another team kept running.
 func TestBulkIsPreemptedBeforeShortWork(t *testing.T) {
 	is := is.New(t)
 	bulk := &lilacv1.Class{Tier: 0, Rank: 2}
@@ -130,8 +130,8 @@
 	is.True(engineLevelOf(short) < engineLevelOf(bulk))
 }
 
-// An instance that had seen no bulk lately sent late scans as the last of all, behind
-// the bulk of others.
+// An instance that had seen no bulk recently sent late scans at the least urgent level, behind
+// the bulk of other instances.
 func TestLateRequestsPrecedeBulkOfOtherInstances(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 1, "a")
@@ -144,8 +144,8 @@
 	is.Equal(p.lastLevel, lateEngineLevel-1)
 }
 
-// The engine that reads a prompt became one of the lane for short pauses. Requests of the
-// prompt could go neither there nor, since it must not be read twice, anywhere else.
+// The engine that prefills a prompt was moved to the tight lane. Requests with the prompt could
+// go neither there nor, because of the duplicate prefill, anywhere else.
 func TestPromptCachedInTightLaneIsRecomputed(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 2, "a")
@@ -158,8 +158,8 @@
 	is.Equal(only[Start](t, c.Step(epoch, digest(2, 7))).Server, other.name)
 }
 
-// Engines of 12 slots have time for twice the drafts that they have slots for. Sized by
-// work alone the lane was full, and one draft in four was late beside long prompts.
+// Engines with 12 slots have the speed for twice the drafts that they have slots for. Sized by
+// work alone, the lane was full, and one draft in four was late beside long prompts.
 func TestTightLaneIsSizedBySlotDemand(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", 15, "a", "b")))
@@ -178,18 +178,18 @@
 	tell(epoch.Add(slowTick), 10, 50)
 	is.Equal(laneSizes(c)[laneTight], 4) // a ninth of the work
 	tell(epoch.Add(time.Second), 100, 50)
-	is.Equal(laneSizes(c)[laneTight], 10) // 101 of 360 slots, four fifths full
+	is.Equal(laneSizes(c)[laneTight], 10) // 101 of 360 slots, at a utilization of four fifths
 	tell(epoch.Add(2*time.Second), 200, 150)
 	is.Equal(laneSizes(c)[laneTight], 14) // digests keep the slots that they need
 	tell(epoch.Add(3*time.Second), 200, 1000)
-	is.Equal(laneSizes(c)[laneTight], 10) // a burst of digests leaves drafts what they take now
+	is.Equal(laneSizes(c)[laneTight], 10) // in a burst of digests, drafts keep what they occupy now
 	tell(epoch.Add(4*time.Second), 1000, 1000)
-	is.Equal(laneSizes(c)[laneTight], 10) // and two thirds to the others
+	is.Equal(laneSizes(c)[laneTight], 10) // and at most a third of the engines
 }
 
-// Of 194 instances each saw one answer in 194, and took the engines' rate from two or
-// three of them: for one a class was tight, for the next it was none, and one gave
-// short pauses the engine on which the other read long prompts.
+// Each of 194 instances saw one answer in 194 and estimated the engines' speed from two or three
+// of them. A class was tight for one instance and not for the next, so that one sent tight
+// requests to the engine where the other sent long prompts.
 func TestInstancesAgreeOnLanes(t *testing.T) {
 	is := is.New(t)
 	names := []string{"e1", "e2"}
@@ -221,11 +221,11 @@
 		is.Equal(s.lane, other.ordered[i].lane)
 	}
 	other.Step(now, PeerGone{Instance: names[0]})
-	is.Equal(other.pools["llm"].plan.By, "") // it plans itself again
+	is.Equal(other.pools["llm"].plan.By, "") // it uses its own plan again
 }
 
-// The tight lane grew smaller, and engines that left it read long prompts beside the drafts
-// that they still ran: these paused for too long.
+// The tight lane shrank, and engines that left it got long prompts while they still ran drafts,
+// whose gaps became too long.
 func TestFormerTightLaneEnginesDelayLongPrompts(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(withReviews(coreWithEngines("e1", 6, "a")))
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// engineSpeed is what a replay's engines do: the time of an empty batch's step, what each
-// request adds, of one prompt token, and what passes before a first token.
+// engineSpeed is the speed of a replay's engines: the step time of an empty batch, what each
+// request adds to it, the prefill time of a prompt token, and the fixed part of the time to a
+// first token.
 type engineSpeed struct{ step, perRequest, prefill, fixed time.Duration }
 
 // replayAttempt is an attempt at an engine.
 type replayAttempt struct {
 	core  *core
 	start Start
-	// prompt is the length of the prompt, read what is left to read.
+	// prompt is the length of the prompt, unread the part still to be prefilled.
 	prompt    int
 	unread    int
 	left      int
 	generated int
-	// rank is that of the request's kind.
+	// rank is the rank of the request's class.
 	rank    uint32
 	readyAt time.Time
 }
 
-// replayEngine reads prompts by priority, one to its end before the next, and gives
-// each running answer a token a step.
+// replayEngine prefills prompts by priority, finishing one before the next, and generates one
+// token for each running answer in a step.
 type replayEngine struct {
 	speed   engineSpeed
 	slots   int
@@ -34,8 +35,8 @@
 	prefilling *replayAttempt
 	held       map[uint64]bool
 	freeAt     time.Time
-	// preempted counts requests that were put back for more urgent ones, wronged those of
-	// them whose kind is more urgent than that of one that ran on.
+	// preempted counts preempted requests, priorityInversions those of them that were preempted
+	// while one of a less urgent rank kept running.
 	preempted, priorityInversions int
 	limiter                       limitedEngine
 }
@@ -49,7 +50,7 @@
 	}
 }
 
-// advance ends the step that is due and begins the next one.
+// advance ends a step that is due and begins the next one.
 func (e *replayEngine) advance(r *replay) {
 	if r.now.Before(e.freeAt) {
 		return
@@ -78,8 +79,8 @@
 	}
 }
 
-// preempt puts the newest of the least urgent requests back, if it is less urgent than
-// the level; its prompt is read again.
+// preempt preempts the newest of the least urgent requests if it is less urgent than level. Its
+// prompt is prefilled again.
 func (e *replayEngine) preempt(level int) bool {
 	var victim *replayAttempt
 	for _, j := range e.running {
@@ -119,7 +120,7 @@
 	return replayChunk - left
 }
 
-// nextPrompt is the most urgent prompt that is unread, the oldest of several.
+// nextPrompt returns the most urgent unfinished prompt, the oldest of several; nil for none.
 func (e *replayEngine) nextPrompt() *replayAttempt {
 	var next *replayAttempt
 	for _, j := range e.running {
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// updateMembership names each instance the others.
+// updateMembership tells each instance which other instances are alive.
 func (r *replay) updateMembership() {
 	for i, c := range r.cores {
 		var others []Instance
@@ -20,7 +20,8 @@
 	}
 }
 
-// withBoards makes the fleet a large one, whose instances tell loads by boards alone.
+// withBoards makes the instances exchange loads by load board instead of digests, as in a large
+// fleet.
 func (r *replay) withBoards() *replay {
 	var all []member.Peer
 	for _, c := range r.cores {
@@ -34,7 +35,7 @@
 	return r
 }
 
-// exchangeLoads has each instance take its loads anew and say what is due.
+// exchangeLoads updates each instance's load board and makes the exchanges that are due.
 func (r *replay) exchangeLoads() {
 	byName := make(map[string]int, len(r.cores))
 	for i, c := range r.cores {
@@ -54,7 +55,7 @@
 	}
 }
 
-// sendDueRetries sends the requests again whose time to return has come, to any instance.
+// sendDueRetries sends the retries that are due, each to a random instance.
 func (r *replay) sendDueRetries() {
 	for i := 0; i < len(r.retries); {
 		if r.now.Before(r.retryAt[i]) {
@@ -67,14 +68,14 @@
 	}
 }
 
-// send gives the request to an instance.
+// send sends the request to a random instance.
 func (r *replay) send(a Arrival) {
 	r.arrived[a.ID] = a
 	c := r.cores[r.random.IntN(len(r.cores))]
 	r.apply(c, c.Step(r.now, a))
 }
 
-// refuse ends a request, unless its caller comes back.
+// refuse ends a request, or schedules its retry.
 func (r *replay) refuse(refusal Refuse) {
 	outcome, a := r.outcomes[refusal.ID], r.arrived[refusal.ID]
 	if r.onRefuse != nil {
@@ -91,5 +92,5 @@
 	outcome.refused, outcome.endedAt = true, r.now
 }
 
-// retryIDBase are above those of first attempts.
+// retryIDBase is the base of the IDs of retries, above all IDs of first attempts.
 const retryIDBase ID = 1 << 32
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// The replays play a load on several instances in front of engines that batch
-// continuously, in steps of simulated time.
+// A replay runs several instances against simulated engines with continuous batching, in steps of
+// simulated time.
 
 const (
 	replayStep     = time.Millisecond
@@ -22,7 +22,7 @@
 	digestInterval = 300 * time.Millisecond
 )
 
-// requestKind is one kind of request of a replay.
+// requestKind is a kind of request with its rate, prompt and answer.
 type requestKind struct {
 	class       *lilacv1.Class
 	perSecond   float64
@@ -32,7 +32,7 @@
 	deadline    time.Duration
 }
 
-// replayOutcome is how a request of a replay ended.
+// replayOutcome is the result of a request.
 type replayOutcome struct {
 	kind                               int
 	arrivedAt, startedAt, firstTokenAt time.Time
@@ -43,7 +43,7 @@
 	retried                            bool
 }
 
-// replay holds one run.
+// replay is a simulation run.
 type replay struct {
 	kinds    []requestKind
 	cores    []*core
@@ -52,16 +52,16 @@
 	arrived  map[ID]Arrival
 	random   *rand.Rand
 	now      time.Time
-	// onRefuse hears of refusals; nil for none.
+	// onRefuse is called for each refusal; may be nil.
 	onRefuse func(Refuse)
-	// boards tell loads between the instances of large fleets; nil for small ones.
+	// boards are the load boards of the instances of a large fleet; nil for a small one.
 	boards []*loadboard.Board
-	// callersRetry is true where callers come back once after a refusal, at the time that they
-	// were told; returning are those that will.
+	// callersRetry is true if callers retry once, at the time given in the refusal; retries are
+	// the requests that will, at the times in retryAt.
 	callersRetry bool
 	retries      []Arrival
 	retryAt      []time.Time
-	// lastID and attempts count the requests, and those of them that came back.
+	// lastID and lastRetry are the number of requests and of retries so far.
 	lastID, lastRetry ID
 }
 
@@ -95,7 +95,8 @@
 	return r
 }
 
-// run plays the load for some time, with so many times the traffic by the moment.
+// run simulates the given length of time; loadFactor multiplies the traffic by the time since the
+// start.
 func (r *replay) run(length time.Duration, loadFactor func(time.Duration) float64) {
 	for at := time.Duration(0); at < length; at += replayStep {
 		r.now = epoch.Add(at)
@@ -162,7 +163,7 @@
 	}
 }
 
-// apply carries out a core's actions.
+// apply carries out the core's actions.
 func (r *replay) apply(c *core, actions []Action) {
 	for _, action := range slices.Clone(actions) {
 		switch a := action.(type) {
@@ -193,8 +194,8 @@
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
 }
 
-// tally counts a kind's requests of a span of time: those that came, had their first
-// token in time and their pauses within bounds, and had no answer begun.
+// tally counts the requests of a kind that arrived in a span of time: all, those that met their
+// targets, those without a first token, and those that started.
 type tally struct{ arrived, inTime, unanswered, started int }
 
 func (r *replay) tally(kind int, from, to time.Duration) (t tally) {
--- a/request/policy/saved_tokens_test.go
+++ b/request/policy/saved_tokens_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller leaves, or its deadline passes, in the middle of an answer. What the
-// engine need not make any more is counted; of one that waits nothing is.
+// A caller disconnects, or its deadline passes, during an answer. The tokens that the engine need
+// not generate are counted; for a waiting request none are.
 func TestSavedTokensAreCounted(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
@@ -19,7 +19,7 @@
 	c.Step(epoch, Tokens{ID: 2, Attempt: 1, Count: 1})
 	c.Step(epoch.Add(400*time.Millisecond), Canceled{ID: 1})
 	left := c.Stats().SavedTokens.Canceled
-	is.True(left > 100 && left <= 200) // the estimate before any answer was seen is 200
+	is.True(left > 100 && left <= 200) // the initial estimate is 200
 	c.Step(epoch.Add(2*time.Second), Tick{})
 	is.True(c.Stats().SavedTokens.Expired > 100)
 	c.Step(epoch.Add(2*time.Second), Canceled{ID: 1})
