--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -62,7 +62,7 @@
 	}
 	remoteCost := c.options.Weights.RemoteCost.Duration.Seconds()
 	prefix := strconv.FormatUint(r.Prefix[lastShared].Hash, 36)
-	assigned := r.assignedLane()
+	requestLane := r.assignedLane()
 	for _, s := range r.pool.servers {
 		if s.servesFetches(now) {
 			h.updateHolders(now, s, r, lastShared)
@@ -71,7 +71,7 @@
 			continue
 		}
 		rank := xxhash.Sum64String(prefix + s.name)
-		if s.lane != assigned || assigned != laneTight && s.excludesLongPrompts(now) {
+		if s.lane != requestLane || requestLane != laneTight && s.excludesLongPrompts(now) {
 			continue
 		}
 		// A remote engine is worth its cost only if the cache saves more prefill time than that.
@@ -88,7 +88,7 @@
 // its cache. Instances that exchange digests directly learn within one exchange what was sent
 // where. Through a tree of digests that takes seconds, and an instance sees few of the requests
 // itself, so the first home is assumed to have the prompt. Without the assumption, 76 instances
-// prefilled shared parts 2.7 times as often.
+// prefilled shared parts again 2.7 times as often.
 func (h *homes) uncachedAt(s *server, r *request) float64 {
 	uncached := s.uncachedTokens(r)
 	if !h.assumeCached || s != h.first() {
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -144,11 +144,11 @@
 // twice as slow. The mean of all must stay near what the fourth measured.
 func TestQueueingAtMostInstancesDoesNotInflatePrefillEstimate(t *testing.T) {
 	is := is.New(t)
-	var told loadboard.PoolWork
+	var sum loadboard.PoolWork
 	for _, prefill := range []float64{20e-6, 40e-6, 40e-6, 40e-6} {
-		told.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), Step: 50000, Each: 500}})
+		sum.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), Step: 50000, Each: 500}})
 	}
 	e := newEngineModel()
-	e.setOthers(told.Engine)
+	e.setOthers(sum.Engine)
 	is.True(e.prefill < 28e-6)
 }
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -346,15 +346,15 @@
 // lanePenalty returns the cost of running the request outside its lane or homes, where
 // prefillTokens of its prompt are not cached.
 func (s *server) lanePenalty(r *request, h *homes, prefillTokens float64) time.Duration {
-	assigned := r.assignedLane()
+	requestLane := r.assignedLane()
 	switch {
 	case s.service || !r.Pinned:
 		return 0
-	case s.lane == assigned:
+	case s.lane == requestLane:
 		return h.penalty(s)
-	case s.lane != laneLong && assigned != laneTight && r.pool.prefillTime(prefillTokens) >= minLongPrefill:
+	case s.lane != laneLong && requestLane != laneTight && r.pool.prefillTime(prefillTokens) >= minLongPrefill:
 		return longPromptPenalty
-	case assigned == laneLong:
+	case requestLane == laneLong:
 		return shortPromptPenalty
 	}
 	return outsideLanePenalty
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -138,8 +138,8 @@
 	c.Step(epoch, draft(1))
 	p := c.pools[draft(1).Target]
 	is.Equal(p.lastLevel, model.Place(1, 0))
-	told := &lilacv1.PoolCutoff{Pool: p.name, AdmittedTier: model.Tiers, PlaceDemand: []uint32{0, 0, 0, 0, 0, 0, 0, 0, 0, 4}}
-	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: "e2", Cutoffs: []*lilacv1.PoolCutoff{told}}})
+	cutoff := &lilacv1.PoolCutoff{Pool: p.name, AdmittedTier: model.Tiers, PlaceDemand: []uint32{0, 0, 0, 0, 0, 0, 0, 0, 0, 4}}
+	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: "e2", Cutoffs: []*lilacv1.PoolCutoff{cutoff}}})
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.Equal(p.lastLevel, lateEngineLevel-1)
 }
@@ -170,20 +170,20 @@
 	c.Step(epoch, draft(1))
 	c.Step(epoch, digest(2, 1))
 	work := loadboard.PoolWork{Rates: [laneCount]uint32{800000, 0, 100000}}
-	tell := func(now time.Time, drafts, digests float64) {
+	setDemand := func(now time.Time, drafts, digests float64) {
 		work.LaneClaims = [laneCount]float64{laneLong: digests, laneTight: drafts}
 		c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
 		c.Step(now, Tick{})
 	}
-	tell(epoch.Add(slowTick), 10, 50)
+	setDemand(epoch.Add(slowTick), 10, 50)
 	is.Equal(laneSizes(c)[laneTight], 4) // a ninth of the work
-	tell(epoch.Add(time.Second), 100, 50)
+	setDemand(epoch.Add(time.Second), 100, 50)
 	is.Equal(laneSizes(c)[laneTight], 10) // 101 of 360 slots, at a utilization of four fifths
-	tell(epoch.Add(2*time.Second), 200, 150)
+	setDemand(epoch.Add(2*time.Second), 200, 150)
 	is.Equal(laneSizes(c)[laneTight], 14) // digests keep the slots that they need
-	tell(epoch.Add(3*time.Second), 200, 1000)
+	setDemand(epoch.Add(3*time.Second), 200, 1000)
 	is.Equal(laneSizes(c)[laneTight], 10) // in a burst of digests, drafts keep what they occupy now
-	tell(epoch.Add(4*time.Second), 1000, 1000)
+	setDemand(epoch.Add(4*time.Second), 1000, 1000)
 	is.Equal(laneSizes(c)[laneTight], 10) // and at most a third of the engines
 }
 
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -16,9 +16,9 @@
 	// maxMovesPerRound bounds the moves per pool at each slowTick.
 	maxMovesPerRound = 4
 	// overdueFactor and overdueFloor give the time for a first token, overdueFactor times the
-	// expected time plus overdueFloor, after which it is overdue.
+	// expected time plus overdueMargin, after which it is overdue.
 	overdueFactor = 2
-	overdueFloor  = 50 * time.Millisecond
+	overdueMargin = 50 * time.Millisecond
 	// lateServerPause is how long a server gets no new requests after an overdue first token.
 	lateServerPause = 300 * time.Millisecond
 )
@@ -125,7 +125,7 @@
 // overdue reports whether the first token is overdue: the server has more work than this instance
 // knows of. It then gets no new requests for lateServerPause.
 func (c *core) overdue(now time.Time, r *request) bool {
-	if now.Sub(r.started) < overdueFactor*r.expectedFirst+overdueFloor {
+	if now.Sub(r.started) < overdueFactor*r.expectedFirst+overdueMargin {
 		return false
 	}
 	r.server.fullUntil = now.Add(lateServerPause)
--- a/request/policy/prefills.go
+++ b/request/policy/prefills.go
@@ -11,7 +11,7 @@
 // would count the first one it sends itself as work for the engine, or none at all at the
 // prompt's home: with cold caches an engine with 8 s of prefill seemed idle and got more.
 // Instances therefore report which shared parts they sent where: in digests where they exchange
-// these directly, on the load board in larger fleets (see told.go). Where neither works, the
+// these directly, on the load board in larger fleets (see peerloads.go). Where neither works, the
 // first home of a part is assumed to hold it.
 
 // prefillRecord is a shared part that was sent to a server that was not known to hold it.
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -88,21 +88,28 @@
 	// prefillRatio is the server's prefill time per token relative to its pool's.
 	prefillRatio float64
 	// stepOffset is the batch size at which a step takes twice as long as with an empty batch.
-	stepOffset    float64
+	stepOffset float64
+	// gapPerRequest is the gap between tokens divided by batch size plus stepOffset, prefill the
+	// prefill time of a prompt token, both in seconds.
 	gapPerRequest float64
 	prefill       float64
 	// fetchPerToken is the time to fetch the KV cache of one token from another engine; 0 if the
 	// server cannot fetch.
 	fetchPerToken time.Duration
-	serviceTime   float64
-	decoding      int
-	lastTokenAt   time.Time
-	stall         time.Duration
-	peerGapAt     time.Time
+	// serviceTime is the response time of a plain service, in seconds.
+	serviceTime float64
+	// decoding is the number of own requests that have their first token.
+	decoding    int
+	lastTokenAt time.Time
+	// stall is the time without a token if answers stall, else 0.
+	stall     time.Duration
+	peerGapAt time.Time
 
 	history      [historyLength]int16
 	historyIndex int
-	reportAge    float64
+	// reportAge is the age of the last load report in seconds; negative for none.
+	reportAge float64
+	// reportedLoad is the load by that report without this instance's requests.
 	reportedLoad float64
 
 	ejectedUntil time.Time
@@ -144,6 +151,8 @@
 	limited serverLimit
 	allowed allowance
 
+	// trial is the digest of the suspect whose trial runs here or has the server reserved;
+	// peerTrials is the number of trials by other instances.
 	trial      string
 	peerTrials int
 	cache      prefixCache
