--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -12,9 +12,9 @@
 func (s *server) candidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.baseCandidate(r, now, index)
 	if s.skipped || s.startBudget < 1 {
-		c.Barred = true
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := c.Load + 1
@@ -30,14 +30,14 @@
 func (s *server) displacingCandidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
 	c := s.baseCandidate(r, now, index)
 	if s.displaceBudget < 1 {
-		c.Barred = true
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := min(c.Load+1, float64(s.slots))
 	c.Load -= s.bulkLoad() + displaceOvercommit*float64(s.slots)
-	c.Order = s.displaceOrder()
+	c.DisplacementOrder = s.displaceOrder()
 	s.fillCosts(&c, r, now, h, n)
 	return c
 }
@@ -45,24 +45,24 @@
 // baseCandidate returns what does not depend on the request's prompt.
 func (s *server) baseCandidate(r *request, now time.Time, index int) choose.Candidate {
 	return choose.Candidate{
-		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.unavailable(now),
-		Trial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.gapTarget(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
+		Name: s.name, Index: index, Hash: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Unavailable: s.unavailable(now),
+		HasTrial: s.trial != "" || s.peerTrials > 0,
+		Load:     s.load(), Limit: s.limit(s.gapTarget(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
 	}
 }
 
 // fillCosts fills in the expected latencies and costs of the request as one of n on the server.
 func (s *server) fillCosts(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
 	source := h.sourceAt(s, r)
-	c.First = s.firstToken(n, source.prefill, r.engineLevel()) + s.fetchTime(source.fetched)
-	c.Work = r.pool.prefillTime(source.cost())
-	c.Again = source.duplicate >= minDuplicatePrefill
-	c.Stray = s.lanePenalty(r, h, source.prefill)
-	c.Intrudes = s.intrudes(now, r, source.prefill)
+	c.FirstToken = s.firstToken(n, source.prefill, r.engineLevel()) + s.fetchTime(source.fetched)
+	c.PrefillTime = r.pool.prefillTime(source.cost())
+	c.DuplicatePrefill = source.duplicate >= minDuplicatePrefill
+	c.AffinityPenalty = s.lanePenalty(r, h, source.prefill)
+	c.Interferes = s.intrudes(now, r, source.prefill)
 	if r.Pinned {
-		c.Trouble = time.Duration(s.failureRate * float64(r.firstTokenTarget()))
+		c.FailurePenalty = time.Duration(s.failureRate * float64(r.firstTokenTarget()))
 	}
 	if !s.service {
-		c.Gap = s.gapAt(n)
+		c.TokenGap = s.gapAt(n)
 	}
 }
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -73,23 +73,23 @@
 }
 
 func newChooser(weights settings.Policy) chooser {
-	scorers := []choose.Scorer{choose.Finish{}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Crowd{Weight: crowdWeight}, choose.Trouble{}}
-	pinnedScorers := []choose.Scorer{choose.Work{Weight: workWeight}, choose.Risk{}, choose.Pace{Weight: paceWeight}, choose.Remote{Price: weights.RemoteCost.Duration}, choose.Stray{}, choose.Trouble{}}
-	late := []choose.Filter{choose.Open{}, choose.Room{}, choose.Quarantine{}}
+	scorers := []choose.Scorer{choose.CompletionTime{}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.Contention{Weight: crowdWeight}, choose.FailurePenalty{}}
+	pinnedScorers := []choose.Scorer{choose.PrefillTime{Weight: workWeight}, choose.LatenessRisk{}, choose.DecodeTime{Weight: paceWeight}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.AffinityPenalty{}, choose.FailurePenalty{}}
+	late := []choose.Filter{choose.Available{}, choose.WithinCapacity{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
-	unintruded := append(slices.Clone(late), choose.Unintruded{})
-	noDuplicate := append(slices.Clone(unintruded), choose.Once{})
-	firstOnTime := append(slices.Clone(noDuplicate), choose.FirstOnTime{})
-	picker := choose.Near{First: nearFirst, Second: nearSecond, Share: nearShare}
+	unintruded := append(slices.Clone(late), choose.NoInterference{})
+	noDuplicate := append(slices.Clone(unintruded), choose.NoDuplicatePrefill{})
+	firstOnTime := append(slices.Clone(noDuplicate), choose.FirstTokenOnTime{})
+	picker := choose.NearLowestCost{FirstMargin: nearFirst, SecondMargin: nearSecond, Margin: nearShare}
 	return chooser{
 		reserves:       tierReserves(weights),
 		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
 		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
-		pinned:         choose.Chooser{Filters: firstOnTime, Scorers: pinnedScorers, Picker: choose.Least{}},
-		pinnedLate:     choose.Chooser{Filters: unintruded, Scorers: pinnedScorers, Picker: choose.Least{}},
-		pinnedOnce:     choose.Chooser{Filters: noDuplicate, Scorers: pinnedScorers, Picker: choose.Least{}},
-		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
-		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.Ordered{}}, Picker: choose.Least{}},
+		pinned:         choose.Chooser{Filters: firstOnTime, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		pinnedLate:     choose.Chooser{Filters: unintruded, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		pinnedOnce:     choose.Chooser{Filters: noDuplicate, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
+		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
 	}
 }
 
@@ -102,7 +102,7 @@
 		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 		return false
 	}
-	if len(servers) <= choose.Sample+choose.Sample/2 {
+	if len(servers) <= choose.SampleSize+choose.SampleSize/2 {
 		for i, s := range servers {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, &h))
 		}
@@ -115,7 +115,7 @@
 	}
 	start := c.random.IntN(len(servers))
 	step := 1 + c.random.IntN(len(servers)-1)
-	for i := range choose.Sample {
+	for i := range choose.SampleSize {
 		index := (start + i*step) % len(servers)
 		c.choice.candidates = append(c.choice.candidates, servers[index].candidate(r, now, index, &h))
 	}
@@ -126,7 +126,7 @@
 // Only a few instances may send to them, and capacity that one of these leaves unused is lost.
 func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Named && !s.limitReached(now) {
+		if s.limited.Advertised && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
@@ -221,8 +221,8 @@
 // pickWith returns the best of the collected candidates by the selector, or nil.
 func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
 	req := choose.Request{
-		FirstBy: r.slack(now), Target: r.firstTokenTarget(), Between: r.tokenGapTarget(), Avoid: r.failedOn,
-		Left: r.tokensLeft(c), Reserve: opts.reserve, Over: opts.over, Alone: opts.alone,
+		FirstTokenBudget: r.slack(now), FirstTokenTarget: r.firstTokenTarget(), TokenGapTarget: r.tokenGapTarget(), Avoid: r.failedOn,
+		RemainingTokens: r.tokensLeft(c), ReservedSlots: opts.reserve, Overcommit: opts.over, Suspect: opts.alone,
 	}
 	if len(r.pool.servers) == 1 {
 		req.Avoid = ""
@@ -244,7 +244,7 @@
 	for i := range c.choice.candidates {
 		candidate := &c.choice.candidates[i]
 		s := r.pool.servers[candidate.Index]
-		if !candidate.Barred && s.gapAt(1) <= target {
+		if !candidate.Unavailable && s.gapAt(1) <= target {
 			return true
 		}
 	}
@@ -256,7 +256,7 @@
 	if r.pool.service {
 		return 0
 	}
-	left := c.estimates.Left(r.key(), r.tokens)
+	left := c.estimates.Remaining(r.key(), r.tokens)
 	if r.Hint > r.tokens {
 		// A caller's hint is right at the median; answer lengths of a class differ thirtyfold.
 		left = float64(r.Hint - r.tokens)
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -15,7 +15,7 @@
 	c.view = view
 	for digest := range old.Convictions {
 		if view.Convictions[digest] == nil {
-			c.suspects.Cleared(digest, now)
+			c.suspects.Clear(digest, now)
 		}
 	}
 	for digest := range view.Convictions {
@@ -89,10 +89,10 @@
 	return dataCenter
 }
 
-// model gives an engine with a large batch the pool's estimates in place of those of
+// setEngineModel gives an engine with a large batch the pool's estimates in place of those of
 // small engines: by these a prompt of 17,000 tokens seems to miss a target of 2.5 s
 // anywhere, and nothing is measured until it is late.
-func (s *server) useEngineModel(e *engineModel) {
+func (s *server) setEngineModel(e *engineModel) {
 	if s.engine == e {
 		return
 	}
@@ -100,7 +100,7 @@
 	s.stepOffset, s.gapPerRequest, s.prefill = e.stepOffset(), e.perRequest, e.prefill
 }
 
-// rebase goes over to what was learned of the pool's engines since.
+// applyEngineModel goes over to what was learned of the pool's engines since.
 func (s *server) applyEngineModel() {
 	base := s.engine.stepOffset()
 	s.gapPerRequest *= (s.load() + s.stepOffset) / (s.load() + base)
@@ -141,7 +141,7 @@
 		p.service = len(p.servers) > 0 && p.servers[0].service
 		for _, s := range p.servers {
 			if s.largeBatch && !s.service {
-				s.useEngineModel(p.engine)
+				s.setEngineModel(p.engine)
 			}
 		}
 	}
--- a/request/policy/engine.go
+++ b/request/policy/engine.go
@@ -91,7 +91,7 @@
 // sums returns the own estimates, weighted, for other instances to add up.
 func (e *engineModel) sums() loadboard.EngineSums {
 	w := e.weight()
-	return loadboard.EngineSums{Weight: w, Speed: w * speedPower(e.own.prefill), Step: w * e.own.step / micro, Each: w * e.own.perRequest / micro}
+	return loadboard.EngineSums{Weight: w, Speed: w * speedPower(e.own.prefill), EmptyStep: w * e.own.step / micro, PerRequest: w * e.own.perRequest / micro}
 }
 
 // speedPower returns the fourth power of the prefill speed in tokens per millisecond. The mean of
@@ -114,8 +114,8 @@
 	totalWeight := w + e.others.Weight
 	speed := math.Pow((w*speedPower(e.own.prefill)+e.others.Speed)/totalWeight, 0.25)
 	e.prefill = min(max(milli/max(speed, 1), minPrefill), maxPrefill)
-	e.step = (w*e.own.step + micro*e.others.Step) / totalWeight
-	e.perRequest = (w*e.own.perRequest + micro*e.others.Each) / totalWeight
+	e.step = (w*e.own.step + micro*e.others.EmptyStep) / totalWeight
+	e.perRequest = (w*e.own.perRequest + micro*e.others.PerRequest) / totalWeight
 }
 
 // milli and micro are a millisecond and a microsecond in seconds.
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -51,7 +51,7 @@
 	is := is.New(t)
 	e := newEngineModel()
 	s := newServer("a-0")
-	s.useEngineModel(e)
+	s.setEngineModel(e)
 	for range 10 {
 		e.observePrefill(s, 10*initialPrefill*4096, 4096)
 	}
@@ -129,11 +129,11 @@
 	is := is.New(t)
 	e := newEngineModel()
 	const w = 500
-	e.setOthers(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), Step: w * 9000, Each: w * 200})
+	e.setOthers(loadboard.EngineSums{Weight: w, Speed: w * speedPower(60e-6), EmptyStep: w * 9000, PerRequest: w * 200})
 	is.True(math.Abs(e.prefill-60e-6) < 1e-9)
 	is.True(math.Abs(e.step-0.009) < 1e-9)
 	s := newServer("a-0")
-	s.useEngineModel(e)
+	s.setEngineModel(e)
 	e.observePrefill(s, 10*60e-6*8000, 8000)
 	is.True(e.prefill < 65e-6)
 	e.setOthers(loadboard.EngineSums{})
@@ -146,7 +146,7 @@
 	is := is.New(t)
 	var sum loadboard.PoolWork
 	for _, prefill := range []float64{20e-6, 40e-6, 40e-6, 40e-6} {
-		sum.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), Step: 50000, Each: 500}})
+		sum.Add(loadboard.PoolWork{Engine: loadboard.EngineSums{Weight: 10, Speed: 10 * speedPower(prefill), EmptyStep: 50000, PerRequest: 500}})
 	}
 	e := newEngineModel()
 	e.setOthers(sum.Engine)
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -35,7 +35,7 @@
 	if !c.boardActive {
 		return
 	}
-	instances := float64(p.tiers.Instances())
+	instances := float64(p.tiers.InstanceCount())
 	for _, s := range p.servers {
 		s.displaceBudget = roundRandomly(c.random, s.bulkLoad()/instances)
 		if openCount[s.lane] == 0 {
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -30,7 +30,7 @@
 
 // setOtherWork reports the work that all other instances start in each lane, in tokens a second.
 func setOtherWork(c *core, now time.Time, long, quick, tight uint32) {
-	c.Step(now, PeerLoads{Word: loadboard.Word{
+	c.Step(now, PeerLoads{Word: loadboard.Report{
 		Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): {Rates: [laneCount]uint32{long, quick, tight}}},
 	}})
 }
@@ -172,7 +172,7 @@
 	work := loadboard.PoolWork{Rates: [laneCount]uint32{800000, 0, 100000}}
 	setDemand := func(now time.Time, drafts, digests float64) {
 		work.LaneClaims = [laneCount]float64{laneLong: digests, laneTight: drafts}
-		c.Step(now, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
+		c.Step(now, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 77}})
 		c.Step(now, Tick{})
 	}
 	setDemand(epoch.Add(slowTick), 10, 50)
@@ -221,7 +221,7 @@
 		is.Equal(s.lane, other.ordered[i].lane)
 	}
 	other.Step(now, PeerGone{Instance: names[0]})
-	is.Equal(other.pools["llm"].plan.By, "") // it uses its own plan again
+	is.Equal(other.pools["llm"].plan.Author, "") // it uses its own plan again
 }
 
 // The tight lane shrank, and engines that left it got long prompts while they still ran drafts,
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -121,9 +121,9 @@
 // updateClassUse recomputes what depends on the classes in use.
 func (p *pool) updateClassUse(now time.Time) {
 	p.minTokenGapTarget, p.shares = 0, tiers.Shares{}
-	others := p.tiers.Others()
-	p.lastLevel, p.lastTier = min(others.Last(), lateEngineLevel-1), others.LastTier()
-	p.lastRank = model.RankOf(max(others.Last(), 0))
+	others := p.tiers.OthersDemand()
+	p.lastLevel, p.lastTier = min(others.LastPlace(), lateEngineLevel-1), others.LastTier()
+	p.lastRank = model.RankOf(max(others.LastPlace(), 0))
 	for _, u := range p.usages {
 		if now.Sub(u.lastAt) >= classUseWindow {
 			continue
@@ -185,7 +185,7 @@
 		open++
 		gapsPerRequest += s.gapPerRequest
 		n := s.limit(s.gapTarget(p, 0), p.minTokenGapTarget)
-		if s.limited.Named {
+		if s.limited.Advertised {
 			n = min(n, s.limited.PerSecond*limitedSlotTime.Seconds())
 		}
 		p.capacity += n
--- a/request/policy/replay_fleet_test.go
+++ b/request/policy/replay_fleet_test.go
@@ -48,10 +48,10 @@
 	for i, board := range r.boards {
 		own := r.cores[i].options
 		for _, due := range board.Due(r.now) {
-			answer := r.boards[byName[due.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, due.Word)
-			board.Answered(r.now, due.Peer, answer)
+			answer := r.boards[byName[due.Peer.Name]].Receive(r.now, own.Instance, own.DataCenter, due.Report)
+			board.HandleReply(r.now, due.Peer, answer)
 		}
-		board.Forget(r.now)
+		board.Expire(r.now)
 	}
 }
 
