--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -7,10 +7,12 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// fullRetryAfter is when a caller that met a full ledger may come back.
+// fullLedgerRetryAfter is the retry delay sent with a refusal because of a full
+// ledger.
 const fullLedgerRetryAfter = 30 * time.Second
 
-// invariant counts a step that must never happen; the caller then does not make it.
+// checkInvariant counts a violated invariant. The caller must not take the step if
+// it returns false.
 func (l *Ledger) checkInvariant(holds bool) bool {
 	if !holds {
 		l.brokenInvariants++
@@ -31,8 +33,8 @@
 	l.retainAnswer(e)
 }
 
-// reopen grants a key whose earlier attempt is proved not to have run. It
-// counts as a new claim, so that its retention begins now.
+// reopen grants a key whose earlier attempt is known not to have run. It counts as
+// a new claim, so its retention starts now.
 func (l *Ledger) reopen(e *entry, r *lilacv1.ClaimRequest) bool {
 	if !l.checkInvariant(e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN) {
 		return false
@@ -47,7 +49,7 @@
 	return true
 }
 
-// finish is the only step out of the state claimed.
+// finish moves a claimed entry to an end state and stores its answer.
 func (l *Ledger) finish(e *entry, state lilacv1.ClaimState, stored *lilacv1.StoredAnswer) {
 	if !l.checkInvariant(e.state == lilacv1.ClaimState_CLAIM_STATE_CLAIMED) {
 		return
@@ -64,14 +66,15 @@
 	l.retainAnswer(e)
 }
 
-// dropBody keeps the status of the answer without its body. The answer is
-// replaced, not changed, since a reply that is being sent may share it.
+// dropBody keeps the status of the answer without its body. The answer is replaced
+// rather than modified, since a reply being sent may share it.
 func dropBody(e *entry) {
 	e.copyRecord()
 	e.answer = &answer{status: e.answer.status, contentType: e.answer.contentType, tooLarge: true}
 }
 
-// keepAnswer counts the entry's body and drops the oldest bodies past the bound.
+// retainAnswer accounts for the entry's body and drops the oldest bodies beyond the
+// limit.
 func (l *Ledger) retainAnswer(e *entry) {
 	size := e.answer.size()
 	if size == 0 {
@@ -95,15 +98,16 @@
 	l.answerBytes -= e.answer.size()
 }
 
-// endOpenClaims marks claims of a gone incarnation: whether they ran is not known.
+// markUnknown ends the open claims of a dead incarnation: it is not known whether
+// they ran.
 func (l *Ledger) markUnknown(open []*entry) {
 	for _, e := range open {
 		e.end(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
 	}
 }
 
-// Gone marks incarnations as gone: their open claims become unknown and later
-// claims of theirs are refused.
+// MarkGone declares incarnations dead: their open claims become unknown and their
+// later claims are refused.
 func (l *Ledger) MarkGone(g *lilacv1.IncarnationsGone) {
 	l.advance(g.GetNowUnixMs())
 	for _, incarnation := range g.GetIncarnations() {
@@ -111,8 +115,8 @@
 	}
 }
 
-// Incarnations returns the incarnations that have claimed and are not known to
-// be gone, in order of their instances' names.
+// Incarnations returns the incarnations that have claimed and are not known to be
+// dead, sorted by instance name.
 func (l *Ledger) Incarnations() []string {
 	var list []string
 	for _, i := range l.incarnations.currentIncarnations() {
@@ -121,12 +125,12 @@
 	return list
 }
 
-// OpenClaims returns how many requests are claimed and not ended.
+// OpenClaims returns the number of claims without an outcome.
 func (l *Ledger) OpenClaims() int { return l.incarnations.openCount() }
 
 func (l *Ledger) retentionMs() int64 { return l.limits.Retention.Milliseconds() }
 
-// sweep turns the oldest entries whose retention has passed into tombstones.
+// sweep replaces the oldest entries by tombstones once their retention has passed.
 func (l *Ledger) sweep() {
 	for range maxSweptPerCommand {
 		front := l.order.oldest
@@ -141,15 +145,15 @@
 	l.continueForgetting()
 }
 
-// retire replaces an entry by a tombstone. It tells false where there is no
-// room for one: the entry then stays, so that the key is not forgotten.
+// retireToTombstone replaces an entry by a tombstone. It returns false if there is
+// no room for one; the entry then stays, so that the key is not forgotten.
 func (l *Ledger) retireToTombstone(e *entry) bool {
 	key := keyID{e.team, e.key}
 	untilMs := int64(0)
 	if createdMs, timed := keyTime(e.key); timed {
 		untilMs = createdMs + l.retentionMs()
 	}
-	// The key's own time refuses it already, or it is proved not to have run.
+	// The key's own time already refuses it, or it is known not to have run.
 	drop := untilMs != 0 && untilMs <= l.nowMs || e.state == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN
 	if untilMs == 0 {
 		l.untimed--
@@ -170,23 +174,24 @@
 	return true
 }
 
-// makeRoom refuses a new key that could not be remembered as long as it must.
+// reserveCapacity refuses a new key that could not be remembered for as long as
+// required.
 func (l *Ledger) reserveCapacity(key string) error {
 	if !isTimed(key) && l.tombstones.untimedSize()+l.untimed >= l.limits.Tombstones {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
-			"the ledger can remember no more keys without a time; send a UUID of version 7 as Idempotency-Key, or ask the operators to FORGET KEYS",
+			"the ledger has no room for another key without a timestamp; send a version 7 UUID as Idempotency-Key, or ask the operators to run FORGET KEYS",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
 	if len(l.entries) >= l.limits.Entries && !l.retireOldest() {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
-			"the ledger of non-idempotent requests is full; come back later, or shorten claim_retention",
+			"the ledger of non-idempotent requests is full; retry later, or shorten claim_retention",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE), fault.WithRetryAfter(fullLedgerRetryAfter))
 	}
 	return nil
 }
 
-// retireOldest makes room for a new claim before the oldest entry's retention
-// is over. An open claim is not retired: its outcome is still to come.
+// retireOldest makes room for a new claim before the oldest entry's retention has
+// passed. An open claim is not retired, since its outcome is still to come.
 func (l *Ledger) retireOldest() bool {
 	front := l.order.oldest
 	for range maxSweptPerCommand {
@@ -201,8 +206,8 @@
 	return false
 }
 
-// expired tells whether the key's retention has passed, so that it must never
-// run again whether or not it ran.
+// expired reports whether the key's retention has passed, so that it must never run
+// again, whether or not it ran.
 func (l *Ledger) expired(key keyID) bool {
 	if createdMs, timed := keyTime(key.key); timed && createdMs+l.retentionMs() <= l.nowMs {
 		return true
@@ -214,5 +219,5 @@
 	return ok && e.state != lilacv1.ClaimState_CLAIM_STATE_NOT_RUN && e.claimedUnixMs+l.retentionMs() <= l.nowMs
 }
 
-// Limits returns the bounds in force, defaults filled in.
+// Limits returns the limits in force, with defaults filled in.
 func (l *Ledger) Limits() Limits { return l.limits }
--- a/process/ledger/forget.go
+++ b/process/ledger/forget.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// leastKept is how long a key without a time is remembered in any case.
+	// minKeyRetention is the minimum time for which a key without a time is
+	// remembered.
 	minKeyRetention = 7 * 24 * time.Hour
-	// forgetStep bounds the shards that one command looks through, so that no
-	// command is slow.
+	// shardsPerCommand limits the shards scanned per command, so that no command is
+	// slow.
 	shardsPerCommand = 4
 )
 
-// forgetting is what the operators last had forgotten. It goes through the
-// shards of the tombstones from the first on.
+// forgetProgress is the progress of the last Forget, which scans the tombstone
+// shards in order.
 type forgetProgress struct {
 	beforeMs int64
-	// left is how many shards are still to be looked through.
+	// shardsLeft is the number of shards still to be scanned.
 	shardsLeft int
 }
 
-// CheckForget tells why the keys from before a moment may not be forgotten.
+// CheckForget returns an error if the keys claimed before a time may not be
+// forgotten.
 //
-// It guards against a date that is too near: a caller that still sends its key
-// again would have its request run twice. It shows as a doubled registration. It
-// holds for callers that give up within leastKept, by the leaders' clocks.
+// A caller that still resends a forgotten key would have its request run twice.
+// This is safe for callers that give up within minKeyRetention, by the leaders'
+// clocks.
 func (l *Ledger) CheckForget(beforeUnixMs int64) error {
 	latest := l.nowMs - minKeyRetention.Milliseconds()
 	if beforeUnixMs <= 0 || beforeUnixMs > latest {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE,
-			"keys of the last %d days are not forgotten; give a date up to %s", int(minKeyRetention.Hours()/24), time.UnixMilli(latest).UTC().Format(time.DateOnly))
+			"keys of the last %d days cannot be forgotten; give a date up to %s", int(minKeyRetention.Hours()/24), time.UnixMilli(latest).UTC().Format(time.DateOnly))
 	}
 	return nil
 }
 
-// Forget has the tombstones dropped of keys that carry no time and were claimed
-// before the moment, step by step with the next commands. Sent again, such a key
-// runs again. Those of keys whose claim's time is not known stay. The moment must
-// have passed CheckForget.
+// Forget drops the tombstones of keys that carry no time and were claimed before
+// the given time, in steps with the next commands. Such a key runs again if it is
+// resent. Tombstones with an unknown claim time stay. The time must have passed
+// CheckForget.
 func (l *Ledger) Forget(beforeUnixMs int64) {
 	l.forgetting = forgetProgress{beforeMs: max(l.forgetting.beforeMs, beforeUnixMs), shardsLeft: shardCount}
 }
@@ -52,7 +54,8 @@
 	}
 }
 
-// forget drops from one shard what has no time and was claimed before beforeMs.
+// removeClaimedBefore removes the keys of one shard that carry no time and were
+// claimed before beforeMs.
 func (t *tombstones) removeClaimedBefore(at int, beforeMs int64) {
 	var old []keyHash
 	for hash, until := range t.shards[at].until {
--- a/process/ledger/forget_test.go
+++ b/process/ledger/forget_test.go
@@ -11,9 +11,9 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// After months of plain keys no registration with one was taken any more, and no
-// operator could help. Once they have old keys forgotten there is room again; the
-// younger ones stay refused, also where the snapshot falls in the middle of it.
+// Without Forget, a ledger filled with untimed keys refuses new ones forever.
+// Forgetting old keys must make room, and newer keys must stay refused, also if a
+// snapshot is taken while the shards are being scanned.
 func TestForgetRemovesOldUntimedKeys(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour, Tombstones: 3})
--- a/process/ledger/incarnations.go
+++ b/process/ledger/incarnations.go
@@ -9,12 +9,12 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// incarnations know which start of each instance is the current one, which are
-// gone, and which claims each of them holds open.
+// incarnations tracks the current incarnation of each instance, the fenced (dead)
+// ones, and the open claims of each.
 type incarnations struct {
 	current map[string]string
 	fenced  map[string]struct{}
-	// order holds the fenced ones from the oldest on.
+	// fenceOrder holds the fenced incarnations, oldest first.
 	fenceOrder []string
 	openBy     map[string]map[*entry]struct{}
 }
@@ -27,17 +27,16 @@
 	}
 }
 
-// seen notes the incarnation that claims. A new one of the same instance means
-// that the one before is gone.
+// observe records the incarnation that makes a claim. A new incarnation of an
+// instance means that the previous one is dead.
 //
-// It guards against claims that stay open for ever after a crash, which callers
-// would see as "in progress" without end, and against a claim of the dead that
-// arrives late. It holds because a gone incarnation is fenced for good and
-// never becomes current again.
+// Otherwise claims would stay open forever after a crash, reported to callers as
+// "in progress", and a delayed claim of a dead incarnation could be granted. A dead
+// incarnation is fenced permanently and never becomes current again.
 func (n *incarnations) observe(instance, incarnation string, endClaims func([]*entry)) error {
 	if _, fenced := n.fenced[incarnation]; fenced {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT,
-			"instance %s was taken for dead under this incarnation; it must restart or claim under a new one", instance)
+			"this incarnation of instance %s was declared dead; restart the instance or claim under a new incarnation", instance)
 	}
 	previous, known := n.current[instance]
 	if previous == incarnation {
--- a/process/ledger/keytime.go
+++ b/process/ledger/keytime.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// maxAhead is how far a key's own time may lie ahead of the ledger's.
+	// maxKeyTimeAhead is how far a key's time may be ahead of the ledger's.
 	maxKeyTimeAhead = time.Hour
 
 	uuidLength = 36
-	// timeDigits are the hexadecimal digits of the time in a UUID of version 7.
+	// keyTimeDigits is the number of hexadecimal digits of the time in a version 7
+	// UUID.
 	keyTimeDigits = 12
 )
 
-// keyTime returns the time in Unix milliseconds that a key carries in itself:
-// keys that are UUIDs of version 7 (RFC 9562) do.
+// keyTime returns the time in Unix milliseconds that a key carries. Only keys that
+// are version 7 UUIDs (RFC 9562) carry one.
 func keyTime(key string) (int64, bool) {
 	if len(key) != uuidLength || key[8] != '-' || key[13] != '-' || key[18] != '-' || key[23] != '-' || key[14] != '7' {
 		return 0, false
@@ -36,15 +37,15 @@
 	return ms, true
 }
 
-// checkTimed refuses a key from the future: its own time would refuse it only
-// long after its entry has been dropped.
+// checkKeyTime refuses a key with a time in the future: its own time would refuse
+// it only long after its entry has been dropped.
 func (l *Ledger) checkKeyTime(key string) error {
 	createdMs, timed := keyTime(key)
 	if !timed || createdMs <= l.nowMs+maxKeyTimeAhead.Milliseconds() {
 		return nil
 	}
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST,
-		"the time in the Idempotency-Key lies more than an hour ahead; set the caller's clock",
+		"the time in the Idempotency-Key is more than an hour ahead; correct the caller's clock",
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger is the deterministic state machine that lets each
-// non-idempotent request run at most once.
+// Package ledger implements the deterministic state machine that runs each
+// non-idempotent request at most once.
 //
-// A request is claimed by team and key before its first byte goes out, and its
-// outcome is recorded when it ended. States only move forward: claimed, then
-// ran, unknown or not_run; only not_run lets a new claim follow. Time comes in
-// the commands and only grows. See docs/notes/ledger.md for what a key means
+// A request is claimed by team and key before its first byte is sent, and its
+// outcome is recorded when it has ended. States only move forward: claimed, then
+// ran, unknown or not_run; only not_run allows a new claim. Time is supplied by the
+// commands and never decreases. See docs/notes/ledger.md for the meaning of a key
 // after its retention.
 package ledger
 
@@ -16,22 +16,24 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Limits bound what the ledger keeps. All processes of a group must have the same.
+// Limits bounds the size of the ledger. All processes of a group must use the same
+// values.
 type Limits struct {
-	// Retention is how long a key's state and answer are kept. Default 24h.
+	// Retention is how long the state and answer of a key are kept. Default 24h.
 	Retention time.Duration
-	// AnswerBytes is the largest answer that is kept. Default 64 KiB.
+	// AnswerBytes is the size of the largest answer body that is kept. Default 64
+	// KiB.
 	AnswerBytes int
-	// TotalAnswerBytes bounds all kept answers together; the oldest go first.
-	// Default 32 MiB.
+	// TotalAnswerBytes limits the total size of the kept answer bodies; the oldest
+	// are dropped first. Default 32 MiB.
 	TotalAnswerBytes int
-	// Entries bounds the keys within their retention; ended ones become
-	// tombstones early where there are more. Default 100000.
+	// Entries limits the number of keys within their retention. Beyond it, ended
+	// ones become tombstones early. Default 100000.
 	Entries int
-	// Tombstones bounds the remembered keys past their retention, once for keys
-	// that carry a time and once for the others. A key that is not remembered
-	// would run again, so new claims are refused when there is no room to
-	// remember them. Default 1000000.
+	// Tombstones limits the remembered keys past their retention, separately for
+	// keys that carry a time and for the others. A key that is not remembered could
+	// run again, so new claims are refused if there is no room to remember them.
+	// Default 1000000.
 	Tombstones int
 }
 
@@ -44,9 +46,9 @@
 
 	digestBytes = 32
 	maxKeyBytes = 256
-	// maxGone is how many gone incarnations are remembered.
+	// maxFenced is the number of dead incarnations that are remembered.
 	maxFenced = 16384
-	// sweepStep bounds the old entries that one command clears away, so that no
+	// maxSweptPerCommand limits the old entries removed per command, so that no
 	// command is slow.
 	maxSweptPerCommand = 8
 )
@@ -69,26 +71,26 @@
 
 type keyID struct{ team, key string }
 
-// Ledger is the state machine. Calls must not overlap.
+// Ledger is the state machine. It is not safe for concurrent use.
 type Ledger struct {
 	limits  Limits
 	nowMs   int64
 	entries map[keyID]*entry
-	// order holds the entries from the oldest claim on; answers those with a
-	// kept body, from the oldest answer on.
+	// order lists the entries by claim time, answers those with a kept body by the
+	// time of the answer, both oldest first.
 	order        claimOrder
 	answers      *list.List
 	answerBytes  int
 	tombstones   *tombstones
 	incarnations *incarnations
-	// untimed counts the entries whose key carries no time; each has a place
-	// among the tombstones reserved.
+	// untimed counts the entries whose key carries no time; each has space for a
+	// tombstone reserved.
 	untimed int
-	// recovery is the last one from a lost majority; nil if there was none.
+	// recovery is the last recovery from a lost majority; nil if there was none.
 	recovery                       *lilacv1.LedgerRecovery
 	forgetting                     forgetProgress
 	lateOutcomes, brokenInvariants uint64
-	// doubted counts the claims refused because the key is in doubt.
+	// inDoubtClaims counts the claims refused because the key is in doubt.
 	inDoubtClaims uint64
 }
 
@@ -109,25 +111,29 @@
 // Tombstones returns the number of remembered keys past their retention.
 func (l *Ledger) Tombstones() int { return l.tombstones.size() }
 
-// LateOutcomes counts outcomes that came when the claim had already ended
-// otherwise, as when its instance was taken for dead; the state stayed.
+// LateOutcomes returns the number of outcomes that differ from the state in which
+// the claim had already ended, as when its instance was declared dead. The state
+// did not change.
 func (l *Ledger) LateOutcomes() uint64 { return l.lateOutcomes }
 
-// Doubted counts claims refused since a lost majority may have known the key.
+// InDoubtClaims returns the number of claims refused because a lost majority may
+// have granted the key.
 func (l *Ledger) InDoubtClaims() uint64 { return l.inDoubtClaims }
 
-// Broken counts broken invariants: steps that would have moved a state backwards
-// or granted a key twice. They were refused; the count must stay 0.
+// BrokenInvariants returns the number of violated invariants: steps that would have
+// moved a state backwards or granted a key twice. Those steps were refused; the
+// count must stay 0.
 func (l *Ledger) BrokenInvariants() uint64 { return l.brokenInvariants }
 
-// advance moves the ledger's time; a command with an older time changes nothing.
+// advance moves the ledger's time forward; an older time has no effect.
 func (l *Ledger) advance(nowUnixMs int64) {
 	l.nowMs = max(l.nowMs, nowUnixMs)
 	l.sweep()
 }
 
-// Claim decides whether the request may run. Its order of checks matters: a key
-// that might have run before is never granted, whatever else is wrong with it.
+// Claim decides whether the request may run. The order of the checks matters: a key
+// that might have run before is never granted, even if the claim is invalid for
+// another reason.
 func (l *Ledger) Claim(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error) {
 	l.advance(r.GetNowUnixMs())
 	if err := checkClaim(r); err != nil {
@@ -163,10 +169,10 @@
 	return &lilacv1.ClaimReply{Granted: true, State: lilacv1.ClaimState_CLAIM_STATE_CLAIMED}, nil
 }
 
-// Final answers a claim whose answer can't change any more, without changing
-// anything: the key has ended as ran or unknown. It is right on every process,
-// however far behind, since those states are final; so a data centre that is cut
-// off still answers what it has seen end.
+// FinalReply answers a claim whose reply can no longer change: the key has ended as
+// ran or unknown. It is correct on every process, however far behind, because those
+// states are final, so a partitioned data centre can still reply for keys that it
+// has seen end.
 func (l *Ledger) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	existing, ok := l.entries[keyID{r.GetTeam(), r.GetKey()}]
 	if !ok || checkClaim(r) != nil {
@@ -183,23 +189,24 @@
 	problem := ""
 	switch {
 	case r.GetTeam() == "":
-		problem = "the claim names no team"
+		problem = "the claim has no team"
 	case r.GetKey() == "" || len(r.GetKey()) > maxKeyBytes:
-		problem = "an Idempotency-Key has 1 to 256 bytes"
+		problem = "an Idempotency-Key must have 1 to 256 bytes"
 	case len(r.GetDigest()) != digestBytes:
-		problem = "the claim carries no SHA-256 of the request"
+		problem = "the claim has no SHA-256 digest of the request"
 	case r.GetInstance() == "" || r.GetIncarnation() == "" || r.GetAttempt() == "":
-		problem = "the claim names no instance, incarnation or attempt"
+		problem = "the claim lacks the instance, incarnation or attempt"
 	default:
 		return nil
 	}
-	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, problem+"; mend the request", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
+	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, problem+"; correct the request", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
-// again answers a claim of a key that is known.
+// repeatedClaim answers a claim of a known key.
 func (l *Ledger) repeatedClaim(existing *entry, r *lilacv1.ClaimRequest) *lilacv1.ClaimReply {
 	if !existing.hasDigest() {
-		// Released before the claim itself arrived; the first body to come counts.
+		// Released before the claim arrived; the first body to arrive determines
+		// the digest.
 		existing.copyRecord()
 		copy(existing.digest[:], r.GetDigest())
 	}
@@ -209,11 +216,11 @@
 	sameAttempt := existing.attempt == r.GetAttempt()
 	switch existing.state {
 	case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
-		// The same attempt again means that its answer was lost on the way.
+		// A repeated attempt means that the first reply was lost.
 		return &lilacv1.ClaimReply{Granted: sameAttempt, State: existing.state}
 	case lilacv1.ClaimState_CLAIM_STATE_NOT_RUN:
-		// A delayed copy of a claim that was given up must not open it again:
-		// nobody waits for its grant any more.
+		// A delayed copy of a released claim must not reopen it: nobody is waiting
+		// for its grant.
 		if sameAttempt {
 			return &lilacv1.ClaimReply{State: existing.state}
 		}
@@ -222,12 +229,12 @@
 	return &lilacv1.ClaimReply{State: existing.state, Answer: existing.answer.toMessage()}
 }
 
-// Outcome records how a claimed request ended. The same outcome again is
-// confirmed again; a state that is no longer claimed stays as it is.
+// Outcome records how a claimed request ended. It is idempotent; a claim that has
+// already ended keeps its state.
 func (l *Ledger) Outcome(r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	l.advance(r.GetNowUnixMs())
 	if !isEndState(r.GetState()) || r.GetTeam() == "" || r.GetKey() == "" || r.GetAttempt() == "" || len(r.GetKey()) > maxKeyBytes {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "an outcome names team, key, attempt and one of ran, unknown or not_run")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "an outcome must have a team, key, attempt and one of the states ran, unknown or not_run")
 	}
 	key := keyID{r.GetTeam(), r.GetKey()}
 	existing, ok := l.entries[key]
@@ -247,17 +254,18 @@
 	return &lilacv1.OutcomeReply{State: existing.state}, nil
 }
 
-// outcomeWithoutClaim remembers that an attempt was given up before its claim arrived.
+// outcomeWithoutClaim records that an attempt was released before its claim
+// arrived.
 //
-// It guards against a claim that is delayed on the way while its instance gives
-// up and says so: the claim would stand open for ever and the caller's resend
-// would be told "in progress". It holds because the attempt is already marked
-// not_run when its claim arrives.
+// Otherwise a claim delayed in transit while its instance gives up would stay open
+// forever, and the caller's retry would get "in progress". The attempt is already
+// marked not_run when its claim arrives.
 func (l *Ledger) outcomeWithoutClaim(key keyID, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	if l.expired(key) || r.GetState() != lilacv1.ClaimState_CLAIM_STATE_NOT_RUN {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no such claim is remembered; its retention has passed, or it never was")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no such claim is stored; its retention has passed, or it was never made")
 	}
-	// Of a key in doubt another attempt may have run: it must not become free.
+	// Another attempt with a key in doubt may have run, so the key must not be
+	// released.
 	if l.inDoubt(r.GetKey()) || l.checkKeyTime(r.GetKey()) != nil || l.reserveCapacity(r.GetKey()) != nil {
 		return &lilacv1.OutcomeReply{State: r.GetState()}, nil
 	}
@@ -273,7 +281,7 @@
 	return false
 }
 
-// StateName returns the state as it stands in messages, such as "not_run".
+// StateName returns the name of the state used in messages, such as "not_run".
 func StateName(state lilacv1.ClaimState) string {
 	switch state {
 	case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
--- a/process/ledger/ledger_test.go
+++ b/process/ledger/ledger_test.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
 
-// grant claims and fails the test unless the claim is granted.
+// mustGrant fails the test unless the claim is granted.
 func mustGrant(t *testing.T, l *Ledger, r *lilacv1.ClaimRequest) {
 	t.Helper()
 	reply, err := l.Claim(r)
@@ -88,9 +88,9 @@
 	}
 }
 
-// An entry dies with a booking in flight and is replaced. Its caller sends the
-// booking again: it must hear "unknown", never run it again. A claim of the dead
-// one that was still on the way must not be granted any more.
+// An instance dies with a request in flight and is replaced. A retry must get
+// unknown and never run. A claim of the dead incarnation that arrives later must be
+// refused.
 func TestClaimOfDeadInstanceBecomesUnknown(t *testing.T) {
 	for name, die := range map[string]func(l *Ledger) error{
 		"declared gone": func(l *Ledger) error {
@@ -125,9 +125,9 @@
 	}
 }
 
-// An entry gives up on a claim whose answer does not come, and says that the
-// request did not run. Then the delayed claim arrives after all. It must not
-// stand open, or the caller's resend would be "in progress" for ever.
+// An instance releases a claim that got no reply, and the delayed claim arrives
+// afterwards. It must not stay open, or the caller's retry would get "in progress"
+// forever.
 func TestClaimArrivingAfterItsReleaseIsNotGranted(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
@@ -139,9 +139,9 @@
 	mustGrant(t, l, newClaim("k", "a2", start))
 }
 
-// A caller keeps an old key and sends it long after the retention. Whether the
-// key carries its time or not, whatever has been cleared away, and also after a
-// restart from a snapshot: it must be refused as expired and never run again.
+// A key resent after its retention must be refused as expired and never run again,
+// with or without a time in the key, after any sweep and after a restart from a
+// snapshot.
 func TestExpiredKeyIsNeverGranted(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{Retention: time.Hour})
@@ -162,7 +162,7 @@
 		restored.Restore(l.Snapshot())
 		l = restored
 	}
-	// The plain key and the fillers are remembered, the timed ones need no place.
+	// The untimed keys are remembered; the timed ones need no tombstone.
 	is.Equal(l.Len()+l.Tombstones(), 1+49)
 }
 
--- a/process/ledger/random_test.go
+++ b/process/ledger/random_test.go
@@ -11,22 +11,23 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// caller is one attempt at a non-idempotent request, as an entry would drive it.
+// attempt is one attempt at a non-idempotent request, as an entry instance makes
+// it.
 type attempt struct {
 	request  *lilacv1.ClaimRequest
 	sent     bool
 	finished bool
 }
 
-// history drives one ledger with delayed, repeated and lost calls, entries that
-// die, retention that passes and restarts from snapshots.
+// history drives one ledger with delayed, repeated and lost calls, dying instances,
+// expiring retention and restarts from snapshots.
 type history struct {
 	random   *rand.Rand
 	ledger   *Ledger
 	limits   Limits
 	now      int64
 	attempts []*attempt
-	// runs counts how often each key reached the backend server.
+	// runs counts how often each key has reached the backend server.
 	runs   map[string]int
 	grants int
 	starts []int
@@ -71,7 +72,7 @@
 	h.attempts = append(h.attempts, &attempt{request: r})
 }
 
-// pick prefers recent callers, but delayed calls of old ones come too.
+// pickAttempt prefers recent attempts but also returns old ones, as delayed calls.
 func (h *history) pickAttempt() *attempt {
 	if len(h.attempts) == 0 {
 		return nil
@@ -80,8 +81,8 @@
 	return h.attempts[len(h.attempts)-1-min(back, len(h.attempts)-1)]
 }
 
-// claim sends or resends the call. A caller that has sent its request on, or has
-// finished, no longer listens: its resent call is a copy delayed on the way.
+// claim sends or resends the claim. An attempt that has been sent on or has
+// finished no longer listens: its resent claim is a delayed copy.
 func (h *history) claim() {
 	c := h.pickAttempt()
 	if c == nil {
@@ -106,7 +107,7 @@
 	o := &lilacv1.OutcomeRequest{Team: c.request.GetTeam(), Key: c.request.GetKey(), Attempt: c.request.GetAttempt(), NowUnixMs: h.now}
 	switch {
 	case !c.sent:
-		// It gave up before its first byte; it will not send any more.
+		// The attempt was abandoned before its first byte and will not be sent.
 		o.State = notRun
 	case h.random.IntN(2) == 0:
 		o.State = unknown
@@ -119,10 +120,9 @@
 	}
 }
 
-// Callers resend a registration through any entry while calls are delayed,
-// repeated and lost, entries die and come back, keys pass their retention and
-// the state process restarts. However it falls, the backend server must see each
-// key at most once.
+// Callers retry through any instance while calls are delayed, repeated and lost,
+// instances restart, keys expire and the ledger is restored from snapshots. The
+// backend server must see each key at most once.
 func TestKeyRunsAtMostOnceInRandomHistories(t *testing.T) {
 	is := is.New(t)
 	total := 0
--- a/process/ledger/record.go
+++ b/process/ledger/record.go
@@ -7,14 +7,14 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// record is what is remembered of one request. It is replaced by a changed
-// copy, never changed itself, once its command has returned: a capture that is
-// being encoded shares it. Hundreds of thousands are held, so it is kept small.
+// record is the stored state of one request. Once its command has returned it is
+// never modified, only replaced by a modified copy, because a capture being encoded
+// may share it. Hundreds of thousands are held in memory, so it is kept small.
 type record struct {
 	team, key, attempt string
-	// holder is who holds the claim; nil once it has ended.
+	// holder holds the claim; nil once it has ended.
 	holder *holder
-	// digest is all zero for one that was released before its claim arrived.
+	// digest is all zero if the claim was released before it arrived.
 	digest        [digestBytes]byte
 	answer        *answer
 	claimedUnixMs int64
@@ -23,7 +23,7 @@
 
 type holder struct{ instance, incarnation string }
 
-// answer is the first answer of a request; it is replaced, never changed.
+// answer is the first answer to a request. It is replaced, never modified.
 type answer struct {
 	contentType string
 	body        []byte
@@ -35,7 +35,8 @@
 	if m == nil {
 		return nil
 	}
-	// Few types are in use; callers' copies of them would weigh more than the rest.
+	// Few content types are in use; interning them saves most of the memory of
+	// small answers.
 	contentType := unique.Make(m.GetContentType()).Value()
 	return &answer{contentType: contentType, body: m.GetBody(), status: m.GetStatus(), tooLarge: m.GetTooLarge()}
 }
@@ -47,7 +48,7 @@
 	return &lilacv1.StoredAnswer{Status: a.status, ContentType: a.contentType, Body: a.body, TooLarge: a.tooLarge}
 }
 
-// size is the length of the kept body.
+// size returns the length of the kept body.
 func (a *answer) size() int {
 	if a == nil {
 		return 0
@@ -55,10 +56,10 @@
 	return len(a.body)
 }
 
-// entry is the place of a record in the ledger's lists.
+// entry links a record into the ledger's lists.
 type entry struct {
 	*record
-	// before and after are its neighbours in the order of claims.
+	// prev and next are the neighbours in claim order.
 	prev, next    *entry
 	answerElement *list.Element
 }
@@ -91,25 +92,24 @@
 
 func (r *record) hasDigest() bool { return r.digest != [digestBytes]byte{} }
 
-// fresh replaces the entry's record by a copy, which may then be changed.
+// copyRecord replaces the entry's record by a copy that may be modified.
 //
-// It guards against a snapshot that holds the effect of a command after its
-// index: a process that starts from it would apply that command twice and
-// differ from the others. It holds because a record is never changed once its
-// command has returned, only replaced.
+// Otherwise a snapshot could contain the effect of a command after its index, and a
+// process that starts from it would apply that command twice and diverge. A record
+// is therefore never modified once its command has returned.
 func (e *entry) copyRecord() {
 	changed := *e.record
 	e.record = &changed
 }
 
-// end moves the entry out of the state claimed.
+// end moves the entry to an end state and releases its holder.
 func (e *entry) end(state lilacv1.ClaimState) {
 	e.copyRecord()
 	e.state, e.holder = state, nil
 }
 
-// claimOrder lists entries from the oldest claim on; its links stand in the
-// entries, which saves a third of what an entry weighs.
+// claimOrder is a list of entries, oldest claim first. Its links are stored in the
+// entries, which saves a third of the memory per entry.
 type claimOrder struct {
 	oldest, newest *entry
 	count          int
--- a/process/ledger/recover.go
+++ b/process/ledger/recover.go
@@ -6,15 +6,16 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Recover makes sure of all that a lost majority may have known. margin is how
-// far the clock of a caller that makes keys may be ahead. It returns the time
-// that a key must carry to be taken, and when keys without a time are taken again.
+// Recover makes the ledger safe after the loss of a majority, which may have known
+// claims that are missing here. margin is how far the clock of a caller that
+// creates keys may be ahead. Recover returns the earliest time that a timed key
+// must carry to be accepted, and the time from which keys without a time are
+// accepted again, both in Unix milliseconds.
 //
-// It guards against a request that runs twice because its claim was synced by
-// the lost processes alone, or because they granted a key again that stands
-// here as not run. It holds because every key that may have run by then is
-// refused: those here that had not ended for good are unknown, those not here
-// are in doubt.
+// A request must not run twice because its claim was synced only by the lost
+// processes, or because they granted a key again that is recorded here as not_run.
+// Every key that may have run is therefore refused: known keys without a final
+// state become unknown, and unknown keys are in doubt.
 func (l *Ledger) Recover(nowUnixMs int64, margin time.Duration) (timed, untimed int64) {
 	l.nowMs = max(l.nowMs, nowUnixMs)
 	for e := l.order.oldest; e != nil; e = e.next {
@@ -30,15 +31,16 @@
 	}
 	l.recovery = &lilacv1.LedgerRecovery{
 		AtUnixMs: l.nowMs,
-		// A second recovery with a shorter margin must not end the doubt of the first.
+		// A second recovery with a shorter margin must not shorten the in-doubt
+		// period of the first.
 		TimedUntilUnixMs:   max(l.recovery.GetTimedUntilUnixMs(), l.nowMs+margin.Milliseconds()),
 		UntimedUntilUnixMs: l.nowMs + l.retentionMs(),
 	}
 	return l.recovery.GetTimedUntilUnixMs(), l.recovery.GetUntimedUntilUnixMs()
 }
 
-// inDoubt tells whether a key that is not known here may have run before the
-// last recovery.
+// inDoubt reports whether a key that is not known here may have run before the last
+// recovery.
 func (l *Ledger) inDoubt(key string) bool {
 	if l.recovery == nil {
 		return false
@@ -49,7 +51,7 @@
 	return l.nowMs < l.recovery.GetUntimedUntilUnixMs()
 }
 
-// doubtful refuses a claim of a key that is in doubt.
+// refuseInDoubt returns the refusal of a claim whose key is in doubt.
 func (l *Ledger) refuseInDoubt(key string) *lilacv1.ClaimReply {
 	l.inDoubtClaims++
 	reply := &lilacv1.ClaimReply{State: lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, InDoubt: true}
--- a/process/ledger/recover_test.go
+++ b/process/ledger/recover_test.go
@@ -9,10 +9,9 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// A dossier is submitted; the claim is synced by two processes whose disks are
-// then lost, and the third founds a new group without it. The caller sends the
-// dossier again. It must not reach the service twice, whatever its key is, and
-// dossiers made after the recovery must be taken.
+// A claim was synced by two processes whose disks are then lost, and the third
+// recovers without it. A retry with the same key must be refused, whatever kind of
+// key it is, and keys created after the recovery must be accepted.
 func TestKeysPossiblyClaimedByLostMajorityAreRefused(t *testing.T) {
 	const margin = time.Hour
 	for _, c := range []struct {
@@ -44,8 +43,8 @@
 	}
 }
 
-// A second majority is lost shortly after the first, and the operator states a
-// shorter margin. Keys that the first one may have known stay in doubt.
+// A second recovery with a shorter margin follows the first. Keys that the first
+// lost majority may have granted stay in doubt.
 func TestSecondRecoveryKeepsFirstInDoubtPeriod(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
@@ -57,8 +56,8 @@
 	mustGrant(t, l, newClaim(timedKey(start+hour, 2), "b", start+hour))
 }
 
-// The survivor holds a claim as open, or as given up unsent, while the lost
-// majority saw it end or granted it again. The resend must not run.
+// A claim that is open or not_run at the survivor may have ended or been granted
+// again at the lost majority. A retry must not run.
 func TestUnfinishedClaimsBecomeUnknownOnRecovery(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
@@ -82,9 +81,9 @@
 	is.Equal(l.BrokenInvariants(), uint64(0))
 }
 
-// One attempt at a request ran by a claim that is lost; another one, which never
-// got its grant, is given up as not run after the recovery. That must not free
-// the key.
+// One attempt ran under a claim that was lost. Another attempt, which was never
+// granted, is reported as not_run after the recovery. That must not release the
+// key.
 func TestNotRunOutcomeDoesNotReleaseKeyInDoubt(t *testing.T) {
 	is := is.New(t)
 	l := New(Limits{})
--- a/process/ledger/snapshot.go
+++ b/process/ledger/snapshot.go
@@ -9,10 +9,10 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// partEntries is how many entries stand in one part of a snapshot.
+// entriesPerPart is the number of entries in one part of a snapshot.
 const entriesPerPart = 1000
 
-// Snapshot returns all that Restore needs.
+// Snapshot returns the whole state, for Restore.
 func (l *Ledger) Snapshot() *lilacv1.LedgerSnapshot {
 	s := &lilacv1.LedgerSnapshot{}
 	for part := range l.Capture() {
@@ -21,13 +21,13 @@
 	return s
 }
 
-// Capture notes the state as it is now and returns the parts of its snapshot,
-// which merged in turn are the whole. Making them is the slow part; any goroutine
-// may range over them, once, while the ledger goes on.
+// Capture records the current state and returns the parts of its snapshot, to be
+// merged in order. Encoding the parts is the slow step; any goroutine may iterate
+// over them, once, while the ledger continues.
 //
-// It guards against a state process that needs several times the memory of its
-// ledger while a snapshot is made: as messages the entries take more room than
-// both as records and encoded. It holds because few exist as messages at a time.
+// As messages, the entries take more memory than as records and encoded together.
+// Creating them in parts keeps a snapshot from needing several times the memory of
+// the ledger.
 func (l *Ledger) Capture() iter.Seq[*lilacv1.LedgerSnapshot] {
 	shards := l.tombstones.capture()
 	rest := &lilacv1.LedgerSnapshot{
@@ -68,7 +68,7 @@
 	return part
 }
 
-// Restore replaces the whole state; the limits stay.
+// Restore replaces the whole state; the limits are kept.
 func (l *Ledger) Restore(s *lilacv1.LedgerSnapshot) {
 	*l = *New(l.limits)
 	l.nowMs, l.recovery = s.GetNowUnixMs(), s.GetRecovery()
--- a/process/ledger/tombstones.go
+++ b/process/ledger/tombstones.go
@@ -10,8 +10,8 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// hashBytes of SHA-256 stand for a key; two keys share them with a chance of
-// about 1 in 10^26 among a million.
+// hashBytes is the length of the SHA-256 prefix that identifies a key. The
+// probability of a collision among a million keys is about 1 in 10^26.
 const hashBytes = 16
 
 type keyHash [hashBytes]byte
@@ -21,21 +21,23 @@
 	return keyHash(sum[:hashBytes])
 }
 
-// shardCount divides the tombstones, so that a capture copies no more than one
-// pointer for each shard, and the first change of a shard after it copies a
-// small map. It is a power of two of at most 16 bits.
+// shardCount is the number of tombstone shards. A capture copies one pointer per
+// shard, and the first change of a shard after it copies one small map. It is a
+// power of two of at most 16 bits.
 const shardCount = 4096
 
-// shard holds when each key is refused by its own time. A negative number stands
-// for never, and is when the key was claimed, times -1; 0 means never as well.
+// shard maps each key to the time from which its own time refuses it. For a key
+// without a time the value is the time of the claim, negated, or 0 if that is
+// unknown; such keys do not expire.
 type shard struct {
 	until map[keyHash]int64
-	// shared shards belong to a capture as well and are copied before a change.
+	// shared marks a shard that a capture also references; it is copied before a
+	// change.
 	shared bool
 }
 
-// tombstones remember keys past their retention. Those of keys that carry a
-// time are dropped when that time alone refuses the key; the others stay.
+// tombstones holds the keys past their retention. A key that carries a time is
+// dropped once that time alone refuses it; the others stay.
 type tombstones struct {
 	shards   []*shard
 	count    int
@@ -69,7 +71,7 @@
 
 func shardOf(hash keyHash) int { return (int(hash[0])<<8 | int(hash[1])) % shardCount }
 
-// owned returns the hash's shard, which may be changed.
+// writableShard returns the hash's shard for modification.
 func (t *tombstones) writableShard(hash keyHash) map[keyHash]int64 {
 	i := shardOf(hash)
 	if t.shards[i].shared || t.shards[i].until == nil {
@@ -80,7 +82,7 @@
 	return t.shards[i].until
 }
 
-// capture returns all shards as they are now.
+// capture returns the current state of all shards.
 func (t *tombstones) capture() []*shard {
 	for _, s := range t.shards {
 		s.shared = true
@@ -127,8 +129,8 @@
 	}
 }
 
-// listed returns the tombstones of captured shards in order of their hashes, so
-// that equal ledgers give equal snapshots, byte for byte.
+// tombstoneMessages returns the tombstones of captured shards sorted by hash, so
+// that equal ledgers have byte-identical snapshots.
 func tombstoneMessages(shards []*shard) []*lilacv1.LedgerTombstone {
 	var list []*lilacv1.LedgerTombstone
 	for _, s := range shards {
--- a/process/member/core.go
+++ b/process/member/core.go
@@ -212,7 +212,7 @@
 		}
 	}
 	for name := range c.peers {
-		if len(entries) > 0 && !entries[name] && !c.fresh(now, name) {
+		if len(entries) > 0 && !entries[name] && !c.isFresh(now, name) {
 			delete(c.peers, name)
 		}
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-func (c *Core) fresh(now time.Time, name string) bool {
+func (c *Core) isFresh(now time.Time, name string) bool {
 	h, ok := c.received[name]
 	return ok && now.Sub(h.receivedAt) <= c.lifetime()
 }
@@ -337,7 +337,7 @@
 func (c *Core) expire(now time.Time) []Action {
 	var actions []Action
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
-		if c.fresh(now, name) {
+		if c.isFresh(now, name) {
 			continue
 		}
 		c.noteMissing(now, name)
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -193,7 +193,7 @@
 		peer, known := c.peers[name]
 		below := CompareRank(c.self.Name, name) < 0 && peer.DataCenter == c.self.DataCenter
 		foreign := c.parent() == "" && peer.DataCenter != c.self.DataCenter
-		if known && c.fresh(now, name) && (!c.Tree() || below || foreign) && !c.isPartner(now, name) {
+		if known && c.isFresh(now, name) && (!c.Tree() || below || foreign) && !c.isPartner(now, name) {
 			list = append(list, peer)
 		}
 	}
@@ -219,7 +219,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		h := c.received[name]
 		isBelow := h.digest.GetDataCenter() == c.self.DataCenter && CompareRank(c.self.Name, name) < 0
-		if isBelow && name != except && c.fresh(now, name) {
+		if isBelow && name != except && c.isFresh(now, name) {
 			parts = append(parts, h.asPart(now))
 		}
 	}
@@ -229,7 +229,7 @@
 func (c *Core) foreignInstances(now time.Time) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
-		if c.received[name].digest.GetDataCenter() != c.self.DataCenter && c.fresh(now, name) {
+		if c.received[name].digest.GetDataCenter() != c.self.DataCenter && c.isFresh(now, name) {
 			names = append(names, name)
 		}
 	}
@@ -268,7 +268,7 @@
 	}
 	leaving := maps.Clone(c.listedLeaving)
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
-		if !c.fresh(now, name) {
+		if !c.isFresh(now, name) {
 			continue
 		}
 		for _, server := range c.received[name].digest.GetEjected() {
--- a/process/member/validity_test.go
+++ b/process/member/validity_test.go
@@ -17,31 +17,31 @@
 	now := time.Unix(1_800_000_000, 0)
 	a, b := Peer{Name: "a"}, Peer{Name: "b"}
 	core := NewCore(a, []Peer{a, b})
-	core.Step(now, Tick{Own: &lilacv1.Digest{Incarnation: "second life"}})
+	core.Step(now, Tick{Own: &lilacv1.Digest{Incarnation: "second start"}})
 	stamp := core.Reply(now, "b").GetStamp()
-	earlier := NewCore(a, []Peer{a, b})
-	earlier.Step(now, Tick{Own: &lilacv1.Digest{Incarnation: "first life"}})
+	earlierStart := NewCore(a, []Peer{a, b})
+	earlierStart.Step(now, Tick{Own: &lilacv1.Digest{Incarnation: "first start"}})
 
 	partial := false
-	heard := func(sequence, echo uint64) *lilacv1.Digest {
-		word := &lilacv1.Digest{Instance: "b", Incarnation: "1", Sequence: sequence, Echo: echo, BindsMs: 4000, Partial: partial, Incomplete: partial}
-		for _, action := range core.Step(now.Add(3*time.Second), DigestReceived{From: "b", Digest: word}) {
-			if given, ok := action.(PolicyDigest); ok {
-				return given.Digest
+	deliver := func(sequence, echo uint64) *lilacv1.Digest {
+		digest := &lilacv1.Digest{Instance: "b", Incarnation: "1", Sequence: sequence, Echo: echo, BindsMs: 4000, Partial: partial, Incomplete: partial}
+		for _, action := range core.Step(now.Add(3*time.Second), DigestReceived{From: "b", Digest: digest}) {
+			if delivered, ok := action.(PolicyDigest); ok {
+				return delivered.Digest
 			}
 		}
 		return nil
 	}
-	is.Equal(heard(1, stamp).GetBindsMs(), uint32(1000))
-	is.True(!heard(2, stamp).GetIncomplete())
-	is.True(heard(3, earlier.Reply(now.Add(2*time.Second), "b").GetStamp()).GetIncomplete())
-	is.True(heard(4, 0).GetIncomplete())
+	is.Equal(deliver(1, stamp).GetBindsMs(), uint32(1000))
+	is.True(!deliver(2, stamp).GetIncomplete())
+	is.True(deliver(3, earlierStart.Reply(now.Add(2*time.Second), "b").GetStamp()).GetIncomplete())
+	is.True(deliver(4, 0).GetIncomplete())
 
 	// A partial digest does not extend the validity of the pools that it omits.
-	is.Equal(heard(5, stamp).GetBindsMs(), uint32(1000))
+	is.Equal(deliver(5, stamp).GetBindsMs(), uint32(1000))
 	partial = true
-	is.Equal(heard(6, core.Reply(now.Add(2*time.Second), "b").GetStamp()).GetBindsMs(), uint32(1000))
-	is.True(heard(7, 0).GetIncomplete())
+	is.Equal(deliver(6, core.Reply(now.Add(2*time.Second), "b").GetStamp()).GetBindsMs(), uint32(1000))
+	is.True(deliver(7, 0).GetIncomplete())
 }
 
 // The policy drops digests that are not newer than the last one. Combined digests
