--- a/process/lease/grant.go
+++ b/process/lease/grant.go
@@ -6,39 +6,39 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// margin shortens a lease as its holder counts it: one part in this many, for
-// clocks that run at different speeds. The leader lengthens it on its side.
+// clockMarginDivisor shortens the holder's view of a lease by one part in this
+// many, for clocks that run at different speeds. The leader lengthens its own view.
 const clockMarginDivisor = 10
 
-// Holding is what a holder knows of its own lease. Its times are readings of
-// the holder's monotonic clock.
+// Grant is the holder's view of its lease. Its times are readings of the holder's
+// monotonic clock.
 type Grant struct {
 	fencing uint64
 	until   time.Time
 }
 
-// Granted notes an answer to a request that was sent at the time sent.
+// Update applies the reply to a request that was sent at the given time.
 //
-// It guards against a holder that believes in its lease longer than the leader
-// does, as when the answer was long on the way: the lease counts from before
-// the request was sent, and the leader counts from when it was applied, later.
-func (h *Grant) Update(sent time.Time, r *lilacv1.LeaseReply) {
+// The lease counts from before the request was sent, while the leader counts from
+// the later time at which it applied the request. The holder therefore never
+// believes in its lease longer than the leader does, however long the reply took.
+func (g *Grant) Update(sent time.Time, r *lilacv1.LeaseReply) {
 	if !r.GetGranted() {
-		*h = Grant{}
+		*g = Grant{}
 		return
 	}
 	length := time.Duration(r.GetDurationMs()) * time.Millisecond
 	until := sent.Add(length - length/clockMarginDivisor)
-	if r.GetFencing() == h.fencing && until.Before(h.until) {
+	if r.GetFencing() == g.fencing && until.Before(g.until) {
 		return
 	}
-	h.fencing, h.until = r.GetFencing(), until
+	g.fencing, g.until = r.GetFencing(), until
 }
 
-// Fencing returns the number of the holding; 0 for none.
-func (h *Grant) Fencing() uint64 { return h.fencing }
+// Fencing returns the fencing token; 0 without a lease.
+func (g *Grant) Fencing() uint64 { return g.fencing }
 
-// Valid tells whether the holder may act at the time now. It is asked right
-// before each act: a process that was frozen in between wakes with a lease that
-// has run out.
-func (h *Grant) Valid(now time.Time) bool { return h.fencing != 0 && now.Before(h.until) }
+// Valid reports whether the holder may act at now. It must be called right before
+// each action, since a process may have been suspended in between and its lease may
+// have expired.
+func (g *Grant) Valid(now time.Time) bool { return g.fencing != 0 && now.Before(g.until) }
--- a/process/lease/lease.go
+++ b/process/lease/lease.go
@@ -1,9 +1,9 @@
-// Package lease is the deterministic state machine of leases with fencing
-// numbers, and the holder's own check of its lease.
+// Package lease implements the deterministic state machine of leases with fencing
+// tokens, and the holder's own check of its lease.
 //
-// The log holds no time: who holds a lease, under which fencing number and for
-// how long, is replicated; whether it has run out is judged by the leader's
-// monotonic clock from the last renewal that it applied (Timer).
+// The log contains no time. The holder, fencing token and duration of a lease are
+// replicated; whether it has expired is decided by the leader's monotonic clock,
+// counted from the last renewal that the leader applied.
 package lease
 
 import (
@@ -14,31 +14,32 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// maxDurationMs is the longest lease.
+// maxDurationMs is the longest lease in milliseconds.
 const maxDurationMs = 60_000
 
-// Table holds all leases. Calls must not overlap.
+// Table holds all leases. It is not safe for concurrent use.
 type Table struct {
 	leases map[string]*lilacv1.LeaseEntry
-	// floor is where a recovery put the fencing numbers; 0 without one.
+	// fencingFloor is the fencing token set by the last recovery; 0 without one.
 	fencingFloor uint64
 }
 
 // NewTable returns a Table without leases.
 func NewTable() *Table { return &Table{leases: make(map[string]*lilacv1.LeaseEntry)} }
 
-// Apply takes, renews or gives back a lease.
+// Apply acquires, renews or releases a lease.
 //
-// It guards against two holders that both give orders: the second is granted
-// only if the very renewal that has run out is still the last one, and each new
-// holding gets a fencing number greater than all before, so that an engine can tell.
+// Two holders must not both issue orders. A second holder is granted the lease only
+// if the renewal that it names as expired is still the last one, and each new term
+// gets a fencing token greater than all before, so that an engine can tell them
+// apart.
 func (t *Table) Apply(r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 	if r.GetName() == "" || r.GetHolder() == "" || r.GetIncarnation() == "" || r.GetDurationMs() > maxDurationMs {
 		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "a lease request must have a name, holder and incarnation, and a duration of at most %d ms", maxDurationMs)
 	}
 	current := t.leases[r.GetName()]
 	if current == nil && t.fencingFloor > 0 {
-		// The lost majority may have granted it: it must run out there first.
+		// The lost majority may have granted the lease; it must expire first.
 		current = t.recoveryEntry(r.GetName(), 0)
 		t.leases[r.GetName()] = current
 	}
@@ -91,7 +92,7 @@
 	return list
 }
 
-// Snapshot returns all that Restore needs.
+// Snapshot returns the whole state, for Restore.
 func (t *Table) Snapshot() *lilacv1.LeaseSnapshot {
 	return &lilacv1.LeaseSnapshot{Leases: t.All(), FencingFloor: t.fencingFloor}
 }
--- a/process/lease/lease_test.go
+++ b/process/lease/lease_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A holder restarts under the same name. Its new start is another holder: orders
-// of the old one may still be on the way, so the number must grow.
+// A restarted holder is a different holder: orders of its previous incarnation may
+// still be in flight, so the fencing token must increase.
 func TestRestartedHolderIsDifferentHolder(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
@@ -68,9 +68,8 @@
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 }
 
-// A holder is frozen while it renews, or the answer is long on the way. It must
-// not count the lease from when the answer came, or it would still act when
-// another already holds it.
+// A holder is suspended while it renews, or the reply is delayed. If its lease
+// counted from the reply, it could still act when another instance holds the lease.
 func TestGrantStartsWhenRequestWasSent(t *testing.T) {
 	is := is.New(t)
 	sent := time.Unix(1_764_700_000, 0)
--- a/process/lease/recover.go
+++ b/process/lease/recover.go
@@ -5,20 +5,22 @@
 )
 
 const (
-	// recoveryGap is how far a recovery moves the fencing numbers: more than a
-	// lost majority can have given, as each number needs a lease of its own.
+	// recoveryFencingGap is added to the fencing tokens by a recovery. A lost
+	// majority cannot have issued as many, since each token needs a lease of its
+	// own.
 	recoveryFencingGap = 1_000_000_000
-	// recoveryHolder holds each lease after a recovery until the longest lease
-	// that the lost majority can have granted has run out.
+	// recoveryHolder holds each lease after a recovery until the longest lease that
+	// the lost majority can have granted has expired.
 	recoveryHolder = "recovery"
 )
 
-// Recover makes sure of all that a lost majority may have granted.
+// Recover makes the table safe after the loss of a majority, which may have granted
+// leases that are missing here.
 //
-// It guards against a holder that the survivor knows nothing of: a second one
-// would order engines at the same time, under an equal or lower number. It
-// holds because every lease is held by nobody for the longest time of a lease,
-// counted by the leader's own clock, and numbers begin above a gap.
+// A holder unknown to the survivor must not be joined by a second one with an equal
+// or lower fencing token. Every lease is therefore held by a placeholder for the
+// longest lease duration, by the leader's clock, and fencing tokens continue above
+// a gap.
 func (t *Table) Recover() {
 	for _, e := range t.leases {
 		t.fencingFloor = max(t.fencingFloor, e.GetFencing())
--- a/process/lease/recover_test.go
+++ b/process/lease/recover_test.go
@@ -6,9 +6,10 @@
 	"github.com/matryer/is"
 )
 
-// The lost majority granted the lease to b under a number that the survivor
-// never saw, and b still gives orders. After the recovery c must get it neither
-// at once nor under a number that engines have seen.
+// The lost majority granted the lease under a fencing token that the survivor never
+// saw, and its holder may still issue orders. After the recovery, another instance
+// must get the lease neither immediately nor under a token that engines may have
+// seen.
 func TestRecoveredLeaseExpiresBeforeNewGrant(t *testing.T) {
 	for name, before := range map[string]int{"known before": 1, "never seen": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/process/ledger/ledger_test.go
+++ b/process/ledger/ledger_test.go
@@ -92,7 +92,7 @@
 // unknown and never run. A claim of the dead incarnation that arrives later must be
 // refused.
 func TestClaimOfDeadInstanceBecomesUnknown(t *testing.T) {
-	for name, die := range map[string]func(l *Ledger) error{
+	for name, endIncarnation := range map[string]func(l *Ledger) error{
 		"declared gone": func(l *Ledger) error {
 			l.MarkGone(&lilacv1.IncarnationsGone{Incarnations: []string{"one"}, NowUnixMs: start})
 			return nil
@@ -108,7 +108,7 @@
 			is := is.New(t)
 			l := New(Limits{})
 			mustGrant(t, l, newClaim("k", "a1", start))
-			is.NoErr(die(l))
+			is.NoErr(endIncarnation(l))
 			again := newClaim("k", "a2", start)
 			again.Instance, again.Incarnation = "entry-2", "three"
 			reply, err := l.Claim(again)
@@ -219,7 +219,7 @@
 }
 
 func TestMalformedClaimsAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*lilacv1.ClaimRequest){
+	for name, corrupt := range map[string]func(*lilacv1.ClaimRequest){
 		"no team":     func(r *lilacv1.ClaimRequest) { r.Team = "" },
 		"no key":      func(r *lilacv1.ClaimRequest) { r.Key = "" },
 		"long key":    func(r *lilacv1.ClaimRequest) { r.Key = string(make([]byte, 257)) },
@@ -229,7 +229,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newClaim("k", "a", start)
-			spoil(r)
+			corrupt(r)
 			_, err := New(Limits{}).Claim(r)
 			is.New(t).True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 		})
--- a/process/ledger/record.go
+++ b/process/ledger/record.go
@@ -35,8 +35,8 @@
 	if m == nil {
 		return nil
 	}
-	// Few content types are in use; interning them saves most of the memory of
-	// small answers.
+	// Few content types are in use, so they are interned: a copy per answer would
+	// take more memory than the rest of the answer.
 	contentType := unique.Make(m.GetContentType()).Value()
 	return &answer{contentType: contentType, body: m.GetBody(), status: m.GetStatus(), tooLarge: m.GetTooLarge()}
 }
--- a/process/loadboard/board.go
+++ b/process/loadboard/board.go
@@ -1,13 +1,13 @@
-// Package loadboard lets the instances of a large fleet know within half a second
-// what all of them run on each backend server.
+// Package loadboard distributes the load of every backend server to all instances
+// of a large fleet within about half a second.
 //
-// Few instances tell each other in their digests. Where digests travel in a tree,
-// an instance sees a part of the requests in a hundred, and what it hears is
-// seconds old: engines with seconds of prompts to read seem idle to all. So in
-// each data centre the instance of the best rank is the collector. The others
-// tell it their loads, it exchanges sums with the collectors of the other data
-// centres, and answers with what all others run: three steps, of one interval each
-// at most.
+// Small fleets exchange loads in their digests. Where digests travel through a
+// tree, an instance sees about one request in a hundred and its information is
+// seconds old, so engines with seconds of queued prompts seem idle. Therefore the
+// highest-ranked instance of each data centre acts as its collector: the others
+// report their loads to it, it exchanges sums with the collectors of the other data
+// centres, and it replies with the load of all others. That is three steps of at
+// most one interval each.
 package loadboard
 
 import (
@@ -19,58 +19,60 @@
 )
 
 const (
-	// Interval lies between two words to the same instance. Engines read some 10,000
-	// tokens meanwhile, less than one long prompt.
+	// Interval is the time between two reports to the same instance. An engine
+	// prefills about 10,000 tokens in that time, less than one long prompt.
 	Interval = 250 * time.Millisecond
-	// Lifetime is how long a word counts. Loads change within a second or two, and
-	// older ones keep requests from engines that are idle again.
+	// Lifetime is how long a report is used. Loads change within a second or two,
+	// and older ones keep requests away from engines that are idle again.
 	Lifetime = 1200 * time.Millisecond
-	// Avoidance is how long a collector that failed is passed over.
+	// AvoidPeriod is how long a failed collector is not used.
 	AvoidPeriod = 3 * time.Second
-	// answerBudget is how many bytes a second a collector may answer with, a fifth of a
-	// link of 10 Mbit/s. Words come more seldom where that takes longer than Interval.
+	// replyBytesPerSecond is the reply budget of a collector: a fifth of a 10
+	// Mbit/s link. The interval is extended where replies would exceed it.
 	replyBytesPerSecond = 250_000
-	// wordSize and serverSize are the usual bytes of a word and of a server in it.
+	// reportBytes and serverBytes are the typical encoded sizes of a report and of
+	// one server in it.
 	reportBytes = 200
 	serverBytes = 8
-	// longestInterval is the interval beyond which a board is no use: loads would be
-	// older than Lifetime after three steps.
+	// maxInterval is the interval beyond which the board is inactive: after three
+	// steps, loads would be older than Lifetime.
 	maxInterval = Lifetime / 2
 )
 
-// Board is the knowledge of one instance. Calls must not overlap.
+// Board is the load information of one instance. It is not safe for concurrent use.
 type Board struct {
 	self member.Peer
-	// peers are the other instances that live, neighbours how many of them are in this
-	// data centre, servers how many backend servers there are.
+	// peers are the other live instances, localPeers the number of them in this
+	// data centre, servers the number of backend servers.
 	peers               []member.Peer
 	localPeers, servers int
 	own                 Report
 	recentPrefixes      prefixLog
-	// parts are the loads of this data centre's other instances, where this one
-	// collects them, sums those of other data centres.
+	// localReports holds the reports of this data centre's other instances, if this
+	// instance is the collector; remoteReports holds those of other data centres.
 	localReports, remoteReports map[string]received
-	// others is the last answer of the collector.
+	// collectorReply is the last reply of the collector.
 	collectorReply received
 	lastSent       map[string]time.Time
 	avoidedUntil   map[string]time.Time
 }
 
-// word is what was heard, and when; its readings are kept as news.
+// received is a report with its time of receipt. Its cached prefixes are kept in
+// the prefixLog instead.
 type received struct {
 	Report
 	at time.Time
 }
 
-func (w received) fresh(now time.Time) bool { return w.Loads != nil && now.Sub(w.at) <= Lifetime }
+func (r received) isFresh(now time.Time) bool { return r.Loads != nil && now.Sub(r.at) <= Lifetime }
 
-// heard keeps a word's sums.
-func receivedReport(now time.Time, w Report) received {
-	w.CachedPrefixes = nil
-	return received{w, now}
+// newReceived stores a report without its cached prefixes.
+func newReceived(now time.Time, report Report) received {
+	report.CachedPrefixes = nil
+	return received{report, now}
 }
 
-// New returns a board that knows nobody else.
+// New returns the board of the instance self, without peers.
 func New(self member.Peer) *Board {
 	return &Board{
 		self: self, localReports: make(map[string]received), remoteReports: make(map[string]received),
@@ -78,7 +80,7 @@
 	}
 }
 
-// SetPeers names the other instances that live.
+// SetPeers sets the other live instances.
 func (b *Board) SetPeers(peers []member.Peer) {
 	b.peers, b.localPeers = slices.Clone(peers), 0
 	for _, peer := range peers {
@@ -88,7 +90,7 @@
 	}
 }
 
-// SetOwn gives the own loads, and the shared parts that were sent lately.
+// SetOwn sets the own load and adds the cached prefixes that the report lists.
 func (b *Board) SetOwn(now time.Time, own Report) {
 	if own.Servers > 0 {
 		b.servers = own.Servers
@@ -98,39 +100,39 @@
 	b.recentPrefixes.add(now, own.CachedPrefixes, origin{b.self.Name, b.self.DataCenter})
 }
 
-// Active tells whether the fleet is of the size for a board.
+// Active reports whether the fleet has a size for which the board is used.
 func (b *Board) Active() bool {
 	return len(b.peers)+1 > member.MeshLimit && b.interval() <= maxInterval
 }
 
-// interval lies between two words to the same instance, so that a collector's answers
-// to its neighbours stay within its budget.
+// interval returns the time between two reports to the same instance, chosen so
+// that a collector's replies stay within their budget.
 func (b *Board) interval() time.Duration {
 	replyBytes := float64(b.localPeers * (reportBytes + serverBytes*b.servers))
 	return max(Interval, time.Duration(replyBytes/replyBytesPerSecond*float64(time.Second)))
 }
 
-// collectors are the instances of the best rank, by data centre.
+// collectors returns the highest-ranked usable instance of each data centre.
 func (b *Board) collectors(now time.Time) map[string]member.Peer {
 	best := map[string]member.Peer{b.self.DataCenter: b.self}
 	for _, peer := range b.peers {
 		if now.Before(b.avoidedUntil[peer.Name]) {
 			continue
 		}
-		if other, known := best[peer.DataCenter]; !known || member.CompareRank(peer.Name, other.Name) < 0 {
+		if current, known := best[peer.DataCenter]; !known || member.CompareRank(peer.Name, current.Name) < 0 {
 			best[peer.DataCenter] = peer
 		}
 	}
 	return best
 }
 
-// Ask is a word to be sent to a peer.
+// Outgoing is a report to be sent to a peer.
 type Outgoing struct {
 	Peer   member.Peer
 	Report Report
 }
 
-// Due returns the words that are to be sent now.
+// Due returns the reports to be sent now.
 func (b *Board) Due(now time.Time) []Outgoing {
 	if !b.Active() {
 		return nil
@@ -148,8 +150,9 @@
 	var due []Outgoing
 	for _, dataCenter := range slices.Sorted(maps.Keys(collectors)) {
 		peer := collectors[dataCenter]
-		// One of the two begins; the other does where it heard nothing.
-		initiates := member.CompareRank(b.self.Name, peer.Name) < 0 || !b.remoteReports[dataCenter].fresh(now)
+		// The higher-ranked one initiates; the other does if it has received
+		// nothing.
+		initiates := member.CompareRank(b.self.Name, peer.Name) < 0 || !b.remoteReports[dataCenter].isFresh(now)
 		if dataCenter != b.self.DataCenter && initiates && b.sendDue(now, peer.Name) {
 			due = append(due, Outgoing{peer, b.dataCenterReport(now)})
 		}
@@ -157,52 +160,54 @@
 	return due
 }
 
-func (b *Board) sendDue(now time.Time, name string) bool {
-	if previous, known := b.lastSent[name]; known && now.Sub(previous) < b.interval() {
+func (b *Board) sendDue(now time.Time, peer string) bool {
+	if previous, known := b.lastSent[peer]; known && now.Sub(previous) < b.interval() {
 		return false
 	}
-	b.lastSent[name] = now
+	b.lastSent[peer] = now
 	return true
 }
 
-// collected is what this data centre's instances run, but for the one named.
+// sumLocal returns the load of this data centre's instances, except the named one.
 func (b *Board) sumLocal(now time.Time, except string) Report {
 	sum := newReport(b.servers)
 	if except != b.self.Name {
 		sum.add(b.own)
 	}
 	for name, local := range b.localReports {
-		if name != except && local.fresh(now) {
+		if name != except && local.isFresh(now) {
 			sum.add(local.Report)
 		}
 	}
 	return sum
 }
 
-// ofDataCenter is the word of this data centre for another one.
+// dataCenterReport returns the report of this data centre for another one.
 func (b *Board) dataCenterReport(now time.Time) Report {
 	sum := b.sumLocal(now, "")
 	sum.CachedPrefixes = b.recentPrefixes.reportedIn(now, b.self.DataCenter)
 	return sum
 }
 
-// Receive takes a word and returns the answer: to an instance of the own data
-// centre what all others run, to a foreign collector what this one's run.
+// Receive stores a peer's report and returns the reply: the load of all others for
+// an instance of this data centre, the load of this data centre for another
+// collector.
 func (b *Board) Receive(now time.Time, from, dataCenter string, report Report) Report {
 	b.recentPrefixes.add(now, report.CachedPrefixes, origin{from, dataCenter})
 	if dataCenter != b.self.DataCenter {
-		b.remoteReports[dataCenter] = receivedReport(now, report)
+		b.remoteReports[dataCenter] = newReceived(now, report)
 		return b.dataCenterReport(now)
 	}
-	b.localReports[from] = receivedReport(now, report)
+	b.localReports[from] = newReceived(now, report)
 	return b.reportExcept(now, from)
 }
 
-// without is what all but the instance named run and sent.
+// reportExcept returns the load and recent prefixes of all instances except the
+// named one.
 func (b *Board) reportExcept(now time.Time, except string) Report {
 	sum := b.sumLocal(now, except)
 	for _, remote := range b.remoteReports {
-		if remote.fresh(now) {
+		if remote.isFresh(now) {
 			sum.add(remote.Report)
 		}
 	}
@@ -210,23 +215,23 @@
 	return sum
 }
 
-// Answered takes the answer of a peer.
+// HandleReply stores the reply of a peer.
 func (b *Board) HandleReply(now time.Time, peer member.Peer, report Report) {
 	b.recentPrefixes.add(now, report.CachedPrefixes, origin{peer.Name, peer.DataCenter})
 	if peer.DataCenter != b.self.DataCenter {
-		b.remoteReports[peer.DataCenter] = receivedReport(now, report)
+		b.remoteReports[peer.DataCenter] = newReceived(now, report)
 		return
 	}
-	b.collectorReply = receivedReport(now, report)
+	b.collectorReply = newReceived(now, report)
 }
 
-// Failed passes the peer over for some time.
+// MarkFailed excludes the peer as a collector for AvoidPeriod.
 func (b *Board) MarkFailed(now time.Time, peer member.Peer) {
 	b.avoidedUntil[peer.Name] = now.Add(AvoidPeriod)
 }
 
-// Others is what all other instances run and sent lately; false while that isn't
-// known.
+// Others returns the load and recent cached prefixes of all other instances, and
+// false if that is not known.
 func (b *Board) Others(now time.Time) (Report, bool) {
 	if !b.Active() {
 		return Report{}, false
@@ -236,12 +241,12 @@
 	}
 	others := b.collectorReply.Report
 	others.CachedPrefixes = b.recentPrefixes.reportedByOthers(now, b.self.Name)
-	return others, b.collectorReply.fresh(now)
+	return others, b.collectorReply.isFresh(now)
 }
 
-// Forget drops what no longer counts.
+// Expire removes outdated information.
 func (b *Board) Expire(now time.Time) {
-	stale := func(_ string, w received) bool { return !w.fresh(now) }
+	stale := func(_ string, w received) bool { return !w.isFresh(now) }
 	maps.DeleteFunc(b.localReports, stale)
 	maps.DeleteFunc(b.remoteReports, stale)
 	maps.DeleteFunc(b.avoidedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
--- a/process/loadboard/board_test.go
+++ b/process/loadboard/board_test.go
@@ -14,18 +14,18 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// step is how often the simulated instances are asked for what is due.
+// step is the time between two calls of Due per instance.
 const step = 50 * time.Millisecond
 
-// fleet runs the boards of several data centres. Words arrive at once; who is in
-// dead answers nothing.
+// fleet simulates the boards of several data centres. Reports arrive immediately;
+// an instance in unreachable does not reply.
 type fleet struct {
 	now         time.Time
 	boards      map[string]*Board
 	peers       map[string]member.Peer
 	unreachable map[string]bool
 	reports     int
-	// answered are the bytes of all answers.
+	// replyBytes is the total size of all replies.
 	replyBytes int
 }
 
@@ -51,8 +51,8 @@
 	return f
 }
 
-func (f *fleet) run(length time.Duration) {
-	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
+func (f *fleet) run(duration time.Duration) {
+	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(step) {
 		for name, board := range f.boards {
 			if !f.unreachable[name] {
 				f.send(name, board)
@@ -63,34 +63,35 @@
 
 func (f *fleet) send(name string, board *Board) {
 	board.Expire(f.now)
-	for _, ask := range board.Due(f.now) {
+	for _, outgoing := range board.Due(f.now) {
 		f.reports++
-		if f.unreachable[ask.Peer.Name] {
-			board.MarkFailed(f.now, ask.Peer)
+		if f.unreachable[outgoing.Peer.Name] {
+			board.MarkFailed(f.now, outgoing.Peer)
 			continue
 		}
-		answer := f.boards[ask.Peer.Name].Receive(f.now, name, f.peers[name].DataCenter, DecodeReport(f.now, ask.Report.Encode(f.now, "")))
-		told := answer.Encode(f.now, "")
-		f.replyBytes += proto.Size(told)
-		board.HandleReply(f.now, ask.Peer, DecodeReport(f.now, told))
+		report := f.boards[outgoing.Peer.Name].Receive(f.now, name, f.peers[name].DataCenter, DecodeReport(f.now, outgoing.Report.Encode(f.now, "")))
+		reply := report.Encode(f.now, "")
+		f.replyBytes += proto.Size(reply)
+		board.HandleReply(f.now, outgoing.Peer, DecodeReport(f.now, reply))
 	}
 }
 
-// burst has each instance run n requests on the one engine.
+// setLoad makes each instance run n requests on the same engine.
 func (f *fleet) setLoad(n uint32) {
 	for _, board := range f.boards {
 		board.SetOwn(f.now, Report{Loads: Loads{7: {InFlight: n, Backlog: [Levels]uint32{4: 10 * n}}}})
 	}
 }
 
-// allKnow tells whether each living instance knows what so many others run.
+// allReport reports whether each reachable instance knows the load of the given
+// number of others.
 func (f *fleet) allReport(others uint32, n uint32) bool {
 	for name, board := range f.boards {
 		if f.unreachable[name] {
 			continue
 		}
-		word, _ := board.Others(f.now)
-		load := word.Loads[7]
+		report, _ := board.Others(f.now)
+		load := report.Loads[7]
 		if load.InFlight != others*n || load.Backlog[4] != others*n*10 {
 			return false
 		}
@@ -98,9 +99,9 @@
 	return true
 }
 
-// A burst comes to all instances of a large fleet at once. Each sees one part in
-// 78 of it; until the others' part is known here an engine with seconds of prompts
-// to read seems idle. Three steps of an interval each bring it to all.
+// In a burst, each instance of a large fleet sees one part in 78 of the load. Until
+// the rest is known, an engine with seconds of queued prompts seems idle. Three
+// steps of one interval each must distribute it.
 func TestBurstPropagatesWithinThreeIntervals(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
@@ -110,36 +111,36 @@
 	is.True(f.allReport(77, 2))
 }
 
-// A prompt is read on one engine. Until the others hear of it each has it read again
-// somewhere; told once, it must reach all, be told on by nobody for ever, and not
-// come back to its sender.
+// Until the others know that an engine holds a prefix, each prefills it again
+// elsewhere. A prefix reported once must reach all instances, must not be forwarded
+// forever, and must not return to its sender.
 func TestCachedPrefixesPropagate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
 	f.run(time.Second)
-	read := CachedPrefix{Server: 7, Hash: 1 << 40, Tokens: 13300}
-	f.boards["entry-2-3"].SetOwn(f.now, Report{CachedPrefixes: []CachedPrefix{read}})
-	heard := make(map[string]int)
+	prefix := CachedPrefix{Server: 7, Hash: 1 << 40, Tokens: 13300}
+	f.boards["entry-2-3"].SetOwn(f.now, Report{CachedPrefixes: []CachedPrefix{prefix}})
+	deliveries := make(map[string]int)
 	for range 16 {
 		f.run(Interval)
 		for name, board := range f.boards {
 			others, known := board.Others(f.now)
 			is.True(known)
 			for _, r := range others.CachedPrefixes {
-				is.Equal(r, read)
-				heard[name]++
+				is.Equal(r, prefix)
+				deliveries[name]++
 			}
 		}
 	}
-	is.Equal(len(heard), 77)
-	is.Equal(heard["entry-2-3"], 0)
-	for _, times := range heard {
+	is.Equal(len(deliveries), 77)
+	is.Equal(deliveries["entry-2-3"], 0)
+	for _, times := range deliveries {
 		is.True(times <= 4)
 	}
 }
 
-// A word costs its sender and its collector bytes and time. An instance sends one
-// an interval, a collector one more to half of the other data centres.
+// An instance sends one report per interval; a collector sends one more to half of
+// the other data centres.
 func TestReportCountGrowsLinearly(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
@@ -150,22 +151,21 @@
 	is.True(perInterval <= 72+15+5) // 72 instances, 15 pairs of collectors, one step of slack
 }
 
-// A collector loses power. The others of its data centre pass it over, the next in
-// rank takes its place, and what the dead one ran counts no longer.
+// A collector fails. The next in rank must replace it, and the load of the failed
+// instance must expire.
 func TestDeadCollectorIsReplaced(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
 	f.setLoad(1)
 	f.run(time.Second)
 	is.True(f.allReport(14, 1))
-	first := f.boards["entry-0-0"].collectors(f.now)["dc-0"].Name
-	f.unreachable[first] = true
+	collector := f.boards["entry-0-0"].collectors(f.now)["dc-0"].Name
+	f.unreachable[collector] = true
 	f.run(Lifetime + 4*Interval)
 	is.True(f.allReport(13, 1))
 }
 
-// Two collectors can no longer reach each other. What the other data centre ran
-// must be forgotten, not counted for ever.
+// A data centre becomes unreachable. Its load must expire.
 func TestLoadsOfUnreachableDataCentreExpire(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
@@ -178,8 +178,9 @@
 	is.True(f.allReport(9, 1))
 }
 
-// Few instances tell each other in their digests, and where thousands of servers would
-// drown a collector words are too old to help: neither has a board, and nothing is sent.
+// Small fleets exchange loads in digests, and with thousands of servers reports
+// would overload a collector and arrive too late. The board must be inactive and
+// send nothing in both cases.
 func TestBoardIsInactiveOutsideItsFleetSizes(t *testing.T) {
 	is := is.New(t)
 	small, large := newFleet(3, 3), newFleet(2, 220)
@@ -195,8 +196,8 @@
 	}
 }
 
-// Data centres of 33 instances and more had no board: each of 194 instances took
-// engines with seconds of prompts to read for idle.
+// The board was inactive in data centres of 33 or more instances, so each of 194
+// instances took engines with seconds of queued prompts as idle.
 func TestBoardIsActiveWithFortyInstancesPerDataCenter(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 40)
@@ -209,7 +210,8 @@
 	is.True(f.allReport(239, 2))
 }
 
-// A collector's answers must leave its link to callers, however many ask it.
+// A collector's replies must leave its link to callers, however many instances
+// report to it.
 func TestCollectorRepliesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2, 120)
@@ -230,8 +232,9 @@
 	is.True(float64(f.replyBytes)/2/2 <= 1.3*replyBytesPerSecond) // two collectors, two seconds
 }
 
-// What all ask slots for, and how many they are, is told with the loads: an instance of
-// a large fleet that knew only its own requests took half of all slots for its own.
+// An instance of a large fleet that knew only its own requests claimed half of all
+// slots. The claims of all and the number of instances must be distributed with the
+// loads.
 func TestSlotClaimsPropagate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(6, 13)
@@ -249,23 +252,23 @@
 	}
 }
 
-// Columns of different lengths and levels that a later build might add don't break the
-// words.
+// Columns of different lengths and priorities added by later versions must not
+// break decoding.
 func TestLoadsEncodingRoundTrip(t *testing.T) {
 	is := is.New(t)
 	loads := Loads{1: {InFlight: 3, Backlog: [Levels]uint32{0, 2}}, 9: {Backlog: [Levels]uint32{9: 4}}}
-	told := Report{Loads: loads}.Encode(time.Time{}, "")
-	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
-	is.Equal(len(told.Backlog), 2)
-	told.BacklogAt = append(told.BacklogAt, 1<<levelBits|15, 40<<levelBits, 3)
-	told.Backlog = append(told.Backlog, 5, 6)
-	told.Servers = append(told.Servers, 11)
-	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
+	message := Report{Loads: loads}.Encode(time.Time{}, "")
+	is.Equal(DecodeReport(time.Time{}, message).Loads, loads)
+	is.Equal(len(message.Backlog), 2)
+	message.BacklogAt = append(message.BacklogAt, 1<<levelBits|15, 40<<levelBits, 3)
+	message.Backlog = append(message.Backlog, 5, 6)
+	message.Servers = append(message.Servers, 11)
+	is.Equal(DecodeReport(time.Time{}, message).Loads, loads)
 }
 
-// Each instance divided the engines into lanes by what it had seen itself, and an engine
-// kept for short pauses by some got long prompts from others. The plan of the instance of
-// the best rank must reach all, and that of the next once the first is gone.
+// Instances that each follow their own lane plan send long prompts to engines that
+// others keep for short inter-token gaps. The plan of the highest-ranked instance
+// must reach all, and that of the next one after it fails.
 func TestLanePlanOfHighestRankPropagates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 5)
@@ -288,29 +291,30 @@
 	is.Equal(others.Work[3].Plan.Author, names[1])
 }
 
-// Sums that are no numbers would make every engine seem infinitely slow for good.
+// NaN or infinite sums would make every engine seem infinitely slow.
 func TestNonFiniteEngineSumsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	for _, bad := range []float32{float32(math.NaN()), float32(math.Inf(1)), -1} {
-		told := (&PoolWork{Engine: EngineSums{Weight: 1, Speed: 20, EmptyStep: 5000, PerRequest: 50}}).Encode(3)
-		is.Equal(DecodeWork(told).Engine.EmptyStep, 5000.0)
-		told.Engine[1] = bad
-		is.Equal(DecodeWork(told).Engine, EngineSums{})
+		message := (&PoolWork{Engine: EngineSums{Weight: 1, Speed: 20, EmptyStep: 5000, PerRequest: 50}}).Encode(3)
+		is.Equal(DecodeWork(message).Engine.EmptyStep, 5000.0)
+		message.Engine[1] = bad
+		is.Equal(DecodeWork(message).Engine, EngineSums{})
 	}
 }
 
-// An instance of an earlier build tells no bulk: its requests count as ones that don't give
-// way.
+// Earlier versions do not report preemptible requests. All their requests count as
+// not preemptible.
 func TestReportsWithoutPreemptibleCountsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	loads := Loads{1: {InFlight: 3, Preemptible: 2}, 9: {InFlight: 1}}
-	told := Report{Loads: loads}.Encode(time.Time{}, "")
-	is.Equal(DecodeReport(time.Time{}, told).Loads, loads)
-	told.Yielding = nil
-	is.Equal(DecodeReport(time.Time{}, told).Loads, Loads{1: {InFlight: 3}, 9: {InFlight: 1}})
+	message := Report{Loads: loads}.Encode(time.Time{}, "")
+	is.Equal(DecodeReport(time.Time{}, message).Loads, loads)
+	message.Yielding = nil
+	is.Equal(DecodeReport(time.Time{}, message).Loads, Loads{1: {InFlight: 3}, 9: {InFlight: 1}})
 }
 
-// Engines filled with bulk were told as if nothing on them gave way.
+// Preemptible load must be distributed as such; otherwise engines full of bulk
+// requests seem fully occupied.
 func TestPreemptibleLoadPropagates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3, 11)
--- a/process/loadboard/limits.go
+++ b/process/loadboard/limits.go
@@ -9,20 +9,20 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Limit is what a server last said of how many requests it takes.
+// Limit is the rate limit that a server last advertised.
 type Limit struct {
-	// PerSecond is in requests a second, of all instances together.
+	// PerSecond is in requests per second, for all instances together.
 	PerSecond float64
-	// Named is false where its answers name no limit any more.
+	// Advertised is false if the server's responses no longer state a limit.
 	Advertised bool
-	// At is when it said so, by the clock of who holds the word.
+	// At is when the server stated it, by the local clock.
 	At time.Time
 }
 
-// Limits are the limits of servers, by key.
+// Limits holds the limits by server key.
 type Limits map[uint32]Limit
 
-// add takes in other's limits where they are newer.
+// add merges other's limits; the newer one of each server is kept.
 func (l Limits) add(other Limits) {
 	for key, limit := range other {
 		if held, known := l[key]; !known || limit.At.After(held.At) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Encode makes the messages of the limits.
+// Encode returns the limits as messages, sorted by server key.
 func (l Limits) Encode(now time.Time) []*lilacv1.ServerLimit {
 	var messages []*lilacv1.ServerLimit
 	for _, key := range slices.Sorted(maps.Keys(l)) {
@@ -42,7 +42,7 @@
 	return messages
 }
 
-// DecodeLimits reads the messages of limits; those that are no numbers are left out.
+// DecodeLimits decodes limits and ignores those that are NaN, infinite or negative.
 func DecodeLimits(now time.Time, messages []*lilacv1.ServerLimit) Limits {
 	limits := make(Limits, len(messages))
 	for _, limit := range messages {
--- a/process/loadboard/loads.go
+++ b/process/loadboard/loads.go
@@ -9,25 +9,26 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Unit is how many prompt tokens one unit of a told backlog stands for: a load
-// needs no more than the time of one step of an engine.
+// BacklogUnit is the number of prompt tokens per unit of an encoded backlog. A
+// finer resolution than the duration of one engine step is not needed.
 const BacklogUnit = 64
 
-// Key is how a backend server is named in loads: 4 bytes in place of 20. Two
-// servers of one key would share their loads; among 256 that is one fleet in 130,000.
+// Key returns the key of a server, pool or data centre in reports: 4 bytes instead
+// of a name of about 20. Two servers with the same key share their loads; with 256
+// servers, that occurs in one fleet in 130,000.
 func Key(server string) uint32 { return uint32(xxhash.Sum64String(server)) }
 
 // Lanes is the number of lanes of a pool's engines.
 const Lanes = 3
 
-// Places is the number of positions at which classes are given slots.
+// Positions is the number of positions at which classes are allocated slots.
 const Positions = 12
 
-// claimUnit is the part of a slot that one unit of a told claim stands for: an
-// instance of a large fleet often asks for less than one.
+// slotClaimUnit is the fraction of a slot per unit of an encoded claim: an instance
+// of a large fleet often claims less than one slot.
 const slotClaimUnit = 0.25
 
-// Work is what instances do in each pool, by its key.
+// Work holds the work of instances by pool key.
 type Work map[uint32]PoolWork
 
 func (w Work) add(other Work) {
@@ -38,23 +39,24 @@
 	}
 }
 
-// Load is what instances run on one server.
+// Load is the load of instances on one server.
 type Load struct {
-	// InFlight counts requests.
+	// InFlight is the number of requests.
 	InFlight uint32
-	// Yielding counts those of them that the server puts back for more urgent ones.
+	// Preemptible is the number of those requests that the server may preempt for more
+	// urgent ones.
 	Preemptible uint32
-	// Backlog is the prompt work that waits, in units, by priority.
+	// Backlog is the queued prompt work in BacklogUnits, by priority.
 	Backlog [Levels]uint32
 }
 
-// Levels is the number of priorities at engines.
+// Levels is the number of engine priorities.
 const Levels = 10
 
-// Loads are those of all servers in use, by key.
+// Loads holds the loads of all servers in use, by server key.
 type Loads map[uint32]Load
 
-// add puts other's loads on top of l's.
+// add adds other's loads to l.
 func (l Loads) add(other Loads) {
 	for key, load := range other {
 		sum := l[key]
@@ -67,10 +69,10 @@
 	}
 }
 
-// levelBits is the room for the priority in a column of backlogs.
+// levelBits is the number of bits of the priority in an encoded backlog position.
 const levelBits = 4
 
-// encode writes the loads into the word's columns, in order of their keys.
+// encode writes the loads into the message's columns, sorted by server key.
 func (l Loads) encode(message *lilacv1.LoadWord) {
 	for index, key := range slices.Sorted(maps.Keys(l)) {
 		load := l[key]
@@ -86,7 +88,8 @@
 	}
 }
 
-// decode reads a word's columns; servers and levels that it doesn't know are left out.
+// decodeLoads reads the message's columns. Unknown servers and priorities are
+// ignored.
 func decodeLoads(message *lilacv1.LoadWord) Loads {
 	servers, inFlight := message.GetServers(), message.GetInFlight()
 	known := min(len(servers), len(inFlight))
--- a/process/loadboard/report.go
+++ b/process/loadboard/report.go
@@ -8,27 +8,28 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Reading is a shared part of a prompt that was sent to a server, which holds it
-// from then on.
+// CachedPrefix is a shared prompt prefix that was sent to a server, whose prefix
+// cache holds it from then on.
 type CachedPrefix struct {
 	// Server is the server's key.
 	Server uint32
-	// Hash is that of the part and all before it.
+	// Hash is the hash of the whole prefix.
 	Hash uint64
-	// Tokens is the part's length.
+	// Tokens is the length of the part last added to the prefix.
 	Tokens uint32
 }
 
-// Word is what instances tell each other.
+// Report is the message that instances exchange.
 type Report struct {
 	Loads          Loads
 	Work           Work
 	CachedPrefixes []CachedPrefix
-	// Limits are those that servers named or denied lately.
+	// Limits are the limits that servers recently advertised or withdrew.
 	Limits Limits
-	// Instances is how many the word speaks for.
+	// Instances is the number of instances that the report covers.
 	Instances int
-	// Servers is how many backend servers its sender knows; it isn't told.
+	// Servers is the number of backend servers that the sender knows; it is not
+	// encoded.
 	Servers int
 }
 
@@ -36,104 +37,105 @@
 	return Report{Loads: make(Loads, servers), Work: make(Work), Limits: make(Limits)}
 }
 
-// add puts other's sums on top of w's; readings are told apart.
-func (w *Report) add(other Report) {
-	w.Loads.add(other.Loads)
-	w.Work.add(other.Work)
-	w.Limits.add(other.Limits)
-	w.Instances += other.Instances
+// add adds other's sums to r; cached prefixes are handled separately.
+func (r *Report) add(other Report) {
+	r.Loads.add(other.Loads)
+	r.Work.add(other.Work)
+	r.Limits.add(other.Limits)
+	r.Instances += other.Instances
 }
 
-// Encode makes the message of the word as of now.
-func (w Report) Encode(now time.Time, dataCenter string) *lilacv1.LoadWord {
-	told := &lilacv1.LoadWord{DataCenter: dataCenter, Instances: uint32(w.Instances), Limits: w.Limits.Encode(now)}
-	w.Loads.encode(told)
-	for _, key := range slices.Sorted(maps.Keys(w.Work)) {
-		work := w.Work[key]
-		told.Work = append(told.Work, work.Encode(key))
+// Encode returns the report as a message; ages are relative to now.
+func (r Report) Encode(now time.Time, dataCenter string) *lilacv1.LoadWord {
+	message := &lilacv1.LoadWord{DataCenter: dataCenter, Instances: uint32(r.Instances), Limits: r.Limits.Encode(now)}
+	r.Loads.encode(message)
+	for _, key := range slices.Sorted(maps.Keys(r.Work)) {
+		work := r.Work[key]
+		message.Work = append(message.Work, work.Encode(key))
 	}
-	for _, r := range w.CachedPrefixes {
-		told.Readings = append(told.Readings, &lilacv1.EngineReading{Server: r.Server, Hash: r.Hash, Tokens: r.Tokens})
+	for _, prefix := range r.CachedPrefixes {
+		message.Readings = append(message.Readings, &lilacv1.EngineReading{Server: prefix.Server, Hash: prefix.Hash, Tokens: prefix.Tokens})
 	}
-	return told
+	return message
 }
 
-// DecodeWord reads the message of a word that came now.
-func DecodeReport(now time.Time, told *lilacv1.LoadWord) Report {
-	w := Report{Loads: decodeLoads(told), Work: make(Work), Limits: DecodeLimits(now, told.GetLimits()), Instances: int(told.GetInstances())}
-	for _, work := range told.GetWork() {
-		w.Work[work.GetPool()] = DecodeWork(work)
+// DecodeReport decodes a report received now.
+func DecodeReport(now time.Time, message *lilacv1.LoadWord) Report {
+	report := Report{Loads: decodeLoads(message), Work: make(Work), Limits: DecodeLimits(now, message.GetLimits()), Instances: int(message.GetInstances())}
+	for _, work := range message.GetWork() {
+		report.Work[work.GetPool()] = DecodeWork(work)
 	}
-	for _, r := range told.GetReadings() {
-		w.CachedPrefixes = append(w.CachedPrefixes, CachedPrefix{Server: r.GetServer(), Hash: r.GetHash(), Tokens: r.GetTokens()})
+	for _, prefix := range message.GetReadings() {
+		report.CachedPrefixes = append(report.CachedPrefixes, CachedPrefix{Server: prefix.GetServer(), Hash: prefix.GetHash(), Tokens: prefix.GetTokens()})
 	}
-	return w
+	return report
 }
 
 const (
-	// newsTold is how long a reading goes along with each word: two, so that one
-	// lost word hides nothing.
+	// prefixReportPeriod is how long a prefix is included in reports: two
+	// intervals, so that one lost report has no effect.
 	prefixReportPeriod = 2*Interval + Interval/2
-	// newsKept is how long it is remembered, so that it isn't news again on another
-	// way: longer than its sender tells it.
+	// prefixRetention is how long a prefix is remembered, so that it is not taken
+	// as new when it arrives by another path. It is longer than the sender reports
+	// it.
 	prefixRetention = 4 * time.Second
 )
 
-// origin is who a reading came from, and of which data centre.
+// origin identifies the instance that a prefix was received from.
 type origin struct{ instance, dataCenter string }
 
-// place is a part on a server.
+// prefixLocation identifies a prefix on a server.
 type prefixLocation struct {
 	server uint32
 	hash   uint64
 }
 
-// item is a reading as it was heard first.
+// prefixRecord is the first receipt of a prefix.
 type prefixRecord struct {
 	tokens uint32
 	at     time.Time
 	from   origin
 }
 
-// news are the readings of the last seconds.
+// prefixLog holds the cached prefixes received within prefixRetention.
 type prefixLog map[prefixLocation]prefixRecord
 
-func (n prefixLog) add(now time.Time, readings []CachedPrefix, from origin) {
-	for _, r := range readings {
-		at := prefixLocation{r.Server, r.Hash}
-		if _, known := n[at]; !known {
-			n[at] = prefixRecord{r.Tokens, now, from}
+func (l prefixLog) add(now time.Time, prefixes []CachedPrefix, from origin) {
+	for _, r := range prefixes {
+		location := prefixLocation{r.Server, r.Hash}
+		if _, known := l[location]; !known {
+			l[location] = prefixRecord{r.Tokens, now, from}
 		}
 	}
 }
 
-func (n prefixLog) expire(now time.Time) {
-	for at, i := range n {
-		if now.Sub(i.at) > prefixRetention {
-			delete(n, at)
+func (l prefixLog) expire(now time.Time) {
+	for location, record := range l {
+		if now.Sub(record.at) > prefixRetention {
+			delete(l, location)
 		}
 	}
 }
 
-// pick lists what is to be told of the readings that fit.
-func (n prefixLog) selectRecent(now time.Time, match func(origin) bool) []CachedPrefix {
+// selectRecent returns the prefixes to be reported whose origin matches.
+func (l prefixLog) selectRecent(now time.Time, match func(origin) bool) []CachedPrefix {
 	var list []CachedPrefix
-	for at, i := range n {
-		if now.Sub(i.at) <= prefixReportPeriod && match(i.from) {
-			list = append(list, CachedPrefix{at.server, at.hash, i.tokens})
+	for location, record := range l {
+		if now.Sub(record.at) <= prefixReportPeriod && match(record.from) {
+			list = append(list, CachedPrefix{location.server, location.hash, record.tokens})
 		}
 	}
 	return list
 }
 
-func (n prefixLog) reportedBy(now time.Time, from origin) []CachedPrefix {
-	return n.selectRecent(now, func(o origin) bool { return o == from })
+func (l prefixLog) reportedBy(now time.Time, from origin) []CachedPrefix {
+	return l.selectRecent(now, func(o origin) bool { return o == from })
 }
 
-func (n prefixLog) reportedIn(now time.Time, dataCenter string) []CachedPrefix {
-	return n.selectRecent(now, func(o origin) bool { return o.dataCenter == dataCenter })
+func (l prefixLog) reportedIn(now time.Time, dataCenter string) []CachedPrefix {
+	return l.selectRecent(now, func(o origin) bool { return o.dataCenter == dataCenter })
 }
 
-func (n prefixLog) reportedByOthers(now time.Time, instance string) []CachedPrefix {
-	return n.selectRecent(now, func(o origin) bool { return o.instance != instance })
+func (l prefixLog) reportedByOthers(now time.Time, instance string) []CachedPrefix {
+	return l.selectRecent(now, func(o origin) bool { return o.instance != instance })
 }
--- a/process/loadboard/work.go
+++ b/process/loadboard/work.go
@@ -10,29 +10,29 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// PoolWork is what instances do in one pool and know of it.
+// PoolWork is the work of instances in one pool and what they have measured there.
 type PoolWork struct {
-	// Rates are the prompt tokens a second that they start, by lane.
+	// Rates are the prompt tokens per second that they start, by lane.
 	Rates [Lanes]uint32
-	// Claims are the slots that they ask for, by place, LaneClaims the same by lane.
+	// Claims are the slots that they request by position, LaneClaims by lane.
 	Claims     [Positions]float64
 	LaneClaims [Lanes]float64
-	// Engine is what they learned of the pool's engines.
+	// Engine is what they have measured of the pool's engines.
 	Engine EngineSums
-	// Plan is that of the instance of the best rank among them.
+	// Plan is the plan of the highest-ranked instance among them.
 	Plan LanePlan
 }
 
-// EngineSums are weighted sums of what instances learned of a pool's engines: one that
-// sees one answer a second must know it from the others.
+// EngineSums holds weighted sums of engine measurements. An instance that sees one
+// response per second has too few of its own and relies on those of the others.
 type EngineSums struct {
 	Weight float64
-	// Speed sums the fourth power of the prompt tokens read in a millisecond: where
-	// answers waited behind work that nobody told of, engines seem slow, and quick ones
-	// are nearer the truth.
+	// Speed sums the fourth power of the prefill speed in tokens per millisecond.
+	// Engines seem slow when responses waited behind unreported work, so high
+	// speeds are closer to the truth and weigh more.
 	Speed float64
-	// Step is the time of an empty batch's step, Each what one more request adds to it,
-	// in microseconds.
+	// EmptyStep is the duration of a step with an empty batch, PerRequest what each
+	// further request adds, in microseconds.
 	EmptyStep, PerRequest float64
 }
 
@@ -43,32 +43,34 @@
 	e.PerRequest += other.PerRequest
 }
 
-// LanePlan is how an instance divides a pool's engines into lanes.
+// LanePlan divides a pool's engines into lanes.
 type LanePlan struct {
-	// By is the instance; empty for no plan.
+	// Author is the instance that made the plan; empty for no plan.
 	Author string
-	// Beside is the gap between tokens beside long prompts, in microseconds.
+	// InterTokenGapUs is the gap between tokens while long prompts run on the same
+	// engine, in microseconds.
 	InterTokenGapUs uint32
-	// Sizes are the numbers of engines by the key of their data centre.
+	// Sizes holds the number of engines per lane by data centre key.
 	Sizes map[uint32]LaneSizes
 }
 
-// LaneSizes is the number of a data centre's engines in the lanes for short pauses and
-// for answers that are wanted soon.
+// LaneSizes holds the number of a data centre's engines in the lane for short
+// inter-token gaps (Tight) and in the lane for early responses (Quick).
 type LaneSizes struct{ Tight, Quick uint32 }
 
-// Before tells whether the plan goes before another one.
+// Precedes reports whether the plan takes precedence over another: that of the
+// higher-ranked author does.
 func (p LanePlan) Precedes(other LanePlan) bool {
 	return p.Author != "" && (other.Author == "" || member.CompareRank(p.Author, other.Author) < 0)
 }
 
-// Add puts what other instances do on top.
+// Add adds the work of other instances.
 func (w *PoolWork) Add(other PoolWork) {
 	for l, rate := range other.Rates {
 		w.Rates[l] += rate
 	}
-	for place, slots := range other.Claims {
-		w.Claims[place] += slots
+	for position, slots := range other.Claims {
+		w.Claims[position] += slots
 	}
 	for lane, slots := range other.LaneClaims {
 		w.LaneClaims[lane] += slots
@@ -79,7 +81,7 @@
 	}
 }
 
-// Encode makes the message of the pool's work.
+// Encode returns the work as a message for the pool with the given key.
 func (w *PoolWork) Encode(pool uint32) *lilacv1.PoolWork {
 	message := &lilacv1.PoolWork{Pool: pool, Rates: slices.Clone(w.Rates[:])}
 	message.Claims, message.LaneClaims = encodeClaims(w.Claims[:]), encodeClaims(w.LaneClaims[:])
@@ -96,8 +98,7 @@
 	return message
 }
 
-// DecodeWork reads the message of a pool's work; places and lanes that it doesn't know are
-// left out.
+// DecodeWork decodes a pool's work. Unknown positions and lanes are ignored.
 func DecodeWork(message *lilacv1.PoolWork) PoolWork {
 	var w PoolWork
 	copy(w.Rates[:], message.GetRates())
@@ -115,7 +116,7 @@
 	return w
 }
 
-// encodeClaims leaves out the last ones that are none.
+// encodeClaims omits trailing zeros.
 func encodeClaims(claims []float64) []uint32 {
 	var units []uint32
 	for _, slots := range claims {
@@ -133,7 +134,9 @@
 	}
 }
 
-// finite guards against sums that another build could not represent.
+// allFiniteNonNegative reports whether the values are finite and not negative. It
+// guards against values sent by peers of another version. cmp.Compare orders NaN
+// before all other values.
 func allFiniteNonNegative(values []float32) bool {
 	return !slices.ContainsFunc(values, func(v float32) bool { return cmp.Compare(v, 0) < 0 || math.IsInf(float64(v), 0) })
 }
--- a/process/orders/core.go
+++ b/process/orders/core.go
@@ -1,72 +1,75 @@
-// Package orders decides which orders to load and unload models the holder of
-// the lease gives to engines, and when.
+// Package orders decides which orders to load and unload models the lease holder
+// sends to engines, and when.
 //
-// The wishes stand in the configuration; an engine's own word, read back, tells
-// what it has. The difference is ordered: one order at a time to each engine,
-// loads from a token bucket for the weight store, the model that has the
-// smallest part of its wished engines first.
+// The desired state comes from the configuration, the actual state from reading the
+// engines back. The difference is resolved by orders: one at a time per engine,
+// with loads limited by a token bucket to protect the weight store. The model with
+// the smallest loaded fraction of its desired engines comes first.
 package orders
 
 import "time"
 
 const (
-	// OrderTimeout is the default of the longest that an order may be in flight;
-	// the shell ends it then. A new holder waits as long before it orders anything of an engine
-	// that ignores fencing numbers.
+	// OrderTimeout is the default limit on the time that an order may be in flight;
+	// the caller must end it then. A new lease holder waits for as long before it
+	// sends orders to an engine that ignores fencing tokens.
 	OrderTimeout = 30 * time.Second
-	// readInterval lies between two readings of the same engine at least; with
-	// more engines than readsPerMinute allows, all take their turn.
+	// minReadInterval is the minimum time between two reads of the same engine. If
+	// there are more engines than readsPerMinute allows, they are read in turn.
 	minReadInterval = 10 * time.Second
-	// retryPause follows a reading or order that failed.
+	// retryDelay follows a failed read or order.
 	retryDelay = 2 * time.Second
 )
 
-// Model is a model with an adapter, or without one where Adapter is empty.
+// Model is a model with an adapter, or without one if Adapter is empty.
 type Model struct{ Name, Adapter string }
 
-// Engine is a model engine and what it is wished to have; models that it is not
-// said to have or lack are left as they are.
+// Engine is a model engine with its desired state: true for models to be loaded,
+// false for models to be unloaded. Other models are left as they are.
 type Engine struct {
 	Name    string
 	Address string
-	// ChecksFencing engines refuse orders with an old number by themselves.
+	// ChecksFencing marks an engine that refuses orders with an outdated fencing
+	// token.
 	ChecksFencing bool
 	Desired       map[Model]bool
 }
 
-// Event is something that happened; see the types below.
+// Event is an input of Core.Step.
 type Event interface{ event() }
 
-// Configured brings the engines with wishes, in any order.
+// Configured carries the engines that have a desired state, in any order.
 type Configured struct{ Engines []Engine }
 
-// Leased tells that this instance holds the lease under the number; the same
-// number again changes nothing.
+// LeaseHeld reports that this instance holds the lease under the fencing token;
+// repeating the same token has no effect.
 type LeaseHeld struct{ Fencing uint64 }
 
-// Lost tells that this instance does not hold the lease.
+// LeaseLost reports that this instance does not hold the lease.
 type LeaseLost struct{}
 
-// ReadDone is what an engine said that it has; Err is set where it said nothing.
+// ReadDone carries the models that an engine has loaded; Err is set if the read
+// failed.
 type ReadDone struct {
 	Engine string
-	// Fencing is the number under which the reading was asked for.
+	// Fencing is the fencing token under which the read was requested.
 	Fencing uint64
 	Loaded  []Model
 	Err     error
 }
 
-// OrderDone tells how an order ended.
+// OrderDone reports how an order ended.
 type OrderDone struct {
 	Engine string
-	// Fencing is the number that the order carried.
+	// Fencing is the fencing token of the order.
 	Fencing uint64
-	// Refused means that the engine has seen a newer number: another holds the lease.
+	// Refused means that the engine has seen a newer fencing token, so another
+	// instance holds the lease.
 	Refused bool
 	Err     error
 }
 
-// Tick lets time pass.
+// Tick advances time.
 type Tick struct{}
 
 func (Configured) event() {}
@@ -76,17 +79,17 @@
 func (OrderDone) event()  {}
 func (Tick) event()       {}
 
-// Action is something the shell must do; see the types below.
+// Action is an output of Core.Step that the caller must perform.
 type Action interface{ action() }
 
-// Read tells the shell to ask the engine what it has.
+// Read requests the models that the engine has loaded. The caller reports ReadDone.
 type Read struct {
 	Engine  Engine
 	Fencing uint64
 }
 
-// Order tells the shell to load or unload the model, if the lease still holds
-// at that very moment.
+// Order loads or unloads the model. The caller must check the lease immediately
+// before it sends the order, and reports OrderDone.
 type Order struct {
 	Engine  Engine
 	Model   Model
@@ -94,44 +97,48 @@
 	Fencing uint64
 }
 
-// GiveUp tells the shell that the lease is another's: it must not renew it.
+// AbandonLease reports that another instance holds the lease: the caller must not
+// renew it.
 type AbandonLease struct{}
 
 func (Read) action()         {}
 func (Order) action()        {}
 func (AbandonLease) action() {}
 
-// engine is what the core knows of one engine.
+// engine is the core's state of one engine.
 type engine struct {
 	Engine
-	// known is true once it was read back under this holding.
+	// loadedKnown is true once the engine was read back in this term.
 	loadedKnown bool
 	loaded      map[Model]bool
-	// busy engines are being read or ordered.
+	// inFlight is true while a read or an order is in flight.
 	inFlight bool
-	// turn numbers the engine's readings, so that one that was put off counts no more.
+	// generation numbers the scheduled reads of the engine; those of an older
+	// generation are void.
 	generation uint64
-	// stale is set while a reading is under way that may not show the last order.
+	// readStale is set if the read in flight may not show the last order.
 	readStale bool
 }
 
-// Core decides orders. Calls must not overlap.
+// Core is the state machine that decides orders. It does no I/O: the caller feeds
+// events to Step and performs the returned actions. It is not safe for concurrent
+// use.
 type Core struct {
 	engines     map[string]*engine
 	differences differenceIndex
-	// urgent and routine hold the turns of engines to be read.
+	// urgent and routine are the queues of scheduled reads.
 	urgent, routine readQueue
 	readBudget      tokenBucket
 	fencing         uint64
-	// since is when the holding began.
+	// leaseSince is when the term began.
 	leaseSince time.Time
 	loadBudget tokenBucket
-	// orderTimeout is the longest that an order may be in flight.
+	// orderTimeout limits the time that an order may be in flight.
 	orderTimeout time.Duration
 }
 
-// NewCore returns a Core whose loads draw on the weight store at most so many
-// times a minute, and whose orders are in flight for orderTimeout at most.
+// NewCore returns a Core that orders at most loadsPerMinute loads and whose orders
+// are in flight for at most orderTimeout.
 func NewCore(loadsPerMinute int, orderTimeout time.Duration) *Core {
 	return &Core{
 		engines: make(map[string]*engine), differences: newDifferenceIndex(), orderTimeout: orderTimeout,
@@ -140,7 +147,7 @@
 	}
 }
 
-// Step takes one event and returns what to do, in order.
+// Step processes one event and returns the actions to perform, in order.
 func (c *Core) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case Configured:
@@ -194,17 +201,17 @@
 func (c *Core) remove(e *engine) {
 	delete(c.engines, e.Name)
 	c.differences.remove(e)
-	// Its turn, if it has one, counts no more.
+	// Invalidates a scheduled read.
 	e.generation++
 }
 
-// lease begins a holding, which knows nothing yet of any engine.
+// beginTerm starts a term as lease holder, in which no engine's state is known yet.
 func (c *Core) beginTerm(now time.Time, fencing uint64) {
 	if fencing == c.fencing {
 		return
 	}
 	c.fencing, c.leaseSince = fencing, now
-	// Full from the first moment, two holders after each other would draw twice.
+	// A full bucket would let two successive holders each use a whole burst.
 	c.loadBudget.drain(now)
 	c.urgent, c.routine = nil, nil
 	for _, e := range c.engines {
@@ -213,14 +220,14 @@
 	}
 }
 
-// readyAt is when the engine may be read back and ordered.
+// readyAt returns when the engine may be read back and sent orders.
 //
-// It guards against an order of the holder before, still in flight, that lands
-// after this holder has read the engine back: the engine would end in a state
-// that nobody wishes. Engines that check the number refuse such an order once
-// they have met a newer one; for the others it holds because the longest order
-// in flight has ended by then. What still lands later, as from a process that
-// froze in the middle of sending, is found by the next reading.
+// An order of the previous holder that is still in flight must not be applied after
+// this holder has read the engine back, or the engine would end in the wrong state.
+// Engines that check the fencing token refuse such an order once they have seen a
+// newer token; for the others, the longest possible order has ended by then. An
+// order applied even later, as by a process that was suspended while sending, is
+// detected by the next read.
 func (c *Core) readyAt(e *engine) time.Time {
 	if e.ChecksFencing {
 		return c.leaseSince
@@ -228,11 +235,11 @@
 	return c.leaseSince.Add(c.orderTimeout)
 }
 
-// read takes an engine's word.
+// handleRead processes the result of a read.
 //
-// It guards against a word asked for under an older holding, which came before
-// the wait of this one: an order still on its way could land after it. It shows
-// as an engine ordered too soon. It holds because the word names its holding.
+// A result requested in an earlier term may predate the wait of this one, and an
+// order still in flight could be applied after it. Results carry their fencing
+// token and are ignored in another term.
 func (c *Core) handleRead(now time.Time, r ReadDone) {
 	e, ok := c.engines[r.Engine]
 	if !ok || r.Fencing != c.fencing {
@@ -262,9 +269,9 @@
 	c.differences.update(e, func() { e.loadedKnown, e.readStale = false, false })
 }
 
-// ordered wants the engine read back, whatever the answer was: an order whose
-// answer was lost may have been carried out. One of an older holding may have
-// been carried out after the engine was read.
+// handleOrderDone schedules a read of the engine whatever the result was: an order
+// whose reply was lost may have been applied, and an order of an earlier term may
+// have been applied after the engine was read.
 func (c *Core) handleOrderDone(now time.Time, o OrderDone) {
 	e, ok := c.engines[o.Engine]
 	if !ok {
--- a/process/orders/differences.go
+++ b/process/orders/differences.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// needs knows which engines differ from their wishes, and how many engines have
-// each model, so that no step looks at all engines.
+// differenceIndex tracks which engines differ from their desired state, and how
+// many engines have each model, so that no step has to scan all engines.
 type differenceIndex struct {
-	// surplus engines have a model that they are wished to lack, lacking ones the
-	// other way round. Both hold only engines whose state is known.
+	// surplus holds the engines with a model to be unloaded, lacking those with a
+	// model to be loaded. Both hold only engines whose state is known.
 	surplus, lacking map[string]*engine
-	// wished and loaded count engines by model.
+	// desiredCount and loadedCount count engines by model.
 	desiredCount, loadedCount map[Model]int
 }
 
@@ -24,71 +24,73 @@
 	}
 }
 
-// change runs a change of the engine's wishes or state and keeps the counts.
-func (n *differenceIndex) update(e *engine, change func()) {
-	n.count(e, -1)
-	change()
-	n.count(e, 1)
-	n.classify(e)
+// update applies a change of the engine's desired or actual state and keeps the
+// counts consistent.
+func (d *differenceIndex) update(e *engine, apply func()) {
+	d.count(e, -1)
+	apply()
+	d.count(e, 1)
+	d.classify(e)
 }
 
-// drop forgets an engine.
-func (n *differenceIndex) remove(e *engine) {
-	n.count(e, -1)
-	delete(n.surplus, e.Name)
-	delete(n.lacking, e.Name)
+// remove removes an engine.
+func (d *differenceIndex) remove(e *engine) {
+	d.count(e, -1)
+	delete(d.surplus, e.Name)
+	delete(d.lacking, e.Name)
 }
 
-func (n *differenceIndex) count(e *engine, by int) {
+func (d *differenceIndex) count(e *engine, delta int) {
 	for m, load := range e.Desired {
 		if load {
-			n.desiredCount[m] += by
+			d.desiredCount[m] += delta
 		}
 		if e.loaded[m] {
-			n.loadedCount[m] += by
+			d.loadedCount[m] += delta
 		}
 	}
 }
 
-func (n *differenceIndex) classify(e *engine) {
-	delete(n.surplus, e.Name)
-	delete(n.lacking, e.Name)
+func (d *differenceIndex) classify(e *engine) {
+	delete(d.surplus, e.Name)
+	delete(d.lacking, e.Name)
 	if !e.loadedKnown {
 		return
 	}
 	for m, load := range e.Desired {
 		switch {
 		case load && !e.loaded[m]:
-			n.lacking[e.Name] = e
+			d.lacking[e.Name] = e
 		case !load && e.loaded[m]:
-			n.surplus[e.Name] = e
+			d.surplus[e.Name] = e
 		}
 	}
 }
 
-// wanted is an order that one engine needs.
+// pendingOrder is an order that an engine needs.
 type pendingOrder struct {
 	engine *engine
 	model  Model
 	load   bool
 }
 
-// wanted lists the orders that the engines need: unloads first, since they make
-// room, then loads from the model with the smallest part of its wished engines on.
-func (n *differenceIndex) pendingOrders(includeLoads bool) []pendingOrder {
+// pendingOrders returns the orders that the engines need: unloads first, since they
+// free memory, then loads if includeLoads is set, starting with the model that has
+// the smallest loaded fraction of its desired engines.
+func (d *differenceIndex) pendingOrders(includeLoads bool) []pendingOrder {
 	var list []pendingOrder
-	for _, e := range sortedByName(n.surplus) {
+	for _, e := range sortedByName(d.surplus) {
 		list = e.appendPending(list, false)
 	}
 	if !includeLoads {
 		return list
 	}
 	unloads := len(list)
-	for _, e := range sortedByName(n.lacking) {
+	for _, e := range sortedByName(d.lacking) {
 		list = e.appendPending(list, true)
 	}
 	loadedFraction := func(w pendingOrder) float64 {
-		return float64(n.loadedCount[w.model]) / float64(n.desiredCount[w.model])
+		return float64(d.loadedCount[w.model]) / float64(d.desiredCount[w.model])
 	}
 	slices.SortStableFunc(list[unloads:], func(a, b pendingOrder) int { return cmp.Compare(loadedFraction(a), loadedFraction(b)) })
 	return list
@@ -100,7 +102,7 @@
 	return list
 }
 
-// missing adds the loads or the unloads that the engine needs.
+// appendPending appends the loads or the unloads that the engine needs.
 func (e *engine) appendPending(list []pendingOrder, load bool) []pendingOrder {
 	for _, m := range slices.SortedFunc(maps.Keys(e.Desired), compareModels) {
 		if e.Desired[m] == load && e.loaded[m] != load {
--- a/process/orders/large_test.go
+++ b/process/orders/large_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// fleet wishes the model of so many engines, which have it or lack it.
+// newLargeFleet returns a fleet in which every engine should have the model loaded;
+// all have it or none does.
 func newLargeFleet(core *Core, engines int, loaded bool) *largeFleet {
 	x := &largeFleet{core: core, now: start, reads: make(map[string]int)}
 	var list []Engine
@@ -21,7 +22,7 @@
 	return x
 }
 
-// largeFleet answers readings at once and counts them.
+// largeFleet answers reads immediately and counts them.
 type largeFleet struct {
 	core   *Core
 	now    time.Time
@@ -47,7 +48,7 @@
 	}
 }
 
-// run lets so many seconds pass, in the shell's ticks.
+// run advances time by the number of seconds, in the caller's ticks.
 func (x *largeFleet) run(seconds int) {
 	for range 2 * seconds {
 		x.now = x.now.Add(time.Second / 2)
@@ -55,9 +56,10 @@
 	}
 }
 
-// The holder of orders at full size has 5,900 engines to read back. Each ten
-// seconds that would be 590 calls a second, a fifth of a core and 20 times its
-// bytes for control. All must be read all the same, none twice before the last.
+// At full size the lease holder has 5,900 engines to read. Reading each every ten
+// seconds would take 590 calls per second, a fifth of a core and 20 times the byte
+// budget for control traffic. The rate must be bounded, and every engine must be
+// read, none twice before the last.
 func TestReadRateIsBoundedInLargeFleet(t *testing.T) {
 	is := is.New(t)
 	const engines = 5900
@@ -71,8 +73,8 @@
 	}
 }
 
-// While all engines are read in turn, an operator wishes for a model on one more.
-// Its turn must not wait behind the 5,900.
+// A model is requested on a new engine while all others are being read in turn. It
+// must not wait behind the 5,900 routine reads.
 func TestChangedEngineIsReadBeforeRoutineReads(t *testing.T) {
 	is := is.New(t)
 	x := newLargeFleet(NewCore(30, OrderTimeout), 5900, true)
@@ -86,8 +88,9 @@
 	is.Equal(x.reads["z"], 1)
 }
 
-// An order of an older holding of this very instance ends after the engine was
-// asked under the new one. What the engine said then may not show the order.
+// An order of an earlier term of the same instance ends after the engine was read
+// in the new term. That read may not show the effect of the order and must be
+// repeated.
 func TestStaleReadIsRepeated(t *testing.T) {
 	is := is.New(t)
 	core := NewCore(600, OrderTimeout)
@@ -104,8 +107,8 @@
 	is.Equal(again[0].(Read).Engine.Name, "r1")
 }
 
-// BenchmarkHolder gives the processor time of the core for one second of the
-// lease holder's life, by engines; all in order, or all to be loaded.
+// BenchmarkHolder measures the core's CPU time per second at the lease holder, by
+// number of engines: with all models loaded, or all still to be loaded.
 func BenchmarkHolder(b *testing.B) {
 	for _, state := range []string{"steady", "rollout"} {
 		for _, engines := range []int{13, 500, 2000, 5900} {
--- a/process/orders/orders_test.go
+++ b/process/orders/orders_test.go
@@ -11,12 +11,13 @@
 
 var start = time.Unix(1_764_700_000, 0)
 
-// engines plays a few engines; orders land at once unless they are held back.
+// fakeEngines simulates a few engines. Orders are applied immediately unless delay
+// is set.
 type fakeEngines struct {
 	core   *Core
 	now    time.Time
 	loaded map[string]map[Model]bool
-	// late holds orders that are on the way.
+	// inTransit holds the delayed orders.
 	inTransit []Order
 	delay     bool
 	orders    []Order
@@ -69,46 +70,46 @@
 
 var large = Model{Name: "large"}
 
-func engineOf(name string, checks bool, load bool) Engine {
-	return Engine{Name: name, Address: "10.0.0.1:80", ChecksFencing: checks, Desired: map[Model]bool{large: load}}
+func engineOf(name string, checksFencing bool, load bool) Engine {
+	return Engine{Name: name, Address: "10.0.0.1:80", ChecksFencing: checksFencing, Desired: map[Model]bool{large: load}}
 }
 
-// The holder orders an engine, which ignores numbers, to unload; the order is
-// still on the way when the lease passes to another, and the wish changes to
-// load. The new holder must not read and order before the old order can have
-// landed, or the engine would end without the model.
+// The lease passes to another holder while an unload order is in flight to an
+// engine that ignores fencing tokens, and the desired state changes to loaded. The
+// new holder must not read or send orders before the old order can have been
+// applied, or the engine would end without the model.
 func TestNewHolderWaitsForOrdersInFlight(t *testing.T) {
-	for _, checks := range []bool{false, true} {
-		t.Run(fmt.Sprint("checks ", checks), func(t *testing.T) {
+	for _, checksFencing := range []bool{false, true} {
+		t.Run(fmt.Sprint("checks ", checksFencing), func(t *testing.T) {
 			is := is.New(t)
-			old := newFakeEngines(NewCore(600, OrderTimeout))
-			old.loaded["r1"] = map[Model]bool{large: true}
-			old.delay = true
-			old.step(Configured{[]Engine{engineOf("r1", checks, false)}})
-			old.step(LeaseHeld{1})
-			old.run(OrderTimeout + time.Second)
-			is.Equal(len(old.inTransit), 1)
-
-			next := newFakeEngines(NewCore(600, OrderTimeout))
-			next.loaded, next.now = old.loaded, old.now
-			next.step(Configured{[]Engine{engineOf("r1", checks, true)}})
-			next.step(LeaseHeld{2})
-			next.run(OrderTimeout - time.Second)
-			if checks {
-				// The engine has seen number 2 and refuses the late order itself.
-				is.True(next.reads > 0)
+			predecessor := newFakeEngines(NewCore(600, OrderTimeout))
+			predecessor.loaded["r1"] = map[Model]bool{large: true}
+			predecessor.delay = true
+			predecessor.step(Configured{[]Engine{engineOf("r1", checksFencing, false)}})
+			predecessor.step(LeaseHeld{1})
+			predecessor.run(OrderTimeout + time.Second)
+			is.Equal(len(predecessor.inTransit), 1)
+
+			successor := newFakeEngines(NewCore(600, OrderTimeout))
+			successor.loaded, successor.now = predecessor.loaded, predecessor.now
+			successor.step(Configured{[]Engine{engineOf("r1", checksFencing, true)}})
+			successor.step(LeaseHeld{2})
+			successor.run(OrderTimeout - time.Second)
+			if checksFencing {
+				// The engine has seen token 2 and refuses the late order itself.
+				is.True(successor.reads > 0)
 				return
 			}
-			is.Equal(next.reads, 0)
-			next.apply(old.inTransit[0])
-			next.run(5 * time.Second)
-			is.True(next.loaded["r1"][large])
+			is.Equal(successor.reads, 0)
+			successor.apply(predecessor.inTransit[0])
+			successor.run(5 * time.Second)
+			is.True(successor.loaded["r1"][large])
 		})
 	}
 }
 
-// A process that was frozen between its check and its write sends an order after
-// any wait. The next reading must find it, and the wish be ordered again.
+// A process suspended between its check and its write may send an order after any
+// delay. The next read must detect the effect, and the model must be ordered again.
 func TestLateOrderIsDetectedAndCorrected(t *testing.T) {
 	is := is.New(t)
 	x := newFakeEngines(NewCore(600, OrderTimeout))
@@ -128,15 +129,15 @@
 	x.step(Configured{[]Engine{engineOf("r1", true, true), engineOf("r2", true, true)}})
 	x.step(LeaseHeld{2})
 	x.run(5 * time.Second)
-	given := len(x.orders)
+	before := len(x.orders)
 	x.step(OrderDone{Engine: "r1", Fencing: 2, Refused: true})
 	is.True(x.abandoned)
 	x.run(time.Minute)
-	is.Equal(len(x.orders), given)
+	is.Equal(len(x.orders), before)
 }
 
-// An order's answer is lost. It may have been carried out; it must not be given
-// again blindly, but after the engine was read.
+// The reply to an order is lost. The order may have been applied, so the engine
+// must be read before the order is repeated.
 func TestEngineIsReadAfterLostReply(t *testing.T) {
 	is := is.New(t)
 	x := newFakeEngines(NewCore(600, OrderTimeout))
@@ -146,14 +147,14 @@
 	x.run(5 * time.Second)
 	is.Equal(len(x.orders), 1)
 	x.apply(x.inTransit[0])
-	x.step(OrderDone{Engine: "r1", Fencing: 1, Err: errors.New("answer lost")})
+	x.step(OrderDone{Engine: "r1", Fencing: 1, Err: errors.New("reply lost")})
 	x.run(time.Minute)
 	is.Equal(len(x.orders), 1)
 }
 
-// Forty engines wish for a model at once and the weight store allows six loads a
-// minute. The loads must keep to that, over a change of the holder too, and the
-// model that is worst off comes first.
+// Forty engines need a model and the weight store allows six loads per minute. The
+// limit must hold, also across changes of the lease holder, and the model with the
+// smallest loaded fraction comes first.
 func TestLoadRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	x := newFakeEngines(NewCore(6, OrderTimeout))
@@ -168,10 +169,10 @@
 		list = append(list, e)
 	}
 	x.step(Configured{list})
-	for holding := range 5 {
-		x.step(LeaseHeld{uint64(holding + 1)})
+	for term := range 5 {
+		x.step(LeaseHeld{uint64(term + 1)})
 		x.run(time.Minute)
-		is.True(len(x.orders) <= 6*(holding+1))
+		is.True(len(x.orders) <= 6*(term+1))
 	}
 	is.True(len(x.orders) > 20)
 	for _, o := range x.orders[:10] {
--- a/process/orders/random_test.go
+++ b/process/orders/random_test.go
@@ -16,14 +16,15 @@
 	leaseTime      = 10 * time.Second
 )
 
-// later is something that happens at a time, unless its holder is frozen then.
+// delayed is a callback at a given time, postponed while its candidate is
+// suspended.
 type delayed struct {
 	at        time.Time
 	candidate *candidate
 	do        func()
 }
 
-// holder is an instance that may hold the lease.
+// candidate is an instance that may hold the lease.
 type candidate struct {
 	name        string
 	core        *Core
@@ -32,15 +33,16 @@
 	frozenUntil time.Time
 }
 
-// target is an engine with what it has and the newest number that landed.
+// simulatedEngine is an engine with its loaded models and the newest fencing token
+// that it was sent.
 type simulatedEngine struct {
 	Engine
 	loaded        map[Model]bool
 	newestFencing uint64
 }
 
-// world drives holders and engines with delays, lost answers and freezes, under
-// one lease whose leader has a clock of its own.
+// simulation drives candidates and engines with delays, lost replies and
+// suspensions, under one lease whose leader has its own clock.
 type simulation struct {
 	random     *rand.Rand
 	now        time.Time
@@ -57,208 +59,209 @@
 }
 
 func newSimulation(seed uint64) *simulation {
-	w := &simulation{random: rand.New(rand.NewPCG(seed, 3)), now: start, engines: make(map[string]*simulatedEngine),
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 3)), now: start, engines: make(map[string]*simulatedEngine),
 		table: lease.NewTable(), faults: true, terms: make(map[uint64]bool)}
 	for i := range 3 {
-		w.candidates = append(w.candidates, &candidate{name: fmt.Sprint("entry-", i), core: NewCore(600, OrderTimeout)})
+		s.candidates = append(s.candidates, &candidate{name: fmt.Sprint("entry-", i), core: NewCore(600, OrderTimeout)})
 	}
 	for i := range 4 {
 		name := fmt.Sprint("r", i)
-		w.names = append(w.names, name)
-		w.engines[name] = &simulatedEngine{Engine: engineOf(name, i%2 == 0, true), loaded: make(map[Model]bool)}
+		s.names = append(s.names, name)
+		s.engines[name] = &simulatedEngine{Engine: engineOf(name, i%2 == 0, true), loaded: make(map[Model]bool)}
 	}
-	w.changeDesired()
-	return w
+	s.changeDesired()
+	return s
 }
 
-func (w *simulation) delay(most time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(most)))
+func (s *simulation) delay(most time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(most)))
 }
 
-func (w *simulation) after(h *candidate, d time.Duration, do func()) {
-	w.queue = append(w.queue, delayed{w.now.Add(d), h, do})
+func (s *simulation) after(h *candidate, d time.Duration, do func()) {
+	s.queue = append(s.queue, delayed{s.now.Add(d), h, do})
 }
 
-// wish changes what one engine should have, and tells the holders one by one.
-func (w *simulation) changeDesired() {
-	e := w.engines[w.names[w.random.IntN(len(w.names))]]
-	e.Desired = map[Model]bool{large: w.random.IntN(2) == 0, {Name: "small"}: w.random.IntN(2) == 0}
+// changeDesired changes the desired state of one engine and informs the candidates
+// one by one.
+func (s *simulation) changeDesired() {
+	e := s.engines[s.names[s.random.IntN(len(s.names))]]
+	e.Desired = map[Model]bool{large: s.random.IntN(2) == 0, {Name: "small"}: s.random.IntN(2) == 0}
 	var list []Engine
-	for _, name := range w.names {
-		list = append(list, w.engines[name].Engine)
+	for _, name := range s.names {
+		list = append(list, s.engines[name].Engine)
 	}
-	for _, h := range w.candidates {
-		w.after(h, w.delay(3*time.Second), func() { w.step(h, Configured{list}) })
+	for _, h := range s.candidates {
+		s.after(h, s.delay(3*time.Second), func() { s.step(h, Configured{list}) })
 	}
 }
 
-func (w *simulation) step(h *candidate, event Event) {
-	for _, action := range h.core.Step(w.now, event) {
+func (s *simulation) step(h *candidate, event Event) {
+	for _, action := range h.core.Step(s.now, event) {
 		switch a := action.(type) {
 		case Read:
-			w.after(h, w.delay(time.Second), func() { w.read(h, a) })
+			s.after(h, s.delay(time.Second), func() { s.read(h, a) })
 		case Order:
-			w.after(h, w.delay(time.Second), func() { w.send(h, a) })
+			s.after(h, s.delay(time.Second), func() { s.send(h, a) })
 		case AbandonLease:
 			h.grant = lease.Grant{}
 		}
 	}
 }
 
-func (w *simulation) read(h *candidate, a Read) {
+func (s *simulation) read(h *candidate, a Read) {
 	var has []Model
-	for m, loaded := range w.engines[a.Engine.Name].loaded {
+	for m, loaded := range s.engines[a.Engine.Name].loaded {
 		if loaded {
 			has = append(has, m)
 		}
 	}
-	w.after(h, w.delay(time.Second), func() { w.step(h, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has}) })
+	s.after(h, s.delay(time.Second), func() { s.step(h, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has}) })
 }
 
-// send is the moment at which the body is written: the lease is checked, and the
-// order is then on the way for less than OrderTimeout, whatever becomes of its holder.
-func (w *simulation) send(h *candidate, a Order) {
-	done := OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing}
-	if !h.grant.Valid(w.now) || h.grant.Fencing() != a.Fencing {
-		done.Err = errors.New("the lease ran out")
-		w.step(h, done)
+// send runs when the order's body is written: the lease is checked, and the order
+// is then in flight for less than OrderTimeout, even if its sender is suspended.
+func (s *simulation) send(h *candidate, a Order) {
+	outcome := OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing}
+	if !h.grant.Valid(s.now) || h.grant.Fencing() != a.Fencing {
+		outcome.Err = errors.New("lease expired")
+		s.step(h, outcome)
 		return
 	}
-	way := w.delay(3 * time.Second)
-	if w.faults && w.random.IntN(3) == 0 {
-		way = w.delay(OrderTimeout)
+	transit := s.delay(3 * time.Second)
+	if s.faults && s.random.IntN(3) == 0 {
+		transit = s.delay(OrderTimeout)
 	}
-	w.after(nil, way, func() {
-		done.Refused = !w.apply(a)
-		if w.faults && w.random.IntN(4) == 0 {
-			done.Refused, done.Err = false, errors.New("answer lost")
+	s.after(nil, transit, func() {
+		outcome.Refused = !s.apply(a)
+		if s.faults && s.random.IntN(4) == 0 {
+			outcome.Refused, outcome.Err = false, errors.New("reply lost")
 		}
-		w.after(h, 0, func() { w.step(h, done) })
+		s.after(h, 0, func() { s.step(h, outcome) })
 	})
 }
 
-func (w *simulation) apply(a Order) bool {
-	e := w.engines[a.Engine.Name]
+func (s *simulation) apply(a Order) bool {
+	e := s.engines[a.Engine.Name]
 	if a.Fencing < e.newestFencing {
 		if e.ChecksFencing {
 			return false
 		}
-		w.problem = fmt.Sprintf("%s: an order of holding %d landed after one of %d", e.Name, a.Fencing, e.newestFencing)
+		s.problem = fmt.Sprintf("%s: an order with fencing token %d was applied after one with %d", e.Name, a.Fencing, e.newestFencing)
 	}
 	e.newestFencing = a.Fencing
 	e.loaded[a.Model] = a.Load
-	w.applied++
+	s.applied++
 	return true
 }
 
-// ask sends the holder's request for the lease. The leader judges by its own
-// clock whether the last renewal has run out, and applies the request after it
-// has been replicated, when others may stand before it in the log.
-func (w *simulation) requestLease(h *candidate) {
-	sent := w.now
-	h.nextRequest = w.now.Add(leaseTime / 4)
-	w.after(nil, w.delay(time.Second), func() {
+// requestLease sends a candidate's lease request. The leader decides by its own
+// clock whether the last renewal has expired, and applies the request after
+// replication, when others may precede it in the log.
+func (s *simulation) requestLease(h *candidate) {
+	sentAt := s.now
+	h.nextRequest = s.now.Add(leaseTime / 4)
+	s.after(nil, s.delay(time.Second), func() {
 		request := &lilacv1.LeaseRequest{Name: "orders", Holder: h.name, Incarnation: h.name, DurationMs: uint32(leaseTime.Milliseconds())}
-		if e := w.table.Get("orders"); e != nil && w.now.Sub(w.renewed) > leaseTime+leaseTime/20 {
+		if e := s.table.Get("orders"); e != nil && s.now.Sub(s.renewed) > leaseTime+leaseTime/20 {
 			request.ExpiredRenewal = e.GetRenewal()
 		}
-		w.after(nil, w.delay(time.Second), func() { w.applyLeaseRequest(h, sent, request) })
+		s.after(nil, s.delay(time.Second), func() { s.applyLeaseRequest(h, sentAt, request) })
 	})
 }
 
-func (w *simulation) applyLeaseRequest(h *candidate, sent time.Time, request *lilacv1.LeaseRequest) {
-	reply, err := w.table.Apply(request)
+func (s *simulation) applyLeaseRequest(h *candidate, sentAt time.Time, request *lilacv1.LeaseRequest) {
+	reply, err := s.table.Apply(request)
 	if err != nil {
-		w.problem = err.Error()
+		s.problem = err.Error()
 		return
 	}
 	if reply.GetGranted() {
-		w.renewed = w.now
-		w.terms[reply.GetFencing()] = true
+		s.renewed = s.now
+		s.terms[reply.GetFencing()] = true
 	}
-	w.after(h, w.delay(2*time.Second), func() { h.grant.Update(sent, reply) })
+	s.after(h, s.delay(2*time.Second), func() { h.grant.Update(sentAt, reply) })
 }
 
-func (w *simulation) advance() {
-	w.now = w.now.Add(simulationStep)
-	w.deliver()
+func (s *simulation) advance() {
+	s.now = s.now.Add(simulationStep)
+	s.deliver()
 	valid := 0
-	for _, h := range w.candidates {
-		if h.grant.Valid(w.now) {
+	for _, h := range s.candidates {
+		if h.grant.Valid(s.now) {
 			valid++
 		}
-		if w.now.Before(h.frozenUntil) {
+		if s.now.Before(h.frozenUntil) {
 			continue
 		}
-		if w.faults && w.random.IntN(120) == 0 {
-			h.frozenUntil = w.now.Add(w.delay(40 * time.Second))
+		if s.faults && s.random.IntN(120) == 0 {
+			h.frozenUntil = s.now.Add(s.delay(40 * time.Second))
 		}
-		if !w.now.Before(h.nextRequest) {
-			w.requestLease(h)
+		if !s.now.Before(h.nextRequest) {
+			s.requestLease(h)
 		}
-		if h.grant.Valid(w.now) {
-			w.step(h, LeaseHeld{h.grant.Fencing()})
+		if h.grant.Valid(s.now) {
+			s.step(h, LeaseHeld{h.grant.Fencing()})
 		} else {
-			w.step(h, LeaseLost{})
+			s.step(h, LeaseLost{})
 		}
-		w.step(h, Tick{})
+		s.step(h, Tick{})
 	}
 	if valid > 1 {
-		w.problem = "two holders at once"
+		s.problem = "two instances hold the lease at once"
 	}
-	if w.faults && w.random.IntN(60) == 0 {
-		w.changeDesired()
+	if s.faults && s.random.IntN(60) == 0 {
+		s.changeDesired()
 	}
 }
 
-func (w *simulation) deliver() {
+func (s *simulation) deliver() {
 	var rest []delayed
-	due := w.queue
-	w.queue = nil
-	for _, l := range due {
-		if w.now.Before(l.at) || l.candidate != nil && w.now.Before(l.candidate.frozenUntil) {
-			rest = append(rest, l)
+	due := s.queue
+	s.queue = nil
+	for _, event := range due {
+		if s.now.Before(event.at) || event.candidate != nil && s.now.Before(event.candidate.frozenUntil) {
+			rest = append(rest, event)
 			continue
 		}
-		l.do()
+		event.do()
 	}
-	w.queue = append(rest, w.queue...)
+	s.queue = append(rest, s.queue...)
 }
 
-func (w *simulation) unsettled() string {
-	for _, name := range w.names {
-		e := w.engines[name]
+func (s *simulation) unsettled() string {
+	for _, name := range s.names {
+		e := s.engines[name]
 		for m, load := range e.Desired {
 			if e.loaded[m] != load {
-				return fmt.Sprintf("%s: %v should be loaded: %v", name, m, load)
+				return fmt.Sprintf("%s: model %v: want loaded %v", name, m, load)
 			}
 		}
 	}
 	return ""
 }
 
-// Instances freeze in the middle of all that they do, their orders stay long on
-// the way, answers are lost, and half of the engines take any number. No two may
-// hold the lease at once, no order of an older holding may land after one of a
-// newer, and when the faults end every engine must have what is wished.
+// Instances are suspended at any point, orders stay in flight for long, replies are
+// lost, and half of the engines ignore fencing tokens. Two instances must never
+// hold the lease at once, no order of an earlier term may be applied after one of a
+// later term, and once the faults end every engine must have its desired state.
 func TestOrdersApplyInFencingOrder(t *testing.T) {
-	landed, holdings := 0, 0
+	applied, terms := 0, 0
 	for seed := range uint64(40) {
-		w := newSimulation(seed)
+		s := newSimulation(seed)
 		for range int(15 * time.Minute / simulationStep) {
-			w.advance()
+			s.advance()
 		}
-		w.faults = false
+		s.faults = false
 		for range int(3 * time.Minute / simulationStep) {
-			w.advance()
+			s.advance()
 		}
-		if problem := w.problem + w.unsettled(); problem != "" {
+		if problem := s.problem + s.unsettled(); problem != "" {
 			t.Fatalf("seed %d: %s", seed, problem)
 		}
-		landed, holdings = landed+w.applied, holdings+len(w.terms)
+		applied, terms = applied+s.applied, terms+len(s.terms)
 	}
-	t.Logf("%d orders under %d holdings", landed, holdings)
-	if landed < 1000 || holdings < 100 {
-		t.Fatalf("only %d orders under %d holdings: the run shows too little", landed, holdings)
+	t.Logf("%d orders in %d terms", applied, terms)
+	if applied < 1000 || terms < 100 {
+		t.Fatalf("only %d orders in %d terms, want at least 1000 in 100", applied, terms)
 	}
 }
--- a/process/orders/readqueue.go
+++ b/process/orders/readqueue.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// readsPerMinute bounds the readings of all engines together.
+	// readsPerMinute limits the reads of all engines together.
 	//
-	// It guards against a holder that spends its whole allowance for control on
-	// reading: 5,900 engines each ten seconds are 590 calls a second. It shows as
-	// a holder at a fifth of a core. It holds because readings draw on a bucket,
-	// and what an order waits for goes before what is read only to be sure.
-	// With its packets' headers a reading on a connection of its own costs 850 bytes,
-	// so seven a second leave room for digests and polls.
+	// Reading 5,900 engines every ten seconds would take 590 calls per second, a
+	// fifth of a core and the holder's whole budget for control traffic. A token
+	// bucket limits reads, and urgent ones, on which orders depend, precede routine
+	// checks. A read on its own connection costs 850 bytes including packet
+	// headers, so seven per second leave room for digests and polls.
 	readsPerMinute = 420
-	// readBurst is how many readings may be made at once after a quiet time.
+	// readBurst is the number of reads allowed at once after an idle period.
 	readBurst = 60
 )
 
-// reading is an engine's turn to be read.
+// scheduledRead is a scheduled read of an engine.
 type scheduledRead struct {
 	engine *engine
 	at     time.Time
-	// turn is the engine's when this was scheduled; an older one counts no more.
+	// generation is that of the engine when the read was scheduled; an older one is
+	// void.
 	generation uint64
 }
 
-// readQueue orders readings by time, then name.
+// readQueue is a heap of scheduled reads, by time, then name.
 type readQueue []scheduledRead
 
 func (q readQueue) Len() int      { return len(q) }
@@ -43,7 +43,7 @@
 	return last
 }
 
-// due returns the first engine whose turn has come, and nil if there is none.
+// firstDue returns the first engine whose read is due, or nil.
 func (q *readQueue) firstDue(now time.Time) *engine {
 	for q.Len() > 0 {
 		first := (*q)[0]
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// schedule gives the engine its next turn, at the time or once it may be read.
-// What an order waits for is urgent.
+// schedule schedules the next read of the engine for the given time, or for when it
+// may be read. Reads on which an order depends are urgent.
 func (c *Core) schedule(e *engine, at time.Time, urgent bool) {
 	if ready := c.readyAt(e); at.Before(ready) {
 		at = ready
@@ -73,7 +73,7 @@
 	heap.Push(queue, scheduledRead{engine: e, at: at, generation: e.generation})
 }
 
-// reads returns the readings whose turn has come, urgent ones first.
+// nextReads returns the reads that are due, urgent ones first.
 func (c *Core) nextReads(now time.Time) []Action {
 	var actions []Action
 	for {
--- a/process/orders/bucket.go
+++ b/process/orders/tokenbucket.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// bucket limits how often something is done.
+// tokenBucket limits the rate of an operation.
 type tokenBucket struct {
 	perMinute int
-	// most is what it holds at most.
+	// capacity is the largest number of tokens.
 	capacity  int
 	tokens    float64
 	updatedAt time.Time
@@ -13,7 +13,7 @@
 
 func (b *tokenBucket) drain(now time.Time) { b.tokens, b.updatedAt = 0, now }
 
-// holds tells whether take would.
+// available reports whether take would succeed.
 func (b *tokenBucket) available(now time.Time) bool {
 	b.tokens = min(float64(b.capacity), b.tokens+now.Sub(b.updatedAt).Minutes()*float64(b.perMinute))
 	b.updatedAt = now
