--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -15,37 +15,37 @@
 	p.dirty = false
 	c.tryTrials(now, p)
 	for p.queue.Len() > 0 {
-		if !c.startOwed(now, p) && !c.startNext(now, p) {
+		if !c.startGuaranteed(now, p) && !c.startNext(now, p) {
 			break
 		}
 	}
-	p.queue.Restore()
-	p.noteRoom(now)
+	p.queue.RestoreSkipped()
+	p.updateFullSince(now)
 }
 
-func (c *core) startOwed(now time.Time, p *pool) bool {
-	item := p.queue.Owed(now)
+func (c *core) startGuaranteed(now time.Time, p *pool) bool {
+	item := p.queue.NextByCredit(now)
 	if item == nil {
 		return false
 	}
 	r := c.requests[ID(item.ID)]
-	s := c.choose(now, r, how{late: true})
+	s := c.choose(now, r, chooseOptions{late: true})
 	if s == nil {
 		return false
 	}
-	p.queue.Settle(item)
-	c.begin(now, r, s)
+	p.queue.SpendCredit(item)
+	c.startQueued(now, r, s)
 	return true
 }
 
 // mostPassed is how many requests of a level are passed over in one dispatch: their
 // engines are full, and those behind them may belong to others.
-const mostPassed = 4
+const maxPassedOver = 4
 
 func (c *core) startNext(now time.Time, p *pool) bool {
 	for _, late := range [...]bool{false, true} {
 		for place := range model.Places {
-			if c.startOf(now, p, model.TierOf(place), model.RankOf(place), late) {
+			if c.startRank(now, p, model.TierOf(place), model.RankOf(place), late) {
 				return true
 			}
 		}
@@ -54,8 +54,8 @@
 }
 
 // startOf starts the first request of a rank within its tier that finds a server.
-func (c *core) startOf(now time.Time, p *pool, tier, rank int, late bool) bool {
-	for range mostPassed {
+func (c *core) startRank(now time.Time, p *pool, tier, rank int, late bool) bool {
+	for range maxPassedOver {
 		item := p.queue.Peek(tier, rank, late)
 		if item == nil {
 			return false
@@ -66,7 +66,7 @@
 		if c.requests[ID(item.ID)].blocked != BlockedByRoom {
 			return false
 		}
-		p.queue.Pass(item)
+		p.queue.Skip(item)
 	}
 	return false
 }
@@ -74,25 +74,25 @@
 func (c *core) tryStart(now time.Time, p *pool, item *queue.Item) bool {
 	urgent := item.Tier == 0 && item.Rank == 0 && !item.Late
 	r := c.requests[ID(item.ID)]
-	if !urgent && (p.runs(placeOf(r.class)) >= p.quota || !p.leavesRoom(r)) {
+	if !urgent && (p.runningUpTo(placeOf(r.class)) >= p.quota || !p.withinSplit(r)) {
 		r.blocked = BlockedByShare
 		return false
 	}
-	h := how{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
+	opts := chooseOptions{reserve: c.choice.reserves[p.reserveTier(r)], late: item.Late}
 	if item.Late {
-		h.reserve += lateReserve
+		opts.reserve += lateReserve
 	}
-	if r.Anchored && !p.service {
-		h.reserve += rankReserve * float64(item.Rank*p.slots())
-		if c.told {
-			h.reserve += toldReserve
+	if r.Pinned && !p.service {
+		opts.reserve += rankReserve * float64(item.Rank*p.slots())
+		if c.boardActive {
+			opts.reserve += staleLoadReserve
 		}
 	}
 	if !urgent && float64(len(p.running)) >= p.quota {
-		h.reserve += overReserve
+		opts.reserve += overQuotaReserve
 	}
-	s := c.choose(now, r, h)
-	if s == nil && c.identical.joins(now, r) != nil {
+	s := c.choose(now, r, opts)
+	if s == nil && c.identical.serverToJoin(now, r) != nil {
 		c.park(r)
 		return true
 	}
@@ -103,7 +103,7 @@
 		r.blocked = BlockedByRoom
 		return false
 	}
-	c.begin(now, r, s)
+	c.startQueued(now, r, s)
 	return true
 }
 
@@ -118,19 +118,19 @@
 }
 
 // begin takes the request out of the queue and starts it.
-func (c *core) begin(now time.Time, r *request, s *server) {
+func (c *core) startQueued(now time.Time, r *request, s *server) {
 	r.pool.queue.Started(&r.item)
-	if r.pool.queue.Before(&r.item) > r.pool.waitingAt(r) {
-		c.stats.Overtook++
+	if r.pool.queue.Before(&r.item) > r.pool.onTimeWaiting(r) {
+		c.stats.PriorityInversions++
 	}
-	r.pool.noteStart(now, r, s)
-	r.pool.queue.Served(r.Class, r.item.Cost, now)
+	r.pool.observeStart(now, r, s)
+	r.pool.queue.AccrueCredit(r.Class, r.item.Cost, now)
 	c.start(now, r, s)
 }
 
 // waitingAt counts the requests of the request's own level that wait and can be in time.
-func (p *pool) waitingAt(r *request) int {
-	waiting, late := p.queue.LevelLen(levelOf(r.class))
+func (p *pool) onTimeWaiting(r *request) int {
+	waiting, late := p.queue.LevelLen(queueLevel(r.class))
 	return waiting - late
 }
 
@@ -139,86 +139,86 @@
 // startWith starts an attempt; the KV cache comes along from the server that
 // held the answer, unless that is nil.
 func (c *core) startWith(now time.Time, r *request, s, from *server) {
-	if !c.check(InvariantIdempotent, r.Idempotent || !r.sentEver) {
+	if !c.check(InvariantIdempotent, r.Idempotent || !r.everSent) {
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, outcomeMessage, 0)
 		return
 	}
 	c.check(InvariantLeaving, !s.closed() || now.Sub(s.closedAt) <= leavingGrace)
 	c.check(InvariantSuspects, !c.suspects.Get(r.Digest).Convicted() && (!r.trial || s.trial == r.Digest && s.peerTrials == 0))
 	c.check(InvariantDeadline, r.Deadline.IsZero() || now.Before(r.Deadline))
-	c.check(InvariantLimit, !s.held(now))
-	s.spend(now)
-	s.startsLeft--
+	c.check(InvariantLimit, !s.limitReached(now))
+	s.takeAllowance(now)
+	s.startBudget--
 	r.attempt++
 	r.server = s
-	r.sentNow = false
-	r.gotNow = 0
+	r.attemptSent = false
+	r.attemptTokens = 0
 	r.started, r.lastAt = now, now
-	r.level = r.levelOf()
+	r.level = r.engineLevel()
 	h := c.homesOf(now, r)
-	supply := h.supplyAt(s, r)
-	r.uncached, r.fetched, r.ahead = supply.read, supply.fetched, s.before(r.level)
-	r.expected = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
-	c.carry(now, r, s, from)
-	why := c.why(now, r, s)
-	why.Home = h.place(s)
+	source := h.sourceAt(s, r)
+	r.uncached, r.fetched, r.workAhead = source.prefill, source.fetched, s.backlogBefore(r.level)
+	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
+	c.setCarried(now, r, s, from)
+	why := c.decision(now, r, s)
+	why.Home = h.position(s)
 	s.attach(r)
-	c.identical.started(r)
-	s.ahead.add(r.level, r.uncached)
+	c.identical.add(r)
+	s.ownBacklog.add(r.level, r.uncached)
 	r.pool.attach(r)
-	c.noteReadings(now, r, s)
-	s.cache.use(r.Prefix, now.Add(r.expected))
+	c.recordPrefills(now, r, s)
+	s.cache.insert(r.Prefix, now.Add(r.expectedFirst))
 	c.running++
 	c.stats.Starts++
 	if r.attempt == 1 {
 		c.budget.Earn()
 	}
-	if r.got > 0 {
+	if r.tokens > 0 {
 		c.stats.Continued++
 	}
 	fetch := ""
-	if supply.from != nil {
-		fetch = supply.from.name
+	if source.from != nil {
+		fetch = source.from.name
 	}
 	resume := ""
 	if from != nil {
 		resume = from.name
 	}
-	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.got > 0, Why: why})
+	c.emit(Start{ID: r.ID, Server: s.name, Attempt: r.attempt, Priority: r.tier(), Level: r.level, ResumeFrom: resume, FetchFrom: fetch, Continue: r.tokens > 0, Decision: why})
 }
 
 // why notes what speaks for the server before the request is on it.
-func (c *core) why(now time.Time, r *request, s *server) Why {
-	return Why{
-		Waited: now.Sub(r.item.Arrived), Own: len(s.own), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
-		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.ahead, Expected: r.expected, Remote: s.remote, Lane: s.lane != laneLong,
-		Displaces: r.displacing, Bulk: s.yielding(),
+func (c *core) decision(now time.Time, r *request, s *server) Decision {
+	return Decision{
+		Waited: now.Sub(r.item.Arrived), Own: len(s.running), Load: s.load(), ReportAge: time.Duration(s.reportAge * float64(time.Second)),
+		Uncached: r.uncached, Fetched: r.fetched, Ahead: r.workAhead, Expected: r.expectedFirst, Remote: s.remote, Lane: s.lane != laneLong,
+		Displaces: r.displacing, Bulk: s.bulkLoad(),
 	}
 }
 
 // leave takes the request off its server.
-func (c *core) leave(now time.Time, r *request) {
+func (c *core) detachFromServer(now time.Time, r *request) {
 	s := r.server
 	if s == nil {
 		return
 	}
-	r.sentEver = r.sentEver || r.sentNow
-	if r.gotNow == 0 {
-		s.ahead.add(r.level, -r.uncached)
-		if r.carriedAt != nil {
-			c.gaveUpCarried(now, r)
+	r.everSent = r.everSent || r.attemptSent
+	if r.attemptTokens == 0 {
+		s.ownBacklog.add(r.level, -r.uncached)
+		if r.kvTransferRate != nil {
+			c.observeAbandonedTransfer(now, r)
 		}
 	} else {
 		s.decoding--
 	}
 	s.detach(r)
-	s.startsLeft++
+	s.startBudget++
 	if r.displacing {
-		s.displaceLeft++
+		s.displaceBudget++
 		r.displacing = false
 	}
 	r.pool.detach(r)
-	c.identical.left(r)
+	c.identical.remove(r)
 	r.server = nil
 	c.running--
 	c.endTrial(now, r, s)
--- a/request/policy/herd.go
+++ b/request/policy/herd.go
@@ -6,62 +6,63 @@
 	"time"
 )
 
-// In a large fleet all instances know the same loads, three quarters of a second old. While
-// most engines are full, those few that seem to have room get what all instances start
-// until the next word, many times their slots, and are avoided for seconds afterwards. So
-// each word opens an engine to as many instances, by chance, as together fill its room, and
-// bounds what each of them starts there until the next.
+// In a large fleet all instances see the same loads, 750 ms old. While most engines are full, the
+// few that seem to have free slots would get everything that all instances start until the next
+// update, many times their slots, and then be avoided for seconds. Each update therefore opens an
+// engine to a random set of instances, as many as together fill its free slots, and bounds how
+// many requests each of them starts there until the next update.
 
-// toldAge is the usual age of loads that are told beside digests.
-const toldAge = 750 * time.Millisecond
+// boardLoadAge is the typical age of loads on the load board.
+const boardLoadAge = 750 * time.Millisecond
 
-// spreadStarts draws which engines this instance uses until the next word, and how much of
-// each.
-func (c *core) spreadStarts(p *pool) {
+// drawStartBudgets draws which engines this instance uses until the next load update, and how
+// many requests it may start on each.
+func (c *core) drawStartBudgets(p *pool) {
 	if p.service {
 		return
 	}
-	var engines, open [lanes]float64
+	var engineCount, openCount [laneCount]float64
 	for _, s := range p.servers {
-		s.shunned, s.startsLeft, s.displaceLeft = false, math.Inf(1), 0
-		if s.closed() || s.cut {
+		s.skipped, s.startBudget, s.displaceBudget = false, math.Inf(1), 0
+		if s.closed() || s.unreachable {
 			continue
 		}
-		engines[s.lane]++
-		if s.roomLeft(p) >= 1 {
-			open[s.lane]++
+		engineCount[s.lane]++
+		if s.freeSlots(p) >= 1 {
+			openCount[s.lane]++
 		}
 	}
-	if !c.told {
+	if !c.boardActive {
 		return
 	}
-	instances := float64(p.tiers.Instances())
+	instances := float64(p.tiers.InstanceCount())
 	for _, s := range p.servers {
-		s.displaceLeft = wholePart(c.random, s.yielding()/instances)
-		if open[s.lane] == 0 {
+		s.displaceBudget = roundRandomly(c.random, s.bulkLoad()/instances)
+		if openCount[s.lane] == 0 {
 			continue
 		}
-		starts := p.laneStarts[s.lane] * instances * toldAge.Seconds()
-		// What ends meanwhile makes room too.
-		room := max(s.roomLeft(p), 0) + starts/engines[s.lane]
-		come := starts / open[s.lane]
-		if come > room {
-			s.shunned = c.random.Float64() >= room/come
+		starts := p.laneStartRates[s.lane] * instances * boardLoadAge.Seconds()
+		// Requests that end before the next update also free slots.
+		freeSlots := max(s.freeSlots(p), 0) + starts/engineCount[s.lane]
+		expectedStarts := starts / openCount[s.lane]
+		if expectedStarts > freeSlots {
+			s.skipped = c.random.Float64() >= freeSlots/expectedStarts
 		}
-		s.startsLeft = max(1, math.Ceil(max(room, come)/instances))
+		s.startBudget = max(1, math.Ceil(max(freeSlots, expectedStarts)/instances))
 	}
 }
 
-// wholePart rounds up or down by chance, so that the mean stays the same.
-func wholePart(random *rand.Rand, part float64) float64 {
-	whole := math.Floor(part)
-	if random.Float64() < part-whole {
-		whole++
+// roundRandomly rounds x up or down at random such that the expected value is x.
+func roundRandomly(random *rand.Rand, x float64) float64 {
+	floor := math.Floor(x)
+	if random.Float64() < x-floor {
+		floor++
 	}
-	return whole
+	return floor
 }
 
-// roomLeft is how many more requests the engine takes, by what is known of its load.
-func (s *server) roomLeft(p *pool) float64 {
-	return s.limit(s.paced(p, 0), p.tight) - toldReserve - s.load()
+// freeSlots returns how many more requests the engine can take at its known load; negative above
+// its limit.
+func (s *server) freeSlots(p *pool) float64 {
+	return s.limit(s.gapTarget(p, 0), p.minBetween) - staleLoadReserve - s.load()
 }
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -7,42 +7,45 @@
 )
 
 const (
-	// preemptSlack is the slack at which a request may take a lower one's slot.
+	// preemptSlack is the time before its latest start at which a request may take the slot of a
+	// less urgent one.
 	preemptSlack = 120 * time.Millisecond
-	// strayFactor is how many times slower than the pool a straggler is.
-	strayFactor = 1.8
-	// maxMoves bounds the moves of one round.
-	maxMoves = 4
-	// overdueFactor is how many times the expected time a first token may take.
+	// stragglerFactor is the ratio of a server's gap to the pool's from which the server is a
+	// straggler.
+	stragglerFactor = 1.8
+	// maxMovesPerRound bounds the moves per pool at each slowTick.
+	maxMovesPerRound = 4
+	// overdueFactor and overdueFloor give the time for a first token, overdueFactor times the
+	// expected time plus overdueFloor, after which it is overdue.
 	overdueFactor = 2
 	overdueFloor  = 50 * time.Millisecond
-	// fullFor is how long a server gets nothing after a late first token.
-	fullFor = 300 * time.Millisecond
+	// lateServerPause is how long a server gets no new requests after an overdue first token.
+	lateServerPause = 300 * time.Millisecond
 )
 
-// preempt makes room for a request that would be late, by pausing one of the
-// lowest tier that runs here. The paused answer goes on later from where it
-// stood; its caller keeps all it has.
+// preempt frees a slot for a request that would be late by pausing one of the least urgent
+// running tier, and returns its server. The paused answer continues later from where it stopped;
+// its caller keeps what it has received.
 func (c *core) preempt(now time.Time, r *request) *server {
 	if r.item.Late || r.pool.service || r.item.Due.Sub(now) > preemptSlack {
 		return nil
 	}
-	victim := c.victim(now, r)
+	victim := c.findVictim(now, r)
 	if victim == nil {
 		return nil
 	}
 	s := victim.server
-	c.check(InvariantTier, victim.tier() > r.tier() && victim.tier() == r.pool.lowestRunning())
+	c.check(InvariantTier, victim.tier() > r.tier() && victim.tier() == r.pool.lowestRunningTier())
 	c.stats.Preempted++
 	c.stop(now, victim)
 	c.enqueue(now, victim)
 	return s
 }
 
-// lowestRunning returns the least urgent tier that runs here, or -1.
-func (p *pool) lowestRunning() int {
+// lowestRunningTier returns the least urgent tier of the running requests, or -1.
+func (p *pool) lowestRunningTier() int {
 	lowest := -1
-	for place, running := range p.byPlace {
+	for place, running := range p.runningByPlace {
 		if running > 0 {
 			lowest = max(lowest, model.TierOf(place))
 		}
@@ -50,47 +53,50 @@
 	return lowest
 }
 
-// victim finds the request of the lowest tier that is furthest ahead of its pace.
-func (c *core) victim(now time.Time, r *request) *request {
-	lowest := r.pool.lowestRunning()
-	if lowest <= r.tier() {
+// findVictim returns the request of the least urgent running tier that is furthest ahead of its
+// pace and whose slot would help, or nil.
+func (c *core) findVictim(now time.Time, r *request) *request {
+	lowestTier := r.pool.lowestRunningTier()
+	if lowestTier <= r.tier() {
 		return nil
 	}
 	var best *request
 	for _, v := range r.pool.running {
-		if v.tier() != lowest || !c.pausable(now, v) || !c.serves(now, r, v.server) {
+		if v.tier() != lowestTier || !c.pausable(now, v) || !c.meetsTargets(now, r, v.server) {
 			continue
 		}
-		if best == nil || v.firstBy(now) > best.firstBy(now) {
+		if best == nil || v.slack(now) > best.slack(now) {
 			best = v
 		}
 	}
 	return best
 }
 
-// pausable requests are idempotent, well ahead of their pace, and no suspects.
+// pausable reports whether the request can be paused: it is idempotent, well ahead of its pace
+// and no suspect.
 func (c *core) pausable(now time.Time, v *request) bool {
-	return v.Idempotent && !v.Anchored && !v.trial && v.gotNow > 0 && v.attempt < maxAttempts/2 && v.firstBy(now) > time.Second
+	return v.Idempotent && !v.Pinned && !v.trial && v.attemptTokens > 0 && v.attempt < maxAttempts/2 && v.slack(now) > time.Second
 }
 
-// serves tells whether the server would be on time for the request with one request less.
-func (c *core) serves(now time.Time, r *request, s *server) bool {
-	if s.barred(now) || s.trial != "" && r.trial {
+// meetsTargets reports whether the server, with one request less, would meet the targets of the
+// request.
+func (c *core) meetsTargets(now time.Time, r *request, s *server) bool {
+	if s.unavailable(now) || s.trial != "" && r.trial {
 		return false
 	}
-	n := s.load()
-	return n <= s.limit(r.pool.tight, r.between()) &&
-		(r.between() == 0 || s.gapAt(n) <= r.between()) && s.firstToken(n, s.uncached(r), r.levelOf()) <= r.firstBy(now)
+	load := s.load()
+	return load <= s.limit(r.pool.minBetween, r.tokenGapTarget()) &&
+		(r.tokenGapTarget() == 0 || s.gapAt(load) <= r.tokenGapTarget()) && s.firstToken(load, s.uncachedTokens(r), r.engineLevel()) <= r.slack(now)
 }
 
-// moveStragglers takes requests off servers that fell behind, where another
-// server would still meet the target that this one misses.
+// moveStragglers moves requests off stragglers that miss their target there and would meet it on
+// another server.
 func (c *core) moveStragglers(now time.Time, p *pool) {
-	if p.service || p.gap == 0 {
+	if p.service || p.meanGap == 0 {
 		return
 	}
 	moves := 0
-	for i := 0; i < len(p.running) && moves < maxMoves; i++ {
+	for i := 0; i < len(p.running) && moves < maxMovesPerRound; i++ {
 		r := p.running[i]
 		if c.shouldMove(now, r) && c.move(now, r) {
 			moves++
@@ -100,66 +106,66 @@
 }
 
 func (c *core) shouldMove(now time.Time, r *request) bool {
-	if !r.Idempotent || r.Anchored || r.trial || r.attempt >= maxAttempts {
+	if !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts {
 		return false
 	}
 	s := r.server
-	if s.cut {
-		return now.Sub(r.lastAt) > giveUpSilent || r.gotNow == 0 && now.Sub(r.started) > answersSilent
+	if s.unreachable {
+		return now.Sub(r.lastAt) > partitionMoveDelay || r.attemptTokens == 0 && now.Sub(r.started) > answerSilenceTimeout
 	}
-	if r.gotNow == 0 {
+	if r.attemptTokens == 0 {
 		return c.overdue(now, r)
 	}
-	if !s.stalled(r.pool) {
+	if !s.straggling(r.pool) {
 		return false
 	}
-	return r.between() > 0 && r.pace(c.estimates.Left(r.key(), r.got), s.gapAt(s.load()), now) > r.between()
+	return r.tokenGapTarget() > 0 && r.meanGap(c.estimates.Remaining(r.key(), r.tokens), s.gapAt(s.load()), now) > r.tokenGapTarget()
 }
 
-// overdue tells whether the first token is later than it should be: the
-// server holds more than this instance knows of. It gets no more for a moment.
+// overdue reports whether the first token is overdue: the server has more work than this instance
+// knows of. It then gets no new requests for lateServerPause.
 func (c *core) overdue(now time.Time, r *request) bool {
-	if now.Sub(r.started) < overdueFactor*r.expected+overdueFloor {
+	if now.Sub(r.started) < overdueFactor*r.expectedFirst+overdueFloor {
 		return false
 	}
-	r.server.fullUntil = now.Add(fullFor)
+	r.server.fullUntil = now.Add(lateServerPause)
 	return true
 }
 
-// stalled tells whether the server is far slower than its pool.
-func (s *server) stalled(p *pool) bool {
-	return s.gapAt(s.load()) > time.Duration(strayFactor*float64(p.gap))
+// straggling reports whether the server's gap is far longer than its pool's.
+func (s *server) straggling(p *pool) bool {
+	return s.gapAt(s.load()) > time.Duration(stragglerFactor*float64(p.meanGap))
 }
 
-// pace is the mean gap that the whole answer would have with the given gap from now on.
-func (r *request) pace(left float64, gap time.Duration, now time.Time) time.Duration {
+// meanGap returns the mean gap of the whole answer if the remaining tokens come at the given gap.
+func (r *request) meanGap(left float64, gap time.Duration, now time.Time) time.Duration {
 	past := now.Sub(r.firstAt)
-	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.got) + left))
+	return time.Duration((float64(past) + left*float64(gap)) / (float64(r.tokens) + left))
 }
 
-// move takes the request to another server if that one would be in time.
+// move moves the request to another server that would be in time, and reports whether it did.
 func (c *core) move(now time.Time, r *request) bool {
-	before, avoid := r.server, r.failedOn
-	r.failedOn = before.name
-	s := c.choose(now, r, how{late: before.cut})
-	if s == nil || !before.cut && !c.better(now, r, s) || !c.budget.Take() {
-		r.failedOn = avoid
+	from, failedOn := r.server, r.failedOn
+	r.failedOn = from.name
+	s := c.choose(now, r, chooseOptions{late: from.unreachable})
+	if s == nil || !from.unreachable && !c.improves(now, r, s) || !c.budget.Take() {
+		r.failedOn = failedOn
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.stop(now, r)
 	c.start(now, r, s)
 	return true
 }
 
-// better tells whether the answer would still keep its targets on the server.
-func (c *core) better(now time.Time, r *request, s *server) bool {
+// improves reports whether the answer would still meet its targets on the server.
+func (c *core) improves(now time.Time, r *request, s *server) bool {
 	n := s.load() + 1
-	first := s.firstToken(n, s.uncached(r), r.levelOf())
-	if r.got == 0 {
-		return first <= r.firstBy(now)
+	first := s.firstToken(n, s.uncachedTokens(r), r.engineLevel())
+	if r.tokens == 0 {
+		return first <= r.slack(now)
 	}
-	left := c.estimates.Left(r.key(), r.got)
-	return !s.stalled(r.pool) && r.pace(left, s.gapAt(n), now.Add(first)) <= r.between()
+	left := c.estimates.Remaining(r.key(), r.tokens)
+	return !s.straggling(r.pool) && r.meanGap(left, s.gapAt(n), now.Add(first)) <= r.tokenGapTarget()
 }
--- a/request/policy/told.go
+++ b/request/policy/peerloads.go
@@ -8,52 +8,52 @@
 	"github.com/lilacbridge/lilacbridge/request/tiers"
 )
 
-// LoadsTold brings what all other instances run on each server and sent there
+// PeerLoads brings what all other instances run on each server and sent there
 // lately, where they tell it to each other beside their digests; its loads are nil
 // once that isn't known any more.
-type LoadsTold struct{ Word loadboard.Report }
+type PeerLoads struct{ Word loadboard.Report }
 
-func (LoadsTold) event() {}
+func (PeerLoads) event() {}
 
 // takeTold puts what others run in the place of what was told before.
-func (c *core) takeTold(now time.Time, e LoadsTold) {
-	c.told = e.Word.Loads != nil
+func (c *core) applyPeerLoads(now time.Time, e PeerLoads) {
+	c.boardActive = e.Word.Loads != nil
 	for _, s := range c.ordered {
 		load := e.Word.Loads[s.key]
-		s.toldLoad, s.toldYielding = float64(load.InFlight), float64(load.Preemptible)
+		s.boardLoad, s.boardBulk = float64(load.InFlight), float64(load.Preemptible)
 		for level, units := range load.Backlog {
-			s.toldAhead[level] = float64(units) * loadboard.BacklogUnit
+			s.boardBacklog[level] = float64(units) * loadboard.BacklogUnit
 		}
-		s.join(c.told || len(c.peers) > 0)
+		s.estimateOtherLoad(c.boardActive || len(c.peers) > 0)
 	}
 	for _, read := range e.Word.CachedPrefixes {
-		c.hearReading(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
+		c.observePeerPrefill(now, c.byKey[read.Server], read.Hash, int(read.Tokens))
 	}
-	c.hearLimits(now, e.Word.Limits)
+	c.applyPeerLimits(now, e.Word.Limits)
 	for _, p := range c.poolOrder {
 		work := e.Word.Work[loadboard.Key(p.name)]
-		p.hear(c.options.Instance, work, c.told)
-		p.tiers.Told(tiers.Demand(work.Claims), e.Word.Instances)
-		c.spreadStarts(p)
+		p.applyPeerWork(c.options.Instance, work, c.boardActive)
+		p.tiers.SetOthersDemand(tiers.Demand(work.Claims), e.Word.Instances)
+		c.drawStartBudgets(p)
 		p.dirty = p.dirty || p.queue.Len() > 0
 	}
 }
 
 // Work is told by lane, claims by place: both packages count the same ones.
 var (
-	_ [loadboard.Lanes]uint32      = [lanes]uint32{}
+	_ [loadboard.Lanes]uint32      = [laneCount]uint32{}
 	_ [loadboard.Positions]float64 = tiers.Demand{}
 )
 
 // hear takes in what others do in the pool and know of it; told is false while they tell
 // nothing.
-func (p *pool) hear(self string, work loadboard.PoolWork, told bool) {
-	p.toldWork = told
+func (p *pool) applyPeerWork(self string, work loadboard.PoolWork, told bool) {
+	p.otherWorkKnown = told
 	for l, rate := range work.Rates {
-		p.work.told[l] = float64(rate)
+		p.work.otherRates[l] = float64(rate)
 	}
-	p.work.toldClaims = work.LaneClaims
-	p.engine.hear(work.Engine)
+	p.work.otherLaneDemand = work.LaneClaims
+	p.engine.setOthers(work.Engine)
 	p.plan = loadboard.LanePlan{}
 	if work.Plan.Precedes(loadboard.LanePlan{Author: self}) {
 		p.plan = work.Plan
@@ -62,7 +62,7 @@
 
 // ownWork is what this instance does in the pool and knows of it, for the others.
 func (p *pool) ownWork(self string) loadboard.PoolWork {
-	work := loadboard.PoolWork{Engine: p.engine.sums(), Plan: p.ownPlan(self), LaneClaims: p.laneClaims()}
+	work := loadboard.PoolWork{Engine: p.engine.sums(), Plan: p.ownPlan(self), LaneClaims: p.laneDemand()}
 	for l, rate := range p.work.rates {
 		work.Rates[l] = uint32(rate)
 	}
@@ -70,7 +70,7 @@
 }
 
 // toldWork is the same of all pools, for peers that exchange digests directly.
-func (c *core) toldWork() []*lilacv1.PoolWork {
+func (c *core) encodeWork() []*lilacv1.PoolWork {
 	var all []*lilacv1.PoolWork
 	for _, p := range c.poolOrder {
 		if !p.service {
@@ -82,7 +82,7 @@
 }
 
 // takeWork takes in what a peer does, where peers exchange their digests directly.
-func (c *core) takeWork(p *peer, work []*lilacv1.PoolWork) {
+func (c *core) applyWork(p *peer, work []*lilacv1.PoolWork) {
 	p.work = nil
 	if len(work) > 0 {
 		p.work = make(loadboard.Work, len(work))
@@ -90,13 +90,13 @@
 	for _, told := range work {
 		p.work[told.GetPool()] = loadboard.DecodeWork(told)
 	}
-	c.sumWork()
+	c.sumPeerWork()
 }
 
 // sumWork adds up the work of all peers; where loads are told beside digests, the
 // work is told there.
-func (c *core) sumWork() {
-	if c.told {
+func (c *core) sumPeerWork() {
+	if c.boardActive {
 		return
 	}
 	for _, p := range c.poolOrder {
@@ -108,7 +108,7 @@
 				heard = true
 			}
 		}
-		p.hear(c.options.Instance, sum, heard)
+		p.applyPeerWork(c.options.Instance, sum, heard)
 	}
 }
 
@@ -118,20 +118,20 @@
 	word := loadboard.Report{Loads: make(loadboard.Loads), Work: make(loadboard.Work), Limits: c.ownLimits(now), Servers: len(c.ordered)}
 	for _, p := range c.poolOrder {
 		work := p.ownWork(c.options.Instance)
-		work.Claims = p.claim()
+		work.Claims = p.slotDemand()
 		word.Work[loadboard.Key(p.name)] = work
 	}
 	for _, s := range c.ordered {
-		if len(s.own) == 0 {
+		if len(s.running) == 0 {
 			continue
 		}
-		load := loadboard.Load{InFlight: uint32(len(s.own)), Preemptible: uint32(s.ownYielding())}
-		for level, tokens := range s.ahead {
+		load := loadboard.Load{InFlight: uint32(len(s.running)), Preemptible: uint32(s.ownBulk())}
+		for level, tokens := range s.ownBacklog {
 			load.Backlog[level] = uint32(tokens/loadboard.BacklogUnit + 0.5)
 		}
 		word.Loads[s.key] = load
 	}
-	for _, read := range c.recentReadings(now) {
+	for _, read := range c.recentPrefills(now) {
 		word.CachedPrefixes = append(word.CachedPrefixes, loadboard.CachedPrefix{
 			Server: loadboard.Key(read.server), Hash: read.block.Hash, Tokens: uint32(read.tokens),
 		})
