--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -55,7 +55,7 @@
 		return
 	}
 	l.incarnations.removeOpen(e)
-	e.end(state)
+	e.endAs(state)
 	if state != lilacv1.ClaimState_CLAIM_STATE_RAN || stored == nil {
 		return
 	}
@@ -102,7 +102,7 @@
 // they ran.
 func (l *Ledger) markUnknown(open []*entry) {
 	for _, e := range open {
-		e.end(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
+		e.endAs(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
 	}
 }
 
--- a/process/ledger/random_test.go
+++ b/process/ledger/random_test.go
@@ -104,19 +104,19 @@
 	if c == nil || c.finished {
 		return
 	}
-	o := &lilacv1.OutcomeRequest{Team: c.request.GetTeam(), Key: c.request.GetKey(), Attempt: c.request.GetAttempt(), NowUnixMs: h.now}
+	outcome := &lilacv1.OutcomeRequest{Team: c.request.GetTeam(), Key: c.request.GetKey(), Attempt: c.request.GetAttempt(), NowUnixMs: h.now}
 	switch {
 	case !c.sent:
 		// The attempt was abandoned before its first byte and will not be sent.
-		o.State = notRun
+		outcome.State = notRun
 	case h.random.IntN(2) == 0:
-		o.State = unknown
+		outcome.State = unknown
 	default:
-		o.State, o.Answer = ran, &lilacv1.StoredAnswer{Status: 200, Body: []byte("filed")}
+		outcome.State, outcome.Answer = ran, &lilacv1.StoredAnswer{Status: 200, Body: []byte("filed")}
 	}
 	c.finished = true
 	if h.random.IntN(4) > 0 {
-		_, _ = h.ledger.Outcome(o)
+		_, _ = h.ledger.Outcome(outcome)
 	}
 }
 
--- a/process/ledger/record.go
+++ b/process/ledger/record.go
@@ -103,7 +103,7 @@
 }
 
 // end moves the entry to an end state and releases its holder.
-func (e *entry) end(state lilacv1.ClaimState) {
+func (e *entry) endAs(state lilacv1.ClaimState) {
 	e.copyRecord()
 	e.state, e.holder = state, nil
 }
--- a/process/ledger/recover.go
+++ b/process/ledger/recover.go
@@ -23,7 +23,7 @@
 		case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
 			l.finish(e, lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, nil)
 		case lilacv1.ClaimState_CLAIM_STATE_NOT_RUN:
-			e.end(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
+			e.endAs(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN)
 		}
 	}
 	for _, incarnation := range l.Incarnations() {
--- a/process/loadboard/board.go
+++ b/process/loadboard/board.go
@@ -246,7 +246,7 @@
 
 // Expire removes outdated information.
 func (b *Board) Expire(now time.Time) {
-	stale := func(_ string, w received) bool { return !w.isFresh(now) }
+	stale := func(_ string, r received) bool { return !r.isFresh(now) }
 	maps.DeleteFunc(b.localReports, stale)
 	maps.DeleteFunc(b.remoteReports, stale)
 	maps.DeleteFunc(b.avoidedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
--- a/process/loadboard/report.go
+++ b/process/loadboard/report.go
@@ -13,9 +13,9 @@
 type CachedPrefix struct {
 	// Server is the server's key.
 	Server uint32
-	// Hash is the hash of the whole prefix.
+	// Hash covers the whole prefix up to the end of its last block.
 	Hash uint64
-	// Tokens is the length of the part last added to the prefix.
+	// Tokens is the length of the last block of the prefix.
 	Tokens uint32
 }
 
--- a/process/member/core.go
+++ b/process/member/core.go
@@ -76,17 +76,21 @@
 	// meshInterval is the exchange interval in a full mesh.
 	meshInterval time.Duration
 	// peers are the candidate peers, without this instance.
-	peers            map[string]Peer
+	peers map[string]Peer
+	// listedLeaving are the servers, leavingInstances the instances that the
+	// platform lists as leaving.
 	listedLeaving    map[string]bool
 	leavingInstances map[string]bool
 	received         map[string]receivedDigest
 	lastExchange     map[string]time.Time
 	avoidedUntil     map[string]time.Time
 	// failures counts consecutive failed exchanges by peer.
-	failures        map[string]int
-	delivered       map[string]bool
-	own             *lilacv1.Digest
-	ownRequestedAt  time.Time
+	failures map[string]int
+	// delivered are the instances whose digest the policy holds.
+	delivered      map[string]bool
+	own            *lilacv1.Digest
+	ownRequestedAt time.Time
+	// fromParent is the digest of Others last received from the parent.
 	fromParent      receivedDigest
 	lastLive        []Peer
 	reportedLeaving map[string]bool
@@ -231,8 +235,8 @@
 }
 
 func (c *Core) isFresh(now time.Time, name string) bool {
-	h, ok := c.received[name]
-	return ok && now.Sub(h.receivedAt) <= c.lifetime()
+	r, ok := c.received[name]
+	return ok && now.Sub(r.receivedAt) <= c.lifetime()
 }
 
 // receive handles a digest. In a tree, the digest of Others is accepted from the
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -35,8 +35,8 @@
 // equals. The higher-ranked one does; the other takes over if it hears nothing, so
 // that a one-way partition hides nobody.
 func (c *Core) initiates(now time.Time, name string) bool {
-	h, known := c.received[name]
-	return CompareRank(c.self.Name, name) < 0 || !known || now.Sub(h.receivedAt) > c.interval()+c.interval()/2
+	r, known := c.received[name]
+	return CompareRank(c.self.Name, name) < 0 || !known || now.Sub(r.receivedAt) > c.interval()+c.interval()/2
 }
 
 // parent returns the parent in this data centre's tree, or "" if this instance is
@@ -74,7 +74,7 @@
 		if peer.DataCenter == c.self.DataCenter {
 			continue
 		}
-		if other, ok := best[peer.DataCenter]; !ok || comparePeers(peer, other) < 0 {
+		if current, known := best[peer.DataCenter]; !known || comparePeers(peer, current) < 0 {
 			best[peer.DataCenter] = peer
 		}
 	}
@@ -93,9 +93,9 @@
 // A digest for another data centre is incomplete unless this instance is the relay:
 // peers that gave up on the relay may ask another instance, which lacks most of its
 // data centre.
-func (c *Core) subtreeDigest(now time.Time, foreign bool) *lilacv1.Digest {
+func (c *Core) subtreeDigest(now time.Time, toRemote bool) *lilacv1.Digest {
 	sum := c.combineAsSelf(append(c.lowerRankedDigests(now, ""), c.ownDigest(now)))
-	sum.Incomplete = sum.GetIncomplete() || c.instanceMissing(now, c.self.DataCenter) || foreign && c.parent() != ""
+	sum.Incomplete = sum.GetIncomplete() || c.instanceMissing(now, c.self.DataCenter) || toRemote && c.parent() != ""
 	return sum
 }
 
@@ -128,9 +128,9 @@
 	if !c.Tree() {
 		return c.ownDigest(now)
 	}
-	foreign := c.peers[peer].DataCenter != c.self.DataCenter
-	if foreign || peer == c.parent() {
-		return c.subtreeDigest(now, foreign)
+	remote := c.peers[peer].DataCenter != c.self.DataCenter
+	if remote || peer == c.parent() {
+		return c.subtreeDigest(now, remote)
 	}
 	return c.othersDigest(now, peer, c.ownDigest(now))
 }
@@ -142,7 +142,7 @@
 	if c.fromParent.digest != nil {
 		parts = append(parts, c.fromParent.asPart(now))
 	}
-	for _, name := range c.foreignInstances(now) {
+	for _, name := range c.remoteInstances(now) {
 		parts = append(parts, c.received[name].asPart(now))
 	}
 	sum := Combine(Others, "", parts...)
@@ -191,9 +191,9 @@
 	var list []Peer
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		peer, known := c.peers[name]
-		below := CompareRank(c.self.Name, name) < 0 && peer.DataCenter == c.self.DataCenter
-		foreign := c.parent() == "" && peer.DataCenter != c.self.DataCenter
-		if known && c.isFresh(now, name) && (!c.Tree() || below || foreign) && !c.isPartner(now, name) {
+		lower := CompareRank(c.self.Name, name) < 0 && peer.DataCenter == c.self.DataCenter
+		remote := c.parent() == "" && peer.DataCenter != c.self.DataCenter
+		if known && c.isFresh(now, name) && (!c.Tree() || lower || remote) && !c.isPartner(now, name) {
 			list = append(list, peer)
 		}
 	}
@@ -217,16 +217,16 @@
 func (c *Core) lowerRankedDigests(now time.Time, except string) []*lilacv1.Digest {
 	var parts []*lilacv1.Digest
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
-		h := c.received[name]
-		isBelow := h.digest.GetDataCenter() == c.self.DataCenter && CompareRank(c.self.Name, name) < 0
-		if isBelow && name != except && c.isFresh(now, name) {
-			parts = append(parts, h.asPart(now))
+		r := c.received[name]
+		lower := r.digest.GetDataCenter() == c.self.DataCenter && CompareRank(c.self.Name, name) < 0
+		if lower && name != except && c.isFresh(now, name) {
+			parts = append(parts, r.asPart(now))
 		}
 	}
 	return parts
 }
 
-func (c *Core) foreignInstances(now time.Time) []string {
+func (c *Core) remoteInstances(now time.Time) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
 		if c.received[name].digest.GetDataCenter() != c.self.DataCenter && c.isFresh(now, name) {
--- a/process/member/push.go
+++ b/process/member/push.go
@@ -155,29 +155,29 @@
 //
 // The merged digest expires at the earlier of the two expiry times, so that new
 // cutoffs do not extend the validity of old ones.
-func (h receivedDigest) merge(next receivedDigest) (receivedDigest, bool) {
+func (r receivedDigest) merge(next receivedDigest) (receivedDigest, bool) {
 	if !next.digest.GetPartial() {
 		return next, true
 	}
-	if h.digest == nil || h.sender != next.sender || (h.digest.GetStamp()^next.digest.GetStamp())&^stampMask != 0 {
-		return h, false
+	if r.digest == nil || r.sender != next.sender || (r.digest.GetStamp()^next.digest.GetStamp())&^stampMask != 0 {
+		return r, false
 	}
 	after, bindsMs := next.composedAfter, next.digest.GetBindsMs()
-	if h.expiresAt().Before(next.expiresAt()) {
-		after, bindsMs = h.composedAfter, h.digest.GetBindsMs()
+	if r.expiresAt().Before(next.expiresAt()) {
+		after, bindsMs = r.composedAfter, r.digest.GetBindsMs()
 	}
-	next.digest = applyPartial(h.digest, next.digest)
+	next.digest = applyPartial(r.digest, next.digest)
 	next.composedAfter, next.digest.BindsMs = after, bindsMs
 	return next, true
 }
 
 // expiresAt returns the end of the digest's validity; the zero time if its age is
 // unknown.
-func (h receivedDigest) expiresAt() time.Time {
-	if h.composedAfter.IsZero() {
+func (r receivedDigest) expiresAt() time.Time {
+	if r.composedAfter.IsZero() {
 		return time.Time{}
 	}
-	return h.composedAfter.Add(time.Duration(h.digest.GetBindsMs()) * time.Millisecond)
+	return r.composedAfter.Add(time.Duration(r.digest.GetBindsMs()) * time.Millisecond)
 }
 
 // moreRestrictive reports whether d admits less than old in any pool or changes a
--- a/process/member/validity.go
+++ b/process/member/validity.go
@@ -93,9 +93,9 @@
 
 // asPart returns the digest as part of a combined one. It is incomplete if its
 // validity has ended or its age is unknown.
-func (h receivedDigest) asPart(now time.Time) *lilacv1.Digest {
-	d := h.digest
-	bindsMs := remainingMs(d.GetBindsMs(), now, h.composedAfter)
+func (r receivedDigest) asPart(now time.Time) *lilacv1.Digest {
+	d := r.digest
+	bindsMs := remainingMs(d.GetBindsMs(), now, r.composedAfter)
 	return &lilacv1.Digest{
 		Revision: d.GetRevision(), Cutoffs: d.GetCutoffs(), Suspects: d.GetSuspects(), Spends: d.GetSpends(),
 		Readings: d.GetReadings(),
@@ -107,7 +107,7 @@
 // remaining validity, with the validity period for the policy's own digests, and
 // for a combined digest with a sequence number, since the policy drops digests that
 // are not newer than the last.
-func (c *Core) forPolicy(now time.Time, d *lilacv1.Digest, h receivedDigest) *lilacv1.Digest {
+func (c *Core) forPolicy(now time.Time, d *lilacv1.Digest, r receivedDigest) *lilacv1.Digest {
 	out := &lilacv1.Digest{
 		Instance: d.GetInstance(), DataCenter: d.GetDataCenter(), Incarnation: d.GetIncarnation(), Sequence: d.GetSequence(),
 		Leaving: d.GetLeaving(), Revision: d.GetRevision(), Cutoffs: d.GetCutoffs(), Loads: d.GetLoads(),
@@ -120,7 +120,7 @@
 		out.Sequence = c.summarySequence
 		return out
 	}
-	aged := h.asPart(now)
+	aged := r.asPart(now)
 	out.BindsMs, out.Incomplete = aged.GetBindsMs(), aged.GetIncomplete()
 	return out
 }
--- a/process/orders/differences.go
+++ b/process/orders/differences.go
@@ -89,8 +89,8 @@
 	for _, e := range sortedByName(d.lacking) {
 		list = e.appendPending(list, true)
 	}
-	loadedFraction := func(w pendingOrder) float64 {
-		return float64(d.loadedCount[w.model]) / float64(d.desiredCount[w.model])
+	loadedFraction := func(o pendingOrder) float64 {
+		return float64(d.loadedCount[o.model]) / float64(d.desiredCount[o.model])
 	}
 	slices.SortStableFunc(list[unloads:], func(a, b pendingOrder) int { return cmp.Compare(loadedFraction(a), loadedFraction(b)) })
 	return list
@@ -118,13 +118,13 @@
 
 func (c *Core) nextOrders(now time.Time) []Action {
 	var actions []Action
-	for _, w := range c.differences.pendingOrders(c.loadBudget.available(now)) {
-		if w.engine.inFlight || w.load && !c.loadBudget.take(now) {
+	for _, pending := range c.differences.pendingOrders(c.loadBudget.available(now)) {
+		if pending.engine.inFlight || pending.load && !c.loadBudget.take(now) {
 			continue
 		}
-		w.engine.inFlight = true
-		w.engine.generation++
-		actions = append(actions, Order{Engine: w.engine.Engine, Model: w.model, Load: w.load, Fencing: c.fencing})
+		pending.engine.inFlight = true
+		pending.engine.generation++
+		actions = append(actions, Order{Engine: pending.engine.Engine, Model: pending.model, Load: pending.load, Fencing: c.fencing})
 	}
 	return actions
 }
--- a/process/orders/large_test.go
+++ b/process/orders/large_test.go
@@ -36,11 +36,11 @@
 		switch a := action.(type) {
 		case Read:
 			x.reads[a.Engine.Name]++
-			var has []Model
+			var models []Model
 			if x.loaded {
-				has = []Model{large}
+				models = []Model{large}
 			}
-			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has})
+			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: models})
 		case Order:
 			x.orders++
 			x.step(OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing})
--- a/process/orders/orders_test.go
+++ b/process/orders/orders_test.go
@@ -34,13 +34,13 @@
 		switch a := action.(type) {
 		case Read:
 			x.reads++
-			var has []Model
+			var models []Model
 			for m, loaded := range x.loaded[a.Engine.Name] {
 				if loaded {
-					has = append(has, m)
+					models = append(models, m)
 				}
 			}
-			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has})
+			x.step(ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: models})
 		case Order:
 			x.orders = append(x.orders, a)
 			if x.delay {
--- a/process/orders/random_test.go
+++ b/process/orders/random_test.go
@@ -26,11 +26,11 @@
 
 // candidate is an instance that may hold the lease.
 type candidate struct {
-	name        string
-	core        *Core
-	grant       lease.Grant
-	nextRequest time.Time
-	frozenUntil time.Time
+	name           string
+	core           *Core
+	grant          lease.Grant
+	nextRequest    time.Time
+	suspendedUntil time.Time
 }
 
 // simulatedEngine is an engine with its loaded models and the newest fencing token
@@ -73,12 +73,12 @@
 	return s
 }
 
-func (s *simulation) delay(most time.Duration) time.Duration {
-	return time.Duration(s.random.Int64N(int64(most)))
+func (s *simulation) delay(limit time.Duration) time.Duration {
+	return time.Duration(s.random.Int64N(int64(limit)))
 }
 
-func (s *simulation) after(h *candidate, d time.Duration, do func()) {
-	s.queue = append(s.queue, delayed{s.now.Add(d), h, do})
+func (s *simulation) after(c *candidate, d time.Duration, do func()) {
+	s.queue = append(s.queue, delayed{s.now.Add(d), c, do})
 }
 
 // changeDesired changes the desired state of one engine and informs the candidates
@@ -90,41 +90,41 @@
 	for _, name := range s.names {
 		list = append(list, s.engines[name].Engine)
 	}
-	for _, h := range s.candidates {
-		s.after(h, s.delay(3*time.Second), func() { s.step(h, Configured{list}) })
+	for _, c := range s.candidates {
+		s.after(c, s.delay(3*time.Second), func() { s.step(c, Configured{list}) })
 	}
 }
 
-func (s *simulation) step(h *candidate, event Event) {
-	for _, action := range h.core.Step(s.now, event) {
+func (s *simulation) step(c *candidate, event Event) {
+	for _, action := range c.core.Step(s.now, event) {
 		switch a := action.(type) {
 		case Read:
-			s.after(h, s.delay(time.Second), func() { s.read(h, a) })
+			s.after(c, s.delay(time.Second), func() { s.read(c, a) })
 		case Order:
-			s.after(h, s.delay(time.Second), func() { s.send(h, a) })
+			s.after(c, s.delay(time.Second), func() { s.send(c, a) })
 		case AbandonLease:
-			h.grant = lease.Grant{}
+			c.grant = lease.Grant{}
 		}
 	}
 }
 
-func (s *simulation) read(h *candidate, a Read) {
-	var has []Model
+func (s *simulation) read(c *candidate, a Read) {
+	var models []Model
 	for m, loaded := range s.engines[a.Engine.Name].loaded {
 		if loaded {
-			has = append(has, m)
+			models = append(models, m)
 		}
 	}
-	s.after(h, s.delay(time.Second), func() { s.step(h, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: has}) })
+	s.after(c, s.delay(time.Second), func() { s.step(c, ReadDone{Engine: a.Engine.Name, Fencing: a.Fencing, Loaded: models}) })
 }
 
 // send runs when the order's body is written: the lease is checked, and the order
 // is then in flight for less than OrderTimeout, even if its sender is suspended.
-func (s *simulation) send(h *candidate, a Order) {
+func (s *simulation) send(c *candidate, a Order) {
 	outcome := OrderDone{Engine: a.Engine.Name, Fencing: a.Fencing}
-	if !h.grant.Valid(s.now) || h.grant.Fencing() != a.Fencing {
+	if !c.grant.Valid(s.now) || c.grant.Fencing() != a.Fencing {
 		outcome.Err = errors.New("lease expired")
-		s.step(h, outcome)
+		s.step(c, outcome)
 		return
 	}
 	transit := s.delay(3 * time.Second)
@@ -136,7 +136,7 @@
 		if s.faults && s.random.IntN(4) == 0 {
 			outcome.Refused, outcome.Err = false, errors.New("reply lost")
 		}
-		s.after(h, 0, func() { s.step(h, outcome) })
+		s.after(c, 0, func() { s.step(c, outcome) })
 	})
 }
 
@@ -157,19 +157,19 @@
 // requestLease sends a candidate's lease request. The leader decides by its own
 // clock whether the last renewal has expired, and applies the request after
 // replication, when others may precede it in the log.
-func (s *simulation) requestLease(h *candidate) {
+func (s *simulation) requestLease(c *candidate) {
 	sentAt := s.now
-	h.nextRequest = s.now.Add(leaseTime / 4)
+	c.nextRequest = s.now.Add(leaseTime / 4)
 	s.after(nil, s.delay(time.Second), func() {
-		request := &lilacv1.LeaseRequest{Name: "orders", Holder: h.name, Incarnation: h.name, DurationMs: uint32(leaseTime.Milliseconds())}
+		request := &lilacv1.LeaseRequest{Name: "orders", Holder: c.name, Incarnation: c.name, DurationMs: uint32(leaseTime.Milliseconds())}
 		if e := s.table.Get("orders"); e != nil && s.now.Sub(s.renewed) > leaseTime+leaseTime/20 {
 			request.ExpiredRenewal = e.GetRenewal()
 		}
-		s.after(nil, s.delay(time.Second), func() { s.applyLeaseRequest(h, sentAt, request) })
+		s.after(nil, s.delay(time.Second), func() { s.applyLeaseRequest(c, sentAt, request) })
 	})
 }
 
-func (s *simulation) applyLeaseRequest(h *candidate, sentAt time.Time, request *lilacv1.LeaseRequest) {
+func (s *simulation) applyLeaseRequest(c *candidate, sentAt time.Time, request *lilacv1.LeaseRequest) {
 	reply, err := s.table.Apply(request)
 	if err != nil {
 		s.problem = err.Error()
@@ -179,32 +179,32 @@
 		s.renewed = s.now
 		s.terms[reply.GetFencing()] = true
 	}
-	s.after(h, s.delay(2*time.Second), func() { h.grant.Update(sentAt, reply) })
+	s.after(c, s.delay(2*time.Second), func() { c.grant.Update(sentAt, reply) })
 }
 
 func (s *simulation) advance() {
 	s.now = s.now.Add(simulationStep)
 	s.deliver()
 	valid := 0
-	for _, h := range s.candidates {
-		if h.grant.Valid(s.now) {
+	for _, c := range s.candidates {
+		if c.grant.Valid(s.now) {
 			valid++
 		}
-		if s.now.Before(h.frozenUntil) {
+		if s.now.Before(c.suspendedUntil) {
 			continue
 		}
 		if s.faults && s.random.IntN(120) == 0 {
-			h.frozenUntil = s.now.Add(s.delay(40 * time.Second))
+			c.suspendedUntil = s.now.Add(s.delay(40 * time.Second))
 		}
-		if !s.now.Before(h.nextRequest) {
-			s.requestLease(h)
+		if !s.now.Before(c.nextRequest) {
+			s.requestLease(c)
 		}
-		if h.grant.Valid(s.now) {
-			s.step(h, LeaseHeld{h.grant.Fencing()})
+		if c.grant.Valid(s.now) {
+			s.step(c, LeaseHeld{c.grant.Fencing()})
 		} else {
-			s.step(h, LeaseLost{})
+			s.step(c, LeaseLost{})
 		}
-		s.step(h, Tick{})
+		s.step(c, Tick{})
 	}
 	if valid > 1 {
 		s.problem = "two instances hold the lease at once"
@@ -219,7 +219,7 @@
 	due := s.queue
 	s.queue = nil
 	for _, event := range due {
-		if s.now.Before(event.at) || event.candidate != nil && s.now.Before(event.candidate.frozenUntil) {
+		if s.now.Before(event.at) || event.candidate != nil && s.now.Before(event.candidate.suspendedUntil) {
 			rest = append(rest, event)
 			continue
 		}
