--- a/process/ledger/incarnations.go
+++ b/process/ledger/incarnations.go
@@ -32,7 +32,8 @@
 //
 // Otherwise claims would stay open forever after a crash, reported to callers as
 // "in progress", and a delayed claim of a dead incarnation could be granted. A dead
-// incarnation is fenced permanently and never becomes current again.
+// incarnation is fenced and never becomes current again while it is among the last
+// maxFenced.
 func (n *incarnations) observe(instance, incarnation string, endClaims func([]*entry)) error {
 	if _, fenced := n.fenced[incarnation]; fenced {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT,
--- a/process/ledger/record.go
+++ b/process/ledger/record.go
@@ -102,7 +102,7 @@
 	e.record = &changed
 }
 
-// end moves the entry to an end state and releases its holder.
+// endAs moves the entry to an end state and releases its holder.
 func (e *entry) endAs(state lilacv1.ClaimState) {
 	e.copyRecord()
 	e.state, e.holder = state, nil
