--- a/process/replica/actions.go
+++ b/process/replica/actions.go
@@ -12,7 +12,7 @@
 
 var notRun = fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE)
 
-// conclude does what an action wants beside messages and files.
+// handleAction carries out an action, except for its messages and file writes.
 func (r *Runner) handleAction(action Action) {
 	if r.options.Observe != nil {
 		r.options.Observe(action)
@@ -35,14 +35,14 @@
 		r.logger.Info("members changed", "members", memberNames(a.Members))
 	case Repaired:
 		r.metrics.repairs.Inc()
-		r.logger.Info("repair done: the replacement counts for the quorum", "process", a.Member.GetName(), "id", a.Member.GetId())
+		r.logger.Info("promoted member now counts towards the quorum", "process", a.Member.GetName(), "id", a.Member.GetId())
 	case Replaced:
 		r.fatalErr = replacedError(r.options.Folder.Path(), r.core.group, a.By)
 	case RivalGroupDetected:
-		r.logger.Error("another group was recovered from the same one; changes are refused until one of the two is stopped and its data folders are moved away", "group", a.Group, "address", a.Address)
+		r.logger.Error("another group was recovered from the same original group; changes are refused until one of the two is stopped and its data folders are moved away", "group", a.Group, "address", a.Address)
 	case InvariantViolated:
 		r.metrics.broken.WithLabelValues(a.Invariant).Inc()
-		r.logger.Error("invariant broken; the step was refused", "invariant", a.Invariant, "detail", a.Detail)
+		r.logger.Error("invariant violated; step abandoned", "invariant", a.Invariant, "detail", a.Detail)
 	}
 }
 
@@ -63,22 +63,22 @@
 			p.reply(Outcome{Result: result})
 			continue
 		}
-		// Another entry was committed in its place: it can never be.
+		// Another entry was committed at this index, so the proposal never will be.
 		p.reply(Outcome{Err: r.refusalError(NotLeader, "")})
 	}
 	r.logLeaderReady()
 	r.answerReads()
 }
 
-// noteReady writes a line once a new leader has applied all that was committed
-// before its term: from then on it answers reads.
+// logLeaderReady logs once a new leader has applied everything committed before its
+// term; from then on it can answer reads.
 func (r *Runner) logLeaderReady() {
 	if r.electedAt == 0 || r.applied < r.core.leaderState.firstIndex {
 		return
 	}
 	after := r.options.Clock() - r.electedAt
 	r.electedAt = 0
-	r.logger.Info("leads with the whole log applied", "term", r.core.term, "index", r.applied, "after_ms", after.Milliseconds())
+	r.logger.Info("leader is ready: committed log applied", "term", r.core.term, "index", r.applied, "after_ms", after.Milliseconds())
 }
 
 func (r *Runner) answerReads() {
@@ -102,35 +102,36 @@
 	r.metrics.refused.WithLabelValues(fault.Name(fault.KindOf(err))).Inc()
 }
 
-// refusal types a reason; none of these proposals has run or will.
+// refusalError returns the error for a refused request; it has not run and never will.
 func (r *Runner) refusalError(reason Reason, detail string) error {
 	election := fault.WithRetryAfter(r.options.Election)
 	soon := fault.WithRetryAfter(100 * time.Millisecond)
 	switch reason {
 	case NotLeader:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another state process leads; ask it", notRun, soon, fault.WithLeader(r.core.leaderAddress))
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another state process is the leader; send the request there", notRun, soon, fault.WithLeader(r.core.leaderAddress))
 	case NoQuorum:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, "no quorum of the state processes is reached; check that they run and the network between them", notRun, election)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, "no quorum of state processes is reachable; check that they are running and the network between them", notRun, election)
 	case NoSpace:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "the state process's disk is full; free space in its data folder", notRun, election)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "disk of the state process is full; free space in its data folder", notRun, election)
 	case LeadershipTransfer:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "the leader is handing over; come back shortly", notRun, soon)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "leadership is being transferred; retry shortly", notRun, soon)
 	case TooLarge:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, fmt.Sprintf("the change has more than %d bytes; split it", maxCommand), notRun)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, fmt.Sprintf("change exceeds %d bytes; split it", maxCommand), notRun)
 	case RivalGroup:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, fmt.Sprintf("group %s was recovered from the same one as this group %s; stop the processes of one of them and move their data folders away", r.core.rivalGroup(), r.core.group), notRun, election)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, fmt.Sprintf("group %s was recovered from the same original group as this group %s; stop the processes of one of them and move their data folders away", r.core.rivalGroup(), r.core.group), notRun, election)
 	case Busy:
-		return fault.New(lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "too many changes wait for the quorum; come back later", notRun, election)
+		return fault.New(lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "too many changes are waiting for the quorum; retry later", notRun, election)
 	default:
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE, detail, notRun, election)
 	}
 }
 
 func unknownOutcomeError() error {
-	return fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "the leader changed before a quorum confirmed it; it may still be accepted: send it again with the same command id")
+	return fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "the leader changed before a quorum confirmed the change; it may still be accepted: send it again with the same command id")
 }
 
-// failPlaced answers all proposals that stand in the log, in the order of the log.
+// failPendingProposals fails all proposals that were appended but not applied, in log
+// order.
 func (r *Runner) failPendingProposals(err error) {
 	for _, index := range slices.Sorted(maps.Keys(r.proposalsByIndex)) {
 		r.proposalsByIndex[index].reply(Outcome{Err: err})
--- a/process/replica/auto_members.go
+++ b/process/replica/auto_members.go
@@ -5,22 +5,22 @@
 )
 
 const (
-	// lostElections is the silence, in election timeouts, after which a voter
-	// counts as lost: longer than a restart takes.
+	// lostVoterElectionTimeouts is the silence, in election timeouts, after which a voter is
+	// considered lost: longer than a restart takes.
 	lostVoterElectionTimeouts = 3
-	// leastVoters is the size below which a group gives no voter up without
-	// another in its place: with fewer the next loss would stop it.
+	// minVoters is the number of voters below which a lost voter is removed only if a
+	// replacement is ready: with fewer, the next loss would stop the group.
 	minVoters = 3
 )
 
-// regroup keeps the members in step with the processes that run, one change at a
-// time, and tells whether it made one.
+// adjustVoters adapts the voters to the processes that are running, by at most one
+// change per call, and reports whether it made one.
 //
-// It guards against a group whose machines are replaced one after the other:
-// each one gone still counts for the quorum, and in the end the gone ones hold
-// the majority. It shows as statements that are refused although three processes
-// run. It holds because a caught-up newcomer takes the place of a lost voter, and
-// a lost voter beyond the third is taken out. One that comes back asks again.
+// If machines are replaced one after another, the lost ones would still count for the
+// quorum and eventually hold the majority: changes would be refused although three
+// processes run. A learner that has caught up therefore takes the place of a lost voter,
+// and lost voters beyond minVoters are removed. A removed voter that returns asks to
+// be added again.
 func (c *Core) adjustVoters() bool {
 	lost, voters := c.lostVoter()
 	learner := c.promotableLearner()
@@ -35,7 +35,8 @@
 	return false
 }
 
-// lostVoter returns a voter that has been silent for long, and how many voters there are.
+// lostVoter returns a voter that has been silent for lostVoterElectionTimeouts, if any,
+// and the number of voters.
 func (c *Core) lostVoter() (lost *lilacv1.RaftMember, voters int) {
 	for _, member := range c.members.latest().GetMembers() {
 		if !member.GetVoter() {
@@ -50,7 +51,8 @@
 	return lost, voters
 }
 
-// newcomer returns a learner that has caught up and takes nobody's name.
+// promotableLearner returns a learner that has caught up and is not the replacement of a
+// particular voter.
 func (c *Core) promotableLearner() *lilacv1.RaftMember {
 	for _, member := range c.members.latest().GetMembers() {
 		if !member.GetVoter() && member.GetReplaces() == "" && c.caughtUp(member.GetId()) {
--- a/process/replica/batch.go
+++ b/process/replica/batch.go
@@ -6,14 +6,15 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// saving is something that must be synced; in order.
+// durableWrite is a snapshot installation or a log batch to be synced, in order.
 type durableWrite struct {
 	install *Install
 	batch   wal.Batch
 }
 
-// ProcessBatch steps the core through a batch and does what it wants done: all
-// proposals of the batch share one sync. An error ends the process; see Close.
+// ProcessBatch passes a batch of events to the core and carries out the resulting
+// actions; all proposals of the batch share one sync. After an error the caller must
+// Close the Runner.
 func (r *Runner) ProcessBatch(batch []Request) error {
 	var actions []Action
 	for _, request := range batch {
@@ -29,7 +30,7 @@
 	return r.fatalErr
 }
 
-// ticketed gives the event a ticket under which its outcome is found.
+// assignRequestID assigns the event an ID by which its outcome is matched to the reply.
 func (r *Runner) assignRequestID(request Request) Event {
 	if request.Reply == nil {
 		return request.Event
@@ -52,11 +53,11 @@
 	return request.Event
 }
 
-// perform sends what promises nothing, syncs, sends the rest, and returns what
-// the core wants after the sync.
+// perform sends the messages that need no sync, syncs, sends the remaining messages,
+// and returns the actions that result from the sync.
 func (r *Runner) perform(actions []Action) []Action {
 	r.sendAll(actions, false)
-	saved := r.persist(actions)
+	synced := r.persist(actions)
 	if r.fatalErr != nil {
 		return nil
 	}
@@ -66,10 +67,10 @@
 	for _, action := range actions {
 		r.handleAction(action)
 	}
-	if saved == nil {
+	if synced == nil {
 		return nil
 	}
-	next := append([]Action(nil), r.core.Step(r.options.Clock(), *saved)...)
+	next := append([]Action(nil), r.core.Step(r.options.Clock(), *synced)...)
 	return append(next, r.core.Step(r.options.Clock(), Flush{})...)
 }
 
@@ -102,15 +103,15 @@
 	}
 	chunk, err := r.store.ReadSnapshot(s.Message.GetOffset(), s.SnapshotBytes)
 	if err != nil {
-		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot can't be read; check the disk and restart the process")
+		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot can't be read; check the disk, then restart the process")
 		return false
 	}
 	s.Message.Chunk = chunk
 	return true
 }
 
-// saveAll syncs what the actions want synced; nil if nothing was, or if the
-// disk is full and it waits.
+// persist writes and syncs what the actions require. It returns nil if nothing was
+// synced, which includes writes that are pending because the disk is full.
 func (r *Runner) persist(actions []Action) *Synced {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -138,7 +139,7 @@
 	batch.Entries = append(batch.Entries, p.Entries...)
 }
 
-// savePending syncs in order and stops at a full disk.
+// flushPendingWrites performs the pending writes in order and stops when the disk is full.
 func (r *Runner) flushPendingWrites() *Synced {
 	if len(r.pendingWrites) == 0 {
 		return nil
@@ -167,9 +168,9 @@
 	if s.install != nil {
 		return r.store.InstallSnapshot(s.install.Meta, s.install.Data)
 	}
-	begun := r.options.Clock()
+	start := r.options.Clock()
 	err := r.store.Save(s.batch)
-	r.metrics.syncSeconds.Observe((r.options.Clock() - begun).Seconds())
+	r.metrics.syncSeconds.Observe((r.options.Clock() - start).Seconds())
 	return err
 }
 
@@ -187,22 +188,23 @@
 	}
 	r.diskFull = full
 	if full {
-		r.logger.Error("the disk is full; statements and claims are refused until there is space", "folder", r.options.Folder.Path())
+		r.logger.Error("disk is full; statements and claims are refused until there is space", "folder", r.options.Folder.Path())
 	} else {
-		r.logger.Info("the disk has space again", "folder", r.options.Folder.Path())
+		r.logger.Info("disk has space again", "folder", r.options.Folder.Path())
 	}
 	r.metrics.diskFull.Set(boolToFloat(full))
 }
 
-// retry tries again what a full disk did not take, and tells the core.
+// retryPendingWrites retries writes that failed because the disk was full, and reports
+// the disk's state to the core.
 func (r *Runner) retryPendingWrites() {
 	if r.fatalErr != nil || r.diskFull == r.core.diskFull && !r.diskFull {
 		return
 	}
 	var actions []Action
 	if r.diskFull {
-		if saved := r.flushPendingWrites(); saved != nil {
-			actions = append(actions, r.core.Step(r.options.Clock(), *saved)...)
+		if synced := r.flushPendingWrites(); synced != nil {
+			actions = append(actions, r.core.Step(r.options.Clock(), *synced)...)
 		}
 	}
 	actions = append(actions, r.core.Step(r.options.Clock(), DiskFull{Full: r.diskFull})...)
@@ -218,15 +220,15 @@
 		return
 	}
 	if err := r.options.Machine.Restore(install.Data); err != nil {
-		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the leader's snapshot does not restore; run one version on all state processes")
+		r.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot from the leader can't be restored; run the same version on all state processes")
 		return
 	}
 	r.metrics.installs.Inc()
-	r.logger.Info("took the leader's snapshot", "index", install.Meta.GetIndex(), "bytes", install.Meta.GetSize())
+	r.logger.Info("installed snapshot from the leader", "index", install.Meta.GetIndex(), "bytes", install.Meta.GetSize())
 }
 
-// Close fails all that waits and closes the files. It waits for a snapshot that
-// is being written, since the folder's next owner may write under its name.
+// Close fails all pending proposals and closes the files. It waits for a snapshot that is
+// being written, since the next process to use the folder may write the same file name.
 func (r *Runner) Close() {
 	r.awaitSnapshotWrite()
 	r.failPendingProposals(unknownOutcomeError())
--- a/process/replica/compaction.go
+++ b/process/replica/compaction.go
@@ -7,41 +7,41 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// snapshotRetry is how long a snapshot is put off for want of space.
+// snapshotRetry is how long to wait after a snapshot failed because the disk was full.
 const snapshotRetry = 10 * time.Second
 
-// writing is a snapshot on its way to the disk.
+// snapshotWrite is a snapshot that is being written in the background.
 type snapshotWrite struct {
 	meta *lilacv1.RaftSnapshotMeta
-	// keep is the index after which entries stay for slow followers.
+	// keep is the index after which entries are retained for lagging followers.
 	keep uint64
-	// bytes is the data of entries that it covers since the last one.
+	// bytes is the size of the entries applied between the previous snapshot and this one.
 	bytes int
-	// done gets the error, or nil, once the file stands whole under its
-	// temporary name. It has room for it, so that the writer never waits.
+	// done receives nil once the file is complete under its temporary name, or the error.
+	// It is buffered so that the writer never blocks.
 	done chan error
 }
 
-// grown tells whether so much was applied since the last snapshot that the next
-// is due. It is put off while one is on its way to a member, up to a point.
+// snapshotDue reports whether enough was applied since the last snapshot for the next
+// one. The limits are raised while a snapshot is being transferred to a member; see
+// SnapshotDelayFactor.
 func (r *Runner) snapshotDue() bool {
 	delayFactor := r.core.SnapshotDelayFactor()
 	entries, bytes := (r.applied-r.snapshotIndex)/uint64(delayFactor), r.bytesSinceSnapshot/delayFactor
 	return entries >= r.options.SnapshotEvery || bytes >= snapshotBytes
 }
 
-// maybeSnapshot bounds the log.
+// maybeStartSnapshot starts a snapshot when one is due, to bound the size of the log.
 //
-// It guards against a large state that stops heartbeats and the group commit
-// while it is encoded and written: followers would call an election of a leader
-// that is well. It holds because the turn only captures the state; encoding,
-// writing and the sync of the file run in the background, and the log is cut in
-// a later turn, once the file is whole.
+// Encoding and writing a large state must not hold up heartbeats and the group commit:
+// followers would start an election against a healthy leader. Only the capture of the
+// state happens here; encoding, writing and syncing the file run in the background,
+// and the log is truncated by a later batch once the file is complete.
 func (r *Runner) maybeStartSnapshot() {
 	if r.snapshotWrite != nil || r.fatalErr != nil || r.diskFull || len(r.pendingWrites) > 0 || r.options.Clock() < r.snapshotRetryAt || !r.snapshotDue() {
 		return
 	}
-	// Entries behind the snapshot stay for followers that are a little behind.
+	// Some entries before the snapshot are retained for followers that lag slightly.
 	w := &snapshotWrite{keep: r.applied - (r.applied-r.snapshotIndex)/2, bytes: r.bytesSinceSnapshot, done: make(chan error, 1),
 		meta: &lilacv1.RaftSnapshotMeta{Index: r.applied, Term: r.core.TermAt(r.applied), Members: r.core.MembersAt(r.applied)}}
 	encode := r.options.Machine.Capture()
@@ -50,23 +50,22 @@
 	r.finishSnapshot()
 }
 
-// writeSnapshot runs beside the turns: it touches nothing of the Runner that
-// they change.
+// writeSnapshot runs in the background. It must not access any field of Runner that
+// batches modify.
 func (r *Runner) writeSnapshot(meta *lilacv1.RaftSnapshotMeta, encode func() ([]byte, error)) error {
 	data, err := encode()
 	if err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "state can't be put into a snapshot")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "state can't be encoded into a snapshot")
 	}
 	meta.Size = uint64(len(data))
 	return r.store.WriteSnapshot(meta, data)
 }
 
-// placeSnapshot cuts the log behind a snapshot that has been written.
+// finishSnapshot publishes a snapshot that has been written and compacts the log.
 //
-// It guards against a leader's snapshot that was installed in the meantime and
-// then replaced by the older own one: the log after the older one is gone, and
-// the next start would find a gap. It holds because a snapshot that is not newer
-// than the last one taken is dropped.
+// If a newer snapshot from the leader was installed in the meantime, publishing the
+// older local one would make the next start find a gap, since the log after it is
+// gone. A snapshot that is not newer than the last one is therefore discarded.
 func (r *Runner) finishSnapshot() {
 	if r.snapshotWrite == nil || r.fatalErr != nil {
 		return
@@ -102,18 +101,19 @@
 	return nil
 }
 
-// snapshotFailed puts the snapshot off if the disk is full: the log goes on
-// without it.
+// snapshotFailed postpones the snapshot if the disk is full, as the log can go on without
+// it. Any other error is fatal.
 func (r *Runner) snapshotFailed(err error) {
 	if !fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL) {
 		r.fatalErr = err
 		return
 	}
 	r.snapshotRetryAt = r.options.Clock() + snapshotRetry
-	r.logger.Error("the disk has no space for a snapshot; the log grows until there is", "folder", r.options.Folder.Path())
+	r.logger.Error("disk has no space for a snapshot; the log will grow until there is", "folder", r.options.Folder.Path())
 }
 
-// abandonSnapshot waits for the writer; the next start removes its file.
+// awaitSnapshotWrite waits for the background writer. Its file is unused and removed at
+// the next start.
 func (r *Runner) awaitSnapshotWrite() {
 	if r.snapshotWrite != nil {
 		<-r.snapshotWrite.done
--- a/process/replica/core.go
+++ b/process/replica/core.go
@@ -1,9 +1,10 @@
-// Package replica replicates commands over the few processes that have a disk:
-// a leader elected for a term, a log that a quorum syncs, snapshots, and
-// changes of members one at a time.
+// Package replica replicates commands across a small group of processes with
+// durable storage, using the Raft algorithm: leader election by term, a log that
+// a quorum syncs before commit, snapshots, and single-server membership changes.
 //
-// Core is the deterministic part: events in, actions out, no clock, disk or
-// network. Node is the shell around it that a process runs.
+// Core is the deterministic part: it takes events and returns actions, and uses
+// no clock, disk or network. Runner connects a Core to the files and the state
+// machine, and Node drives a Runner in a process.
 package replica
 
 import (
@@ -18,85 +19,91 @@
 )
 
 const (
-	// defaultAppendBytes bounds the entries of one message, in bytes.
+	// defaultAppendBytes bounds the size of the entries in one message.
 	defaultAppendBytes = 1 << 20
-	// maxCommand is the largest command, in bytes: its entry must fit a message.
+	// maxCommand is the largest command, in bytes. Its entry must fit in one message.
 	maxCommand = 2 << 20
-	// maxInFlight bounds the messages with entries that wait for one follower.
+	// maxInFlightAppends bounds the unacknowledged messages with entries per follower.
 	maxInFlightAppends = 32
-	// maxUncommitted bounds the entries that wait for the quorum.
+	// maxUncommitted bounds the entries that are appended but not yet committed.
 	maxUncommitted = 16384
-	// defaultChunkBytes is the part of a snapshot in one message, in bytes; well
-	// under link.MaxFrame.
+	// defaultChunkBytes is the size of the snapshot chunk in one message; well below
+	// link.MaxFrame.
 	defaultChunkBytes = 512 << 10
-	// entryOverhead is a generous estimate of an entry's bytes beside its data.
+	// entryOverhead is an upper estimate of the encoded size of an entry without its data.
 	entryOverhead = 24
-	// promoteLag is how many entries a learner may be behind to be promoted.
+	// promoteLag is how many entries a learner may lag behind the log's end and still
+	// be promoted.
 	promoteLag = 64
-	// neverHeard is the age of the contact before the first one.
+	// initialStaleness is the staleness reported before the first contact with a leader.
 	initialStaleness = time.Hour
 )
 
-// Peer is another process of the settings, asked at a start without a group.
+// Peer is another process listed in the settings. A process without a group
+// contacts its peers to find one.
 type Peer struct{ Name, Address string }
 
-// Config is what the core knows from settings and random bits of the shell.
+// Config holds the settings of a Core, and the random values that the caller
+// draws for it.
 type Config struct {
 	Name, Address, DataCenter string
-	// ID is the identity: fresh random bits for an empty folder, else the stored one.
+	// ID is this process's identity: random for an empty data folder, otherwise
+	// overridden by the stored one.
 	ID string
-	// SpareID is a fresh identity, should the first one have to be given up.
+	// SpareID is a second random identity, used if the first one has to be discarded.
 	SpareID string
-	// NewGroupID names the group if this process founds one.
+	// NewGroupID is the group's ID if this process bootstraps one.
 	NewGroupID string
-	// Peers are the other processes of the settings.
+	// Peers are the other processes listed in the settings.
 	Peers []Peer
-	// Bootstrap lets the process found a group with Peers.
+	// Bootstrap permits this process to bootstrap a group together with Peers.
 	Bootstrap bool
-	// AutoMembers makes each learner that has caught up a voter, and takes out a
-	// voter that is lost.
+	// AutoMembers promotes learners to voters once they have caught up, and removes
+	// voters that are lost.
 	AutoMembers bool
-	// Heartbeat is the leader's interval.
+	// Heartbeat is the interval between the leader's heartbeats.
 	Heartbeat time.Duration
-	// Election is the shortest silence before a vote; a wait is up to twice that.
+	// Election is the minimum election timeout. The actual timeout is up to twice that.
 	Election time.Duration
-	// AppendBytes bounds the entries of one message; 0 means 1 MiB.
+	// AppendBytes bounds the size of the entries in one message; 0 means 1 MiB.
 	AppendBytes int
-	// ChunkBytes is the part of a snapshot in one message; 0 means 512 KiB.
+	// ChunkBytes is the size of the snapshot chunk in one message; 0 means 512 KiB.
 	ChunkBytes int
-	// Seed of the election timeouts.
+	// Seed seeds the random election timeouts.
 	Seed uint64
 }
 
-// Role is what the process does in the group.
+// Role is the role of a process within its group.
 type Role int
 
 const (
-	// Waiting processes belong to no group yet.
+	// Waiting means that the process does not belong to a group yet.
 	Waiting Role = iota
-	// Follower takes entries from the leader; learners are followers too.
+	// Follower replicates entries from the leader. Learners are followers too.
 	Follower
-	// PreCandidate asks whether a vote could be won.
+	// PreCandidate asks the voters whether it could win an election, without
+	// raising its term.
 	PreCandidate
-	// Candidate asks for votes.
+	// Candidate requests votes in a new term.
 	Candidate
-	// Leader orders the log.
+	// Leader appends entries to the log and replicates them.
 	Leader
 )
 
 var roleNames = [...]string{"waiting", "follower", "pre-candidate", "candidate", "leader"}
 
-// String returns the role as operators read it.
+// String returns the role's name as shown to operators.
 func (r Role) String() string { return roleNames[r] }
 
-// Restored is what the files held at the start; zero for an empty folder.
+// Restored is the persisted state at startup; zero for an empty data folder.
 type Restored struct {
 	Hard     *lilacv1.RaftHardState
 	Snapshot *lilacv1.RaftSnapshotMeta
 	Entries  []*lilacv1.RaftEntry
 }
 
-// Core is the deterministic consensus core of one process.
+// Core is the deterministic consensus state machine of one process. It is not
+// safe for concurrent use.
 type Core struct {
 	cfg  Config
 	rng  *rand.Rand
@@ -117,14 +124,14 @@
 	leader, leaderAddress string
 	leaderHeardAt         time.Duration
 	freshness             freshness
-	// startedAt and stampBase make the stamps of this start of the process unlike
-	// those of any other.
+	// stampEpoch and stampBase make the stamps of this run of the process differ
+	// from those of all others.
 	stampEpoch time.Duration
 	stampBase  uint64
-	// boundAt is when the process was bound to its group, or started.
+	// groupBoundAt is when the process was bound to its group, or started.
 	groupBoundAt time.Duration
 	electionAt   time.Duration
-	// preVoteAt is when a pre-candidate repeats its questions.
+	// preVoteAt is when a pre-candidate repeats its pre-vote requests.
 	preVoteAt time.Duration
 	votes     map[string]bool
 	diskFull  bool
@@ -133,13 +140,14 @@
 	join             joinState
 	incomingSnapshot incomingSnapshot
 
-	// Checked counts invariants checked, BrokenCount those that did not hold.
+	// InvariantsChecked counts invariant checks, InvariantsViolated those that failed.
 	InvariantsChecked, InvariantsViolated uint64
-	// Ignored counts messages meant for another identity or group.
+	// IgnoredMessages counts messages dropped because they were addressed to another
+	// identity or group, or came from a candidate while a leader is active.
 	IgnoredMessages uint64
 }
 
-// NewCore returns a core at time now, which continues from restored.
+// NewCore returns a Core at time now that continues from the restored state.
 func NewCore(cfg Config, restored Restored, now time.Duration) *Core {
 	c := &Core{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^0x9e3779b97f4a7c15)), now: now}
 	c.leaderHeardAt, c.groupBoundAt = now-2*cfg.Election, now
@@ -154,7 +162,7 @@
 		c.hardDirty = true
 	}
 	if c.group == "" {
-		// A founding that a crash cut short left files that mean nothing.
+		// A crash interrupted the bootstrap: what the files hold belongs to no group.
 		restored.Snapshot, restored.Entries = nil, nil
 	}
 	if meta := restored.Snapshot; meta != nil {
@@ -173,23 +181,24 @@
 	}
 	c.resetElectionTimer()
 	if c.cfg.AutoMembers {
-		// Who starts has heard no leader yet and need not wait for its silence: if
-		// there is one, the pre-vote finds it.
+		// A starting process need not wait a full election timeout: if there is a
+		// leader, the pre-vote fails because the other voters still hear it.
 		c.electionAt -= c.cfg.Election * 2 / 3
 	}
 	return c
 }
 
-// Step takes one event at time now, since any fixed moment, and returns what
-// is to be done. The returned slice is valid until the next Step.
+// Step processes one event at time now, measured from any fixed origin, and
+// returns the resulting actions. The returned slice is valid until the next Step.
 func (c *Core) Step(now time.Duration, e Event) []Action {
 	c.out = c.out[:0]
-	c.check(now >= c.now, "time_monotonic", "time went back")
+	c.check(now >= c.now, "time_monotonic", "time went backwards")
 	c.now = max(now, c.now)
 	if c.lineage.replacedBy != "" {
 		return c.out
 	}
-	// Before the event: a leader that was frozen must not act on it.
+	// Checked before the event is processed, so that a leader that was suspended
+	// cannot act on it.
 	c.checkQuorum()
 	switch e := e.(type) {
 	case Tick:
@@ -213,7 +222,7 @@
 	case TransferLeadership:
 		c.transferLeadership()
 	case SetPeers:
-		// A founding counts on the first peers.
+		// A pending bootstrap requires the initial peers.
 		if c.group != "" || !c.cfg.Bootstrap {
 			c.cfg.Peers = e.Peers
 		}
@@ -226,7 +235,8 @@
 
 func (c *Core) emit(a Action) { c.out = append(c.out, a) }
 
-// check counts an invariant; if it does not hold, the caller must not go on.
+// check counts the check of an invariant and reports whether it holds. If not, the
+// caller must abandon the step.
 func (c *Core) check(holds bool, invariant, detail string) bool {
 	c.InvariantsChecked++
 	if !holds {
@@ -253,7 +263,7 @@
 	}
 }
 
-// persist hands over what must be synced.
+// persist emits a Persist action for the unsynced hard state and entries.
 func (c *Core) persist() {
 	p := Persist{}
 	if c.hardDirty {
@@ -283,14 +293,14 @@
 	}
 }
 
-// apply hands over entries that are committed and synced here.
+// apply emits an Apply action for entries that are committed and synced locally.
 func (c *Core) apply() {
 	until := min(c.commit, c.log.synced)
 	if until <= c.applied {
 		return
 	}
 	entries := slices.Clone(c.log.entries[c.applied-c.log.base : until-c.log.base])
-	if !c.check(entries[0].GetIndex() == c.applied+1, "apply_in_order", "entry to apply does not follow the last one") {
+	if !c.check(entries[0].GetIndex() == c.applied+1, "apply_in_order", "first entry to apply does not follow the last applied one") {
 		return
 	}
 	c.applied = until
@@ -302,7 +312,8 @@
 	}
 }
 
-// setDiskFull gives the office to a voter that can still write, if there is one.
+// setDiskFull records whether the disk is full. A leader whose disk is full
+// transfers leadership to a voter that can still write, if there is one.
 func (c *Core) setDiskFull(full bool) {
 	c.diskFull = full
 	if full {
@@ -311,10 +322,10 @@
 }
 
 func (c *Core) setTerm(term uint64, vote string) {
-	if !c.check(term >= c.term, "term_never_falls", "a lower term was to be taken") {
+	if !c.check(term >= c.term, "term_never_falls", "new term is lower than the current one") {
 		return
 	}
-	if !c.check(term > c.term || c.vote == "" || c.vote == vote, "one_vote_per_term", "a second vote in one term") {
+	if !c.check(term > c.term || c.vote == "" || c.vote == vote, "one_vote_per_term", "vote for a second candidate in one term") {
 		return
 	}
 	if term != c.term || vote != c.vote {
@@ -339,30 +350,32 @@
 	c.electionAt = c.now + c.cfg.Election + spread
 }
 
-// turn is how much longer than the others this voter waits before it campaigns.
+// electionPriorityDelay is how much longer than the minimum election timeout this
+// voter waits before it campaigns.
 //
-// It guards against votes that split again and again where all voters start in
-// the same moment and a vote takes a way between regions: two of them campaign
-// within that way, and nobody wins. It shows as seconds without a leader after all
-// lost power at once. It holds because each voter has a turn of its own, by its
-// place among the members, and a share of it is left to chance.
+// It prevents repeated split votes when all voters start at the same moment, as
+// after a power failure, and votes take a cross-region delay to arrive: two voters
+// would campaign within that delay and neither would win, leaving the group without
+// a leader for seconds. Each voter gets a distinct delay by its rank among the
+// sorted voter IDs, plus a smaller random part.
 func (c *Core) electionPriorityDelay() time.Duration {
 	ids := voters(c.members.latest())
-	place := slices.Index(ids, c.cfg.ID)
-	if place < 0 {
-		place = len(ids)
+	rank := slices.Index(ids, c.cfg.ID)
+	if rank < 0 {
+		rank = len(ids)
 	}
 	step := c.cfg.Election / priorityStepDivisor
-	return time.Duration(place)*step + time.Duration(c.rng.Int64N(int64(step)/2))
+	return time.Duration(rank)*step + time.Duration(c.rng.Int64N(int64(step)/2))
 }
 
-// turnShare is the part of the shortest silence that lies between two turns: with
-// 600 ms, 200 ms, which covers pre-vote, vote and sync over 30 ms a way.
+// priorityStepDivisor divides the minimum election timeout to give the delay between
+// two ranks. At 600 ms the step is 200 ms, which covers pre-vote, vote and sync with a
+// one-way network delay of 30 ms.
 const priorityStepDivisor = 3
 
-// compacted drops entries that a synced snapshot covers.
+// handleCompacted drops entries covered by a synced snapshot.
 func (c *Core) handleCompacted(e Compacted) {
-	if !c.check(e.Meta.GetIndex() <= c.applied, "snapshot_of_applied_only", "snapshot lies after the applied index") {
+	if !c.check(e.Meta.GetIndex() <= c.applied, "snapshot_of_applied_only", "snapshot index is past the applied index") {
 		return
 	}
 	if e.Meta.GetIndex() > c.snapshot.GetIndex() {
@@ -372,12 +385,12 @@
 	c.members.compact(c.log.base)
 }
 
-// MembersAt returns the members in force at an applied index, for a snapshot.
+// MembersAt returns a copy of the membership in force at an applied index.
 func (c *Core) MembersAt(index uint64) *lilacv1.RaftMembers {
 	return proto.Clone(c.members.at(index)).(*lilacv1.RaftMembers)
 }
 
-// TermAt returns the term of the entry at index; 0 if it is not held.
+// TermAt returns the term of the entry at index; 0 if the log does not hold it.
 func (c *Core) TermAt(index uint64) uint64 {
 	term, _ := c.log.term(index)
 	return term
--- a/process/replica/election.go
+++ b/process/replica/election.go
@@ -5,12 +5,12 @@
 	"strconv"
 )
 
-// campaign begins with a pre-vote.
+// campaign starts an election with a pre-vote.
 //
-// It guards against a process that was cut off and raised its term again and
-// again: once healed it would unseat a working leader and refuse statements for
-// an election. It holds because the term is raised only after a quorum has said
-// that it hears no leader and that the log here is not behind.
+// A process that was partitioned must not raise its term over and over: once the
+// partition healed it would depose a working leader, and changes would be refused for
+// an election. The term is raised only after a quorum has answered that it hears no
+// leader and that this log is up to date.
 func (c *Core) campaign() {
 	c.votes = map[string]bool{}
 	c.setRole(PreCandidate, "", "")
@@ -22,8 +22,8 @@
 	c.requestVotes(kindPreVote, c.term+1, false)
 }
 
-// preVoteAgain repeats the questions of a pre-candidacy that is under way: the others
-// may have been starting when the first ones came.
+// retryPreVote repeats the requests of a pre-vote in progress, since the other voters
+// may still have been starting when the first ones were sent.
 func (c *Core) retryPreVote() {
 	if c.role != PreCandidate || !c.cfg.AutoMembers || c.now < c.preVoteAt {
 		return
@@ -52,33 +52,33 @@
 	c.reply(m, answer)
 }
 
-// yield ends the own pre-candidacy for the sake of a voter whose turn is before.
+// yieldToPriority ends this process's pre-candidacy in favour of a voter with a higher
+// election priority.
 //
-// It guards against votes that split although each voter has its turn: processes
-// start some tenths of a second apart, and their first questions wait for the
-// connections to one another. Several then win their pre-votes within the time of
-// one way, each votes for itself, and an election passes without a leader. It
-// shows as 0.7 s more until changes are accepted after a loss of power everywhere.
-// It holds because of two that ask each other only the one behind yields, before
-// it has asked for any vote; the first in turn never does.
+// Ranked delays alone do not prevent split votes: processes start some tenths of a
+// second apart, and their first requests wait for connections to be set up. Several
+// pre-candidates then win their pre-votes within one network delay, each votes for
+// itself, and the election has no winner. After a power failure of the whole group
+// this delayed the first accepted change by 0.7 s. Of two pre-candidates that ask each
+// other, only the lower-ranked one yields, before it has requested any vote; the
+// highest-ranked one never yields.
 func (c *Core) yieldToPriority(to string) {
 	if c.role != PreCandidate || !c.cfg.AutoMembers {
 		return
 	}
 	ids := voters(c.members.latest())
-	if place := slices.Index(ids, to); place >= 0 && place < slices.Index(ids, c.cfg.ID) {
+	if rank := slices.Index(ids, to); rank >= 0 && rank < slices.Index(ids, c.cfg.ID) {
 		c.setRole(Follower, "", "")
 		c.resetElectionTimer()
 	}
 }
 
-// goesBefore tells whether this pre-candidate's turn is before that of the asker, whose
-// log is no newer.
+// hasPriorityOver reports whether this pre-candidate has a higher election priority
+// than the sender, given that their logs are equally up to date.
 //
-// It guards against two pre-candidates that each have the other's word: the one
-// behind asked first, and both ask for votes within the time of one way. It shows as
-// an election that passes without a leader. It holds because the one behind needs
-// this word, and gives its own as soon as it is asked.
+// It prevents a split vote between two pre-candidates that have both granted each
+// other's pre-vote because the lower-ranked one asked first. The lower-ranked one needs
+// this grant, and yields its own as soon as it is asked.
 func (c *Core) hasPriorityOver(m *message) bool {
 	if c.role != PreCandidate || !c.cfg.AutoMembers || m.GetIndex() != c.log.last() || m.GetLogTerm() != c.log.lastTerm() {
 		return false
@@ -103,8 +103,8 @@
 	return true
 }
 
-// candidate raises the term and asks for votes. The own vote counts once it is
-// synced, as anyone else's.
+// becomeCandidate raises the term and requests votes. This process's own vote counts
+// only once it is synced, like any other.
 func (c *Core) becomeCandidate(transfer bool) {
 	c.setTerm(c.term+1, c.cfg.ID)
 	c.votes = map[string]bool{}
@@ -113,9 +113,9 @@
 	c.requestVotes(kindVote, c.term, transfer)
 }
 
-// voteAsked grants at most one vote in a term, and none to a log that is behind.
-// The answer goes out after the vote is synced: a voter that crashes and comes
-// back must not vote twice in one term.
+// handleVote grants at most one vote per term, and none to a candidate with an outdated
+// log. The reply is sent after the vote is synced, so that a voter that crashes and
+// restarts cannot vote twice in one term.
 func (c *Core) handleVote(m *message) {
 	free := c.vote == "" || c.vote == m.GetFrom()
 	grant := m.GetTerm() == c.term && free && c.canVote() && !c.log.isNewerThan(m.GetIndex(), m.GetLogTerm())
@@ -126,7 +126,8 @@
 	c.reply(m, &message{Kind: kindVoteReply, Term: c.term, Reject: !grant})
 }
 
-// mayVote tells whether no leader and no own candidacy is known in the term.
+// canVote reports whether this process knows no leader and is not a candidate in the
+// current term.
 func (c *Core) canVote() bool {
 	return (c.role == Follower || c.role == PreCandidate) && c.leader == ""
 }
@@ -137,12 +138,11 @@
 	}
 }
 
-// countVote wins the election with a quorum.
+// countVote records a vote and becomes leader once a quorum has voted for this process.
 //
-// It guards against a candidate that was frozen and wakes to votes that came
-// long ago: it would lead an old term beside the leader of a new one, and take
-// statements of which the callers never learn the outcome. It holds because
-// votes count only within the candidacy's own time, by the clock as of now.
+// Votes count only until the candidacy's own deadline. A candidate that was suspended
+// would otherwise count old votes on resuming, lead an old term beside the leader of
+// a newer one, and accept changes whose outcome the callers never learn.
 func (c *Core) countVote(id string) {
 	if c.now >= c.electionAt {
 		return
@@ -153,14 +153,15 @@
 	}
 }
 
-// timeoutNow campaigns at once: the leader that hands over is known to step back.
+// handleTimeoutNow campaigns at once, without a pre-vote: the leader that sent it is
+// giving up its leadership.
 func (c *Core) handleTimeoutNow(m *message) {
 	if m.GetTerm() == c.term && c.role == Follower && c.isVoter(c.cfg.ID) {
 		c.becomeCandidate(true)
 	}
 }
 
-// quorum tells whether the identities hold a majority of the voters in force.
+// hasQuorum reports whether ids includes a majority of the voters in force.
 func (c *Core) hasQuorum(ids map[string]bool) bool {
 	voters, yes := 0, 0
 	for _, member := range c.members.latest().GetMembers() {
@@ -181,7 +182,7 @@
 }
 
 func (c *Core) becomeLeader() {
-	c.check(c.vote == c.cfg.ID, "leader_voted_for_itself", "elected in term "+strconv.FormatUint(c.term, 10)+" without the own vote")
+	c.check(c.vote == c.cfg.ID, "leader_voted_for_itself", "elected in term "+strconv.FormatUint(c.term, 10)+" without its own vote")
 	c.setRole(Leader, c.cfg.ID, c.cfg.Address)
 	c.startLeading()
 }
--- a/process/replica/event.go
+++ b/process/replica/event.go
@@ -4,69 +4,71 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Event is what the core is told; one of the types below.
+// Event is an input of Core; one of the types below.
 type Event interface{ event() }
 
-// Tick lets time pass; the shell sends one at least twice a heartbeat.
+// Tick lets the core act on elapsed time. The caller sends at least two per heartbeat
+// interval.
 type Tick struct{}
 
-// Received is a message of another process.
+// Received is a message from another process.
 type Received struct{ Message *lilacv1.RaftMessage }
 
-// Propose asks for a command to be replicated. The answer is Accepted or Refused.
+// Propose requests that a command be replicated. The answer is Accepted or Refused.
 type Propose struct {
 	RequestID uint64
 	Command   []byte
 }
 
-// Read asks for a linearizable read point. The answer is ReadReady or Refused.
+// Read requests a linearizable read index. The answer is ReadReady or Refused.
 type Read struct{ RequestID uint64 }
 
-// Flush ends a batch of events: what they left to send goes out together.
+// Flush ends a batch of events; messages deferred during the batch are sent.
 type Flush struct{}
 
-// Synced tells that the last Persist has been synced.
+// Synced reports that the last Persist has been synced.
 type Synced struct {
-	// Index and Term are those of the last entry saved, 0 if none.
+	// Index and Term are those of the last entry synced, 0 if none.
 	Index, Term uint64
-	// HardTerm is the term of the hard state saved, 0 if none.
+	// HardTerm is the term of the hard state synced, 0 if none.
 	HardTerm uint64
 }
 
-// DiskFull tells whether the disk takes no more.
+// DiskFull reports whether the disk is full.
 type DiskFull struct{ Full bool }
 
-// Compacted tells that a snapshot at Index has been synced.
+// Compacted reports that a snapshot of the local state has been synced.
 type Compacted struct {
 	Meta *lilacv1.RaftSnapshotMeta
-	// Keep is the index after which entries stay for slow followers.
+	// Keep is the index after which entries are retained for lagging followers.
 	Keep uint64
 }
 
-// ChangeKind is a step of a change of members.
+// ChangeKind is the kind of a membership change.
 type ChangeKind int
 
 const (
-	// AddLearner takes a process in that does not count for the quorum.
+	// AddLearner adds a non-voting member.
 	AddLearner ChangeKind = iota
-	// Promote makes a learner that has caught up a voter.
+	// Promote turns a learner that has caught up into a voter.
 	Promote
-	// Remove takes a member out.
+	// Remove removes a member.
 	Remove
 )
 
-// ChangeMembers asks for one step. The answer is Accepted or Refused.
+// ChangeMembers requests one membership change. The answer is Accepted or Refused.
 type ChangeMembers struct {
 	RequestID uint64
 	Kind      ChangeKind
 	Member    *lilacv1.RaftMember
 }
 
-// TransferLeadership asks the leader to give its office to the most caught-up voter.
+// TransferLeadership asks the leader to transfer leadership to the most
+// up-to-date voter.
 type TransferLeadership struct{}
 
-// SetPeers replaces the processes that are asked for a group. It does not change
-// who founds one.
+// SetPeers replaces the peers contacted to find a group. While a bootstrap is
+// pending it has no effect.
 type SetPeers struct{ Peers []Peer }
 
 func (SetPeers) event()           {}
@@ -81,93 +83,95 @@
 func (ChangeMembers) event()      {}
 func (TransferLeadership) event() {}
 
-// Action is what the core wants done, in order; one of the types below.
+// Action is an output of Core, to be carried out in order; one of the types below.
 type Action interface{ action() }
 
-// Send carries a message to an address.
+// Send sends a message to an address.
 type Send struct {
 	Address string
 	Message *lilacv1.RaftMessage
-	// AfterSync messages promise something that Persist makes last: they go
-	// out only after its sync, and not at all if it failed.
+	// AfterSync messages acknowledge state that a Persist makes durable: they are
+	// sent only after it has been synced, and not at all if the sync fails.
 	AfterSync bool
-	// SnapshotBytes asks the shell to fill Message.Chunk with so many bytes of
-	// the newest snapshot from Message.Offset.
+	// SnapshotBytes, if not 0, asks the caller to fill Message.Chunk with up to that
+	// many bytes of the newest snapshot, starting at Message.Offset.
 	SnapshotBytes int
 }
 
-// Persist must be synced; then the shell answers Synced.
+// Persist must be written and synced; the caller then passes Synced to the core.
 type Persist struct {
 	// Hard is nil if it did not change.
 	Hard    *lilacv1.RaftHardState
 	Entries []*lilacv1.RaftEntry
 }
 
-// Install replaces state machine and log by a snapshot; it must be synced before
-// any Persist and AfterSync message that follows.
+// Install replaces the state machine and the log by a snapshot. It must be synced
+// before any later Persist and AfterSync message.
 type Install struct {
 	Meta *lilacv1.RaftSnapshotMeta
 	Data []byte
 }
 
-// Apply hands committed entries to the state machine, in order.
+// Apply passes committed entries to the state machine, in log order.
 type Apply struct{ Entries []*lilacv1.RaftEntry }
 
-// Accepted tells at which place of the log a proposal stands.
+// Accepted reports the log position at which a proposal was appended.
 type Accepted struct{ RequestID, Index, Term uint64 }
 
-// Reason tells why a proposal or read was refused; it never ran.
+// Reason says why a proposal or read was refused. A refused request never ran.
 type Reason int
 
 const (
-	// NotLeader means that another process leads.
+	// NotLeader means that another process is the leader.
 	NotLeader Reason = iota
-	// NoQuorum means that no leader has a quorum as far as this process knows.
+	// NoQuorum means that this process knows no leader with a quorum.
 	NoQuorum
 	// NoSpace means that the disk is full.
 	NoSpace
-	// Busy means that too much waits for the quorum already.
+	// Busy means that too many entries are waiting to be committed.
 	Busy
-	// InvalidChange means that the step can't be made now.
+	// InvalidChange means that the membership change is not possible now.
 	InvalidChange
-	// TooLarge means that the command is above maxCommand.
+	// TooLarge means that the command exceeds maxCommand.
 	TooLarge
-	// LeadershipTransfer means that the leader is giving its office away.
+	// LeadershipTransfer means that the leader is transferring its leadership.
 	LeadershipTransfer
-	// RivalGroup means that two groups were recovered from the same one.
+	// RivalGroup means that another group was recovered from the same original group.
 	RivalGroup
 )
 
-// Refused tells that a proposal or read was not taken.
+// Refused reports that a request was not accepted.
 type Refused struct {
 	RequestID uint64
 	Reason    Reason
 	Detail    string
 }
 
-// ReadReady tells that a read may run once Index has been applied.
+// ReadReady reports that a read may run once Index has been applied.
 type ReadReady struct{ RequestID, Index uint64 }
 
-// RoleChanged tells of a new role, term or leader.
+// RoleChanged reports a new role, term or leader.
 type RoleChanged struct {
 	Role   Role
 	Term   uint64
 	Leader string
 }
 
-// MembersChanged tells of members in force.
+// MembersChanged reports the membership now in force.
 type MembersChanged struct{ Members []*lilacv1.RaftMember }
 
-// Repaired tells that the change that replaced a lost voter has been committed.
+// Repaired reports that the promotion of a learner, normally the replacement of a lost
+// voter, has been committed and synced by that member.
 type Repaired struct{ Member *lilacv1.RaftMember }
 
-// Replaced tells that a recovered group has replaced the own one for good.
+// Replaced reports that a recovered group has permanently replaced the local one.
 type Replaced struct{ By string }
 
-// RivalGroupDetected tells of another group that was recovered from the same one.
+// RivalGroupDetected reports a message from another group that was recovered from the
+// same original group.
 type RivalGroupDetected struct{ Group, Address string }
 
-// InvariantViolated tells that an invariant did not hold; the step was not made.
+// InvariantViolated reports that an invariant did not hold; the step was abandoned.
 type InvariantViolated struct{ Invariant, Detail string }
 
 func (Send) action()               {}
--- a/process/replica/follower.go
+++ b/process/replica/follower.go
@@ -6,8 +6,8 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// fromLeader notes the sender as the leader of the term; false if the message
-// is of an older term, or breaks the rule of one leader in a term.
+// acceptLeader records the sender as the leader of its term. It returns false if the
+// message is from an older term or would mean two leaders in one term.
 func (c *Core) acceptLeader(m *message) bool {
 	if m.GetTerm() < c.term {
 		c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: m.GetIndex(), Reject: true})
@@ -25,7 +25,7 @@
 	return true
 }
 
-// appendAsked takes entries that follow an entry held here.
+// handleAppend appends entries that follow an entry in the local log.
 func (c *Core) handleAppend(m *message) {
 	if !c.acceptLeader(m) {
 		return
@@ -33,7 +33,7 @@
 	c.observeCommit(m)
 	previous, entries := m.GetIndex(), m.GetEntries()
 	if previous < c.commit {
-		// All up to commit is the same on every leader.
+		// Up to the commit index, the log is the same on every leader.
 		entries = entries[min(uint64(len(entries)), c.commit-previous):]
 		previous = c.commit
 	} else if term, held := c.log.term(previous); !held || term != m.GetLogTerm() {
@@ -45,11 +45,12 @@
 		return
 	}
 	c.commit = max(c.commit, min(m.GetCommit(), last))
-	c.check(c.commit <= c.log.last(), "commit_within_log", "commit index lies after the log")
+	c.check(c.commit <= c.log.last(), "commit_within_log", "commit index is past the end of the log")
 	c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: last, Round: m.GetRound(), DiskFull: c.diskFull})
 }
 
-// hint returns the index before the entries of the term that does not match.
+// rejectHint returns the index before the first entry of the term that conflicts at
+// the rejected index, so that the leader can skip the whole term.
 func (c *Core) rejectHint(refused uint64) uint64 {
 	if refused > c.log.last() {
 		return c.log.last()
@@ -66,12 +67,12 @@
 	return index - 1
 }
 
-// take puts the entries after previous, and returns the last index that is the
-// same as the leader's.
+// appendAfter appends entries after the previous index, replacing conflicting ones.
+// It returns the last index at which the log is known to match the leader's.
 func (c *Core) appendAfter(previous uint64, entries []*lilacv1.RaftEntry) (uint64, bool) {
 	for i, entry := range entries {
 		index := previous + 1 + uint64(i)
-		if !c.check(entry.GetIndex() == index, "entries_without_gap", "an entry does not follow the one before") {
+		if !c.check(entry.GetIndex() == index, "entries_without_gap", "entry does not follow the previous one") {
 			return 0, false
 		}
 		if term, held := c.log.term(index); held && term == entry.GetTerm() {
@@ -81,7 +82,7 @@
 			return index - 1, true
 		}
 		if index <= c.log.last() {
-			if !c.check(index > c.commit, "committed_never_lost", fmt.Sprintf("entry %d is committed and was to be replaced", index)) {
+			if !c.check(index > c.commit, "committed_never_lost", fmt.Sprintf("committed entry %d would be replaced", index)) {
 				return 0, false
 			}
 			c.log.truncate(index)
--- a/process/replica/freshness.go
+++ b/process/replica/freshness.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// contact times the last moment at which this process surely had applied all
-// that was committed.
+// freshness tracks the last moment at which the applied state was known to include
+// everything committed.
 //
-// It guards against a process that was cut off and gets the log or a snapshot
-// anew: it hears the leader, so those who follow it would take its old state for
-// the newest and stay with it. It shows as an entry that holds an old revision
-// and calls it fresh. It holds because a word from the leader counts only once
-// all that it calls committed is applied here.
+// A process that was partitioned and is receiving the log or a snapshot again already
+// hears the leader; clients that follow it must not take its old state for current and
+// stay with it. A commit index from the leader therefore counts only once everything
+// up to it has been applied here.
 type freshness struct {
-	// at is that moment.
+	// freshAt is that moment.
 	freshAt time.Duration
-	// told is the commit index that the leader named at toldAt, while open.
+	// commit is the commit index that the leader sent at commitSentAt; it is to be applied
+	// while pending is set.
 	commit       uint64
 	commitSentAt time.Duration
 	pending      bool
 }
 
-// hear notes the commit index that the leader named after the moment at, unless an
-// earlier one is still waited for.
+// observe records a commit index that the leader sent no earlier than the moment at,
+// unless an earlier one is still pending.
 func (c *freshness) observe(at time.Duration, commit uint64) {
 	if !c.pending {
 		c.commit, c.commitSentAt, c.pending = commit, at, true
 	}
 }
 
-// reached notes what is applied here.
+// advance records the index applied so far.
 func (c *freshness) advance(applied uint64) {
 	if c.pending && applied >= c.commit {
 		c.freshAt, c.pending = max(c.freshAt, c.commitSentAt), false
 	}
 }
 
-// stamp returns the present moment as the leader echoes it.
+// stamp returns the current time as a stamp for the leader to echo.
 func (c *Core) stamp() uint64 { return c.stampBase + uint64(c.now-c.stampEpoch) }
 
-// stamped returns the moment of a stamp; false for one that this start of the
-// process never gave.
+// stampTime returns the moment of a stamp; false if this run of the process did not
+// issue it.
 func (c *Core) stampTime(stamp uint64) (time.Duration, bool) {
 	since := time.Duration(stamp - c.stampBase)
 	if stamp < c.stampBase || since > c.now-c.stampEpoch {
@@ -50,17 +50,18 @@
 	return c.stampEpoch + since, true
 }
 
-// hearLeader notes what the leader calls committed. It is dated by the stamp of this
-// process that the leader echoes, since a message may arrive long after it was sent.
+// observeCommit records the leader's commit index. It is dated by the echoed stamp of
+// this process, since the message may arrive long after it was sent.
 func (c *Core) observeCommit(m *message) {
 	if at, ok := c.stampTime(m.GetStamp()); ok {
 		c.freshness.observe(at, m.GetCommit())
 	}
 }
 
-// contactAt is the last moment at which all that was committed was surely
-// applied here: on the leader the last answers of a quorum, once an entry of the
-// own term is applied, elsewhere what the last word from the leader is dated by.
+// freshAt returns the last moment at which the applied state was known to include
+// everything committed. On the leader, once an entry of the current term is applied,
+// that is the time of the latest replies from a quorum; elsewhere it is the date of the
+// last commit index from the leader that has been applied.
 func (c *Core) freshAt() time.Duration {
 	if c.role != Leader || c.applied < c.leaderState.firstIndex {
 		return c.freshness.freshAt
@@ -75,6 +76,6 @@
 		return c.now
 	}
 	slices.Sort(times)
-	// The leader itself is one of the quorum.
+	// The leader counts towards the quorum as well.
 	return times[len(times)-(len(times)+1)/2]
 }
--- a/process/replica/join.go
+++ b/process/replica/join.go
@@ -7,20 +7,21 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// forgottenElections is the silence, in election timeouts, after which a
-// learner asks to be taken in again.
+// rejoinElectionTimeouts is the silence, in election timeouts, after which a process
+// asks to be added to its group again.
 const rejoinElectionTimeouts = 4
 
-// joining is the state of a process that belongs to no group.
+// joinState is the state of a process that is looking for a group, or asks to be added
+// to its own again.
 type joinState struct {
 	nextHelloAt time.Duration
-	// round numbers the asking since this process was bound to a group, so that
-	// older answers are told; 0 until it is forgotten.
+	// round is echoed in replies, so that those to hellos from before this process was
+	// bound to its group are recognised. It is 0 until the process first tries to rejoin.
 	round uint64
-	// empty is when each peer, by name, last said that it holds no log of the
-	// group that this process is bound to.
+	// emptyPeers records, by peer name, when the peer last replied that it holds no log of
+	// this process's group.
 	emptyPeers map[string]time.Duration
-	// founders are the answers of peers without a group, by name.
+	// founders holds the replies of peers without a group, by name.
 	founders map[string]founder
 }
 
@@ -29,8 +30,8 @@
 	heardAt time.Duration
 }
 
-// founderNames are the sorted names of the group that the settings found; none
-// without Bootstrap.
+// founderNames returns the sorted names of the founding members, including this process;
+// nil without Bootstrap.
 func (c *Core) founderNames() []string {
 	if !c.cfg.Bootstrap {
 		return nil
@@ -43,7 +44,7 @@
 	return names
 }
 
-// seekGroup asks all peers what they belong to.
+// discoverGroup asks all peers which group they belong to.
 func (c *Core) discoverGroup() {
 	if c.now < c.join.nextHelloAt {
 		return
@@ -59,24 +60,24 @@
 	c.send(address, &message{Kind: kindHello, Member: c.self(), Founders: c.founderNames(), Round: c.join.round}, true)
 }
 
-// forgotten tells whether this process belongs to a group of which no leader
-// has sent it anything for long, although it is no voter: the entry that took
-// it in was lost with the leader that wrote it.
+// shouldRejoin reports whether this process has not heard from the leader of its group
+// for long and should ask to be added again: either it is no voter, and the entry that
+// added it was lost with the leader that wrote it, or it may have been removed.
 func (c *Core) shouldRejoin() bool {
-	silent := c.now - max(c.leaderHeardAt, c.groupBoundAt)
+	silence := c.now - max(c.leaderHeardAt, c.groupBoundAt)
 	if c.isVoter(c.cfg.ID) {
-		return c.mayHaveBeenRemoved(silent)
+		return c.mayHaveBeenRemoved(silence)
 	}
-	return c.role == Follower && silent > rejoinElectionTimeouts*c.cfg.Election
+	return c.role == Follower && silence > rejoinElectionTimeouts*c.cfg.Election
 }
 
-// takenOut tells whether this voter may have been taken out while it was lost:
-// its own log can't say so, and nobody sends it anything any more.
-func (c *Core) mayHaveBeenRemoved(silent time.Duration) bool {
-	return c.cfg.AutoMembers && (c.role == Follower || c.role == PreCandidate) && silent > rejoinElectionTimeouts*c.cfg.Election
+// mayHaveBeenRemoved reports whether this voter may have been removed while it was
+// unreachable: its own log does not say so, and no member sends to it any more.
+func (c *Core) mayHaveBeenRemoved(silence time.Duration) bool {
+	return c.cfg.AutoMembers && (c.role == Follower || c.role == PreCandidate) && silence > rejoinElectionTimeouts*c.cfg.Election
 }
 
-// seekAgain asks to be taken in once more.
+// rejoin asks the peers, periodically, to be added to the group again.
 func (c *Core) rejoin() {
 	if !c.shouldRejoin() || c.now < c.join.nextHelloAt {
 		return
@@ -97,7 +98,8 @@
 	}
 }
 
-// askMembers asks those that the own log names: the settings may be older.
+// sendHelloToMembers asks the members known from the local log, since the peers in the
+// settings may be outdated.
 func (c *Core) sendHelloToMembers() {
 	for _, member := range c.members.latest().GetMembers() {
 		if member.GetId() != c.cfg.ID {
@@ -106,8 +108,8 @@
 	}
 }
 
-// noteAnswer remembers which peers hold no log of the own group. An answer from before this
-// process was bound to its group, which comes late, proves nothing.
+// recordHelloReply records whether a peer holds a log of this process's group. Delayed
+// replies from before this process was bound to its group are ignored.
 func (c *Core) recordHelloReply(m *message) {
 	if c.join.round == 0 || m.GetRound() != c.join.round {
 		return
@@ -121,8 +123,8 @@
 	}
 }
 
-// orphaned tells whether the group died before anything was accepted: neither
-// this process nor any of its peers, who all answered just now, holds its log.
+// orphaned reports whether the group was lost before it committed anything: neither
+// this process nor any of its peers, all of which replied recently, holds its log.
 func (c *Core) orphaned() bool {
 	if c.log.last() != 0 || c.cfg.SpareID == "" || len(c.cfg.Peers) == 0 {
 		return false
@@ -136,12 +138,13 @@
 	return true
 }
 
-// renounce gives up the own identity and takes a fresh one without a group.
+// resetIdentity discards this process's identity and group, and continues with the spare
+// identity.
 //
-// It guards against a founder that loses its disk right after the founding: the
-// others are bound to a group that nobody can lead, and would wait for ever. It
-// is as safe as the loss of an empty disk: this identity has synced no entry
-// for anyone, and its one vote is never given again, since it is never used again.
+// If a founder loses its disk right after the bootstrap, the others are bound to a group
+// that no process can lead and would wait forever. Discarding the identity is as safe as
+// losing an empty disk: it has acknowledged no entry, and since it is never used again,
+// it cannot vote twice.
 func (c *Core) resetIdentity() {
 	c.cfg.ID, c.cfg.SpareID = c.cfg.SpareID, ""
 	c.group, c.term, c.vote, c.hardDirty = "", 0, "", true
@@ -150,7 +153,7 @@
 	c.setRole(Waiting, "", "")
 }
 
-// hello tells a process without a group what this one belongs to.
+// handleHello replies with the group that this process belongs to.
 func (c *Core) handleHello(m *message) {
 	answer := &message{Kind: kindHelloReply, Member: c.self(), Leader: c.leaderAddress, Index: c.log.last(), Round: m.GetRound()}
 	if c.role == Waiting {
@@ -172,8 +175,7 @@
 		c.tryBootstrap()
 		return
 	}
-	// There is a group already: a process that still says it may found one has
-	// lost its disk.
+	// A group exists already, so any process that still offers to found one has lost its disk.
 	c.join.founders = nil
 	switch m.GetLeader() {
 	case "":
@@ -194,16 +196,15 @@
 	}
 }
 
-// found founds the group, if this process bears the first name and all others
-// have answered just now that they belong to none.
+// tryBootstrap creates the group if this process has the first name of the founders and
+// all others have replied within an election timeout that they belong to no group.
 //
-// It guards against a voter that lost its disk while its settings still say
-// bootstrap: it would found a second group under the names of the first, and
-// with another such process overrule what was committed. It holds because any
-// process that has a group says so, and one that does not answer stops the
-// founding. If a founder loses its disk at once, its second group and the first
-// one can't both have a quorum: each of the others binds its identity to one
-// group for ever.
+// A voter that lost its disk while its settings still say bootstrap must not create a
+// second group under the same names: with another such process it could override what
+// was committed. Any process with a group says so, and one that does not reply prevents
+// the bootstrap. If a founder loses its disk immediately, its second group and the first
+// one cannot both have a quorum, because each of the others binds its identity to one
+// group permanently.
 func (c *Core) tryBootstrap() {
 	names := c.founderNames()
 	if len(names) == 0 || names[0] != c.cfg.Name {
@@ -225,7 +226,7 @@
 		member.Voter = true
 		members.Members = append(members.Members, member)
 	}
-	if !c.check(c.group == "", "group_set_once", "a process with a group was to found another") {
+	if !c.check(c.group == "", "group_set_once", "process already belongs to a group") {
 		return
 	}
 	c.group, c.hardDirty = c.cfg.NewGroupID, true
--- a/process/replica/leader.go
+++ b/process/replica/leader.go
@@ -8,20 +8,21 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// progress is what the leader knows of one other member.
+// progress is the leader's replication state for one other member.
 type progress struct {
 	member *lilacv1.RaftMember
-	// match is the last index known to be synced there; next the one to send.
+	// match is the last index known to be synced by the member; next is the next to send.
 	match, next uint64
-	// probing members get one message at a time, until one is accepted.
+	// While probing, entries are sent one message at a time until one is accepted.
+	// probeSent is set while that message is unanswered.
 	probing, probeSent bool
-	// inFlight holds the last index of each message with entries that waits.
+	// inFlight holds the last index of each unacknowledged message with entries.
 	inFlight []uint64
-	// heard is when an answer last came.
+	// lastHeard is when the last reply arrived.
 	lastHeard time.Duration
-	// round is the newest heartbeat round that was echoed.
+	// round is the latest heartbeat round that the member has acknowledged.
 	round uint64
-	// stamp is that of the last answer, echoed to the member.
+	// stamp is the stamp of the member's last reply, echoed back to it.
 	stamp            uint64
 	snapshotTransfer *snapshotTransfer
 	diskFull         bool
@@ -29,21 +30,22 @@
 
 type pendingRead struct{ requestID, index, round uint64 }
 
-// leading is the leader's state; it is gone with the office.
+// leaderState exists only while this process is the leader.
 type leaderState struct {
 	progress map[string]*progress
-	// firstIndex is the empty entry that began the term.
+	// firstIndex is the index of the empty entry appended at the start of the term.
 	firstIndex  uint64
 	heartbeatAt time.Duration
-	// toldCommit is the commit index of the last message to all.
+	// broadcastCommit is the commit index last broadcast by flush.
 	broadcastCommit uint64
 	round           uint64
 	newReads        []uint64
 	pendingReads    []pendingRead
-	// handTo is the voter that takes over, until handUntil.
+	// transferee is the voter to which leadership is being transferred, until
+	// transferDeadline; empty if none.
 	transferee       string
 	transferDeadline time.Duration
-	// repairIndex is the entry that promotes the replacement repairID.
+	// repairIndex is the index of the entry that promotes the replacement repairID.
 	repairID    string
 	repairIndex uint64
 }
@@ -55,7 +57,7 @@
 	c.broadcast(true)
 }
 
-// syncProgress gives each other member in force a progress.
+// updateProgress keeps one progress for each other member in force.
 func (c *Core) updateProgress() {
 	old := c.leaderState.progress
 	c.leaderState.progress = map[string]*progress{}
@@ -72,7 +74,7 @@
 	}
 }
 
-// others returns the progress of all other members, in the order of the members.
+// others returns the progress of all other members, in membership order.
 func (c *Core) others() []*progress {
 	var all []*progress
 	for _, member := range c.members.latest().GetMembers() {
@@ -83,21 +85,21 @@
 	return all
 }
 
-// appendOwn puts an entry of the own term at the end of the log.
+// appendEntry appends an entry of the current term.
 func (c *Core) appendEntry(kind lilacv1.RaftEntryKind, data []byte) uint64 {
 	entry := &lilacv1.RaftEntry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
-	c.check(c.log.lastTerm() <= c.term, "terms_grow_along_the_log", "last term of the log is above the own one")
+	c.check(c.log.lastTerm() <= c.term, "terms_grow_along_the_log", "last term of the log is greater than the current term")
 	c.log.append(entry)
 	c.members.add(entry)
 	return entry.GetIndex()
 }
 
-// checkQuorum ends the office of a leader that has not heard a quorum for an
+// checkQuorum makes a leader step down if it has not heard from a quorum within an
 // election timeout.
 //
-// It guards against a leader that is cut off, or was frozen and wakes: it would
-// go on taking statements that can't be committed, while another one leads. It
-// holds because the check stands before each event, with the time as of now.
+// A leader that is partitioned, or resumes from a suspension, must not accept changes
+// that cannot be committed while another leader is active. The check runs before
+// each event, with the current time.
 func (c *Core) checkQuorum() {
 	if c.role != Leader {
 		return
@@ -134,7 +136,7 @@
 	case c.role != Leader:
 		c.refuse(e.RequestID)
 	case len(e.Command) > maxCommand:
-		// Its entry would fit no message, and all after it would wait for ever.
+		// An entry that fits in no message would block replication of all later ones.
 		c.emit(Refused{RequestID: e.RequestID, Reason: TooLarge})
 	case c.leaderState.transferee != "":
 		c.emit(Refused{RequestID: e.RequestID, Reason: LeadershipTransfer})
@@ -165,9 +167,9 @@
 	c.repair()
 }
 
-// flush sends what the events of a batch left to send. A commit is told at once,
-// by an empty message where no entry is to be sent: else the followers, and the
-// entries that take their revisions from one, would learn of an accepted change
+// flush sends what the events of a batch left to send. A new commit index is sent at
+// once, in an empty message if there are no entries to send; otherwise followers, and
+// the entry processes that read revisions from them, would learn of an accepted change
 // only with the next heartbeat.
 func (c *Core) flush() {
 	if c.role != Leader {
@@ -186,7 +188,8 @@
 	}
 }
 
-// sendTo sends entries that the member lacks; with heartbeat at least an empty message.
+// sendTo sends the entries that the member lacks. If there are none to send and
+// heartbeat is set, it sends an empty message.
 func (c *Core) sendTo(p *progress, heartbeat bool) {
 	if p.snapshotTransfer != nil {
 		return
@@ -213,8 +216,8 @@
 	return len(p.inFlight) < maxInFlightAppends
 }
 
-// sendEntries sends entries of up to so many bytes, none for 0; false if the
-// member needs a snapshot instead.
+// sendEntries sends entries of up to the given size in bytes, or none for 0. It returns
+// false if the member needs a snapshot instead.
 func (c *Core) sendEntries(p *progress, bytes int) bool {
 	previous := p.next - 1
 	term, held := c.log.term(previous)
@@ -262,8 +265,8 @@
 	c.advanceMatch(p, m.GetIndex())
 }
 
-// refusedAt goes back to where the member's log may still match. Old refusals,
-// which came late, are told by their index.
+// handleAppendReject moves next back to where the member's log may match. Delayed
+// rejections are recognised by their index and ignored.
 func (c *Core) handleAppendReject(p *progress, m *message) {
 	if p.snapshotTransfer != nil || m.GetIndex() <= p.match || m.GetIndex() >= p.next {
 		return
@@ -277,7 +280,7 @@
 }
 
 func (c *Core) advanceMatch(p *progress, index uint64) {
-	if !c.check(index <= c.log.last(), "follower_not_ahead_of_leader", fmt.Sprintf("%s matched %d after the last index %d", p.member.GetName(), index, c.log.last())) {
+	if !c.check(index <= c.log.last(), "follower_not_ahead_of_leader", fmt.Sprintf("%s acknowledged index %d, past the last index %d", p.member.GetName(), index, c.log.last())) {
 		return
 	}
 	p.match = max(p.match, index)
@@ -289,13 +292,13 @@
 	c.sendTo(p, false)
 }
 
-// advanceCommit commits what a quorum has synced, and only entries of the own
-// term by count.
+// advanceCommit advances the commit index to the last entry that a quorum has synced,
+// provided that the entry is of the current term.
 //
-// It guards against an entry of an older term that stands on a quorum and is
-// still overwritten by a leader that never saw it: it would be applied here and
-// lost there. It holds because an entry of the own term above it keeps such a
-// leader from being elected.
+// An entry of an older term may be stored on a quorum and still be overwritten by a
+// later leader that never received it: committing it by count would apply it here and
+// lose it there. Committing an entry of the current term above it rules this out,
+// since no log without that entry can win an election.
 func (c *Core) advanceCommit() {
 	if c.role != Leader {
 		return
@@ -324,7 +327,7 @@
 	c.commit = index
 }
 
-// handOver begins to give the office to the most caught-up voter.
+// transferLeadership starts a transfer of leadership to the most up-to-date voter.
 func (c *Core) transferLeadership() {
 	if c.role != Leader || c.leaderState.transferee != "" {
 		return
--- a/process/replica/lineage.go
+++ b/process/replica/lineage.go
@@ -9,34 +9,34 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// rivalElections is the silence, in election timeouts, after which a rival
-// group counts as gone.
+// rivalExpiryElectionTimeouts is the silence, in election timeouts, after which a rival
+// group is considered gone.
 const rivalExpiryElectionTimeouts = 4
 
-// announcements is how often a recovered group is announced in the shortest
-// wait before a candidacy.
+// announcementsPerElectionTimeout is how often a recovered group announces itself per
+// minimum election timeout.
 const announcementsPerElectionTimeout = 4
 
-// lineage is what a process knows of groups related to its own by a recovery
-// from a lost majority.
+// lineage holds what a process knows of groups related to its own by a recovery after
+// the loss of a majority.
 type lineage struct {
-	// former are the groups that the own one replaced, oldest first.
+	// former lists the groups that this one replaced, oldest first.
 	former []string
-	// replacedBy is the recovered group that replaced the own one; set once.
+	// replacedBy is the recovered group that replaced this one; never reset.
 	replacedBy     string
 	nextAnnounceAt time.Duration
 	rival          string
 	rivalHeardAt   time.Duration
 }
 
-// announce tells the processes of the settings which groups are replaced, but
-// for those that the leader's heartbeats tell.
+// announce sends the list of replaced groups to the peers. Members are skipped by the
+// leader, whose heartbeats carry the same information.
 //
-// It guards against voters taken for lost that come back with their old disks,
-// find a quorum of the old group among themselves, and accept changes and claims
-// beside the recovered group. It holds, as far as messages pass, because they
-// come four times in the shortest wait before a first candidacy, and whoever
-// belongs to a replaced group gives up for good.
+// Voters that were presumed lost may return with their old disks, form a quorum of the
+// old group, and accept changes and claims beside the recovered group. Announcements
+// are sent four times per minimum election timeout, so that (unless messages are lost)
+// one arrives before such a voter's first candidacy, and a member of a replaced group
+// stops for good.
 func (c *Core) announce() {
 	follows := c.role != Leader && c.hasRecentLeader()
 	if len(c.lineage.former) == 0 || follows || c.now < c.lineage.nextAnnounceAt {
@@ -55,8 +55,8 @@
 	return slices.ContainsFunc(c.Members(), func(m *lilacv1.RaftMember) bool { return m.GetAddress() == address })
 }
 
-// otherGroup handles what a message tells of groups beside the own one; true if
-// nothing else is to be done with it.
+// handleOtherGroup processes what a message says about other groups. It returns true if
+// the message needs no further processing.
 func (c *Core) handleOtherGroup(m *message) bool {
 	if m.GetGroup() == "" || c.group == "" || m.GetGroup() == c.group {
 		return false
@@ -76,20 +76,20 @@
 	return false
 }
 
-// replaced ends this process's part in its group; the shell syncs that first.
+// markReplaced ends this process's membership in its group. The caller persists this
+// before it stops.
 func (c *Core) markReplaced(by string) {
 	c.lineage.replacedBy, c.hardDirty = by, true
 	c.becomeFollower(c.term, "", "")
 	c.emit(Replaced{By: by})
 }
 
-// noteRival remembers a group that was recovered from a group that the own one
-// was recovered from as well.
+// recordRival records a group that was recovered from the same original group as this
+// one.
 //
-// It guards against two survivors of one group that are recovered separately:
-// both would grant claims and give numbers to revisions without knowing of each
-// other. It holds, as far as messages pass, because both announce themselves to
-// all processes of their settings, and neither takes a change while it hears the other.
+// Two survivors of one group may be recovered separately; both groups would grant
+// claims and assign revision numbers independently. Both announce themselves to all
+// their peers, and neither accepts changes while it hears from the other.
 func (c *Core) recordRival(m *message) {
 	shared := slices.ContainsFunc(m.GetFormer(), func(group string) bool { return slices.Contains(c.lineage.former, group) })
 	if !shared {
@@ -101,7 +101,7 @@
 	c.lineage.rival, c.lineage.rivalHeardAt = m.GetGroup(), c.now
 }
 
-// rival returns the rival group that was heard lately, if any.
+// rivalGroup returns the rival group heard from recently, or "".
 func (c *Core) rivalGroup() string {
 	if c.lineage.rival == "" || c.now-c.lineage.rivalHeardAt > rivalExpiryElectionTimeouts*c.cfg.Election {
 		return ""
--- a/process/replica/log.go
+++ b/process/replica/log.go
@@ -4,12 +4,12 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// memoryLog holds the entries after the snapshot, and knows which are synced.
+// memoryLog holds the entries after the snapshot and tracks which are synced.
 type memoryLog struct {
-	// base and baseTerm are index and term before the first entry.
+	// base and baseTerm are the index and term preceding the first entry.
 	base, baseTerm uint64
 	entries        []*lilacv1.RaftEntry
-	// saved is the last index handed to the shell to be synced.
+	// submitted is the last index passed to the caller to be synced.
 	submitted uint64
 	// synced is the last index known to be synced.
 	synced uint64
@@ -22,7 +22,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; false if it is not held.
+// term returns the term of the entry at index; false if the log does not hold it.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -35,7 +35,8 @@
 
 func (l *memoryLog) at(index uint64) *lilacv1.RaftEntry { return l.entries[index-l.base-1] }
 
-// from returns entries from index on, up to bytes of data but at least one.
+// from returns entries from index on, limited to the given number of bytes but at
+// least one entry.
 func (l *memoryLog) from(index uint64, bytes int) []*lilacv1.RaftEntry {
 	var out []*lilacv1.RaftEntry
 	for ; index <= l.last(); index++ {
@@ -51,16 +52,16 @@
 
 func (l *memoryLog) append(entries ...*lilacv1.RaftEntry) { l.entries = append(l.entries, entries...) }
 
-// cut gives up all entries from index on.
+// truncate removes all entries from index on.
 func (l *memoryLog) truncate(index uint64) {
-	// The full slice expression keeps slices handed out before unchanged.
+	// The full slice expression leaves slices returned earlier unchanged.
 	n := index - l.base - 1
 	l.entries = l.entries[:n:n]
 	l.submitted = min(l.submitted, index-1)
 	l.synced = min(l.synced, index-1)
 }
 
-// compact drops entries up to index, which a snapshot covers.
+// compact drops the entries up to index, which a snapshot covers.
 func (l *memoryLog) compact(index uint64) {
 	if index <= l.base {
 		return
@@ -70,12 +71,13 @@
 	l.base, l.baseTerm = index, term
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log by a snapshot at index.
 func (l *memoryLog) reset(index, term uint64) {
 	*l = memoryLog{base: index, baseTerm: term, submitted: index, synced: index}
 }
 
-// behind tells whether a log that ends at index and term lacks something of l.
+// isNewerThan reports whether l is more up to date than a log that ends at index and
+// term, by the Raft rule: the later last term wins, then the greater index.
 func (l *memoryLog) isNewerThan(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term < l.lastTerm()
--- a/process/replica/members.go
+++ b/process/replica/members.go
@@ -8,7 +8,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// memberLog remembers which members each part of the log was written under.
+// memberHistory tracks the membership in force at each index of the log.
 type memberHistory struct{ versions []memberVersion }
 
 type memberVersion struct {
@@ -58,7 +58,7 @@
 	l.versions = []memberVersion{{index: index, members: members}}
 }
 
-// compact drops what is older than the members at index.
+// compact drops memberships older than the one in force at index.
 func (l *memberHistory) compact(index uint64) {
 	for len(l.versions) > 1 && l.versions[1].index <= index {
 		l.versions = l.versions[1:]
@@ -74,14 +74,15 @@
 	return nil
 }
 
-// Members returns the members in force, the newest change included.
+// Members returns the members in force: those of the latest membership entry in the
+// log, committed or not.
 func (c *Core) Members() []*lilacv1.RaftMember { return c.members.latest().GetMembers() }
 
-// mayChange tells whether a change of members may begin.
+// canChangeMembers reports whether a membership change may start.
 //
-// It guards against two changes at once, of which two quorums might not share a
-// voter: both could elect a leader. It holds because a change moves one voter,
-// and begins only after the last one and an entry of the own term are committed.
+// After two concurrent changes, two quorums might not share a voter, and both could
+// elect a leader. A change therefore adds or removes at most one voter, and starts only
+// after the previous change and an entry of the current term have been committed.
 func (c *Core) canChangeMembers() bool {
 	return c.role == Leader && !c.diskFull && c.rivalGroup() == "" && c.leaderState.transferee == "" && c.commit >= c.leaderState.firstIndex && c.members.latestIndex() <= c.commit
 }
@@ -97,17 +98,17 @@
 	return ids
 }
 
-// putMembers appends the change; the caller has asked mayChange.
+// appendMembers appends a membership entry. The caller has checked canChangeMembers.
 func (c *Core) appendMembers(members *lilacv1.RaftMembers) (uint64, bool) {
 	before, after := voters(c.members.latest()), voters(members)
-	moved := 0
+	changed := 0
 	for _, id := range before {
 		if !slices.Contains(after, id) {
-			moved++
+			changed++
 		}
 	}
-	moved += len(after) + moved - len(before)
-	if !c.check(moved <= 1 && len(after) > 0, "one_voter_changes_at_a_time", "a change moves more than one voter") {
+	changed += len(after) + changed - len(before)
+	if !c.check(changed <= 1 && len(after) > 0, "one_voter_changes_at_a_time", "change affects more than one voter or removes the last one") {
 		return 0, false
 	}
 	index := c.appendEntry(lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_MEMBERS, mustMarshal(members))
@@ -119,7 +120,7 @@
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // Messages of our own types always marshal.
+		panic(err) // Cannot fail for the module's own message types.
 	}
 	return b
 }
@@ -133,8 +134,8 @@
 	return members
 }
 
-// joinAsked takes a process in as a learner. One that bears the name of a
-// voter, with another identity, has lost its disk: it will replace that voter.
+// handleJoin adds a process as a learner. If it has the name of a voter but another
+// identity, it has lost its disk and will replace that voter.
 func (c *Core) handleJoin(m *message) {
 	joiner := m.GetMember()
 	if !c.canChangeMembers() || findMember(c.members.latest(), joiner.GetId()) != nil {
@@ -147,7 +148,7 @@
 			continue
 		}
 		if member.GetId() == c.cfg.ID || c.recentlyHeard(member.GetId()) {
-			return // Two processes run under one name; the first one stays.
+			return // Two processes run under one name; the existing member is kept.
 		}
 		learner.Replaces = member.GetId()
 		if !member.GetVoter() {
@@ -161,20 +162,19 @@
 	c.appendMembers(members)
 }
 
-// recent tells whether the member answered lately.
+// recentlyHeard reports whether the member replied within two election timeouts.
 func (c *Core) recentlyHeard(id string) bool {
 	p := c.leaderState.progress[id]
 	return p != nil && c.now-p.lastHeard <= 2*c.cfg.Election
 }
 
-// repair moves the replacement of a lost voter on by one step: the lost
-// identity goes first, then the learner that has caught up becomes a voter.
+// repair advances the replacement of a lost voter by one step: first the lost identity
+// is removed, then the learner is promoted once it has caught up.
 //
-// It guards against a second failure right after a repair. If the empty process
-// counted at once, a quorum could consist of it and of one that is behind, and
-// committed entries would be lost. It holds because a learner counts for
-// nothing until it has synced the log, and the repair is reported only when the
-// promotion is committed and synced by the new voter itself.
+// A second failure right after a repair must not lose data. If the empty process
+// counted at once, a quorum could consist of it and a lagging voter, and committed
+// entries would be lost. A learner does not count until it has synced the log, and the
+// repair is reported only once the promotion is committed and synced by the new voter.
 func (c *Core) repair() {
 	c.reportRepair()
 	if !c.canChangeMembers() {
@@ -217,20 +217,21 @@
 	}
 }
 
-// caughtUp tells whether the member has synced nearly all of the log just now.
+// caughtUp reports whether the member replied recently and has synced all but the last
+// promoteLag entries of the log.
 func (c *Core) caughtUp(id string) bool {
 	p := c.leaderState.progress[id]
 	return p != nil && p.snapshotTransfer == nil && c.now-p.lastHeard <= c.cfg.Election && p.match+promoteLag >= c.log.last() && p.match >= c.leaderState.firstIndex
 }
 
-// changeMembers makes one step that an operator orders.
+// changeMembers applies one membership change requested by an operator.
 func (c *Core) changeMembers(e ChangeMembers) {
 	if c.role != Leader {
 		c.refuse(e.RequestID)
 		return
 	}
 	if !c.canChangeMembers() {
-		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "another change of members is under way; try again shortly"})
+		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "another membership change is in progress; retry shortly"})
 		return
 	}
 	index, detail := c.applyMemberChange(e)
@@ -245,7 +246,7 @@
 	member := findMember(c.members.latest(), e.Member.GetId())
 	switch {
 	case e.Kind == AddLearner && member != nil:
-		return 0, "it is a member already"
+		return 0, "the process is already a member"
 	case e.Kind == AddLearner:
 		members := c.cloneMembers()
 		learner := proto.Clone(e.Member).(*lilacv1.RaftMember)
@@ -254,26 +255,26 @@
 		index, _ := c.appendMembers(members)
 		return index, ""
 	case member == nil:
-		return 0, "no such member; list the members by the process's status"
+		return 0, "no such member; see the status of a state process for the list"
 	case e.Kind == Promote && member.GetVoter():
-		return 0, "it is a voter already"
+		return 0, "the member is already a voter"
 	case e.Kind == Promote && !c.caughtUp(member.GetId()):
-		return 0, "the learner has not caught up; try again when it has"
+		return 0, "the learner has not caught up yet; retry later"
 	case e.Kind == Promote:
 		index, _ := c.promote(member.GetId())
 		return index, ""
 	case member.GetId() == c.cfg.ID:
-		return 0, "the leader can't take itself out; restart it to hand over, then try again"
+		return 0, "the leader can't remove itself; restart it to transfer leadership, then retry"
 	default:
 		index, ok := c.appendMembers(withoutMember(c.cloneMembers(), member.GetId()))
 		if !ok {
-			return 0, "the last voter can't be taken out"
+			return 0, "the last voter can't be removed"
 		}
 		return index, ""
 	}
 }
 
-// membersCommitted ends the office of a leader that was taken out.
+// membersCommitted makes a leader step down once its own removal is committed.
 func (c *Core) membersCommitted(entry *lilacv1.RaftEntry) {
 	if c.role == Leader && entry.GetIndex() == c.members.latestIndex() && !c.isVoter(c.cfg.ID) {
 		c.becomeFollower(c.term, "", "")
--- a/process/replica/message.go
+++ b/process/replica/message.go
@@ -24,14 +24,14 @@
 	kindJoin          = lilacv1.RaftMessageKind_RAFT_MESSAGE_KIND_JOIN
 )
 
-// send fills in who sends and hands the message over.
+// send fills in the sender fields and emits the message.
 func (c *Core) send(address string, m *message, afterSync bool) {
 	m.From, m.FromAddress, m.Group = c.cfg.ID, c.cfg.Address, c.group
 	m.Former = c.lineage.former
 	c.emit(Send{Address: address, Message: m, AfterSync: afterSync})
 }
 
-// reply answers m; it goes out after the sync of all that the core holds.
+// reply answers m once everything emitted so far has been synced.
 func (c *Core) reply(m *message, answer *message) {
 	answer.To = m.GetFrom()
 	if answer.Kind == kindAppendReply || answer.Kind == kindSnapshotReply {
@@ -40,12 +40,13 @@
 	c.send(m.GetFromAddress(), answer, true)
 }
 
-// receive checks for whom the message is, and follows a higher term.
+// receive drops messages for other identities and groups, adopts higher terms, and
+// dispatches the rest.
 //
-// It guards against a voter that lost its disk and answers for the identity it
-// had before: it would vote a second time in one term, or let a leader be
-// elected that lacks committed entries. It holds because an identity is random,
-// lives on that disk alone, and messages for another one are dropped.
+// A voter that lost its disk must not answer for its previous identity: it could vote
+// twice in one term, or help elect a leader that lacks committed entries. Identities
+// are random and stored only on that disk, and messages addressed to another
+// identity are dropped.
 func (c *Core) receive(m *message) {
 	if c.handleOtherGroup(m) {
 		return
@@ -58,7 +59,7 @@
 		c.handleHelloReply(m)
 		return
 	}
-	// Who asks to join may have no group yet; the identity alone must be right.
+	// A joining process may not have a group yet; only the identity is checked.
 	joins := m.GetKind() == kindJoin
 	if m.GetTo() != c.cfg.ID || (!joins && !c.bindGroup(m)) {
 		c.IgnoredMessages++
@@ -93,8 +94,9 @@
 	}
 }
 
-// sameGroup binds a process without a group to the first one that addresses
-// its identity; the binding is synced before any answer and never changes.
+// bindGroup reports whether the message belongs to this process's group. A process
+// without a group is bound to the first one that addresses its identity. The binding
+// is synced before any answer and never changes.
 func (c *Core) bindGroup(m *message) bool {
 	if c.group == "" && m.GetGroup() != "" {
 		switch m.GetKind() {
@@ -108,18 +110,19 @@
 	return m.GetGroup() != "" && m.GetGroup() == c.group
 }
 
-// higherTerm follows a higher term; false if the message is to be ignored.
+// adoptHigherTerm becomes a follower in the message's higher term where appropriate.
+// It returns false if the message is to be ignored.
 func (c *Core) adoptHigherTerm(m *message) bool {
 	switch m.GetKind() {
 	case kindPreVote:
-		return true // It asks about a term that nobody has taken yet.
+		return true // The term is only prospective.
 	case kindPreVoteReply:
 		if !m.GetReject() {
 			return true
 		}
 	case kindVote:
-		// A candidate that can't hear the leader, or was taken out, must not
-		// unseat a leader that the others hear.
+		// A candidate that cannot reach the leader, or was removed, must not disrupt a
+		// leader that the other voters still hear.
 		if c.hasRecentLeader() && !m.GetTransfer() {
 			c.IgnoredMessages++
 			return false
@@ -129,7 +132,8 @@
 	return true
 }
 
-// hearsLeader tells whether a leader was heard within the shortest election timeout.
+// hasRecentLeader reports whether this process leads, or heard from a leader within
+// the minimum election timeout.
 func (c *Core) hasRecentLeader() bool {
 	if c.role == Leader {
 		return true
@@ -137,7 +141,7 @@
 	return c.leader != "" && c.now-c.leaderHeardAt < c.cfg.Election
 }
 
-// follow takes the term and becomes a follower in it.
+// becomeFollower adopts the term, if it is higher, and becomes a follower in it.
 func (c *Core) becomeFollower(term uint64, leader, address string) {
 	wasLeader := c.role == Leader
 	if term > c.term {
--- a/process/replica/node.go
+++ b/process/replica/node.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// eventQueue bounds the events that wait; callers wait beyond it.
+	// eventQueueSize is the capacity of the event queue; callers block beyond it.
 	eventQueueSize = 4096
 	// defaultMaxBatch bounds the events that share one sync.
 	defaultMaxBatch = 1024
-	// ticksPerHeartbeat is how often the core is told the time.
+	// ticksPerHeartbeat is how many Ticks are sent per heartbeat interval.
 	ticksPerHeartbeat = 2
 )
 
-// Node runs one process of the replicated log.
+// Node runs one member of the replicated log in its own goroutine. Its methods are safe
+// for concurrent use.
 type Node struct {
 	runner    *Runner
 	heartbeat time.Duration
@@ -38,11 +39,12 @@
 
 func randomBits() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // It never fails.
+	_, _ = rand.Read(b[:]) // Never fails.
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// Open reads the data folder, restores the state machine and starts the node.
+// Open reads the data folder, restores the state machine and starts the node. The
+// caller must Close it.
 func Open(o Options) (*Node, error) {
 	if o.Background == nil {
 		o.Background = func(work func()) { go work() }
@@ -58,8 +60,8 @@
 	return n, nil
 }
 
-// run is the goroutine that turns the node; only snapshots are written beside it. All proposals that came while the last
-// sync ran share the next one.
+// run processes batches of events; only snapshots are written outside this goroutine.
+// Proposals that arrive during a sync share the next one.
 func (n *Node) run() {
 	defer close(n.done)
 	ticker := time.NewTicker(n.heartbeat / ticksPerHeartbeat)
@@ -95,52 +97,52 @@
 	return batch
 }
 
-// end stops the node and fails all that waits.
+// shutdown records err and fails all outstanding requests.
 func (n *Node) shutdown(err error) {
 	n.mu.Lock()
 	n.err = err
 	n.mu.Unlock()
 	if err != nil {
-		n.runner.logger.Error("the state process stops", "error", err)
+		n.runner.logger.Error("state process stopped by an error", "error", err)
 	}
 	n.runner.Close()
 }
 
 func stoppedError(options ...fault.Option) error {
-	return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "the state process has stopped; ask another one", options...)
+	return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "state process has stopped; use another one", options...)
 }
 
-// Propose replicates command and returns the state machine's answer once a
-// quorum has synced it and it has been applied here. Its errors say whether it
-// may still run: NOT_LEADER, NO_QUORUM, DISK_FULL and OVERLOADED did not run,
-// OUTCOME_UNKNOWN may.
+// Propose replicates command and returns the state machine's result once a quorum has
+// synced it and it has been applied locally. The error kind says whether it may still
+// run: NOT_LEADER, NO_QUORUM, DISK_FULL and OVERLOADED mean that it did not run,
+// OUTCOME_UNKNOWN that it may.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	o := n.submit(ctx, Propose{Command: command})
 	return o.Result, o.Err
 }
 
-// Barrier returns once all that was committed before the call has been applied
-// here; only the leader can tell.
+// Barrier returns once everything committed before the call has been applied locally.
+// It succeeds only on the leader.
 func (n *Node) Barrier(ctx context.Context) error {
 	return n.submit(ctx, Read{}).Err
 }
 
-// AddLearner takes a process in that does not count for the quorum.
+// AddLearner adds a non-voting member. Only the leader can do so.
 func (n *Node) AddLearner(ctx context.Context, member *lilacv1.RaftMember) error {
 	return n.submit(ctx, ChangeMembers{Kind: AddLearner, Member: member}).Err
 }
 
-// Promote makes a learner that has caught up a voter.
+// Promote turns a learner that has caught up into a voter.
 func (n *Node) Promote(ctx context.Context, id string) error {
 	return n.submit(ctx, ChangeMembers{Kind: Promote, Member: &lilacv1.RaftMember{Id: id}}).Err
 }
 
-// Remove takes a member out.
+// Remove removes the member with the given ID. The leader cannot remove itself.
 func (n *Node) Remove(ctx context.Context, id string) error {
 	return n.submit(ctx, ChangeMembers{Kind: Remove, Member: &lilacv1.RaftMember{Id: id}}).Err
 }
 
-// SetPeers replaces the processes that are asked for a group.
+// SetPeers replaces the peers that are contacted to find a group.
 func (n *Node) SetPeers(peers []Peer) {
 	select {
 	case n.events <- Request{Event: SetPeers{Peers: peers}}:
@@ -148,8 +150,8 @@
 	}
 }
 
-// Receive takes messages of other processes from the transport. It drops them
-// when the node is too busy, as a network would.
+// Receive queues messages from other processes and never blocks: when the event queue
+// is full it drops them, as a network would.
 func (n *Node) Receive(messages []*lilacv1.RaftMessage) {
 	for _, m := range messages {
 		select {
@@ -165,7 +167,7 @@
 	select {
 	case n.events <- Request{Event: event, Reply: func(o Outcome) { reply <- o }}:
 	case <-ctx.Done():
-		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "the state process is too busy; come back later", notRun)}
+		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OVERLOADED, "state process is overloaded; retry later", notRun)}
 	case <-n.done:
 		return Outcome{Err: stoppedError(notRun)}
 	}
@@ -173,7 +175,7 @@
 	case o := <-reply:
 		return o
 	case <-ctx.Done():
-		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "no quorum confirmed it in time; it may still be accepted: send it again with the same command id")}
+		return Outcome{Err: fault.Wrap(ctx.Err(), lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "not confirmed by a quorum in time; the change may still be accepted: send it again with the same command id")}
 	case <-n.done:
 		select {
 		case o := <-reply:
@@ -184,8 +186,8 @@
 	}
 }
 
-// Close hands the leadership over if this process has it, and stops the node.
-// It waits for the hand-over for at most an election timeout.
+// Close transfers leadership, if this process has it, and stops the node. It waits
+// for the transfer for at most one election timeout.
 func (n *Node) Close() error {
 	n.once.Do(func() {
 		n.transferLeadership()
@@ -216,10 +218,10 @@
 	}
 }
 
-// Done is closed when the node has stopped; Err tells why.
+// Done returns a channel that is closed when the node has stopped; Err says why.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Err returns what stopped the node: nil after Close.
+// Err returns the error that stopped the node; nil while it runs and after Close.
 func (n *Node) Err() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/process/replica/read.go
+++ b/process/replica/read.go
@@ -1,6 +1,6 @@
 package replica
 
-// read notes a read; flush gives it a heartbeat round.
+// queueRead queues a read; flush assigns it a heartbeat round.
 func (c *Core) queueRead(e Read) {
 	if c.role != Leader {
 		c.refuse(e.RequestID)
@@ -9,9 +9,9 @@
 	c.leaderState.newReads = append(c.leaderState.newReads, e.RequestID)
 }
 
-// startReads gives the reads that came since a round of heartbeats of their
-// own; it waits until an entry of the own term is committed, since before that
-// the leader does not know all that was committed.
+// startReads assigns the queued reads a new heartbeat round, and reports whether it did.
+// It waits until an entry of the current term is committed, since before that the leader
+// does not know everything that was committed.
 func (c *Core) startReads() bool {
 	if len(c.leaderState.newReads) == 0 || c.commit < c.leaderState.firstIndex {
 		return false
@@ -24,12 +24,11 @@
 	return true
 }
 
-// finishReads answers reads whose round a quorum has echoed.
+// finishReads completes the reads whose heartbeat round a quorum has acknowledged.
 //
-// It guards against a leader that was replaced without noticing and answers
-// from an old state. It holds because a quorum answered in this term after the
-// read came, so that no later leader had committed anything before it; clocks
-// play no part in it.
+// A leader that was replaced without noticing must not answer from an old state. A quorum
+// replied in this term after the read arrived, so no later leader can have committed
+// anything before it. This does not depend on clocks.
 func (c *Core) finishReads() {
 	for len(c.leaderState.pendingReads) > 0 {
 		read := c.leaderState.pendingReads[0]
--- a/process/replica/runner.go
+++ b/process/replica/runner.go
@@ -16,90 +16,90 @@
 const (
 	// defaultSnapshotEvery is the number of entries between two snapshots.
 	defaultSnapshotEvery = 20000
-	// snapshotBytes is the data of entries after which a snapshot is made in
-	// any case: they are held in memory until then.
+	// snapshotBytes is the size of applied entries after which a snapshot is taken
+	// regardless of their number, because they are held in memory until then.
 	snapshotBytes = 16 << 20
 )
 
-// StateMachine is what the log is for. One goroutine calls it. Apply must give
-// the same result on every process.
+// StateMachine is the replicated state machine. All methods are called from one
+// goroutine. Apply must be deterministic across processes.
 type StateMachine interface {
-	// Apply runs a committed command and returns the answer for its proposer.
+	// Apply runs a committed command and returns the result for its proposer.
 	Apply(index uint64, command []byte) []byte
-	// Capture notes the whole state as it is now and returns a function that
-	// encodes it; another goroutine calls that one once, while Apply goes on.
+	// Capture captures the current state and returns a function that encodes it. That
+	// function is called once, from another goroutine, concurrently with Apply.
 	Capture() (encode func() ([]byte, error))
 	// Restore replaces the whole state.
 	Restore(data []byte) error
 }
 
-// Transport carries messages to other processes. It may lose, delay, repeat
-// and reorder them, and never blocks.
+// Transport sends messages to other processes. It may lose, delay, duplicate and
+// reorder them. Send must not block.
 type Transport interface {
 	Send(address string, messages []*lilacv1.RaftMessage)
 }
 
-// Options of a Node.
+// Options configures a Node or Runner.
 type Options struct {
-	// Name, Address and DataCenter are those of the settings.
+	// Name, Address and DataCenter describe this process, as in the settings.
 	Name, Address, DataCenter string
-	// Peers are the other processes of the settings.
+	// Peers are the other processes listed in the settings.
 	Peers []Peer
-	// Bootstrap lets an empty process found the group with Peers.
+	// Bootstrap permits a process with an empty data folder to bootstrap the group with Peers.
 	Bootstrap bool
-	// AutoMembers is passed to Config.
+	// AutoMembers is Config.AutoMembers.
 	AutoMembers bool
-	// Heartbeat and Election are as in the settings.
+	// Heartbeat and Election are the heartbeat interval and minimum election timeout.
 	Heartbeat, Election time.Duration
 	// Folder holds the durable files.
 	Folder wal.Folder
-	// Machine takes the committed commands.
+	// Machine is the state machine that committed commands are applied to.
 	Machine StateMachine
-	// Transport reaches the other processes.
+	// Transport sends messages to the other processes.
 	Transport Transport
-	// Logger gets a line for each change of state; nil means none.
+	// Logger receives log messages on state changes; nil disables logging.
 	Logger hclog.Logger
-	// Registerer gets the metrics; nil means none.
+	// Registerer registers the metrics; nil means that they are not registered.
 	Registerer prometheus.Registerer
 	// SnapshotEvery is the number of entries between snapshots; 0 means 20000.
 	SnapshotEvery uint64
-	// SegmentBytes is passed to wal.Options.
+	// SegmentBytes is wal.Options.SegmentBytes.
 	SegmentBytes int64
-	// AppendBytes and ChunkBytes are passed to Config.
+	// AppendBytes and ChunkBytes are those of Config.
 	AppendBytes, ChunkBytes int
 	// MaxBatch bounds the events that share one sync; 0 means 1024.
 	MaxBatch int
-	// Clock gives the time since any fixed moment; nil means the time since the
-	// machine started, suspension included.
+	// Clock returns the time since any fixed origin; nil means the time since boot,
+	// including suspension.
 	Clock func() time.Duration
-	// Random draws fresh bits for identities and election timeouts; nil means
-	// the operating system's.
+	// Random returns random bits for identities and election timeouts; nil means those
+	// of the operating system.
 	Random func() uint64
-	// Background runs work that may take long, such as writing a snapshot, beside
-	// the turns; nil means at once, within the turn.
+	// Background runs long work, such as writing a snapshot, concurrently. Nil means
+	// synchronously for a Runner and in a new goroutine for a Node.
 	Background func(work func())
-	// Observe is told each action of the core; nil means nobody.
+	// Observe, if not nil, is called with each action of the core.
 	Observe func(Action)
 }
 
-// Outcome is how a proposal, read or change of members ended.
+// Outcome is the result of a proposal, read or membership change.
 type Outcome struct {
 	Result []byte
 	Err    error
 }
 
-// Reply takes an outcome; it must not block.
+// Reply receives an outcome. It must not block.
 type Reply func(Outcome)
 
-// Request is an event with who wants its outcome, if anyone.
+// Request is an event and the optional callback for its outcome.
 type Request struct {
 	Event Event
 	Reply Reply
 }
 
-// Runner joins core, files and state machine. It has no goroutine of its own:
-// Node turns it in one, and randomised tests turn it under a simulated clock
-// and disk.
+// Runner connects a Core to the files, the transport and the state machine. It has no
+// goroutine of its own and is not safe for concurrent use: Node drives it from one
+// goroutine, randomised tests drive it with a simulated clock and disk.
 type Runner struct {
 	options Options
 	logger  hclog.Logger
@@ -115,21 +115,21 @@
 	pendingWrites    []durableWrite
 	diskFull         bool
 	applied          uint64
-	// taken is the index of the last snapshot that was placed or installed,
-	// grownBytes the data applied since.
+	// snapshotIndex is the index of the last snapshot published or installed,
+	// bytesSinceSnapshot the size of the entries applied since.
 	snapshotIndex      uint64
 	bytesSinceSnapshot int
-	// writing is the snapshot that is being written; nil if none is.
+	// snapshotWrite is the snapshot being written in the background; nil if none.
 	snapshotWrite *snapshotWrite
-	// snapshotAt is when a snapshot that failed may be tried again.
+	// snapshotRetryAt is when a snapshot may be retried after the disk was full.
 	snapshotRetryAt time.Duration
-	// electedAt is when this process took office, until it has applied all that was
+	// electedAt is when this process became leader, until it has applied everything
 	// committed before; 0 otherwise.
 	electedAt time.Duration
 	fatalErr  error
 }
 
-// placed is a proposal that stands in the log.
+// pendingProposal is a proposal that is appended to the log but not yet applied.
 type pendingProposal struct {
 	term  uint64
 	reply Reply
@@ -140,7 +140,8 @@
 	reply Reply
 }
 
-// NewRunner reads the data folder and restores the state machine.
+// NewRunner opens the data folder and restores the state machine. The caller must
+// Close the Runner.
 func NewRunner(o Options) (*Runner, error) {
 	o.setDefaults()
 	store, state, err := wal.Open(o.Folder, wal.Options{SegmentBytes: o.SegmentBytes})
@@ -180,7 +181,7 @@
 func (r *Runner) restore(state *wal.State) error {
 	if state.TruncatedBytes > 0 {
 		r.metrics.truncatedBytes.Add(float64(state.TruncatedBytes))
-		r.logger.Warn("a crash tore the end of the log; it was cut", "file", state.TruncatedFile, "bytes", state.TruncatedBytes)
+		r.logger.Warn("truncated a record at the end of the log that was torn by a crash", "file", state.TruncatedFile, "bytes", state.TruncatedBytes)
 	}
 	if by := state.Hard.GetReplacedBy(); by != "" {
 		return replacedError(r.options.Folder.Path(), state.Hard.GetGroup(), by)
@@ -188,11 +189,11 @@
 	meta := state.Snapshot
 	if state.Hard.GetGroup() != "" && meta.GetSize() > 0 {
 		if err := r.options.Machine.Restore(state.SnapshotData); err != nil {
-			return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot does not restore; run the version that wrote it, or move the data folder away so that this process joins again")
+			return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot can't be restored; run the version that wrote it, or move the data folder away so that this process joins again")
 		}
 	}
 	o := r.options
-	// An identity of fixed length sorts and prints well.
+	// Identities have a fixed length so that they sort and align well.
 	identity := func() string { return fmt.Sprintf("%016x", o.Random()) }
 	config := Config{Name: o.Name, Address: o.Address, DataCenter: o.DataCenter, ID: identity(), SpareID: identity(), NewGroupID: identity(),
 		Peers: o.Peers, Bootstrap: o.Bootstrap, AutoMembers: o.AutoMembers, Heartbeat: o.Heartbeat, Election: o.Election, AppendBytes: o.AppendBytes, ChunkBytes: o.ChunkBytes, Seed: o.Random()}
@@ -201,6 +202,6 @@
 	return nil
 }
 
-// TermAt returns the term of the entry at index; 0 if it is not held, as when a
-// snapshot covers it.
+// TermAt returns the term of the entry at index; 0 if the log does not hold it, for
+// example because a snapshot covers it.
 func (r *Runner) TermAt(index uint64) uint64 { return r.core.TermAt(index) }
--- a/process/replica/snapshot_transfer.go
+++ b/process/replica/snapshot_transfer.go
@@ -6,37 +6,36 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// transfer is a snapshot on its way to one member, chunk by chunk.
+// snapshotTransfer is the state of sending a snapshot to one member in chunks.
 type snapshotTransfer struct {
 	meta   *lilacv1.RaftSnapshotMeta
 	offset uint64
 	sentAt time.Duration
-	// restarts counts how often a newer snapshot made it begin again.
+	// restarts counts how often a newer snapshot made the transfer start over.
 	restarts int
 }
 
 const (
-	// transferSnapshotDelayFactor is how many times as long as usual the next snapshot is put
-	// off while one is on its way; each restart doubles it, up to maxRestarts times:
-	// the log then holds up to 16 times snapshotBytes, 256 MiB.
+	// transferDelayFactor multiplies the snapshot thresholds while a transfer is in
+	// progress. Each restart doubles the factor, up to maxDelayDoublings times: the log
+	// then holds up to 16 times snapshotBytes, 256 MiB.
 	transferDelayFactor = 4
 	maxDelayDoublings   = 2
 )
 
-// incoming is a snapshot that arrives from the leader.
+// incomingSnapshot is a snapshot being received from the leader.
 type incomingSnapshot struct {
 	meta *lilacv1.RaftSnapshotMeta
 	data []byte
 }
 
-// SnapshotDelayFactor is how many times as long as usual the next snapshot is to be put off:
-// 1 unless a snapshot is on its way to a member that answers.
+// SnapshotDelayFactor returns the factor by which the thresholds for the next snapshot
+// are raised: 1 unless a snapshot is being sent to a responsive member.
 //
-// It guards against a member that never catches up: each new snapshot makes its
-// transfer begin again, and over a slow link under load the next one always comes
-// first. It shows as a voter that stays behind after a cut, for ever. It holds
-// because the pause doubles with each restart, until a transfer fits in; the bound
-// keeps a member that is too slow from filling the others' memory with log.
+// A new snapshot makes a transfer start over. Over a slow link and under load the next
+// snapshot could always come first, and a voter that was partitioned would never catch
+// up. The factor doubles with each restart until a transfer completes in time; its bound
+// keeps a member that is too slow from filling the memory of the others with log entries.
 func (c *Core) SnapshotDelayFactor() int {
 	factor := 1
 	for _, p := range c.leaderState.progress {
@@ -65,7 +64,7 @@
 	c.emit(Send{Address: p.member.GetAddress(), Message: m, SnapshotBytes: int(min(uint64(c.cfg.ChunkBytes), t.meta.GetSize()-t.offset))})
 }
 
-// resendChunk sends the chunk again whose answer is overdue.
+// resendChunk sends a chunk again if its reply is overdue.
 func (c *Core) resendChunk(p *progress) {
 	if p.snapshotTransfer != nil && c.now-p.snapshotTransfer.sentAt >= c.cfg.Election {
 		c.sendChunk(p)
@@ -88,11 +87,11 @@
 	}
 }
 
-// snapshotAsked collects chunks and installs the snapshot once it is whole.
+// handleSnapshot collects chunks and installs the snapshot once it is complete.
 //
-// It guards against a snapshot that comes late, after entries past it have been
-// synced and counted here: to give those up would lose committed entries. It
-// holds because a log that holds the snapshot's last entry keeps all it has.
+// A delayed snapshot must not replace a log whose later entries have been acknowledged
+// here: that would lose committed entries. A log that contains the snapshot's last entry
+// is therefore kept as it is.
 func (c *Core) handleSnapshot(m *message) {
 	if !c.acceptLeader(m) {
 		return
@@ -116,7 +115,7 @@
 	c.reply(m, answer)
 }
 
-// collect adds the chunk; true once the snapshot is whole.
+// addChunk appends the chunk and reports whether the snapshot is complete.
 func (c *Core) addChunk(m *message) bool {
 	meta, held := m.GetSnapshot(), c.incomingSnapshot.meta
 	if held.GetIndex() != meta.GetIndex() || held.GetTerm() != meta.GetTerm() {
@@ -129,7 +128,7 @@
 }
 
 func (c *Core) install(meta *lilacv1.RaftSnapshotMeta, data []byte) {
-	if !c.check(meta.GetIndex() > c.commit, "snapshot_never_goes_back", "a snapshot before the commit index was to be installed") {
+	if !c.check(meta.GetIndex() > c.commit, "snapshot_never_goes_back", "snapshot to install is not past the commit index") {
 		return
 	}
 	c.snapshot = meta
--- a/process/replica/status.go
+++ b/process/replica/status.go
@@ -10,33 +10,34 @@
 
 // Status describes a node to operators.
 type Status struct {
-	// ID is the own identity, Group the group's; empty while Waiting.
+	// ID is this process's identity and Group its group's; Group is empty while Waiting.
 	ID, Group string
 	Role      Role
 	Term      uint64
-	// Leader is the leader's identity, LeaderName its name and LeaderAddress
-	// where it is reached; empty if none is known.
+	// Leader, LeaderName and LeaderAddress identify the leader; empty if none is known.
 	Leader, LeaderName, LeaderAddress string
 	CommitIndex, AppliedIndex         uint64
 	LastIndex, SnapshotIndex          uint64
 	Members                           []*lilacv1.RaftMember
 	DiskFull                          bool
-	// Recoveries counts the groups that this one replaced.
+	// Recoveries counts the former groups that this one replaced after losing a majority.
 	Recoveries int
-	// RivalGroup is a group that was recovered from the same one; empty if none is heard.
+	// RivalGroup is another group recovered from the same original group; empty if none
+	// has been heard from recently.
 	RivalGroup string
-	// InvariantsChecked and InvariantsBroken count since the start.
+	// InvariantsChecked and InvariantsViolated count since startup.
 	InvariantsChecked, InvariantsViolated uint64
-	// Staleness is how long ago all that was committed was surely applied here.
+	// Staleness is the time since the applied state was last known to include everything
+	// committed; an upper bound on how stale a local read is.
 	Staleness time.Duration
-	// contactAt is when that was.
+	// freshAt is the moment from which Staleness is counted.
 	freshAt time.Duration
 }
 
-// Voters returns the names of the voters in force.
+// Voters returns the names of the voting members in force.
 func (s Status) Voters() []string { return s.names(true) }
 
-// Learners returns the names of the members that do not count.
+// Learners returns the names of the non-voting members in force.
 func (s Status) Learners() []string { return s.names(false) }
 
 func (s Status) names(voter bool) []string {
@@ -49,8 +50,9 @@
 	return names
 }
 
-// Status returns the node's state as of the last turn of its loop; Contact is
-// as of now, also when the loop stands still.
+// Status returns the node's state after the last processed batch. Staleness is
+// computed at the time of the call, also while the loop is blocked. It is safe for
+// concurrent use.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	s := n.status
@@ -59,7 +61,7 @@
 	return s
 }
 
-// Status describes the process as of the last Turn.
+// Status returns the state after the last call of ProcessBatch.
 func (r *Runner) Status() Status {
 	c := r.core
 	members := c.Members()
@@ -125,27 +127,27 @@
 		return v
 	}
 	m := &metrics{
-		term:           gauge("term", "Term that the process is in."),
-		commit:         gauge("commit_index", "Last log entry known to be committed."),
-		applied:        gauge("applied_index", "Last log entry applied to the state machine."),
-		leader:         gauge("leader", "1 if the process leads the group."),
-		checked:        gauge("invariants_checked", "Invariants checked since the start."),
-		ignored:        gauge("messages_ignored", "Messages for another identity or group, or from a candidate nobody needs."),
-		syncs:          gauge("log_syncs", "Syncs of the log since the start."),
-		diskFull:       gauge("disk_full", "1 while the disk takes no more."),
-		recoveries:     gauge("recoveries", "Recoveries of the group from a lost majority."),
-		rival:          gauge("rival_group", "1 while another group recovered from the same one is heard; changes are refused."),
-		sent:           counter("messages_sent_total", "Messages handed to the transport."),
-		dropped:        counter("messages_dropped_total", "Messages dropped because the process was too busy."),
-		truncatedBytes: counter("log_cut_bytes_total", "Bytes of torn records cut at the start."),
-		installs:       counter("snapshots_installed_total", "Snapshots taken from the leader."),
-		snapshots:      counter("snapshots_written_total", "Snapshots written of the own state."),
+		term:           gauge("term", "Current Raft term of the process."),
+		commit:         gauge("commit_index", "Index of the last log entry known to be committed."),
+		applied:        gauge("applied_index", "Index of the last log entry applied to the state machine."),
+		leader:         gauge("leader", "1 if the process is the leader of its group."),
+		checked:        gauge("invariants_checked", "Invariant checks since startup."),
+		ignored:        gauge("messages_ignored", "Messages ignored because they were for another identity or group, or from a candidate while a leader is active."),
+		syncs:          gauge("log_syncs", "Syncs of the log since startup."),
+		diskFull:       gauge("disk_full", "1 while the disk is full."),
+		recoveries:     gauge("recoveries", "Times the group was recovered after losing its majority."),
+		rival:          gauge("rival_group", "1 while another group recovered from the same original group is active; changes are refused."),
+		sent:           counter("messages_sent_total", "Messages passed to the transport."),
+		dropped:        counter("messages_dropped_total", "Messages dropped because the event queue was full."),
+		truncatedBytes: counter("log_cut_bytes_total", "Bytes of torn records truncated at startup."),
+		installs:       counter("snapshots_installed_total", "Snapshots installed from the leader."),
+		snapshots:      counter("snapshots_written_total", "Snapshots of the local state written."),
 		repairs:        counter("repairs_total", "Lost voters replaced."),
-		candidacies:    counter("candidacies_total", "Candidacies of this process."),
-		broken:         vector("invariants_broken_total", "invariant", "Invariants that did not hold; the step was refused."),
-		refused:        vector("refused_total", "kind", "Proposals and reads refused, by kind."),
+		candidacies:    counter("candidacies_total", "Elections in which this process was a candidate."),
+		broken:         vector("invariants_broken_total", "invariant", "Invariants that did not hold; the step was abandoned."),
+		refused:        vector("refused_total", "kind", "Proposals and reads refused, by error kind."),
 	}
-	m.syncSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilacbridge_replica_sync_seconds", Help: "Time to write and sync a batch of the log.",
+	m.syncSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilacbridge_replica_sync_seconds", Help: "Time to write and sync one batch to the log, in seconds.",
 		ConstLabels: labels, Buckets: prometheus.ExponentialBuckets(0.0001, 2, 16)})
 	all = append(all, m.syncSeconds)
 	if registerer != nil {
