--- a/process/replica/auto_members_test.go
+++ b/process/replica/auto_members_test.go
@@ -9,7 +9,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// autoScript is newScript with members that come and go by themselves.
+// newAutoMembersCore is newTestCore with AutoMembers, as the leader.
 func newAutoMembersCore(t *testing.T) *testCore {
 	s := newTestCore(t)
 	s.core.cfg.AutoMembers = true
@@ -19,7 +19,7 @@
 	return s
 }
 
-// alive lets time pass while these members answer the leader's heartbeats.
+// runWithReplies advances time while the given members reply to heartbeats.
 func (s *testCore) runWithReplies(d time.Duration, ids ...string) {
 	for end := s.now + d; s.now < end; {
 		s.now += testHeartbeat / 2
@@ -36,33 +36,33 @@
 
 func (s *testCore) voterIDs() []string { return voters(s.core.members.latest()) }
 
-// Machines are replaced one after the other, each newcomer at another address.
-// The gone ones must not hold the majority in the end.
+// Machines are replaced one after another, each at a new address. The lost ones must not
+// end up holding the majority.
 func TestLearnersReplaceLostVoters(t *testing.T) {
 	s := newAutoMembersCore(t)
 	s.runWithReplies(testElection, "b", "c")
 	s.requestJoin("d")
 	s.runWithReplies(testElection, "b", "c", "d")
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c", "d"})
-	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "b", "d") // c is gone
+	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "b", "d") // c is lost
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "d"})
 	s.requestJoin("e")
 	s.runWithReplies(testElection, "b", "d", "e")
-	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "d", "e") // b is gone
+	s.runWithReplies(2*lostVoterElectionTimeouts*testElection, "d", "e") // b is lost
 	s.is.Equal(s.voterIDs(), []string{"a", "d", "e"})
 	s.is.Equal(s.core.InvariantsViolated, uint64(0))
 }
 
-// One of three is lost and nobody stands in its place. Taking it out would make
-// the next loss stop the group.
+// One of three voters is lost and there is no replacement. If it were removed, the next
+// loss would stop the group.
 func TestThirdVoterIsKeptWithoutReplacement(t *testing.T) {
 	s := newAutoMembersCore(t)
 	s.runWithReplies(4*lostVoterElectionTimeouts*testElection, "b")
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c"})
 }
 
-// A newcomer that has not caught up counts for nothing: a quorum with it could
-// lack what was committed.
+// A learner that has not caught up must not be promoted: a quorum that includes it could
+// lack committed entries.
 func TestLearnerIsPromotedOnlyOnceCaughtUp(t *testing.T) {
 	s := newAutoMembersCore(t)
 	s.runWithReplies(testElection, "b", "c")
@@ -71,25 +71,25 @@
 	s.is.Equal(s.voterIDs(), []string{"a", "b", "c"})
 }
 
-// Three voters start in the same moment, one way between them takes 60 ms. If two
-// campaign within that time the votes split. Each must have its turn.
+// Three voters start at the same moment, with a one-way network delay of 60 ms. If two of
+// them campaign within that delay, the vote is split, so their delays must not overlap.
 func TestVotersStartedTogetherCampaignInPriorityOrder(t *testing.T) {
-	const way = 60 * time.Millisecond
-	latestBefore := -way
+	const networkDelay = 60 * time.Millisecond
+	latestBefore := -networkDelay
 	for _, id := range []string{"a", "b", "c"} {
 		earliest, latest := firstCampaignWindow(id)
-		if earliest < latestBefore+way {
-			t.Fatalf("%s may campaign after %v, the one before it after %v", id, earliest, latestBefore)
+		if earliest < latestBefore+networkDelay {
+			t.Fatalf("%s may campaign after %v, less than the network delay after the previous voter at %v", id, earliest, latestBefore)
 		}
 		latestBefore = latest
 	}
 }
 
-// Power comes back everywhere. The voters start some tenths of a second apart, so
-// their turns overlap, and the first questions of three of them arrive together once
-// the connections stand. All three won their pre-votes, each voted for itself, and
-// there was no leader for another 0.7 s: callers that came back then were refused
-// a second time.
+// After a power failure of the whole group, the voters start some tenths of a second
+// apart, so their ranked delays overlap, and their first pre-vote requests arrive together
+// once the connections are set up. Three pre-candidates then won their pre-votes, each
+// voted for itself, and the group had no leader for another 0.7 s, in which returning
+// callers were refused again.
 func TestPreCandidateYieldsToHigherPriority(t *testing.T) {
 	is := is.New(t)
 	for _, asker := range []struct {
@@ -117,7 +117,8 @@
 	}
 }
 
-// campaigns returns when a voter that starts now may campaign first.
+// firstCampaignWindow returns the earliest and latest time at which a voter that starts
+// at 0 may campaign.
 func firstCampaignWindow(id string) (earliest, latest time.Duration) {
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: id, Group: "g", Term: 1},
@@ -132,8 +133,8 @@
 	return earliest, latest
 }
 
-// A voter was taken out while it was lost. Its own log still names it a voter, so
-// nobody tells it anything: it must ask to be taken in again.
+// A voter was removed while it was unreachable. Its own log still names it a voter, and no
+// member informs it, so it must ask to rejoin.
 func TestRemovedVoterAsksToRejoin(t *testing.T) {
 	s := newTestCore(t)
 	s.core.cfg.AutoMembers = true
@@ -156,8 +157,8 @@
 	s.is.Equal(joins, 1)
 }
 
-// A pre-candidate's first questions come to voters that are still starting. Without
-// others it would wait a whole election for the next ones.
+// The first requests of a pre-candidate reach voters that are still starting. Without
+// retries it would wait a whole election timeout for the next ones.
 func TestPreCandidateRetriesPreVote(t *testing.T) {
 	is := is.New(t)
 	restored := Restored{
--- a/process/replica/compaction_test.go
+++ b/process/replica/compaction_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// counter is a state machine whose state is the number of its commands.
+// commandCounter is a state machine that counts its commands.
 type commandCounter struct{ n int }
 
 func (c *commandCounter) Apply(uint64, []byte) []byte {
@@ -36,7 +36,7 @@
 
 func (discardTransport) Send(string, []*lilacv1.RaftMessage) {}
 
-// alone is a group of one process whose background work waits to be run by hand.
+// singleNode is a group of one process whose background work is run by the test.
 type singleNode struct {
 	is         *is.I
 	path       string
@@ -47,100 +47,100 @@
 	background []func()
 }
 
-func (a *singleNode) start() {
-	folder, err := wal.OSFolder(a.path)
-	a.is.NoErr(err)
-	a.folder = &fullFolder{Folder: folder}
-	a.machine = &commandCounter{}
-	a.runner, err = NewRunner(Options{Name: "a", Address: "a", Bootstrap: true, Heartbeat: testHeartbeat, Election: testElection,
-		Folder: a.folder, Machine: a.machine, Transport: discardTransport{}, SnapshotEvery: 10, SegmentBytes: 200,
-		Clock: func() time.Duration { return a.now }, Background: func(work func()) { a.background = append(a.background, work) }})
-	a.is.NoErr(err)
-	for a.runner.Status().Role != Leader {
-		a.now += testHeartbeat / 2
-		a.process(Request{Event: Tick{}})
+func (s *singleNode) start() {
+	folder, err := wal.OSFolder(s.path)
+	s.is.NoErr(err)
+	s.folder = &fullFolder{Folder: folder}
+	s.machine = &commandCounter{}
+	s.runner, err = NewRunner(Options{Name: "a", Address: "a", Bootstrap: true, Heartbeat: testHeartbeat, Election: testElection,
+		Folder: s.folder, Machine: s.machine, Transport: discardTransport{}, SnapshotEvery: 10, SegmentBytes: 200,
+		Clock: func() time.Duration { return s.now }, Background: func(work func()) { s.background = append(s.background, work) }})
+	s.is.NoErr(err)
+	for s.runner.Status().Role != Leader {
+		s.now += testHeartbeat / 2
+		s.process(Request{Event: Tick{}})
 	}
 }
 
-func (a *singleNode) process(asks ...Request) { a.is.NoErr(a.runner.ProcessBatch(asks)) }
+func (s *singleNode) process(requests ...Request) { s.is.NoErr(s.runner.ProcessBatch(requests)) }
 
-// propose runs n commands one after another; each must be answered in its turn.
-func (a *singleNode) propose(n int) {
+// propose runs n commands one after another; each must complete within its batch.
+func (s *singleNode) propose(n int) {
 	for range n {
-		answered := false
-		a.process(Request{Event: Propose{Command: []byte("x")}, Reply: func(o Outcome) { answered = o.Err == nil }})
-		a.is.True(answered)
+		succeeded := false
+		s.process(Request{Event: Propose{Command: []byte("x")}, Reply: func(o Outcome) { succeeded = o.Err == nil }})
+		s.is.True(succeeded)
 	}
 }
 
-func (a *singleNode) countFiles(pattern string) int {
-	names, err := filepath.Glob(filepath.Join(a.path, pattern))
-	a.is.NoErr(err)
+func (s *singleNode) countFiles(pattern string) int {
+	names, err := filepath.Glob(filepath.Join(s.path, pattern))
+	s.is.NoErr(err)
 	return len(names)
 }
 
-// A state process with a large state takes a snapshot. Clients saw their changes
-// stand still for the time of it, and followers missed heartbeats, because the
-// turn that wanted the snapshot encoded and wrote it. Turns must go on meanwhile,
-// the log must stay whole until the file is, and only one snapshot may be on its way.
+// Guards against a batch that encodes and writes a large snapshot itself: changes
+// stall for that time and followers miss heartbeats. Batches must proceed meanwhile,
+// the log must be kept until the file is complete, and only one snapshot may be in
+// progress.
 func TestBatchesProceedWhileSnapshotIsWritten(t *testing.T) {
-	a := &singleNode{is: is.New(t), path: t.TempDir()}
-	a.start()
-	a.propose(50)
-	a.is.Equal(len(a.background), 1)
-	a.is.Equal(a.machine.n, 50)
-	segments := a.countFiles("log-*")
-	a.is.True(segments > 5)
-	founded := a.runner.store.Snapshot().GetIndex()
-	a.is.Equal(founded, a.runner.snapshotIndex)
-
-	a.background[0]()
-	a.process(Request{Event: Tick{}})
-	a.is.Equal(a.countFiles("snapshot-*"), 1)
-	a.is.Equal(a.countFiles("snapshot-*.tmp"), 0)
-	a.is.True(a.countFiles("log-*") < segments)
-	// It is of the index at which it was captured; the next one is due at once.
-	a.is.True(a.runner.snapshotIndex <= 12)
-	a.is.Equal(len(a.background), 2)
-	a.background[1]()
-	a.process(Request{Event: Tick{}})
-	a.is.True(a.runner.snapshotIndex >= 50)
-	a.runner.Close()
-
-	a.start()
-	a.is.Equal(a.machine.n, 50)
-	a.runner.Close()
+	s := &singleNode{is: is.New(t), path: t.TempDir()}
+	s.start()
+	s.propose(50)
+	s.is.Equal(len(s.background), 1)
+	s.is.Equal(s.machine.n, 50)
+	segments := s.countFiles("log-*")
+	s.is.True(segments > 5)
+	initial := s.runner.store.Snapshot().GetIndex()
+	s.is.Equal(initial, s.runner.snapshotIndex)
+
+	s.background[0]()
+	s.process(Request{Event: Tick{}})
+	s.is.Equal(s.countFiles("snapshot-*"), 1)
+	s.is.Equal(s.countFiles("snapshot-*.tmp"), 0)
+	s.is.True(s.countFiles("log-*") < segments)
+	// The snapshot is of the index at which it was captured, so the next one is due at once.
+	s.is.True(s.runner.snapshotIndex <= 12)
+	s.is.Equal(len(s.background), 2)
+	s.background[1]()
+	s.process(Request{Event: Tick{}})
+	s.is.True(s.runner.snapshotIndex >= 50)
+	s.runner.Close()
+
+	s.start()
+	s.is.Equal(s.machine.n, 50)
+	s.runner.Close()
 }
 
-// A follower writes its own snapshot when the leader's newer one arrives and is
-// installed. Placed afterwards, the own one would be the newest file while the
-// log after it is gone: the next start would take the folder for damaged.
+// A newer snapshot from the leader is installed while a follower writes its own. If the
+// follower's were published afterwards, it would be the newest file while the log after
+// it is gone, and the next start would report the folder as corrupt.
 func TestOwnSnapshotIsDiscardedAfterNewerInstall(t *testing.T) {
-	a := &singleNode{is: is.New(t), path: t.TempDir()}
-	a.start()
-	a.propose(12)
-	a.is.Equal(len(a.background), 1)
-	meta := &lilacv1.RaftSnapshotMeta{Index: 1000, Term: 9, Members: a.runner.core.MembersAt(a.runner.applied), Size: 3}
-	a.runner.core.out = nil
-	a.runner.core.install(meta, []byte("990"))
-	a.runner.perform(append([]Action(nil), a.runner.core.out...))
-	a.is.NoErr(a.runner.fatalErr)
-
-	a.background[0]()
-	a.process(Request{Event: Tick{}})
-	a.is.Equal(a.runner.snapshotIndex, uint64(1000))
-	a.is.Equal(a.countFiles("snapshot-*"), 1)
-	a.is.NoErr(a.runner.store.Close())
-
-	folder, err := wal.OSFolder(a.path)
-	a.is.NoErr(err)
+	s := &singleNode{is: is.New(t), path: t.TempDir()}
+	s.start()
+	s.propose(12)
+	s.is.Equal(len(s.background), 1)
+	meta := &lilacv1.RaftSnapshotMeta{Index: 1000, Term: 9, Members: s.runner.core.MembersAt(s.runner.applied), Size: 3}
+	s.runner.core.out = nil
+	s.runner.core.install(meta, []byte("990"))
+	s.runner.perform(append([]Action(nil), s.runner.core.out...))
+	s.is.NoErr(s.runner.fatalErr)
+
+	s.background[0]()
+	s.process(Request{Event: Tick{}})
+	s.is.Equal(s.runner.snapshotIndex, uint64(1000))
+	s.is.Equal(s.countFiles("snapshot-*"), 1)
+	s.is.NoErr(s.runner.store.Close())
+
+	folder, err := wal.OSFolder(s.path)
+	s.is.NoErr(err)
 	_, state, err := wal.Open(folder, wal.Options{})
-	a.is.NoErr(err)
-	a.is.Equal(state.Snapshot.GetIndex(), uint64(1000))
-	a.is.Equal(string(state.SnapshotData), "990")
+	s.is.NoErr(err)
+	s.is.Equal(state.Snapshot.GetIndex(), uint64(1000))
+	s.is.Equal(string(state.SnapshotData), "990")
 }
 
-// fullFolder takes no new snapshot while full is set.
+// fullFolder rejects new snapshots while full is set.
 type fullFolder struct {
 	wal.Folder
 	full bool
@@ -153,22 +153,22 @@
 	return f.Folder.Create(name)
 }
 
-// The disk fills while a snapshot is written. Clients must see nothing of it:
-// the log goes on, and the snapshot is tried again when a while has passed.
+// The disk fills while a snapshot is written. The log must go on without errors for
+// clients, and the snapshot must be retried after snapshotRetry.
 func TestSnapshotIsRetriedAfterDiskFull(t *testing.T) {
-	a := &singleNode{is: is.New(t), path: t.TempDir()}
-	a.start()
-	a.folder.full = true
-	a.propose(12)
-	a.background[0]()
-	a.propose(20)
-	a.is.Equal(len(a.background), 1)
-	a.folder.full = false
-	a.now += snapshotRetry
-	a.propose(1)
-	a.is.Equal(len(a.background), 2)
-	a.background[1]()
-	a.process(Request{Event: Tick{}})
-	a.is.True(a.runner.snapshotIndex > 30)
-	a.runner.Close()
+	s := &singleNode{is: is.New(t), path: t.TempDir()}
+	s.start()
+	s.folder.full = true
+	s.propose(12)
+	s.background[0]()
+	s.propose(20)
+	s.is.Equal(len(s.background), 1)
+	s.folder.full = false
+	s.now += snapshotRetry
+	s.propose(1)
+	s.is.Equal(len(s.background), 2)
+	s.background[1]()
+	s.process(Request{Event: Tick{}})
+	s.is.True(s.runner.snapshotIndex > 30)
+	s.runner.Close()
 }
--- a/process/replica/core_test.go
+++ b/process/replica/core_test.go
@@ -14,12 +14,12 @@
 	testElection  = time.Second
 )
 
-// script drives one core by hand, and takes the place of its disk.
+// testCore drives a single Core and simulates its disk.
 type testCore struct {
 	is   *is.I
 	core *Core
 	now  time.Duration
-	// out holds the actions since the last call of take.
+	// out holds the actions since the last call of takeActions.
 	out []Action
 }
 
@@ -31,8 +31,8 @@
 	return members
 }
 
-// newScript returns member a of the group a, b, c, with entries of these terms
-// after a snapshot at index 1.
+// newTestCore returns member a of the group a, b, c, whose log has entries of the given
+// terms after a snapshot at index 1.
 func newTestCore(t *testing.T, terms ...uint64) *testCore {
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 1},
@@ -47,7 +47,7 @@
 	return s
 }
 
-// step gives an event; what is to be synced is synced at once.
+// step passes an event to the core and immediately completes any sync it requests.
 func (s *testCore) step(e Event) {
 	actions := append([]Action(nil), s.core.Step(s.now, e)...)
 	s.out = append(s.out, actions...)
@@ -76,7 +76,7 @@
 	s.step(Received{Message: m})
 }
 
-// lead makes the core the leader by the vote of b.
+// becomeLeader makes the core the leader with the vote of b.
 func (s *testCore) becomeLeader() {
 	for s.core.role != PreCandidate {
 		s.advance(testHeartbeat)
@@ -103,29 +103,29 @@
 	return found
 }
 
-// A voter comes back after a cut, over a slow link and under load. Each time its
-// snapshot is half over, the leader has a newer one and begins again with that:
-// the voter never catches up. Each restart must put the next snapshot off longer.
+// A voter rejoins over a slow link under load. If a newer snapshot is taken before each
+// transfer completes, the transfer starts over and the voter never catches up. Each
+// restart must delay the next snapshot further.
 func TestTransferRestartsDelayNextSnapshot(t *testing.T) {
 	s := newTestCore(t, 1)
 	s.is.Equal(s.core.SnapshotDelayFactor(), 1)
 	s.becomeLeader()
-	behind := s.core.leaderState.progress["c"]
-	behind.lastHeard = s.now
-	s.core.startTransfer(behind)
+	lagging := s.core.leaderState.progress["c"]
+	lagging.lastHeard = s.now
+	s.core.startTransfer(lagging)
 	for restarts := range maxDelayDoublings + 2 {
 		s.is.Equal(s.core.SnapshotDelayFactor(), transferDelayFactor<<min(restarts, maxDelayDoublings))
 		s.core.snapshot = &lilacv1.RaftSnapshotMeta{Index: s.core.snapshot.GetIndex() + 1, Term: 1, Members: s.core.snapshot.GetMembers()}
-		s.core.sendChunk(behind)
+		s.core.sendChunk(lagging)
 	}
-	behind.lastHeard = s.now - testElection - 1
+	lagging.lastHeard = s.now - testElection - 1
 	s.is.Equal(s.core.SnapshotDelayFactor(), 1)
 }
 
-// An entry of term 2 stands on a quorum, but its leader died before it was
-// committed. If the leader of term 3 committed it by count and died too, one
-// with an entry of a later term could still be elected and replace it: a
-// statement would be applied at one process and lost at the others.
+// An entry of term 2 is stored on a quorum, but its leader failed before committing it.
+// If the leader of term 3 committed it by count and failed too, a process with an entry
+// of a later term could still be elected and overwrite it: a change would be applied on
+// one process and lost on the others.
 func TestOldTermEntryIsCommittedOnlyWithCurrentTermEntry(t *testing.T) {
 	s := newTestCore(t, 2)
 	s.becomeLeader()
@@ -135,8 +135,8 @@
 	s.is.Equal(s.core.commit, uint64(3))
 }
 
-// An operator reads from a leader that does not know yet that it was replaced.
-// The answer must wait for a quorum that still follows it, asked after the read.
+// A read is sent to a leader that does not know yet that it was replaced. The reply must
+// wait for a quorum that acknowledges the leader after the read arrived.
 func TestReadWaitsForLaterHeartbeatRound(t *testing.T) {
 	s := newTestCore(t)
 	s.becomeLeader()
@@ -146,14 +146,14 @@
 	s.is.Equal(len(takeActions[ReadReady](s)), 0)
 	s.receive(&message{Kind: kindAppendReply, From: "b", Term: s.core.term, Index: 2, Round: s.core.leaderState.round - 1})
 	s.step(Flush{})
-	s.is.Equal(len(takeActions[ReadReady](s)), 0) // An answer to an older heartbeat proves nothing.
+	s.is.Equal(len(takeActions[ReadReady](s)), 0) // A reply to an earlier heartbeat is not sufficient.
 	s.ack("c", 2)
 	s.is.Equal(takeActions[ReadReady](s), []ReadReady{{RequestID: 7, Index: 2}})
 }
 
-// The leader is frozen for 20 s and wakes with a statement and a read in its
-// queue, while another one leads. It must refuse both, as not run, before it
-// acts on anything else.
+// The leader is suspended for 20 s and resumes with a proposal and a read in its queue,
+// while another process leads. It must refuse both, as not run, before it does anything
+// else.
 func TestSuspendedLeaderRefusesOnResume(t *testing.T) {
 	s := newTestCore(t)
 	s.becomeLeader()
@@ -165,8 +165,8 @@
 	s.is.Equal(s.core.log.last(), uint64(2))
 }
 
-// The leader is cut off without a word. Within an election timeout and a tick
-// it must refuse what it could not commit.
+// The leader is partitioned. Within an election timeout plus a tick it must step down, so
+// that it refuses what it could not commit.
 func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	s := newTestCore(t)
 	s.becomeLeader()
@@ -177,9 +177,9 @@
 	s.is.Equal(s.core.role, Follower)
 }
 
-// A voter was cut off and comes back. It asks for votes in a high term, but the
-// others hear the leader: no one may follow it there, or statements would be
-// refused for an election.
+// A voter returns from a partition and requests votes in a high term while the others
+// hear the leader. None of them may adopt the term, or changes would be refused for an
+// election.
 func TestCandidateIsIgnoredWhileLeaderIsActive(t *testing.T) {
 	s := newTestCore(t)
 	s.receive(&message{Kind: kindAppend, From: "b", Term: 2, Index: 1, LogTerm: 1})
@@ -191,11 +191,11 @@
 	s.is.Equal(len(takeActions[Send](s)), 0)
 	s.is.Equal(s.core.term, uint64(2))
 	s.receive(&message{Kind: kindVote, From: "c", Term: 9, Index: 9, LogTerm: 9, Transfer: true})
-	s.is.True(!takeActions[Send](s)[0].Message.GetReject()) // The leader itself handed over.
+	s.is.True(!takeActions[Send](s)[0].Message.GetReject()) // The leader itself requested the transfer.
 }
 
-// A snapshot comes late, after entries past it were synced and counted here.
-// To drop them for the snapshot would take back an acknowledgement.
+// A delayed snapshot arrives after later entries were synced and acknowledged here.
+// Dropping them for the snapshot would revoke an acknowledgement.
 func TestLateSnapshotKeepsTheLog(t *testing.T) {
 	s := newTestCore(t, 1, 1, 1)
 	meta := &lilacv1.RaftSnapshotMeta{Index: 3, Term: 1, Members: testMembers("a", "b", "c")}
@@ -205,8 +205,8 @@
 	s.is.Equal(s.core.commit, uint64(3))
 }
 
-// A message for the identity that this process had before it lost its disk must
-// find nobody: an answer would be a second vote of one voter.
+// A message for the identity that this process had before it lost its disk must not be
+// answered: the answer could be a second vote by the same voter.
 func TestOldIdentityIsNeverAnswered(t *testing.T) {
 	s := newTestCore(t)
 	s.core.receive(&message{Kind: kindVote, To: "the old identity", Group: "g", From: "b", FromAddress: "b", Term: 5, Index: 9, LogTerm: 9})
@@ -217,16 +217,16 @@
 	s.is.Equal(s.core.term, uint64(1))
 }
 
-// Voter c lost its disk and comes back as d. It counts only once it has synced
-// the log, c goes before it comes, one at a time, and the repair is reported
-// only when d itself has synced its promotion.
+// Voter c lost its disk and returns as d. c must be removed before d is promoted, one
+// change at a time; d must count only once it has synced the log, and the repair must be
+// reported only once d itself has synced its promotion.
 func TestReplacementCountsOnlyOnceSynced(t *testing.T) {
 	s := newTestCore(t, 1, 1)
 	s.becomeLeader()
 	s.ack("b", 4)
 	join := &message{Kind: kindJoin, From: "d", Member: &lilacv1.RaftMember{Id: "d", Name: "name-c", Address: "d"}}
 	s.receive(join)
-	s.is.Equal(len(s.core.Members()), 3) // c was heard of a moment ago.
+	s.is.Equal(len(s.core.Members()), 3) // c replied recently.
 	for range 30 {
 		s.now += testHeartbeat
 		s.step(Tick{})
@@ -259,8 +259,8 @@
 	s.is.Equal(len(takeActions[Repaired](s)), 1)
 }
 
-// A candidate lacks an entry that this voter has synced. A vote for it could
-// make a leader of one that never saw a committed entry.
+// A candidate lacks an entry that this voter has synced. Voting for it could elect a
+// leader that lacks a committed entry.
 func TestNoVoteForOutdatedLog(t *testing.T) {
 	s := newTestCore(t, 1, 1)
 	s.receive(&message{Kind: kindVote, From: "b", Term: 2, Index: 2, LogTerm: 1})
@@ -269,29 +269,29 @@
 	s.is.True(!takeActions[Send](s)[0].Message.GetReject())
 }
 
-// Two changes of members at once, or one before the new leader knows all that
-// its forerunners committed, could leave two quorums without a common voter.
+// Two concurrent membership changes, or one made before a new leader knows everything
+// committed before its term, could result in two quorums without a common voter.
 func TestOneMembershipChangeAtATime(t *testing.T) {
 	s := newTestCore(t)
 	s.becomeLeader()
 	learner := func(id string) ChangeMembers {
 		return ChangeMembers{RequestID: 1, Kind: AddLearner, Member: &lilacv1.RaftMember{Id: id, Name: id, Address: id}}
 	}
-	s.step(learner("d")) // Nothing of the own term is committed yet.
+	s.step(learner("d")) // No entry of the current term is committed yet.
 	s.is.Equal(takeActions[Refused](s)[0].Reason, InvalidChange)
 	s.ack("b", 2)
 	s.step(learner("d"))
 	s.is.Equal(len(takeActions[Refused](s)), 0)
-	s.step(learner("e")) // The first one is not committed yet.
+	s.step(learner("e")) // The first change is not committed yet.
 	s.is.Equal(takeActions[Refused](s)[0].Reason, InvalidChange)
 	s.ack("b", 3)
 	s.step(learner("e"))
 	s.is.Equal(len(takeActions[Refused](s)), 0)
 }
 
-// An operator's change is accepted, and its own entry, which takes revisions from
-// a follower, shows the old ones for a heartbeat longer: 600 changes one after
-// the other took over 90 s. The leader must tell a commit at once.
+// Guards against followers that learn of a commit only with the next heartbeat: an entry
+// process that reads revisions from a follower then lags behind each accepted change, and
+// 600 changes in sequence took over 90 s. The leader must send a new commit index at once.
 func TestCommitIsSentWithoutWaitingForHeartbeat(t *testing.T) {
 	s := newTestCore(t)
 	s.becomeLeader()
@@ -302,9 +302,9 @@
 	s.out = nil
 	s.ack("b", s.core.log.last())
 	s.is.Equal(s.core.commit, s.core.log.last())
-	told := make(map[string]uint64)
+	commits := make(map[string]uint64)
 	for _, sent := range takeActions[Send](s) {
-		told[sent.Message.GetTo()] = sent.Message.GetCommit()
+		commits[sent.Message.GetTo()] = sent.Message.GetCommit()
 	}
-	s.is.Equal(told, map[string]uint64{"b": s.core.commit, "c": s.core.commit})
+	s.is.Equal(commits, map[string]uint64{"b": s.core.commit, "c": s.core.commit})
 }
--- a/process/replica/freshness_test.go
+++ b/process/replica/freshness_test.go
@@ -7,13 +7,13 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// A process comes back from a long cut and gets the log anew, part by part. The
-// entries that follow it must not take its old state for the newest: the contact
-// counts from the leader's word only once all of that word is applied.
+// A process rejoins after a long partition and receives the log again in several messages.
+// The leader's commit index must not count as fresh state until everything up to it is
+// applied; otherwise entry processes would take the old state for current.
 func TestFreshnessAdvancesOnlyOnceAllIsApplied(t *testing.T) {
 	s := newTestCore(t)
 	stamp := uint64(0)
-	word := func(index uint64, commit uint64, entries ...uint64) {
+	receiveAppend := func(index uint64, commit uint64, entries ...uint64) {
 		m := &message{Kind: kindAppend, From: "b", FromAddress: "b", To: "a", Group: "g", Term: 2, Index: index, LogTerm: min(index, 2), Commit: commit, Stamp: stamp}
 		stamp = s.core.stampBase + uint64(s.now-s.core.stampEpoch)
 		for _, i := range entries {
@@ -21,34 +21,34 @@
 		}
 		s.step(Received{Message: m})
 	}
-	word(1, 1) // The answer to this one bears the first stamp.
-	begun := s.now
-	s.now = begun + time.Second
-	word(1, 3, 2)
-	s.is.True(s.core.freshAt() < 0) // One entry of two is still missing.
-	s.now = begun + 2*time.Second
-	word(2, 3, 3)
-	s.is.Equal(s.core.freshAt(), begun) // The first word is done now.
-	s.now = begun + 3*time.Second
-	word(3, 3)
-	s.is.Equal(s.core.freshAt(), begun+2*time.Second)
+	receiveAppend(1, 1) // The reply carries the first stamp.
+	start := s.now
+	s.now = start + time.Second
+	receiveAppend(1, 3, 2)
+	s.is.True(s.core.freshAt() < 0) // One of two entries is still missing.
+	s.now = start + 2*time.Second
+	receiveAppend(2, 3, 3)
+	s.is.Equal(s.core.freshAt(), start) // The first commit index is now applied.
+	s.now = start + 3*time.Second
+	receiveAppend(3, 3)
+	s.is.Equal(s.core.freshAt(), start+2*time.Second)
 }
 
-// Guards against a process that wakes from a suspension, or whose cut heals, and
-// takes the leader's words of before for fresh: the entries that follow it would
-// go by keys and routes that are long gone.
+// Guards against a process that resumes from a suspension, or whose partition heals, and
+// takes delayed messages from the leader for current: entry processes that follow it
+// would use outdated keys and routes.
 func TestDelayedLeaderMessagesAreDatedByEchoedStamp(t *testing.T) {
 	s := newTestCore(t)
-	word := func(stamp uint64) {
+	receiveAppend := func(stamp uint64) {
 		s.step(Received{Message: &message{Kind: kindAppend, From: "b", FromAddress: "b", To: "a", Group: "g", Term: 2, Index: 1, LogTerm: 1, Commit: 1, Stamp: stamp}})
 	}
-	word(0)
+	receiveAppend(0)
 	before := s.core.stamp()
-	begun := s.now
+	start := s.now
 	s.now += 10 * time.Second
-	word(before)
-	s.is.Equal(s.core.freshAt(), begun)
-	word(before + uint64(time.Minute)) // Of another start of the process.
-	word(1)
-	s.is.Equal(s.core.freshAt(), begun)
+	receiveAppend(before)
+	s.is.Equal(s.core.freshAt(), start)
+	receiveAppend(before + uint64(time.Minute)) // Issued by another run of the process.
+	receiveAppend(1)
+	s.is.Equal(s.core.freshAt(), start)
 }
--- a/process/replica/lineage_test.go
+++ b/process/replica/lineage_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// recoveredScript is the only voter of group h, which was recovered from g.
+// newRecoveredCore returns the only voter of group h, which was recovered from g.
 func newRecoveredCore(t *testing.T) *testCore {
 	restored := Restored{
 		Hard:     &lilacv1.RaftHardState{Id: "a2", Group: "h", Term: 2, Former: []string{"g"}},
@@ -34,15 +34,15 @@
 	return found
 }
 
-// A data centre taken for lost comes back with the old disks of two voters,
-// which are a quorum of the old group. Operators would see two leaders, and a
-// key could be claimed on both sides. The recovered process must reach them
-// before their first candidacy, and they must give up for good.
+// A data centre that was presumed lost returns with the old disks of two voters, a quorum
+// of the old group. Two leaders would exist, and a key could be claimed on both sides. The
+// recovered process must reach the old voters before their first candidacy, and they must
+// stop permanently.
 func TestReturningVoterStopsUsingOldDisk(t *testing.T) {
 	recovered := newRecoveredCore(t)
 	recovered.advance(testElection)
 	hellos := takeMessages(recovered, kindHello)
-	recovered.is.True(len(hellos) >= 2) // Each wait before a candidacy lasts an election timeout or more.
+	recovered.is.True(len(hellos) >= 2) // An election timeout lasts at least that long.
 
 	old := newTestCore(t)
 	old.advance(testElection - testHeartbeat)
@@ -65,8 +65,8 @@
 	old.is.Equal(len(old.out), 0)
 }
 
-// The returning voter is not among the settings of the recovered process. What
-// it sends to its old group must tell it all the same.
+// The returning voter is not a peer in the settings of the recovered process. It must be
+// informed of the recovery in reply to what it sends to its old group.
 func TestMessageOfAFormerGroupIsAnswered(t *testing.T) {
 	s := newRecoveredCore(t)
 	s.step(Received{Message: &message{Kind: kindPreVote, From: "z", FromAddress: "z", To: "a", Group: "g", Term: 9}})
@@ -74,14 +74,14 @@
 	s.is.Equal(len(answers), 1)
 	s.is.Equal(answers[0].GetFormer(), []string{"g"})
 	s.is.Equal(s.core.role, Leader)
-	// A stranger's group is nothing to it.
+	// An unrelated group is not answered.
 	s.step(Received{Message: &message{Kind: kindPreVote, From: "z", FromAddress: "z", To: "a2", Group: "x", Term: 9}})
 	s.is.Equal(len(takeMessages(s, kindHello)), 0)
 }
 
-// Two survivors of five voters are recovered separately. Each would give the
-// same revision numbers to other changes. While they hear each other, neither
-// may take a change; when one of them is gone, the other goes on.
+// Two survivors of five voters are recovered separately, and each group would assign the
+// same revision numbers to different changes. While they hear from each other, neither may
+// accept changes; once one of them is gone, the other resumes.
 func TestRivalGroupsRefuseChanges(t *testing.T) {
 	s := newRecoveredCore(t)
 	hello := func(group string, former ...string) {
@@ -103,8 +103,8 @@
 	s.is.Equal(len(propose()), 0)
 }
 
-// A process that joins a recovered group must tell the old voters too, after
-// the first one is gone.
+// A process that joins a recovered group must store the former groups, so that it can
+// inform the old voters after the recovered process is gone.
 func TestJoiningProcessLearnsTheFormerGroups(t *testing.T) {
 	is := is.New(t)
 	c := NewCore(Config{Name: "name-b", Address: "b", ID: "b2", Heartbeat: testHeartbeat, Election: testElection, Seed: 1}, Restored{}, 0)
@@ -115,11 +115,11 @@
 			return
 		}
 	}
-	t.Fatal("nothing was synced")
+	t.Fatal("no Persist action: the former groups were not stored")
 }
 
-// A replaced folder is started once more, with the network cut. It must not
-// serve, and say what to do.
+// A process starts on the data folder of a replaced group while the network is down. It
+// must refuse to start and say what to do.
 func TestReplacedFolderDoesNotStart(t *testing.T) {
 	is := is.New(t)
 	folder, err := wal.OSFolder(t.TempDir())
--- a/process/replica/recovered_group_test.go
+++ b/process/replica/recovered_group_test.go
@@ -12,18 +12,18 @@
 
 const (
 	simStep = 10 * time.Millisecond
-	// maxTransit is the longest way of a message: a few regions away.
+	// maxMessageDelay is the longest one-way message delay, as between distant regions.
 	maxMessageDelay = 60 * time.Millisecond
 )
 
-// returning plays a recovered process a and old voters b and c that are started
-// again, over a network that delays messages and loses one in five.
+// recoverySim simulates a recovered process a and old voters b and c that are restarted,
+// over a network that delays messages and loses one in five.
 type recoverySim struct {
 	random   *rand.Rand
 	now      time.Duration
 	cores    map[string]*Core
 	replaced map[string]bool
-	// leads is true once an old voter has led.
+	// oldVoterLed is set once an old voter has become leader.
 	oldVoterLed bool
 	inFlight    []delivery
 }
@@ -92,15 +92,15 @@
 	return config
 }
 
-// Two of three voters are taken for lost, the third is recovered, and then both
-// are started again with their old disks: a quorum of the old group. Messages
-// are late and lost. Neither may ever lead, and both must give up.
+// Two of three voters are presumed lost, the third is recovered, and then both are
+// restarted with their old disks: a quorum of the old group. Messages are delayed and
+// lost. Neither old voter may ever lead, and both must stop.
 func TestReturningQuorumNeverLeads(t *testing.T) {
 	for seed := range uint64(300) {
 		is := is.New(t)
 		members := testMembers("a2")
 		if seed%2 == 0 {
-			// As the recovery leaves them: the lost ones' names stay taken.
+			// The recovery keeps the lost voters as learners, so that their names stay taken.
 			members = testMembers("a2", "b", "c")
 			members.Members[1].Voter, members.Members[2].Voter = false, false
 		}
@@ -116,12 +116,12 @@
 				Hard:     &lilacv1.RaftHardState{Id: name, Group: "g", Term: 1},
 				Snapshot: &lilacv1.RaftSnapshotMeta{Index: 8, Term: 1, Members: testMembers("a", "b", "c")},
 			}, r.now)
-			// The second one starts up to two election timeouts later.
+			// The second voter starts up to two election timeouts later.
 			r.run(r.now + time.Duration(r.random.Int64N(int64(2*testElection))))
 		}
 		r.run(r.now + 10*testElection)
 		if r.oldVoterLed || !r.replaced["b"] || !r.replaced["c"] {
-			t.Fatalf("seed %d: an old voter led: %t; gave up: %v", seed, r.oldVoterLed, r.replaced)
+			t.Fatalf("seed %d: an old voter became leader: %t; voters that stopped: %v", seed, r.oldVoterLed, r.replaced)
 		}
 		is.Equal(r.cores["a"].role, Leader)
 	}
--- a/process/wal/folder.go
+++ b/process/wal/folder.go
@@ -1,9 +1,10 @@
-// Package wal keeps the durable files of one state process: the log in
-// segments, the hard state, and snapshots, all in one data folder.
+// Package wal stores the durable state of one state process in a data folder: the log in
+// segments, the Raft hard state, and snapshots.
 //
-// A record lasts once Save, InstallSnapshot or PublishSnapshot has returned. A write that a crash
-// tore at the end of the log is cut at the next start; damage anywhere else
-// stops the start with an error that names the file, the offset and the remedy.
+// Data is durable once Save, InstallSnapshot or PublishSnapshot has returned. A record at
+// the end of the log that was torn by a crash is truncated at the next start; any other
+// corruption prevents the start with an error that names the file, the offset and the
+// remedy.
 package wal
 
 import (
@@ -19,57 +20,57 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// File is an open file that is written at its end.
+// File is an open file to which data is appended.
 type File interface {
 	io.Writer
-	// Sync makes all that was written last.
+	// Sync makes everything written so far durable.
 	Sync() error
 	Close() error
 }
 
-// Folder is the little of a filesystem that the log needs. Names have no path.
-// Created, renamed and removed names last only after SyncFolder.
+// Folder is the subset of filesystem operations that the log needs. Names are relative to
+// the folder. Creations, renames and removals are durable only after SyncFolder.
 type Folder interface {
-	// Path names the folder in messages.
+	// Path returns the folder's path, for use in messages.
 	Path() string
-	// List returns all names, sorted.
+	// List returns the names of all files, sorted.
 	List() ([]string, error)
 	// Size returns the length of a file in bytes.
 	Size(name string) (int64, error)
-	// ReadAt reads up to n bytes from offset; less at the end of the file.
+	// ReadAt reads up to n bytes from offset; fewer at the end of the file.
 	ReadAt(name string, offset int64, n int) ([]byte, error)
-	// Create makes an empty file, or empties it.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens a file to write at its end.
+	// Append opens an existing file for appending.
 	Append(name string) (File, error)
-	// Truncate cuts a file to size bytes and syncs it.
+	// Truncate truncates a file to size bytes and syncs it.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncFolder() error
-	// Lock keeps other processes out until it is closed.
+	// Lock excludes other processes until the result is closed.
 	Lock() (io.Closer, error)
 }
 
 const lockName = "lock"
 
-// osFolder is a folder of the operating system.
+// osFolder is a folder in the operating system's filesystem.
 type osFolder struct{ path string }
 
-// OSFolder returns the folder at path, and makes it if it is missing.
+// OSFolder returns the folder at path, creating it if it does not exist.
 func OSFolder(path string) (Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder can't be made; check `data` in the settings and its rights")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder can't be created; check `data` in the settings and its permissions")
 	}
 	return &osFolder{path: path}, nil
 }
 
-// ReadOnlyFolder returns the folder at path without making it.
+// ReadOnlyFolder returns the folder at path without creating it.
 func ReadOnlyFolder(path string) Folder { return &osFolder{path: path} }
 
 func (f *osFolder) file(name string) string { return filepath.Join(f.path, name) }
 
-// Path names the folder in messages.
+// Path returns the folder's path, for use in messages.
 func (f *osFolder) Path() string { return f.path }
 
 func (f *osFolder) List() ([]string, error) {
@@ -142,10 +143,9 @@
 	return dir.Sync()
 }
 
-// Lock guards against two processes that share one data folder by a mistake in
-// their settings: both would append to one file and the log would be damaged.
-// It holds because the kernel gives the lock to one open file at a time and
-// takes it back when the process ends, however it ends.
+// Lock prevents two processes from sharing one data folder through a mistake in their
+// settings: both would append to the same file and corrupt the log. The kernel grants the
+// lock to one open file at a time, and releases it when the process ends for any reason.
 func (f *osFolder) Lock() (io.Closer, error) {
 	file, err := os.OpenFile(f.file(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -154,7 +154,7 @@
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		file.Close()
 		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE,
-			"data folder "+f.path+" is in use by another process; give each process its own `data` folder, or end the other one")
+			"data folder "+f.path+" is in use by another process; give each process its own `data` folder, or stop the other one")
 	}
 	return file, nil
 }
--- a/process/wal/read.go
+++ b/process/wal/read.go
@@ -9,22 +9,23 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// reader replays the files of a folder without changing them.
+// reader reads the files of a folder without changing them.
 type reader struct {
 	folder   Folder
 	state    *State
 	segments []segment
-	// garbage are names that a crash left unfinished.
+	// unusedFiles lists incomplete or superseded files, to be removed by Open.
 	unusedFiles []string
-	// keep is the length to which the torn file is cut; -1 if it goes whole.
+	// truncateTo is the length to which the torn file is truncated; -1 if the whole file is
+	// removed.
 	truncateTo int64
-	// base is the index before the first of entries.
+	// base is the index before the first entry.
 	base    uint64
 	records int
-	// rebase is true if the log ends before the snapshot: the next entry would
-	// not follow the last one in the files.
+	// needsBaseRecord is set if the entries in the files do not reach or do not match the
+	// snapshot, so that the next entry would not follow them.
 	needsBaseRecord bool
-	// recovered is true if the snapshot of a recovery brings the hard state.
+	// recovered is set if the hard state comes from a snapshot written by Recover.
 	recovered bool
 }
 
@@ -74,10 +75,10 @@
 func (r *reader) readSegment(name string, first, last bool) error {
 	var number uint64
 	if _, err := fmt.Sscanf(name, "log-%016x", &number); err != nil {
-		return corruptionError(r.folder, name, 0, "not the name of a log file")
+		return corruptionError(r.folder, name, 0, "invalid log file name")
 	}
 	if n := len(r.segments); !first && n > 0 && number != r.segments[n-1].number+1 {
-		return corruptionError(r.folder, name, 0, fmt.Sprintf("log file %d is missing before it", number-1))
+		return corruptionError(r.folder, name, 0, fmt.Sprintf("the preceding log file %d is missing", number-1))
 	}
 	size, err := r.folder.Size(name)
 	if err != nil {
@@ -105,19 +106,18 @@
 	return nil
 }
 
-// bad decides what a record that is not sound means.
+// handleInvalidRecord decides what an invalid record means.
 //
-// It guards against two opposite failures: a node that never starts again
-// because a crash tore its last write, and one that silently forgets synced
-// entries because a block in the middle went bad. A crash tears only the last
-// record of the last file, for each is synced before the next is written; so a
-// sound record after the bad one proves damage.
+// A torn last write must not prevent a start, and corruption in the middle of the log must
+// not silently drop synced entries. A crash can tear only the last record of the last
+// file, because each record is synced before the next one is written; a valid record after
+// an invalid one therefore proves corruption.
 func (r *reader) handleInvalidRecord(name string, data []byte, offset int, last bool) error {
 	if !last {
-		return corruptionError(r.folder, name, int64(offset), "a record is damaged and further log files follow")
+		return corruptionError(r.folder, name, int64(offset), "a record is corrupt although further log files follow")
 	}
 	if after := nextValidRecord(data, offset); after >= 0 {
-		return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("a record is damaged and a sound one follows at offset %d", after))
+		return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("a record is corrupt although a valid one follows at offset %d", after))
 	}
 	r.state.TruncatedBytes, r.state.TruncatedFile = int64(len(data)-offset), name
 	if offset > 0 {
@@ -132,11 +132,11 @@
 func (r *reader) replay(name string, offset int, payload []byte) error {
 	record := &lilacv1.WalRecord{}
 	if err := proto.Unmarshal(payload, record); err != nil {
-		return corruptionError(r.folder, name, int64(offset), "a record does not decode")
+		return corruptionError(r.folder, name, int64(offset), "a record can't be decoded")
 	}
 	current := &r.segments[len(r.segments)-1]
 	if offset == 0 && record.GetSegment() != current.number {
-		return corruptionError(r.folder, name, 0, "the file does not begin with its own number")
+		return corruptionError(r.folder, name, 0, "the segment number in the file does not match its name")
 	}
 	r.records++
 	if record.GetHard() != nil {
@@ -148,14 +148,15 @@
 	}
 	for _, entry := range record.GetEntries() {
 		if !r.putEntry(entry) {
-			return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("entry %d does not follow the one before", entry.GetIndex()))
+			return corruptionError(r.folder, name, int64(offset), fmt.Sprintf("entry %d does not follow the previous one", entry.GetIndex()))
 		}
 		current.last = max(current.last, entry.GetIndex())
 	}
 	return nil
 }
 
-// place puts the entry at its index; what stood there and after is given up.
+// putEntry stores the entry at its index and drops all later ones. It returns false if the
+// entry would leave a gap.
 func (r *reader) putEntry(entry *lilacv1.RaftEntry) bool {
 	index := entry.GetIndex()
 	if len(r.state.Entries) == 0 {
@@ -175,12 +176,12 @@
 	return true
 }
 
-// join drops the entries that the snapshot covers and checks for gaps.
+// applySnapshot drops the entries that the snapshot covers and checks for gaps.
 func (r *reader) applySnapshot() error {
 	s := r.state
 	if s.Snapshot == nil {
 		if r.base > 0 {
-			return corruptionError(r.folder, segmentName(r.segments[0].number), 0, fmt.Sprintf("the log begins after index %d and no snapshot covers what is before", r.base))
+			return corruptionError(r.folder, segmentName(r.segments[0].number), 0, fmt.Sprintf("the log starts after index %d and no snapshot covers the entries before it", r.base))
 		}
 		return nil
 	}
@@ -198,11 +199,12 @@
 	last := r.base + uint64(len(s.Entries))
 	switch {
 	case index < r.base:
-		return corruptionError(r.folder, snapshotName(s.Snapshot), 0, fmt.Sprintf("the log begins after index %d, which the snapshot does not reach", r.base))
+		return corruptionError(r.folder, snapshotName(s.Snapshot), 0, fmt.Sprintf("the log starts after index %d, which the snapshot does not reach", r.base))
 	case index == r.base:
 		return nil
 	case last <= index, s.Entries[index-r.base-1].GetTerm() != s.Snapshot.GetTerm():
-		// A crash came between the snapshot and the record that resets the log.
+		// The process crashed after the snapshot was installed and before the record that resets
+		// the log to it was written.
 		r.needsBaseRecord = last != index || s.Entries[index-r.base-1].GetTerm() != s.Snapshot.GetTerm()
 		s.Entries = nil
 	default:
--- a/process/wal/record.go
+++ b/process/wal/record.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// headerSize is the length (4 bytes) and the checksum (4 bytes) before a record.
+	// headerSize is the size of a record's header: length (4 bytes) and checksum (4 bytes).
 	headerSize = 8
-	// maxRecord bounds a record, so that a damaged length is seen as such.
+	// maxRecordBytes bounds a record, so that a corrupt length is detected.
 	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum covers the offset too: bytes of a record that stand elsewhere, such
-// as inside a command, are never taken for a record.
+// checksum includes the offset, so that bytes that look like a record at another place,
+// such as inside a command, are not accepted as one.
 func checksum(offset int64, payload []byte) uint32 {
 	var head [12]byte
 	binary.LittleEndian.PutUint64(head[:8], uint64(offset))
@@ -29,15 +29,16 @@
 	return crc32.Update(crc32.Checksum(head[:], castagnoli), castagnoli, payload)
 }
 
-// appendRecord adds the record for payload, which will stand at offset, to b.
+// appendRecord appends the record for payload to b. offset is the record's position in
+// the file.
 func appendRecord(b []byte, offset int64, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, checksum(offset, payload))
 	return append(b, payload...)
 }
 
-// recordAt returns the payload of the record at offset of data, or nil if
-// there is no whole and sound one.
+// recordAt returns the payload of the record at offset of data, or nil if there is no
+// complete record with a valid checksum.
 func recordAt(data []byte, offset int) []byte {
 	if len(data)-offset < headerSize {
 		return nil
@@ -53,7 +54,7 @@
 	return payload
 }
 
-// soundAfter returns the offset of the first sound record after offset, or -1.
+// nextValidRecord returns the offset of the first valid record after offset, or -1.
 func nextValidRecord(data []byte, offset int) int {
 	for candidate := offset + 1; candidate+headerSize < len(data); candidate++ {
 		if recordAt(data, candidate) != nil {
@@ -66,12 +67,12 @@
 func marshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
-		panic(err) // Messages of our own types always marshal.
+		panic(err) // Cannot fail for the module's own message types.
 	}
 	return b
 }
 
-// CorruptionError is an error in the durable files that no crash can have left.
+// CorruptionError reports corruption of the durable files that a crash cannot cause.
 type CorruptionError struct {
 	File   string
 	Offset int64
@@ -85,5 +86,5 @@
 
 func corruptionError(folder Folder, name string, offset int64, reason string) error {
 	d := &CorruptionError{File: folder.Path() + "/" + name, Offset: offset, Reason: reason}
-	return fault.Wrap(d, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder is damaged")
+	return fault.Wrap(d, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "data folder is corrupt")
 }
--- a/process/wal/recover.go
+++ b/process/wal/recover.go
@@ -6,22 +6,21 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Recover gives the folder a new hard state and a snapshot in place of all that
-// it held, as one step.
+// Recover atomically replaces the folder's contents by a new hard state and a snapshot.
 //
-// It guards against a crash in the middle, after which the process would start
-// with the new members under the old group's number, and lead a second quorum
-// of that group. It holds because the hard state stands within the snapshot's
-// file, whose renaming is the only step that counts: before it the folder is the
-// old one, after it a start takes both from the snapshot.
+// After a crash midway, the process must not start with the new members under the old
+// group's ID, where it could form a second quorum of that group. The hard state is
+// therefore stored within the snapshot file, whose rename is the only step that takes
+// effect: before it the folder is unchanged, after it a start reads both from the
+// snapshot.
 func (s *Store) Recover(hard *lilacv1.RaftHardState, meta *lilacv1.RaftSnapshotMeta, data []byte) error {
-	placed := proto.CloneOf(meta)
-	placed.Recovered = hard
-	return s.installSnapshot(&lilacv1.WalRecord{Hard: hard, Base: placed}, data)
+	recovered := proto.CloneOf(meta)
+	recovered.Recovered = hard
+	return s.installSnapshot(&lilacv1.WalRecord{Hard: hard, Base: recovered}, data)
 }
 
-// recover takes the hard state from a snapshot that a recovery placed, if the
-// log's own one is older.
+// applyRecovery takes the hard state from a snapshot written by Recover, if the log's
+// hard state is older. It reports whether it did.
 func (r *reader) applyRecovery() bool {
 	hard := r.state.Snapshot.GetRecovered()
 	if len(hard.GetFormer()) <= len(r.state.Hard.GetFormer()) {
@@ -32,18 +31,18 @@
 	return true
 }
 
-// plain returns the description without what only the own files need: another
-// process that took it over would take this one's identity.
+// withoutRecovered returns meta without the recovered hard state, which is only valid in
+// this folder: another process that installed it would adopt this one's identity.
 func withoutRecovered(meta *lilacv1.RaftSnapshotMeta) *lilacv1.RaftSnapshotMeta {
 	if meta.GetRecovered() == nil {
 		return meta
 	}
-	plain := proto.CloneOf(meta)
-	plain.Recovered = nil
-	return plain
+	stripped := proto.CloneOf(meta)
+	stripped.Recovered = nil
+	return stripped
 }
 
-// Read returns what the folder holds without changing it.
+// Read returns the state stored in the folder without changing it.
 func Read(folder Folder) (*State, error) {
 	r, err := read(folder)
 	if err != nil {
--- a/process/wal/recover_test.go
+++ b/process/wal/recover_test.go
@@ -12,8 +12,8 @@
 
 var errCrash = errors.New("crash")
 
-// crashing fails every operation that changes files after the first so many, as
-// if the process had ended there.
+// crashFolder fails every operation that changes files after the first remaining ones, as
+// if the process had crashed there.
 type crashFolder struct {
 	Folder
 	remaining int
@@ -66,7 +66,7 @@
 	folder *crashFolder
 }
 
-// Write leaves half of the bytes where the crash falls on it.
+// Write writes only half of the bytes if the crash happens during it.
 func (f *crashFile) Write(b []byte) (int, error) {
 	if err := f.folder.countOperation(); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
@@ -84,10 +84,10 @@
 
 var _ io.Writer = (*crashFile)(nil)
 
-// The process that recovers a folder ends at any one of its steps, and the state
-// process is started on the folder as it is. With the new members under the old
-// group's identity it would lead the old group alone, beside lost voters that
-// come back: the folder must be wholly the old one or wholly the new one.
+// The recovery of a folder crashes at each of its steps in turn, and the state process is
+// then started on the folder. With the new members under the old group's identity it
+// would lead the old group alone, beside lost voters that return: the folder must be
+// entirely the old one or entirely the new one.
 func TestInterruptedRecoveryLeavesOneGroup(t *testing.T) {
 	hard := &lilacv1.RaftHardState{Id: "new", Group: "h", Term: 2, Former: []string{"g"}}
 	meta := &lilacv1.RaftSnapshotMeta{Index: 61, Term: 2, Size: 5, Members: &lilacv1.RaftMembers{Members: []*lilacv1.RaftMember{{Id: "new", Voter: true}}}}
@@ -101,7 +101,7 @@
 		store, _, err := Open(&crashFolder{folder, 1 << 30}, Options{SegmentBytes: 400})
 		is.NoErr(err)
 		store.folder.(*crashFolder).remaining = steps
-		whole := store.Recover(hard, meta, []byte("state"))
+		recoverErr := store.Recover(hard, meta, []byte("state"))
 		store.Close()
 
 		read, err := Read(folder)
@@ -114,7 +114,7 @@
 			old++
 			is.Equal(len(state.Entries), 60)
 			is.Equal(state.Snapshot, nil)
-			// Run again, it goes through.
+			// Repeating the recovery succeeds.
 			is.NoErr(store.Recover(hard, meta, []byte("state")))
 		case "h":
 			recovered++
@@ -124,7 +124,7 @@
 			is.Equal(state.Snapshot.GetRecovered(), nil)
 			is.Equal(string(state.SnapshotData), "state")
 		}
-		// The new group goes on: what it votes and writes comes back.
+		// The new group's later votes and entries are restored.
 		is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "new", Group: "h", Term: 3, Former: []string{"g"}}, Entries: entries(62, 63, 3)}))
 		part, err := store.ReadSnapshot(0, 5)
 		is.NoErr(err)
@@ -135,7 +135,7 @@
 		is.Equal(state.Hard.GetTerm(), uint64(3))
 		is.Equal(len(state.Entries), 2)
 		store.Close()
-		if whole == nil {
+		if recoverErr == nil {
 			break
 		}
 	}
--- a/process/wal/snapshot.go
+++ b/process/wal/snapshot.go
@@ -13,7 +13,7 @@
 const (
 	snapshotPrefix = "snapshot-"
 	tempSuffix     = ".tmp"
-	// snapshotPart is the state machine's data in one record, in bytes.
+	// snapshotPartBytes is the size of the state machine's data in one record of a snapshot.
 	snapshotPartBytes = 4 << 20
 )
 
@@ -21,13 +21,13 @@
 	return fmt.Sprintf("%s%016x-%016x", snapshotPrefix, meta.GetIndex(), meta.GetTerm())
 }
 
-// InstallSnapshot writes a snapshot that came from the leader and gives up the
-// log before it.
+// InstallSnapshot writes a snapshot received from the leader and resets the log to it.
 func (s *Store) InstallSnapshot(meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	return s.installSnapshot(&lilacv1.WalRecord{Base: meta}, data)
 }
 
-// install places the snapshot that the record begins the log anew with.
+// installSnapshot writes and publishes the snapshot that is the record's base, then writes
+// the record.
 func (s *Store) installSnapshot(record *lilacv1.WalRecord, data []byte) error {
 	meta := record.GetBase()
 	if s.fatalErr != nil {
@@ -45,11 +45,11 @@
 	return s.removeSegments(meta.GetIndex())
 }
 
-// WriteSnapshot makes the file whole under a temporary name, where a start
-// removes it: a crash leaves either the old snapshot or the new one, never a
-// torn one. It touches nothing else of the Store, so that another goroutine may
-// call it while the log goes on. PublishSnapshot or DiscardSnapshot follows; after an
-// error there is no file.
+// WriteSnapshot writes a snapshot under a temporary name, which the next start removes: a
+// crash leaves either the old snapshot or the new one, never a torn one. It accesses no
+// other state of the Store, so it may be called from another goroutine while the log is
+// written. Follow it by PublishSnapshot or DiscardSnapshot; after an error there is no
+// file.
 func (s *Store) WriteSnapshot(meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	name := snapshotName(meta)
 	file, err := s.folder.Create(name + tempSuffix)
@@ -64,19 +64,18 @@
 	err = file.Sync()
 	file.Close()
 	if err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of a snapshot failed; check the disk and restart the process")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of a snapshot failed; check the disk, then restart the process")
 	}
 	return nil
 }
 
-// DiscardSnapshot removes a written snapshot that is not wanted any more.
+// DiscardSnapshot removes a written snapshot that is no longer needed.
 func (s *Store) DiscardSnapshot(meta *lilacv1.RaftSnapshotMeta) error {
 	return s.folder.Remove(snapshotName(meta) + tempSuffix)
 }
 
-// PublishSnapshot makes a written snapshot of the own state machine the newest
-// one and removes what it makes superfluous, except segments that hold an entry
-// after keep.
+// PublishSnapshot makes a written snapshot of the local state the newest one and removes
+// what it supersedes, except segments that hold an entry after keep.
 func (s *Store) PublishSnapshot(meta *lilacv1.RaftSnapshotMeta, keep uint64) error {
 	if err := s.renameSnapshot(meta); err != nil {
 		return err
@@ -103,7 +102,7 @@
 	return nil
 }
 
-// writeParts writes the description and then the data in records of bounded size.
+// writeParts writes the metadata and then the data in records of bounded size.
 func writeParts(file File, meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	record := appendRecord(nil, 0, marshal(meta))
 	offset := int64(0)
@@ -121,7 +120,7 @@
 	}
 }
 
-// compact removes the oldest segments whose entries all lie at or before index.
+// removeSegments removes the oldest segments whose entries all have indexes up to index.
 func (s *Store) removeSegments(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].last <= index {
 		if err := s.folder.Remove(segmentName(s.segments[0].number)); err != nil {
@@ -132,10 +131,11 @@
 	return nil
 }
 
-// Snapshot returns the newest snapshot's description; nil if there is none.
+// Snapshot returns the metadata of the newest snapshot; nil if there is none.
 func (s *Store) Snapshot() *lilacv1.RaftSnapshotMeta { return s.snapshot }
 
-// ReadSnapshot returns up to n bytes of the newest snapshot's data from offset.
+// ReadSnapshot returns up to n bytes of the newest snapshot's data, starting at offset. It
+// may return fewer before the end of the data.
 func (s *Store) ReadSnapshot(offset uint64, n int) ([]byte, error) {
 	within := offset % snapshotPartBytes
 	n = min(n, int(s.snapshot.GetSize()-offset), int(snapshotPartBytes-within))
@@ -156,14 +156,14 @@
 	meta := &lilacv1.RaftSnapshotMeta{}
 	head := recordAt(b, 0)
 	if head == nil || proto.Unmarshal(head, meta) != nil || snapshotName(meta) != name {
-		return nil, nil, corruptionError(folder, name, 0, "the snapshot's description is damaged")
+		return nil, nil, corruptionError(folder, name, 0, "the snapshot's metadata is corrupt")
 	}
 	offset := headerSize + len(head)
 	data := make([]byte, 0, meta.GetSize())
 	for uint64(len(data)) < meta.GetSize() {
 		part := recordAt(b, offset)
 		if part == nil {
-			return nil, nil, corruptionError(folder, name, int64(offset), "the snapshot's data is damaged")
+			return nil, nil, corruptionError(folder, name, int64(offset), "the snapshot's data is corrupt")
 		}
 		data = append(data, part...)
 		offset += headerSize + len(part)
@@ -171,40 +171,41 @@
 	return meta, data, nil
 }
 
-// Report describes a data folder to operators.
+// Report describes a data folder for operators.
 type Report struct {
-	// Empty is true when the process never ran, or lost its disk.
+	// Empty is set if the process never ran or lost its disk.
 	Empty bool
-	// ID is the process's identity in the group, Group the group's.
+	// ID is the process's identity in the group and Group the group's ID.
 	ID, Group string
 	Term      uint64
 	Vote      string
-	// Former are the groups that this one replaced by a recovery, oldest first.
+	// Former lists the groups that this one replaced by a recovery, oldest first.
 	Former []string
-	// ReplacedBy is the recovered group that replaced this one; the folder is of no use then.
+	// ReplacedBy is the recovered group that replaced this one; if set, the folder can no
+	// longer be used.
 	ReplacedBy string
 	// SnapshotIndex is 0 if there is no snapshot.
 	SnapshotIndex uint64
 	SnapshotBytes uint64
-	// FirstIndex and LastIndex bound the entries after the snapshot; 0 if none.
+	// FirstIndex and LastIndex delimit the entries after the snapshot; 0 if there are none.
 	FirstIndex, LastIndex uint64
 	LastTerm              uint64
 	Segments, Records     int
-	// TornBytes would be cut at the next start.
+	// TornBytes is the length of the torn record that the next start would truncate.
 	TornBytes int64
-	// Unfinished are files that a crash left; the next start removes them.
+	// Unfinished lists incomplete files left by a crash; the next start removes them.
 	Unfinished []string
-	// Members are those of the snapshot and the entries after it.
+	// Members is the latest membership in the snapshot and the entries after it.
 	Members []*lilacv1.RaftMember
 }
 
-// Inspect reads a data folder and changes nothing; it works while the process
-// runs. An error names the damage.
+// Inspect reads a data folder without changing it; it may be used while the process runs.
+// If the files are corrupt, the error wraps a CorruptionError.
 func Inspect(folder Folder) (*Report, error) {
 	r, err := read(folder)
 	if err != nil {
 		if _, listErr := folder.List(); listErr != nil {
-			return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "data folder can't be read; check its path and rights")
+			return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "data folder can't be read; check its path and permissions")
 		}
 		return nil, err
 	}
--- a/process/wal/store.go
+++ b/process/wal/store.go
@@ -12,50 +12,51 @@
 )
 
 const (
-	// defaultSegmentBytes is when a new segment is begun.
+	// defaultSegmentBytes is the size at which a new segment is started.
 	defaultSegmentBytes = 8 << 20
-	// recordBytes is the data of entries above which a batch is split; far
-	// below maxRecord, which no reader accepts.
+	// maxBatchBytes is the size of entry data above which a batch is split into several
+	// records; far below maxRecordBytes, above which records are rejected on reading.
 	maxBatchBytes = 8 << 20
 )
 
-// Options bound the files.
+// Options configures a Store.
 type Options struct {
-	// SegmentBytes is the size at which a new segment is begun; 0 means 8 MiB.
+	// SegmentBytes is the size at which a new segment is started; 0 means 8 MiB.
 	SegmentBytes int64
 }
 
-// State is what the files held when they were opened.
+// State is the content of the files when they were opened.
 type State struct {
-	// Hard is nil when the folder was empty.
+	// Hard is the last saved hard state; nil if the folder was empty.
 	Hard *lilacv1.RaftHardState
 	// Snapshot is nil if there is none.
 	Snapshot *lilacv1.RaftSnapshotMeta
-	// SnapshotData is the state machine's data.
+	// SnapshotData is the state machine's encoded state.
 	SnapshotData []byte
-	// Entries follow the snapshot without a gap.
+	// Entries are those after the snapshot, without gaps.
 	Entries []*lilacv1.RaftEntry
-	// TruncatedBytes is the length of the torn tail that was cut; 0 if none.
+	// TruncatedBytes is the length of the torn record removed at the end of the log; 0 if none.
 	TruncatedBytes int64
-	// TruncatedFile names the file that was cut.
+	// TruncatedFile is the name of the truncated file.
 	TruncatedFile string
 }
 
-// Batch is what one Save writes and syncs.
+// Batch is the data that one Save writes and syncs.
 type Batch struct {
 	// Hard is nil if it did not change.
 	Hard *lilacv1.RaftHardState
-	// Entries follow the log, or replace its end from the first one's index on.
+	// Entries are appended to the log, or replace its end from the first entry's index on.
 	Entries []*lilacv1.RaftEntry
 }
 
 type segment struct {
 	number uint64
-	// last is the largest index of any entry in it.
+	// last is the greatest index of any entry in the segment.
 	last uint64
 }
 
-// Store writes the durable files. It is used by one goroutine.
+// Store writes the durable files. Except for WriteSnapshot, it is not safe for concurrent
+// use.
 type Store struct {
 	folder   Folder
 	options  Options
@@ -65,17 +66,19 @@
 	segments []segment
 	hard     *lilacv1.RaftHardState
 	snapshot *lilacv1.RaftSnapshotMeta
-	// broken is set after a failed sync: what the disk holds is not known.
+	// fatalErr is set after a failed sync or an incomplete write, when the content of the disk
+	// is unknown. All later writes return it.
 	fatalErr error
-	// Syncs counts syncs of the log.
+	// Syncs counts the syncs of the log.
 	Syncs uint64
-	// Bytes counts bytes written to the log.
+	// Bytes counts the bytes written to the log.
 	Bytes uint64
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("log-%016x", number) }
 
-// Open locks the folder, reads its files and cuts a torn tail.
+// Open locks the folder, reads its files and truncates a torn record at the end of the
+// log. The caller must Close the Store.
 func Open(folder Folder, options Options) (*Store, *State, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = defaultSegmentBytes
@@ -128,10 +131,9 @@
 	return r.state, nil
 }
 
-// rebase guards against a crash between a snapshot that was installed and the
-// record that resets the log to it: the next entry would follow a gap, and the
-// start after that would take the log for damaged. It holds because the record
-// is made up for before anything else is written.
+// writeBaseRecord writes the record that resets the log to an installed snapshot, if a
+// crash prevented it. Without the record the next entry would follow a gap, and a later
+// start would report the log as corrupt, so it is written before anything else.
 func (s *Store) writeBaseRecord(r *reader) error {
 	if !r.needsBaseRecord {
 		return nil
@@ -143,9 +145,9 @@
 	return s.append(record)
 }
 
-// Save writes and syncs the batch, as one record unless it is very large. After
-// DISK_FULL the same batch may be saved again; after any other error the
-// process must end.
+// Save writes and syncs the batch, as one record unless it is very large. After a
+// DISK_FULL error the same batch may be saved again; after any other error the process
+// must stop.
 func (s *Store) Save(b Batch) error {
 	if b.Hard == nil && len(b.Entries) == 0 {
 		return nil
@@ -186,8 +188,8 @@
 	return nil
 }
 
-// begin opens the next segment. Its first record repeats the hard state, so
-// that older segments can be removed.
+// startSegment creates the next segment. Its first record repeats the hard state, so that
+// older segments can be removed.
 func (s *Store) startSegment() error {
 	number := uint64(1)
 	if n := len(s.segments); n > 0 {
@@ -220,10 +222,10 @@
 func (s *Store) write(record *lilacv1.WalRecord) error {
 	b := appendRecord(nil, s.size, marshal(record))
 	if _, err := s.file.Write(b); err != nil {
-		// A part of the record may stand there: the next one must not follow it.
+		// Part of the record may have been written; the next one must not follow it.
 		name := segmentName(s.segments[len(s.segments)-1].number)
 		if truncateErr := s.folder.Truncate(name, s.size); truncateErr != nil {
-			s.fatalErr = fault.Wrap(errors.Join(err, truncateErr), lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can't be written nor cut; check the disk and restart the process")
+			s.fatalErr = fault.Wrap(errors.Join(err, truncateErr), lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can be neither written nor truncated; check the disk, then restart the process")
 			return s.fatalErr
 		}
 		return s.writeError(err)
@@ -237,11 +239,11 @@
 	return nil
 }
 
-// syncFailed guards against a sync that fails once and succeeds when tried
-// again although the kernel has dropped the data: an answer would go out for a
-// record that is lost. It holds because nothing is written or answered any more.
+// syncFailed makes a failed sync permanent. A repeated sync may succeed although the
+// kernel has dropped the data, and a lost record would be acknowledged. Nothing is written
+// or acknowledged after the failure.
 func (s *Store) syncFailed(err error) error {
-	s.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of the log failed; check the disk and restart the process")
+	s.fatalErr = fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "sync of the log failed; check the disk, then restart the process")
 	return s.fatalErr
 }
 
@@ -252,16 +254,16 @@
 	return nil
 }
 
-// failed types an error of a write that left the files as before.
+// writeError returns the typed error for a write that left the files unchanged.
 func (s *Store) writeError(err error) error {
 	if errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT) {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "disk of the data folder "+s.folder.Path()+" is full; free space there, the process goes on by itself",
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_DISK_FULL, "disk of the data folder "+s.folder.Path()+" is full; free space there and the process will continue by itself",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
-	return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can't be written; check the disk and restart the process")
+	return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "log can't be written; check the disk, then restart the process")
 }
 
-// Close closes the files and lets other processes in.
+// Close closes the files and releases the folder's lock.
 func (s *Store) Close() error {
 	var err error
 	if s.file != nil {
--- a/process/wal/wal_test.go
+++ b/process/wal/wal_test.go
@@ -29,7 +29,7 @@
 	return Open(folder, Options{SegmentBytes: 400})
 }
 
-// fill writes batches of three entries each, over several segments.
+// writeBatches writes batches of three entries each, over several segments.
 func writeBatches(t *testing.T, path string, batches uint64) {
 	is := is.New(t)
 	store, _, err := openStore(t, path)
@@ -55,7 +55,7 @@
 	is.NoErr(err)
 	is.Equal(len(state.Entries), 60)
 	is.Equal(state.Hard.GetId(), "a")
-	// A new leader's entries replace the end.
+	// Entries from a new leader replace the end of the log.
 	is.NoErr(store.Save(Batch{Hard: &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 2, Vote: "b"}, Entries: entries(50, 52, 2)}))
 	is.NoErr(store.Close())
 	store, state, err = openStore(t, path)
@@ -77,14 +77,14 @@
 	is.Equal(len(state.Entries), 12)
 }
 
-// The machine stops in the middle of a write. Whatever part of the last record
-// reached the disk, the process must start, with all batches before it.
+// The machine crashes during a write. Whatever part of the last record reached the disk,
+// the process must start with all previous batches.
 func TestTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
 	writeBatches(t, path, 3)
 	name := lastSegment(t, path)
-	whole, err := os.ReadFile(name)
+	intact, err := os.ReadFile(name)
 	is.NoErr(err)
 	store, before, err := openStore(t, path)
 	is.NoErr(err)
@@ -92,22 +92,22 @@
 	is.NoErr(store.Close())
 	torn, err := os.ReadFile(name)
 	is.NoErr(err)
-	for size := len(whole) + 1; size < len(torn); size++ {
+	for size := len(intact) + 1; size < len(torn); size++ {
 		is.NoErr(os.WriteFile(name, torn[:size], 0o600))
 		store, state, err := openStore(t, path)
 		is.NoErr(err)
 		is.Equal(len(state.Entries), len(before.Entries))
-		is.Equal(state.TruncatedBytes, int64(size-len(whole)))
+		is.Equal(state.TruncatedBytes, int64(size-len(intact)))
 		is.NoErr(store.Close())
 		info, err := os.Stat(name)
 		is.NoErr(err)
-		is.Equal(info.Size(), int64(len(whole)))
+		is.Equal(info.Size(), int64(len(intact)))
 	}
 }
 
-// A block of the disk goes bad under synced records. The process must not
-// start: it would forget, or take from there on, what it promised to keep. The
-// error names the file, the offset and what to do.
+// A disk block under synced records becomes corrupt. The process must not start, since it
+// would forget or alter data that it has acknowledged. The error names the file, the
+// offset and the remedy.
 func TestCorruptionPreventsOpen(t *testing.T) {
 	flip := func(offset int64) func(*testing.T, string) {
 		return func(t *testing.T, name string) {
@@ -119,19 +119,19 @@
 	}
 	remove := func(t *testing.T, name string) { is.New(t).NoErr(os.Remove(name)) }
 	cases := []struct {
-		what, file string
-		damage     func(*testing.T, string)
+		name, file string
+		corrupt    func(*testing.T, string)
 	}{
 		{"first record of the first file", "log-0000000000000001", flip(9)},
 		{"length in the first file", "log-0000000000000001", flip(1)},
-		{"last record of a file that others follow", "log-0000000000000002", flip(399)},
-		{"file in the middle lost", "log-0000000000000002", remove},
-		{"snapshot's head", "snapshot-0000000000000028-0000000000000001", flip(10)},
-		{"snapshot's data", "snapshot-0000000000000028-0000000000000001", flip(30)},
-		{"snapshot lost that the log needs", "snapshot-0000000000000028-0000000000000001", remove},
+		{"last record of a file followed by others", "log-0000000000000002", flip(399)},
+		{"missing file in the middle", "log-0000000000000002", remove},
+		{"snapshot metadata", "snapshot-0000000000000028-0000000000000001", flip(10)},
+		{"snapshot data", "snapshot-0000000000000028-0000000000000001", flip(30)},
+		{"missing snapshot that the log needs", "snapshot-0000000000000028-0000000000000001", remove},
 	}
 	for _, c := range cases {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			path := t.TempDir()
 			writeBatches(t, path, 20)
@@ -141,20 +141,20 @@
 				is.NoErr(saveSnapshot(store, &lilacv1.RaftSnapshotMeta{Index: 40, Term: 1, Size: 20}, make([]byte, 20), 40))
 				is.NoErr(store.Close())
 			}
-			c.damage(t, filepath.Join(path, c.file))
+			c.corrupt(t, filepath.Join(path, c.file))
 			_, _, err := openStore(t, path)
-			var damage *CorruptionError
-			is.True(errors.As(err, &damage))
+			var corruption *CorruptionError
+			is.True(errors.As(err, &corruption))
 			is.True(strings.Contains(err.Error(), path))
 			is.True(strings.Contains(err.Error(), "move the data folder away"))
 			_, err = Inspect(ReadOnlyFolder(path))
-			is.True(errors.As(err, &damage))
+			is.True(errors.As(err, &corruption))
 		})
 	}
 }
 
-// A crash can't reorder two synced records, so damage in the last file with a
-// sound record behind it is damage too.
+// A crash cannot reorder two synced records, so an invalid record in the last file that is
+// followed by a valid one is corruption too.
 func TestCorruptionBeforeValidRecordPreventsOpen(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
@@ -165,13 +165,13 @@
 	data[len(data)/2] ^= 1
 	is.NoErr(os.WriteFile(name, data, 0o600))
 	_, _, err = openStore(t, path)
-	var damage *CorruptionError
-	is.True(errors.As(err, &damage))
-	is.True(damage.Offset > 0)
+	var corruption *CorruptionError
+	is.True(errors.As(err, &corruption))
+	is.True(corruption.Offset > 0)
 }
 
-// Two processes are given the same data folder by mistake. The second must be
-// told so, and leave the files alone.
+// Two processes are configured with the same data folder by mistake. The second one must
+// report this and leave the files unchanged.
 func TestFolderIsLocked(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
@@ -186,7 +186,7 @@
 	is.NoErr(store.Close())
 }
 
-// fullFolder takes only so many more bytes.
+// limitedFolder accepts only freeBytes more bytes.
 type limitedFolder struct {
 	Folder
 	freeBytes int
@@ -211,8 +211,8 @@
 	return n, unix.ENOSPC
 }
 
-// The disk fills up in the middle of a record. The write fails as DISK_FULL,
-// nothing of it stays, and the same batch goes through once there is space.
+// The disk fills up during a write. The write fails with DISK_FULL, nothing of it remains,
+// and the same batch succeeds once there is space.
 func TestBatchIsRetriedAfterDiskFull(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
@@ -239,8 +239,8 @@
 	}
 }
 
-// A state larger than a record, and a batch larger than a record: written in
-// one piece they would be refused as damaged at the next start.
+// Guards against a state or batch larger than a record that is written as one record: it
+// would be rejected as corrupt at the next start.
 func TestLargeStateAndBatchAreRestored(t *testing.T) {
 	is := is.New(t)
 	path := t.TempDir()
@@ -291,8 +291,8 @@
 	is.True(report.Empty)
 }
 
-// FuzzRead gives the reader any bytes as a log file: it must answer with an
-// error or a state, and never panic.
+// FuzzRead reads arbitrary bytes as a log file: the reader must return an error or a
+// state, and never panic.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(appendRecord(nil, 0, marshal(&lilacv1.WalRecord{Segment: 1, Hard: &lilacv1.RaftHardState{Id: "a"}})))
@@ -309,7 +309,7 @@
 	})
 }
 
-// saveSnapshot writes and places a snapshot of the own state machine.
+// saveSnapshot writes and publishes a snapshot of the local state.
 func saveSnapshot(s *Store, meta *lilacv1.RaftSnapshotMeta, data []byte, keep uint64) error {
 	if err := s.WriteSnapshot(meta, data); err != nil {
 		return err
