--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -32,11 +32,11 @@
 		c.timers.add(a.Deadline, a.ID)
 	}
 	c.charge(now, r)
-	r.pool.use(r.class, now)
-	r.pool.noteWork(r)
-	r.pool.used[r.Class].flow.arrived(r.estimated)
+	r.pool.recordUse(r.class, now)
+	r.pool.observeWork(r)
+	r.pool.usageByClass[r.Class].traffic.observeArrival(r.estimated)
 	c.initItem(now, r)
-	if c.refuseCutOff(now, r) || c.turnAway(now, r) {
+	if c.refuseCutOff(now, r) || c.refuseWhenFull(now, r) {
 		return
 	}
 	c.enqueue(now, r)
@@ -95,7 +95,7 @@
 func (c *core) charge(now time.Time, r *request) {
 	r.estimated = 1
 	if !r.pool.service {
-		r.estimated = c.estimates.Left(r.key(), 0)
+		r.estimated = c.estimates.Remaining(r.key(), 0)
 		if r.Hint > 0 {
 			r.estimated = float64(r.Hint)
 		}
@@ -121,7 +121,7 @@
 		Weight: weight, Cost: cost, Arrived: now,
 	}
 	r.item.Due = now.Add(r.firstTokenTarget() - r.pool.expectedFirst(r))
-	r.item.Kept = r.pool.withinShare(r)
+	r.item.Guaranteed = r.pool.withinShare(r)
 }
 
 // startMargin is how much longer than expected a first token may take, since
@@ -135,7 +135,7 @@
 	best := time.Duration(-1)
 	for i := range min(len(p.servers), dueSampleSize) {
 		s := p.servers[i]
-		first := s.firstToken(s.load(), s.uncached(r), r.engineLevel())
+		first := s.firstToken(s.load(), s.uncachedTokens(r), r.engineLevel())
 		if best < 0 || first < best {
 			best = first
 		}
--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -8,61 +8,61 @@
 	"github.com/lilacbridge/lilacbridge/request/choose"
 )
 
-// candidate describes the server with the request on it.
+// candidate describes the server as it would be with the request on it.
 func (s *server) candidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
-	c := s.outline(r, now, index)
-	if s.shunned || s.startsLeft < 1 {
-		c.Barred = true
+	c := s.baseCandidate(r, now, index)
+	if s.skipped || s.startBudget < 1 {
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := c.Load + 1
-	if yields := s.yields(r, c.Limit); yields > 0 {
-		c.Limit += yields
+	if preemptible := s.preemptibleSlots(r, c.Limit); preemptible > 0 {
+		c.Limit += preemptible
 		n = min(n, float64(s.slots))
 	}
-	s.assess(&c, r, now, h, n)
+	s.fillCosts(&c, r, now, h, n)
 	return c
 }
 
-// displaced describes the engine with the request on it in the place of bulk.
-func (s *server) displaced(r *request, now time.Time, index int, h *homes) choose.Candidate {
-	c := s.outline(r, now, index)
-	if s.displaceLeft < 1 {
-		c.Barred = true
+// displacingCandidate describes the engine as it would be if the request displaced bulk.
+func (s *server) displacingCandidate(r *request, now time.Time, index int, h *homes) choose.Candidate {
+	c := s.baseCandidate(r, now, index)
+	if s.displaceBudget < 1 {
+		c.Unavailable = true
 	}
-	if c.Barred {
+	if c.Unavailable {
 		return c
 	}
 	n := min(c.Load+1, float64(s.slots))
-	c.Load -= s.yielding() + displaceOver*float64(s.slots)
-	c.Order = s.displaceOrder()
-	s.assess(&c, r, now, h, n)
+	c.Load -= s.bulkLoad() + displaceOvercommit*float64(s.slots)
+	c.DisplacementOrder = s.displaceOrder()
+	s.fillCosts(&c, r, now, h, n)
 	return c
 }
 
-// outline is what is known of the server without looking at the request's prompt.
-func (s *server) outline(r *request, now time.Time, index int) choose.Candidate {
+// baseCandidate returns what does not depend on the request's prompt.
+func (s *server) baseCandidate(r *request, now time.Time, index int) choose.Candidate {
 	return choose.Candidate{
-		Name: s.name, Index: index, Rank: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Barred: s.barred(now),
-		Trial: s.trial != "" || s.peerTrials > 0,
-		Load:  s.load(), Limit: s.limit(s.paced(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
+		Name: s.name, Index: index, Hash: xxhash.Sum64String(r.Digest + s.name), Remote: s.remote, Unavailable: s.unavailable(now),
+		HasTrial: s.trial != "" || s.peerTrials > 0,
+		Load:     s.load(), Limit: s.limit(s.gapTarget(r.pool, r.tokenGapTarget()), r.tokenGapTarget()),
 	}
 }
 
-// assess fills in what the request would meet on the server as one of n.
-func (s *server) assess(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
-	supply := h.supplyAt(s, r)
-	c.First = s.firstToken(n, supply.read, r.engineLevel()) + s.fetchTime(supply.fetched)
-	c.Work = r.pool.readTime(supply.work())
-	c.Again = supply.again >= leastAgain
-	c.Stray = s.stray(r, h, supply.read)
-	c.Intrudes = s.intrudes(now, r, supply.read)
+// fillCosts fills in the expected latencies and costs of the request as one of n on the server.
+func (s *server) fillCosts(c *choose.Candidate, r *request, now time.Time, h *homes, n float64) {
+	source := h.sourceAt(s, r)
+	c.FirstToken = s.firstToken(n, source.prefill, r.engineLevel()) + s.fetchTime(source.fetched)
+	c.PrefillTime = r.pool.prefillTime(source.cost())
+	c.DuplicatePrefill = source.duplicate >= minDuplicatePrefill
+	c.AffinityPenalty = s.lanePenalty(r, h, source.prefill)
+	c.Interferes = s.intrudes(now, r, source.prefill)
 	if r.Pinned {
-		c.Trouble = time.Duration(s.trouble * float64(r.firstTokenTarget()))
+		c.FailurePenalty = time.Duration(s.failureRate * float64(r.firstTokenTarget()))
 	}
 	if !s.service {
-		c.Gap = s.gapAt(n)
+		c.TokenGap = s.gapAt(n)
 	}
 }
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -54,12 +54,12 @@
 // demand, and took half of the pool's slots for its own.
 func TestLargeFleetsSplitSlotsByWhatIsTold(t *testing.T) {
 	is := is.New(t)
-	c := inTree(coreWithEngines("e1", 2, "a"))
+	c := withIndirectDigests(coreWithEngines("e1", 2, "a"))
 	c.Step(epoch, draft(1))
 	p := c.pools["llm"]
 	var work loadboard.PoolWork
 	work.Claims[model.Place(1, 0)] = 2 * p.capacity
-	c.Step(epoch, PeerLoads{Word: loadboard.Word{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 193}})
+	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 193}})
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.True(p.quota < p.capacity/10)
 	c.Step(epoch.Add(slowTick), PeerLoads{})
--- a/request/policy/failure.go
+++ b/request/policy/failure.go
@@ -16,7 +16,7 @@
 )
 
 func (c *core) failed(now time.Time, e Failed) {
-	r := c.current(e.ID, e.Attempt)
+	r := c.currentAttempt(e.ID, e.Attempt)
 	if r == nil {
 		return
 	}
@@ -33,7 +33,7 @@
 		r.serversTried++
 	}
 	if e.Sent && !e.Refused && !e.Permanent {
-		s.trouble += troubleLearn * (1 - s.trouble)
+		s.failureRate += failureSampleWeight * (1 - s.failureRate)
 	}
 	c.detachFromServer(now, r)
 	r.pool.rejectedAt = now
@@ -68,9 +68,9 @@
 func (c *core) penalizeServer(now time.Time, s *server, e Failed) {
 	switch {
 	case e.Refused:
-		s.busyUntil = now.Add(max(e.RetryAfter, minBusy))
+		s.busyUntil = now.Add(max(e.RetryAfter, minOverloadBackoff))
 	case e.Permanent, e.ServerError:
-		s.heardAt = now
+		s.lastResponseAt = now
 	case e.Crashed:
 		c.recordCrash(now, s)
 		c.recordGone(now, s)
@@ -110,7 +110,7 @@
 	if r.attempt >= maxAttempts || r.attemptsExhausted() || !c.budget.Take() {
 		return lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "the backend server failed and the retry budget is spent; send the request again after Retry-After", true
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Retries++
 	return 0, "", false
 }
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -31,17 +31,17 @@
 // the word itself is noted.
 func (s *server) recordLeaving(now time.Time) {
 	if !s.isLeaving(now) {
-		s.leavesAt = now
+		s.leavingNoticeAt = now
 	}
 }
 
 // noteGone learns how long servers stay after the word that they leave.
 func (c *core) recordGone(now time.Time, s *server) {
-	if !s.isLeaving(now) || s.wentAt.After(s.leavesAt) {
+	if !s.isLeaving(now) || s.goneAt.After(s.leavingNoticeAt) {
 		return
 	}
-	s.wentAt = now
-	stayed := max(now.Sub(s.leavesAt), minNotice)
+	s.goneAt = now
+	stayed := max(now.Sub(s.leavingNoticeAt), minNotice)
 	if stayed > c.noticePeriod {
 		stayed = c.noticePeriod + time.Duration(noticeWeight*float64(stayed-c.noticePeriod))
 	}
@@ -54,7 +54,7 @@
 		return
 	}
 	moves := 0
-	for i := 0; i < len(p.running) && moves < maxMoves; i++ {
+	for i := 0; i < len(p.running) && moves < maxMovesPerRound; i++ {
 		if c.moveOffLeaving(now, p.running[i]) {
 			moves++
 			i--
@@ -69,11 +69,11 @@
 	if !r.server.isLeaving(now) || !r.Idempotent || r.Pinned || r.trial || r.attempt >= maxAttempts || r.pool.urgentWaiting(r) {
 		return false
 	}
-	s := c.choose(now, r, how{late: true})
-	if s == nil || !c.aboutToBeLost(now, r, s) || !c.carries(now, r, s) || !c.budget.Take() {
+	s := c.choose(now, r, chooseOptions{late: true})
+	if s == nil || !c.aboutToBeLost(now, r, s) || !c.transferPays(now, r, s) || !c.budget.Take() {
 		return false
 	}
-	c.check(InvariantBudget, c.budget.Holds())
+	c.check(InvariantBudget, c.budget.WithinBudget())
 	c.stats.Moved++
 	c.transfer(now, r, s)
 	return true
@@ -92,8 +92,8 @@
 // cutShort tells whether the answer is about to be cut off with its server.
 func (c *core) aboutToBeLost(now time.Time, r *request, to *server) bool {
 	s := r.server
-	goes := s.leavesAt.Add(c.noticePeriod)
+	goes := s.leavingNoticeAt.Add(c.noticePeriod)
 	move := c.kv.rate(s, to).expect(now, r.tokensHeld())
-	rest := time.Duration(r.left(c) * float64(s.gapAt(s.load())))
+	rest := time.Duration(r.tokensLeft(c) * float64(s.gapAt(s.load())))
 	return now.Add(moveWindow+move).After(goes) && now.Add(rest).After(goes)
 }
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -22,7 +22,7 @@
 // their class's setting they run late or are refused, never silently dropped.
 func (c *core) expireLate(now time.Time, p *pool) {
 	var refused []*request
-	p.queue.Expired(now, func(item *queue.Item) {
+	p.queue.MarkLate(now, func(item *queue.Item) {
 		if r := c.requests[ID(item.ID)]; r.tokens == 0 && r.refusedLate(now) {
 			refused = append(refused, r)
 		}
@@ -43,7 +43,7 @@
 
 func (c *core) refuseLate(now time.Time, p *pool, refused []*request) {
 	for _, r := range refused {
-		p.noteMiss(queueLevel(r.class))
+		p.observeMissedStart(queueLevel(r.class))
 		c.dequeue(r)
 		c.end(now, r, lilacv1.ErrorKind_ERROR_KIND_LATE, lateMessage, c.retryAfter(p))
 	}
@@ -74,7 +74,7 @@
 	if p.tiers.Admits(tier) {
 		return false
 	}
-	if r.item.Kept {
+	if r.item.Guaranteed {
 		return false
 	}
 	if p.queue.LowestTier() > tier || !p.tiers.MayShed(tier, now) {
@@ -91,14 +91,14 @@
 // but takes the place of none.
 func (p *pool) withinShare(r *request) bool {
 	waiting := float64(p.queue.ClassLen(r.Class))
-	served := shareOf(r.class) * p.rate * r.firstTokenTarget().Seconds()
+	served := guaranteedShare(r.class) * p.tokenRate * r.firstTokenTarget().Seconds()
 	return waiting < 1 || (waiting+1)*r.item.Cost <= served
 }
 
 // relieve sheds while the queue takes longer than maxWait: the lowest tier
 // that waits, and only as far as all instances have cut the lower ones off.
 func (c *core) shedOverload(now time.Time, p *pool) {
-	for p.queue.Len() > minQueueLen && p.wait() > maxQueueTime {
+	for p.queue.Len() > minQueueLen && p.queueWait() > maxQueueTime {
 		tier := p.queue.LowestTier()
 		if tier < 0 {
 			return
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -49,19 +49,19 @@
 		Sequence:    c.sequence,
 		Leaving:     c.draining,
 		Revision:    c.view.Revision,
-		Suspects:    c.suspects.Share(now),
+		Suspects:    c.suspects.Export(now),
 		Spends:      c.teamSpends(now),
-		Readings:    c.toldReadings(now),
+		Readings:    c.advertisedPrefills(now),
 		Work:        c.encodeWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
 	for _, p := range c.poolOrder {
-		d.Cutoffs = append(d.Cutoffs, p.tiers.Tell(p.claim(), p.queue.LowestTier()))
+		d.Cutoffs = append(d.Cutoffs, p.tiers.Cutoff(p.slotDemand(), p.queue.LowestTier()))
 		d.PromiseMs = minPromise(d.PromiseMs, p.tiers.Promise())
 	}
 	for _, s := range c.ordered {
-		if len(s.own) > 0 {
-			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.own)), TokensLeft: uint64(s.ahead.total()), Backlog: s.ahead.encode(), GapUs: s.gapTold(now)})
+		if len(s.running) > 0 {
+			d.Loads = append(d.Loads, &lilacv1.ServerLoad{Server: s.name, InFlight: uint32(len(s.running)), TokensLeft: uint64(s.ownBacklog.total()), Backlog: s.ownBacklog.encode(), GapUs: s.advertisedGap(now)})
 		}
 		if s.leaving || s.gone {
 			d.LeavingServers = append(d.LeavingServers, s.name)
@@ -76,7 +76,7 @@
 // spends lists what limited teams spent here lately.
 func (c *core) teamSpends(now time.Time) []*lilacv1.TeamSpend {
 	var all []*lilacv1.TeamSpend
-	for _, name := range c.limits.Recent(now) {
+	for _, name := range c.limits.RecentSpenders(now) {
 		all = append(all, &lilacv1.TeamSpend{Team: name, Tokens: c.limits.Spent(name)})
 	}
 	return all
@@ -114,12 +114,12 @@
 	p.dataCenter, p.leaving = d.GetDataCenter(), d.GetLeaving()
 	c.applyLoads(now, p, d.GetLoads())
 	c.applyWork(p, d.GetWork())
-	c.hearReadings(now, d.GetReadings())
+	c.observePeerPrefills(now, d.GetReadings())
 	c.applyPeerLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
 	c.applySuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
 		if team := c.view.Teams[spend.GetTeam()]; team != nil {
-			c.limits.Told(name, spend.GetTeam(), limitOf(team), spend.GetTokens(), now)
+			c.limits.ObserveSpent(name, spend.GetTeam(), limitOf(team), spend.GetTokens(), now)
 		}
 	}
 	for _, ejected := range d.GetEjected() {
@@ -140,7 +140,7 @@
 	case d.GetIncomplete():
 		return time.Time{}
 	case d.GetBindsMs() == 0:
-		return now.Add(tiers.Fresh)
+		return now.Add(tiers.DefaultValidity)
 	default:
 		return e.At.Add(time.Duration(d.GetBindsMs()) * time.Millisecond)
 	}
@@ -166,20 +166,20 @@
 	c.removeLoads(p)
 	for _, load := range loads {
 		if s := c.servers[load.GetServer()]; s != nil {
-			s.peers += float64(load.GetInFlight())
-			s.peersAhead.addEncoded(load.GetBacklog(), 1)
+			s.peerLoad += float64(load.GetInFlight())
+			s.peerBacklog.addEncoded(load.GetBacklog(), 1)
 			p.loads = append(p.loads, peerLoad{server: s, inFlight: float64(load.GetInFlight()), backlog: load.GetBacklog()})
-			s.join(true)
-			s.hearGap(now, time.Duration(load.GetGapUs())*time.Microsecond)
+			s.estimateOtherLoad(true)
+			s.observePeerGap(now, time.Duration(load.GetGapUs())*time.Microsecond)
 		}
 	}
 }
 
 func (c *core) removeLoads(p *peer) {
 	for _, load := range p.loads {
-		load.server.peers = max(0, load.server.peers-load.inFlight)
-		load.server.peersAhead.addEncoded(load.backlog, -1)
-		load.server.join(true)
+		load.server.peerLoad = max(0, load.server.peerLoad-load.inFlight)
+		load.server.peerBacklog.addEncoded(load.backlog, -1)
+		load.server.estimateOtherLoad(true)
 	}
 	p.loads = p.loads[:0]
 }
@@ -214,8 +214,8 @@
 	}
 	c.updatePeerNames()
 	for _, pool := range c.poolOrder {
-		pool.tiers.Gone(name)
-		pool.measure(now)
+		pool.tiers.RemovePeer(name)
+		pool.update(now)
 		c.updateCutoff(now, pool)
 		c.dispatch(now, pool)
 	}
--- a/request/policy/unresponsive.go
+++ b/request/policy/unresponsive.go
@@ -21,8 +21,8 @@
 			continue
 		}
 		since := oldest.started
-		if s.heardAt.After(since) {
-			since = s.heardAt
+		if s.lastResponseAt.After(since) {
+			since = s.lastResponseAt
 		}
 		if now.Sub(since) < unresponsiveTimeout+2*oldest.expectedFirst {
 			continue
@@ -42,7 +42,7 @@
 // oldestUnanswered is the request that waits longest for its answer to begin.
 func (s *server) oldestUnanswered() *request {
 	var oldest *request
-	for _, r := range s.own {
+	for _, r := range s.running {
 		if r.attemptTokens == 0 && (oldest == nil || r.started.Before(oldest.started)) {
 			oldest = r
 		}
@@ -58,7 +58,7 @@
 		if most > 0 && r.serversTried+1 >= most || r.attempt >= maxAttempts || !c.budget.Take() {
 			continue
 		}
-		c.check(InvariantBudget, c.budget.Holds())
+		c.check(InvariantBudget, c.budget.WithinBudget())
 		r.serversTried++
 		r.failedOn = s.name
 		c.stop(now, r)
