--- a/process/replica/auto_members_test.go
+++ b/process/replica/auto_members_test.go
@@ -92,7 +92,7 @@
 // callers were refused again.
 func TestPreCandidateYieldsToHigherPriority(t *testing.T) {
 	is := is.New(t)
-	for _, asker := range []struct {
+	for _, requester := range []struct {
 		id   string
 		role Role
 	}{{"a", Follower}, {"c", PreCandidate}} {
@@ -105,15 +105,15 @@
 		for s.core.role != PreCandidate {
 			s.advance(testHeartbeat)
 		}
-		s.receive(&message{Kind: kindPreVote, From: asker.id, FromAddress: asker.id, Term: 2, Index: 1, LogTerm: 1})
-		is.Equal(s.core.role, asker.role)
+		s.receive(&message{Kind: kindPreVote, From: requester.id, FromAddress: requester.id, Term: 2, Index: 1, LogTerm: 1})
+		is.Equal(s.core.role, requester.role)
 		var granted bool
 		for _, action := range s.out {
 			if send, ok := action.(Send); ok && send.Message.GetKind() == kindPreVoteReply {
 				granted = !send.Message.GetReject()
 			}
 		}
-		is.Equal(granted, asker.role == Follower)
+		is.Equal(granted, requester.role == Follower)
 	}
 }
 
--- a/process/replica/event.go
+++ b/process/replica/event.go
@@ -150,7 +150,7 @@
 // ReadReady reports that a read may run once Index has been applied.
 type ReadReady struct{ RequestID, Index uint64 }
 
-// RoleChanged reports a new role, term or leader.
+// RoleChanged reports a new role or leader, and the term in which it holds.
 type RoleChanged struct {
 	Role   Role
 	Term   uint64
--- a/process/replica/follower.go
+++ b/process/replica/follower.go
@@ -13,8 +13,8 @@
 		c.reply(m, &message{Kind: kindAppendReply, Term: c.term, Index: m.GetIndex(), Reject: true})
 		return false
 	}
-	one := c.role != Leader && (c.leader == "" || c.leader == m.GetFrom())
-	if !c.check(one, "one_leader_per_term", fmt.Sprintf("%s and %s both lead term %d", m.GetFrom(), c.leader, c.term)) {
+	valid := c.role != Leader && (c.leader == "" || c.leader == m.GetFrom())
+	if !c.check(valid, "one_leader_per_term", fmt.Sprintf("%s and %s both lead term %d", m.GetFrom(), c.leader, c.term)) {
 		return false
 	}
 	if c.role != Follower || c.leader == "" {
--- a/process/replica/lineage_test.go
+++ b/process/replica/lineage_test.go
@@ -42,7 +42,7 @@
 	recovered := newRecoveredCore(t)
 	recovered.advance(testElection)
 	hellos := takeMessages(recovered, kindHello)
-	recovered.is.True(len(hellos) >= 2) // An election timeout lasts at least that long.
+	recovered.is.True(len(hellos) >= 2) // A voter waits at least one election timeout before it campaigns.
 
 	old := newTestCore(t)
 	old.advance(testElection - testHeartbeat)
--- a/process/replica/members.go
+++ b/process/replica/members.go
@@ -40,6 +40,7 @@
 	return members
 }
 
+// add records the membership if entry is a membership entry.
 func (l *memberHistory) add(entry *lilacv1.RaftEntry) {
 	if entry.GetKind() != lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_MEMBERS {
 		return
--- a/process/replica/message.go
+++ b/process/replica/message.go
@@ -96,7 +96,7 @@
 
 // bindGroup reports whether the message belongs to this process's group. A process
 // without a group is bound to the first one that addresses its identity. The binding
-// is synced before any answer and never changes.
+// is synced before any answer and never changes for this identity.
 func (c *Core) bindGroup(m *message) bool {
 	if c.group == "" && m.GetGroup() != "" {
 		switch m.GetKind() {
--- a/process/replica/node.go
+++ b/process/replica/node.go
@@ -97,7 +97,8 @@
 	return batch
 }
 
-// shutdown records err and fails all outstanding requests.
+// shutdown records and logs err, and closes the runner. Callers that still wait are
+// released when done is closed.
 func (n *Node) shutdown(err error) {
 	n.mu.Lock()
 	n.err = err
--- a/process/wal/snapshot.go
+++ b/process/wal/snapshot.go
@@ -48,8 +48,8 @@
 // WriteSnapshot writes a snapshot under a temporary name, which the next start removes: a
 // crash leaves either the old snapshot or the new one, never a torn one. It accesses no
 // other state of the Store, so it may be called from another goroutine while the log is
-// written. Follow it by PublishSnapshot or DiscardSnapshot; after an error there is no
-// file.
+// written. After success the caller calls PublishSnapshot or DiscardSnapshot; after an
+// error neither is needed.
 func (s *Store) WriteSnapshot(meta *lilacv1.RaftSnapshotMeta, data []byte) error {
 	name := snapshotName(meta)
 	file, err := s.folder.Create(name + tempSuffix)
