--- a/request/queue/class.go
+++ b/request/queue/class.go
@@ -3,14 +3,16 @@
 import "time"
 
 const (
-	// ageing is the wait after which a class's share counts double; it grows on.
-	ageing = 4 * time.Second
-	// maxCredit bounds what a class can save up, in tokens.
+	// agingInterval is the wait after which a class accrues credit at twice its
+	// share; the rate keeps growing linearly with the wait.
+	agingInterval = 4 * time.Second
+	// maxCredit bounds the credit of a class, in tokens.
 	maxCredit = 20000
 )
 
-// classQueue keeps the oldest of a class at hand, and the class's credit: the
-// tokens of service that its guaranteed share has earned while it waited.
+// classQueue holds the items of a class in arrival order, and the class's credit:
+// the tokens of service that its guaranteed share has accrued while it waited.
+// Items that no longer wait are dropped lazily.
 type classQueue struct {
 	items   []*Item
 	head    int
@@ -52,11 +54,12 @@
 // SetShare sets the guaranteed share of a class, 0 to 1.
 func (q *Queue) SetShare(class string, share float64) { q.classOf(class).share = share }
 
-// ClassLen returns the number of the class's requests that wait.
+// ClassLen returns the number of waiting requests of the class.
 func (q *Queue) ClassLen(class string) int { return q.classOf(class).waiting }
 
-// AccrueCredit earns credit for every class that waits, by its share of the tokens
-// just given out, and more the longer its oldest request has waited.
+// AccrueCredit records that tokens were served to the given class and adds credit
+// to every other class with waiting requests, in proportion to its share and to the
+// wait of its oldest request. Classes without waiting requests lose their credit.
 func (q *Queue) AccrueCredit(class string, tokens float64, now time.Time) {
 	for _, name := range q.names {
 		c := q.classes[name]
@@ -69,17 +72,17 @@
 			continue
 		}
 		age := max(now.Sub(oldest.Arrived), 0)
-		c.credit = min(c.credit+tokens*c.share*(1+age.Seconds()/ageing.Seconds()), maxCredit)
+		c.credit = min(c.credit+tokens*c.share*(1+age.Seconds()/agingInterval.Seconds()), maxCredit)
 	}
 }
 
-// NextByCredit returns the oldest request of the class whose share is owed to it by
-// now, or nil. Of several, the one with the most credit over its cost. A share
-// is not called in before half of the time to the latest start has passed:
-// until then the request may get its turn without it.
+// NextByCredit returns the oldest request of a class whose credit covers the cost
+// of that request, or nil. Among several, it returns the one with the most credit
+// left over. A request is eligible only after half of the time to its latest start
+// has passed: until then it may start without using credit.
 func (q *Queue) NextByCredit(now time.Time) *Item {
 	var best *Item
-	most := 0.0
+	mostLeft := 0.0
 	for _, name := range q.names {
 		c := q.classes[name]
 		if c.waiting == 0 || c.credit <= 0 {
@@ -89,14 +92,14 @@
 		if item == nil || now.Sub(item.Arrived) < item.Due.Sub(item.Arrived)/2 {
 			continue
 		}
-		if over := c.credit - item.Cost; over >= 0 && (best == nil || over > most) {
-			best, most = item, over
+		if left := c.credit - item.Cost; left >= 0 && (best == nil || left > mostLeft) {
+			best, mostLeft = item, left
 		}
 	}
 	return best
 }
 
-// SpendCredit takes the item's cost out of its class's credit.
+// SpendCredit deducts the item's cost from its class's credit.
 func (q *Queue) SpendCredit(item *Item) {
 	c := q.classOf(item.Class)
 	c.credit = max(c.credit-item.Cost, 0)
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -1,11 +1,14 @@
 // Package queue orders the requests that wait for one pool.
 //
-// Tiers and the ranks of their classes make a request's level. Requests start by rank,
-// then tier, and are given up by tier, then rank. Within a level, teams are kept fair by tokens: each has a
-// virtual time that its requests push on by their cost over the team's weight.
-// Among the teams within a window of the smallest virtual time, the request
-// with the least slack goes first. Requests that can't meet their target any
-// more stand apart, so that they make no other one late too.
+// A request's tier and the rank of its class form its level. Requests start by rank,
+// then tier, and are shed by tier, then rank. Within a level, teams share service by
+// weighted fair queueing: each team has a virtual time that advances by the cost of
+// its requests divided by the team's weight. Among the teams within Window of the
+// lowest virtual time, the request with the earliest latest start goes first.
+// Requests that can no longer meet their target are kept in separate heaps, so that
+// they don't make others late.
+//
+// A Queue is not safe for concurrent use.
 package queue
 
 import (
@@ -15,11 +18,12 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Window is how many tokens (by weight) a team may be ahead of the one that
-// got least and still be chosen for its lesser slack.
+// Window is how far a team's virtual time, in weighted tokens, may be ahead of the
+// lowest one while its requests still compete by slack.
 const Window = 3000
 
-// Item is a request that waits.
+// Item is a queued request. The caller must not change its exported fields while it
+// waits; the queue sets Late.
 type Item struct {
 	ID   uint64
 	Tier int
@@ -27,37 +31,38 @@
 	Rank  int
 	Class string
 	Team  string
-	// Weight of the team; at least 1.
+	// Weight is the team's weight; values below 1 count as 1.
 	Weight float64
 	// Cost is the expected work in tokens.
 	Cost float64
-	// Arrived is when the request came; Due is the latest start that meets its target.
+	// Arrived is the arrival time; Due is the latest start that meets the target.
 	Arrived time.Time
 	Due     time.Time
 	// Late is set once Due has passed.
 	Late bool
-	// Begun answers are never given up for load: their tokens would be wasted.
+	// Begun is set when part of the answer exists. Such requests are never shed,
+	// since the tokens generated so far would be wasted.
 	Begun bool
-	// Guaranteed requests are within their class's guaranteed share and are not
-	// given up for more urgent tiers.
+	// Guaranteed is set for requests within their class's guaranteed share; they
+	// are not shed for more urgent tiers.
 	Guaranteed bool
 
 	index   int
 	waiting bool
-	// passed is true while the item is out of its heap since it can't start now.
-	passed bool
+	// skipped is set while the item is in Queue.skipped instead of its heap.
+	skipped bool
 }
 
-// level is the item's place in the order of urgency.
+// level returns the item's index into Queue.levels.
 func (i *Item) level() int { return model.Level(i.Tier, i.Rank) }
 
-// held items are no part of what is shed.
-func (i *Item) held() bool { return i.Begun || i.Guaranteed }
+// exempt reports whether the item must not be shed.
+func (i *Item) exempt() bool { return i.Begun || i.Guaranteed }
 
-// Waiting tells whether the item is in a queue.
+// Waiting reports whether the item is in a queue.
 func (i *Item) Waiting() bool { return i.waiting }
 
-// items is a heap: on time by Due, late by Arrived.
+// items is a heap, ordered by Due for items on time and by Arrived for late ones.
 type items []*Item
 
 func (h items) Len() int { return len(h) }
@@ -92,66 +97,67 @@
 	return i.Due
 }
 
-// team is one team's part of a level.
-type team struct {
+// teamQueue holds one team's items of a level.
+type teamQueue struct {
 	name    string
 	virtual float64
 	onTime  items
 	late    items
 }
 
-func (t *team) heap(late bool) *items {
+func (tq *teamQueue) heap(late bool) *items {
 	if late {
-		return &t.late
+		return &tq.late
 	}
-	return &t.onTime
+	return &tq.onTime
 }
 
-// level holds the teams that wait, in order of their coming; all also has the
-// virtual times of those that don't.
+// level holds the queues of one level. active lists the teams with waiting items,
+// in order of arrival; all also holds idle teams, for their virtual times.
 type level struct {
-	all    map[string]*team
-	active []*team
-	// floor is the virtual time below which no team falls by staying away.
-	floor float64
-	count int
-	late  int
-	held  int
+	all    map[string]*teamQueue
+	active []*teamQueue
+	// floor is the lowest virtual time at which a team becomes active, so that idle
+	// teams don't accumulate an advantage.
+	floor  float64
+	count  int
+	late   int
+	exempt int
 }
 
-// maxIdleTeams bounds the virtual times kept for teams that don't wait.
+// maxIdleTeams is the number of known teams per level from which idle ones are pruned.
 const maxIdleTeams = 1024
 
-// Queue holds what waits for one pool.
+// Queue holds the waiting requests of one pool.
 type Queue struct {
 	levels  [model.Levels]level
 	classes map[string]*classQueue
 	names   []string
 	count   int
 	cost    float64
-	// passed are the items that Pass took out of their heaps.
-	passed []*Item
+	// skipped are the items that Skip took out of their heaps.
+	skipped []*Item
 }
 
 // New returns an empty queue.
 func New() *Queue {
 	q := &Queue{classes: make(map[string]*classQueue)}
 	for i := range q.levels {
-		q.levels[i].all = make(map[string]*team)
+		q.levels[i].all = make(map[string]*teamQueue)
 	}
 	return q
 }
 
-// Len returns the number of requests that wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
-// Cost returns the expected tokens of all that waits.
+// Cost returns the expected work of all waiting requests, in tokens.
 func (q *Queue) Cost() float64 { return q.cost }
 
-// ranksOf are the levels of the tier, the most urgent first.
+// ranksOf returns the levels of the tier, most urgent first.
 func (q *Queue) ranksOf(tier int) []level { return q.levels[tier*model.Ranks : (tier+1)*model.Ranks] }
 
-// TierLen returns the number of requests of the tier that wait.
+// TierLen returns the number of waiting requests of the tier.
 func (q *Queue) TierLen(tier int) int {
 	count := 0
 	for _, l := range q.ranksOf(tier) {
@@ -160,14 +166,14 @@
 	return count
 }
 
-// LevelLen returns the number of requests of the level that wait, and how many of
+// LevelLen returns the number of waiting requests of the level, and how many of
 // them are late.
 func (q *Queue) LevelLen(level int) (waiting, late int) {
 	return q.levels[level].count, q.levels[level].late
 }
 
-// OnTimeLen returns the number of requests of the tier that wait and can still
-// meet their target.
+// OnTimeLen returns the number of waiting requests of the tier that can still meet
+// their target.
 func (q *Queue) OnTimeLen(tier int) int {
 	count := 0
 	for _, l := range q.ranksOf(tier) {
@@ -176,8 +182,8 @@
 	return count
 }
 
-// Before returns how many requests would start before the item if it came now:
-// all of places before its own, and those of its own.
+// Before returns how many requests on time would start before the item if it
+// arrived now: those of its own place in the start order and of earlier places.
 func (q *Queue) Before(item *Item) int {
 	count, own := 0, model.Place(item.Tier, item.Rank)
 	for i, l := range q.levels {
@@ -188,102 +194,102 @@
 	return count
 }
 
-// Push adds the item.
+// Push adds the item, which must not be waiting in any queue.
 func (q *Queue) Push(item *Item) {
-	t := &q.levels[item.level()]
-	of := t.all[item.Team]
-	if of == nil {
-		t.forget()
-		of = &team{name: item.Team}
-		t.all[item.Team] = of
+	l := &q.levels[item.level()]
+	tq := l.all[item.Team]
+	if tq == nil {
+		l.pruneIdle()
+		tq = &teamQueue{name: item.Team}
+		l.all[item.Team] = tq
 	}
-	if len(of.onTime)+len(of.late) == 0 {
-		of.virtual = max(of.virtual, t.floor)
-		t.active = append(t.active, of)
+	if len(tq.onTime)+len(tq.late) == 0 {
+		tq.virtual = max(tq.virtual, l.floor)
+		l.active = append(l.active, tq)
 	}
-	heap.Push(of.heap(item.Late), item)
+	heap.Push(tq.heap(item.Late), item)
 	item.waiting = true
 	q.add(item, 1)
 	q.classOf(item.Class).push(item)
 }
 
-// forget drops idle teams once there are many; they start again at the floor.
-func (t *level) forget() {
-	if len(t.all) < maxIdleTeams {
+// pruneIdle drops idle teams once maxIdleTeams are known; they restart at the floor.
+func (l *level) pruneIdle() {
+	if len(l.all) < maxIdleTeams {
 		return
 	}
-	for name, of := range t.all {
-		if len(of.onTime)+len(of.late) == 0 {
-			delete(t.all, name)
+	for name, tq := range l.all {
+		if len(tq.onTime)+len(tq.late) == 0 {
+			delete(l.all, name)
 		}
 	}
 }
 
 func (q *Queue) add(item *Item, sign int) {
-	t := &q.levels[item.level()]
-	t.count += sign
+	l := &q.levels[item.level()]
+	l.count += sign
 	q.count += sign
 	q.cost += float64(sign) * item.Cost
 	if item.Late {
-		t.late += sign
+		l.late += sign
 	}
-	if item.held() {
-		t.held += sign
+	if item.exempt() {
+		l.exempt += sign
 	}
 	q.classOf(item.Class).waiting += sign
 }
 
-// Remove takes the item out, if it waits.
+// Remove removes the item; it does nothing if the item is not waiting.
 func (q *Queue) Remove(item *Item) {
 	if !item.waiting {
 		return
 	}
-	t := &q.levels[item.level()]
-	of := t.all[item.Team]
-	if item.passed {
-		q.unpass(item)
+	l := &q.levels[item.level()]
+	tq := l.all[item.Team]
+	if item.skipped {
+		q.unskip(item)
 	} else {
-		heap.Remove(of.heap(item.Late), item.index)
+		heap.Remove(tq.heap(item.Late), item.index)
 	}
 	item.waiting = false
 	q.add(item, -1)
-	if len(of.onTime)+len(of.late) == 0 {
-		t.deactivate(of)
+	if len(tq.onTime)+len(tq.late) == 0 {
+		l.deactivate(tq)
 	}
 	if q.count == 0 {
 		q.cost = 0
 	}
 }
 
-func (t *level) deactivate(of *team) {
-	for i, other := range t.active {
-		if other == of {
-			t.active = append(t.active[:i], t.active[i+1:]...)
+func (l *level) deactivate(tq *teamQueue) {
+	for i, other := range l.active {
+		if other == tq {
+			l.active = append(l.active[:i], l.active[i+1:]...)
 			return
 		}
 	}
 }
 
-// Peek returns the next request of the rank within the tier, on time or late, or nil.
-// Those that Pass took aside are left out.
+// Peek returns the next request of the tier and rank, among the late or the on-time
+// ones, or nil. Skipped items are left out.
 func (q *Queue) Peek(tier, rank int, late bool) *Item {
 	return q.ranksOf(tier)[rank].peek(late)
 }
 
-func (t *level) peek(late bool) *Item {
-	if late && t.late == 0 || !late && t.count == t.late {
+func (l *level) peek(late bool) *Item {
+	if late && l.late == 0 || !late && l.count == l.late {
 		return nil
 	}
-	least, found := 0.0, false
-	for _, of := range t.active {
-		if len(*of.heap(late)) > 0 && (!found || of.virtual < least) {
-			least, found = of.virtual, true
+	lowest, found := 0.0, false
+	for _, tq := range l.active {
+		if len(*tq.heap(late)) > 0 && (!found || tq.virtual < lowest) {
+			lowest, found = tq.virtual, true
 		}
 	}
 	var best *Item
-	for _, of := range t.active {
-		waiting := *of.heap(late)
-		if len(waiting) == 0 || of.virtual > least+Window {
+	for _, tq := range l.active {
+		waiting := *tq.heap(late)
+		if len(waiting) == 0 || tq.virtual > lowest+Window {
 			continue
 		}
 		if first := waiting[0]; best == nil || first.key().Before(best.key()) {
@@ -293,71 +299,73 @@
 	return best
 }
 
-// Started takes the item out and charges its team.
+// Started removes the item and charges its expected cost to its team.
 func (q *Queue) Started(item *Item) {
 	q.Remove(item)
-	t := &q.levels[item.level()]
-	of := t.all[item.Team]
-	t.floor = max(t.floor, of.virtual-Window)
-	of.virtual += item.Cost / max(item.Weight, 1)
+	l := &q.levels[item.level()]
+	tq := l.all[item.Team]
+	l.floor = max(l.floor, tq.virtual-Window)
+	tq.virtual += item.Cost / max(item.Weight, 1)
 }
 
-// Charge corrects a team by what a request really cost.
+// Charge adds tokens, the difference between the actual and the expected cost of
+// the item, to its team's virtual time. tokens may be negative.
 func (q *Queue) Charge(item *Item, tokens float64) {
-	if of := q.levels[item.level()].all[item.Team]; of != nil {
-		of.virtual += tokens / max(item.Weight, 1)
+	if tq := q.levels[item.level()].all[item.Team]; tq != nil {
+		tq.virtual += tokens / max(item.Weight, 1)
 	}
 }
 
-// MarkLate moves requests whose latest start has passed to the late ones and
-// calls each with them.
-func (q *Queue) MarkLate(now time.Time, each func(*Item)) {
+// MarkLate marks the requests whose latest start has passed as late and calls
+// visit for each of them.
+func (q *Queue) MarkLate(now time.Time, visit func(*Item)) {
 	for i := range q.levels {
-		t := &q.levels[i]
-		if t.count == t.late {
+		l := &q.levels[i]
+		if l.count == l.late {
 			continue
 		}
-		for _, of := range t.active {
-			for len(of.onTime) > 0 && of.onTime[0].Due.Before(now) {
-				item := heap.Pop(&of.onTime).(*Item)
+		for _, tq := range l.active {
+			for len(tq.onTime) > 0 && tq.onTime[0].Due.Before(now) {
+				item := heap.Pop(&tq.onTime).(*Item)
 				item.Late = true
-				t.late++
-				heap.Push(&of.late, item)
-				each(item)
+				l.late++
+				heap.Push(&tq.late, item)
+				visit(item)
 			}
 		}
 	}
 }
 
-// EachLate calls each with the items that are late.
-func (q *Queue) EachLate(each func(*Item)) {
+// EachLate calls visit for each late item.
+func (q *Queue) EachLate(visit func(*Item)) {
 	for i := range q.levels {
 		if q.levels[i].late == 0 {
 			continue
 		}
-		for _, of := range q.levels[i].active {
-			for _, item := range of.late {
-				each(item)
+		for _, tq := range q.levels[i].active {
+			for _, item := range tq.late {
+				visit(item)
 			}
 		}
 	}
 }
 
-// LowestTier returns the least urgent tier that waits and may be shed, or -1.
+// LowestTier returns the least urgent tier with waiting requests that may be shed,
+// or -1.
 func (q *Queue) LowestTier() int {
 	for i := len(q.levels) - 1; i >= 0; i-- {
-		if q.levels[i].count > q.levels[i].held {
+		if q.levels[i].count > q.levels[i].exempt {
 			return i / model.Ranks
 		}
 	}
 	return -1
 }
 
-// Victim returns the request to give up first in the tier: of the least urgent
-// rank a late one before one on time, of the team that is furthest ahead, and not
-// its oldest; nil if all have begun.
-func (q *Queue) Victim(tierNumber int) *Item {
-	ranks := q.ranksOf(tierNumber)
+// Victim returns the request of the tier to shed first, or nil if all are exempt. It
+// prefers the least urgent rank, then late requests over those on time, then the
+// team with the highest virtual time, and takes one from the end of that team's heap.
+func (q *Queue) Victim(tier int) *Item {
+	ranks := q.ranksOf(tier)
 	for i := len(ranks) - 1; i >= 0; i-- {
 		for _, late := range [...]bool{true, false} {
 			if item := ranks[i].victim(late); item != nil {
@@ -368,21 +376,21 @@
 	return nil
 }
 
-func (t *level) victim(late bool) *Item {
+func (l *level) victim(late bool) *Item {
 	var best *Item
-	most := 0.0
-	for _, of := range t.active {
-		if item := of.heap(late).newest(); item != nil && (best == nil || of.virtual > most) {
-			best, most = item, of.virtual
+	highest := 0.0
+	for _, tq := range l.active {
+		if item := tq.heap(late).newest(); item != nil && (best == nil || tq.virtual > highest) {
+			best, highest = item, tq.virtual
 		}
 	}
 	return best
 }
 
-// newest returns one of the last of a heap that may be shed, or nil.
+// newest returns the last item in heap order that may be shed, or nil.
 func (h items) newest() *Item {
 	for i := len(h) - 1; i >= 0; i-- {
-		if !h[i].held() {
+		if !h[i].exempt() {
 			return h[i]
 		}
 	}
--- a/request/queue/queue_test.go
+++ b/request/queue/queue_test.go
@@ -22,9 +22,9 @@
 	is.True(q.Peek(0, 0, false) == nil)
 }
 
-// One team sends ten times as much as the other. First come first served
-// would give it ten times the service; the small team's callers would wait
-// behind all of the large one's.
+// One team sends ten times as much as the other. First come, first served would give
+// it ten times the service, and the small team's requests would wait behind all of
+// the large team's.
 func TestTeamsShareByTokens(t *testing.T) {
 	is := is.New(t)
 	q := New()
@@ -43,10 +43,10 @@
 		started[next.Team]++
 		q.Started(next)
 	}
-	is.True(started["small"] >= 130) // half, less the window
+	is.True(started["small"] >= 130) // half, minus the window
 }
 
-func TestLateOnesStandApart(t *testing.T) {
+func TestLateRequestsDoNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	q.Push(item(1, 1, "a", 100))
@@ -62,7 +62,7 @@
 	is.Equal(q.Cost(), 100.0)
 }
 
-func TestBegunAnswersAreNoVictims(t *testing.T) {
+func TestBegunRequestsAreNotShed(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	begun := item(1, 3, "a", 100)
@@ -72,9 +72,9 @@
 	is.True(q.Victim(3) == nil)
 }
 
-// A long burst of one class is served by strict priority; the other class's
-// share grows while its oldest waits, until it is owed a start.
-func TestShareIsOwedInTime(t *testing.T) {
+// Strict priority serves a long burst of one class and starves the other. The waiting
+// class accrues credit until its oldest request may start.
+func TestGuaranteedShareAccruesUntilAStart(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	q.SetShare("slow", 0.05)
@@ -85,7 +85,7 @@
 	for range 1000 {
 		now = now.Add(50 * time.Millisecond)
 		q.AccrueCredit("c", 20, now) // 400 tokens a second
-		if owed := q.NextByCredit(now); owed != nil {
+		if next := q.NextByCredit(now); next != nil {
 			break
 		}
 	}
@@ -95,8 +95,8 @@
 	is.True(q.NextByCredit(now) == nil)
 }
 
-// A tier's notes and its urgent queries wait together. By slack alone notes that
-// are due sooner would start while the queries behind them get nothing.
+// Notes and more urgent queries of the same tier wait together. By slack alone, notes
+// that are due sooner would start before the queries.
 func TestUrgentRankGoesFirstWithinATier(t *testing.T) {
 	is := is.New(t)
 	q := New()
@@ -114,9 +114,9 @@
 	is.Equal(q.LowestTier(), 1)
 }
 
-// A request that was passed over was its team's only one, and the team's next one started:
-// the first must still be there afterwards.
-func TestRequestsThatWerePassedOverKeepTheirPlace(t *testing.T) {
+// A team's last remaining request is skipped when another request of the team starts.
+// It must be back in the queue after RestoreSkipped.
+func TestSkippedRequestsAreRestored(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	first, second := item(1, 1, "a", 100), item(2, 1, "a", 900)
