--- a/request/choose/choose_test.go
+++ b/request/choose/choose_test.go
@@ -15,38 +15,38 @@
 
 func TestFilters(t *testing.T) {
 	ms := time.Millisecond
-	ask := Request{FirstTokenBudget: 400 * ms, TokenGapTarget: 65 * ms, RemainingTokens: 100, Avoid: "failed", ReservedSlots: 1, Suspect: true}
+	req := Request{FirstTokenBudget: 400 * ms, TokenGapTarget: 65 * ms, RemainingTokens: 100, Avoid: "failed", ReservedSlots: 1, Suspect: true}
 	good := Candidate{Name: "good", Load: 3, Limit: 8, FirstToken: 100 * ms, TokenGap: 40 * ms}
 	cases := map[string]func(*Candidate){
-		"barred":                     func(c *Candidate) { c.Unavailable = true },
-		"failed just now":            func(c *Candidate) { c.Name = "failed" },
-		"no room beside the reserve": func(c *Candidate) { c.Load = 7 },
-		"another suspect":            func(c *Candidate) { c.HasTrial = true },
-		"first token late":           func(c *Candidate) { c.FirstToken = 500 * ms },
-		"gap too long":               func(c *Candidate) { c.TokenGap = 70 * ms },
+		"barred":                                func(c *Candidate) { c.Unavailable = true },
+		"just failed":                           func(c *Candidate) { c.Name = "failed" },
+		"no capacity beside the reserved slots": func(c *Candidate) { c.Load = 7 },
+		"another suspect":                       func(c *Candidate) { c.HasTrial = true },
+		"first token late":                      func(c *Candidate) { c.FirstToken = 500 * ms },
+		"gap too long":                          func(c *Candidate) { c.TokenGap = 70 * ms },
 	}
-	for name, spoil := range cases {
+	for name, modify := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			bad := good
-			spoil(&bad)
+			modify(&bad)
 			random := rand.New(rand.NewPCG(1, 1))
-			is.Equal(chooser().Choose(&ask, []Candidate{bad}, random), -1)
-			is.Equal(chooser().Choose(&ask, []Candidate{bad, good}, random), 1)
+			is.Equal(chooser().Choose(&req, []Candidate{bad}, random), -1)
+			is.Equal(chooser().Choose(&req, []Candidate{bad, good}, random), 1)
 		})
 	}
 }
 
-func TestRemoteServerIsTakenOnlyWhereItIsWorthItsPrice(t *testing.T) {
+func TestRemoteServerIsChosenOnlyIfItOutweighsItsCost(t *testing.T) {
 	is := is.New(t)
 	ms := time.Millisecond
 	random := rand.New(rand.NewPCG(1, 1))
-	ask := Request{FirstTokenBudget: time.Second, RemainingTokens: 100}
+	req := Request{FirstTokenBudget: time.Second, RemainingTokens: 100}
 	near := Candidate{Load: 6, Limit: 16, FirstToken: 100 * ms, TokenGap: 30 * ms}
 	far := Candidate{Remote: true, Load: 6, Limit: 16, FirstToken: 100 * ms, TokenGap: 30 * ms}
-	is.Equal(chooser().Choose(&ask, []Candidate{far, near}, random), 1)
+	is.Equal(chooser().Choose(&req, []Candidate{far, near}, random), 1)
 	far.TokenGap, far.Load = 20*ms, 2
-	is.Equal(chooser().Choose(&ask, []Candidate{far, near}, random), 0)
+	is.Equal(chooser().Choose(&req, []Candidate{far, near}, random), 0)
 }
 
 func TestSubsetIsStableAndEven(t *testing.T) {
@@ -61,7 +61,7 @@
 			used[name]++
 		}
 	}
-	is.True(len(used) > 580) // nearly all are used by someone
+	is.True(len(used) > 580) // nearly all are used by some instance
 	first := Subset("e1", servers, 50)
 	second := Subset("e1", servers[1:], 50)
 	common := 0
@@ -75,9 +75,9 @@
 	is.True(common >= 49)
 }
 
-// Copies of one request come to instances that see the loads a little
-// differently: they shall still take the same server where costs are close.
-func TestNearTakesTheHighestRankAmongCloseCosts(t *testing.T) {
+// Copies of one request arrive at instances with slightly different views of the load.
+// They must still choose the same server if costs are close.
+func TestNearLowestCostPicksTheHighestHashAmongCloseCosts(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	near := NearLowestCost{FirstMargin: 1, SecondMargin: 0.4, Margin: 0.1}
--- a/request/choose/filter.go
+++ b/request/choose/filter.go
@@ -1,6 +1,7 @@
 package choose
 
-// Available bars servers that get no new work, and the one that failed just now.
+// Available rejects servers that get no new work, and the one on which the request
+// has just failed.
 type Available struct{}
 
 var _ Filter = Available{}
@@ -10,21 +11,21 @@
 	return !c.Unavailable && (r.Avoid == "" || c.Name != r.Avoid)
 }
 
-// WithinCapacity bars servers that would run more than keeps their targets, the
-// reserve for more urgent tiers included.
+// WithinCapacity rejects servers that would exceed the number of requests that keeps
+// their targets, including the slots reserved for more urgent tiers.
 type WithinCapacity struct{}
 
 var _ Filter = WithinCapacity{}
 
 // Allow implements Filter.
 func (WithinCapacity) Allow(r *Request, c *Candidate) bool {
-	// An idle server takes anything: where it has fewer slots than the reserve,
-	// late and less urgent requests would never start at all.
+	// An idle server accepts any request: if it has fewer slots than are reserved,
+	// late and less urgent requests would otherwise never start on it.
 	return c.Load+1 <= max(c.Limit-r.ReservedSlots+r.Overcommit, 1)
 }
 
-// Quarantine keeps two suspects off the same server: if it crashed, nobody
-// could tell which of them did it.
+// Quarantine keeps two suspects off the same server: if it crashed, it would be unknown
+// which of them caused the crash.
 type Quarantine struct{}
 
 var _ Filter = Quarantine{}
@@ -34,9 +35,9 @@
 	return !r.Suspect || !c.HasTrial
 }
 
-// FirstTokenOnTime bars servers that are expected to miss the target for the first
-// token. The gap between tokens is left to the scores: beside a long prompt it
-// says nothing of the next answer's.
+// FirstTokenOnTime rejects servers that are expected to miss the target for the first
+// token. The gap between tokens is left to the scorers: a gap measured while a long
+// prompt is processed does not predict the gap of the next answer.
 type FirstTokenOnTime struct{}
 
 var _ Filter = FirstTokenOnTime{}
@@ -46,7 +47,8 @@
 	return r.FirstTokenBudget <= 0 || c.FirstToken <= r.FirstTokenBudget
 }
 
-// NoDuplicatePrefill bars servers that would read again what another one holds or reads.
+// NoDuplicatePrefill rejects servers that would process a part of the prompt that
+// another server has cached or is processing.
 type NoDuplicatePrefill struct{}
 
 var _ Filter = NoDuplicatePrefill{}
@@ -54,7 +56,8 @@
 // Allow implements Filter.
 func (NoDuplicatePrefill) Allow(_ *Request, c *Candidate) bool { return !c.DuplicatePrefill }
 
-// NoInterference bars servers whose answers the prompt would hold up.
+// NoInterference rejects servers on which the prompt would delay the answers that they
+// are reserved for.
 type NoInterference struct{}
 
 var _ Filter = NoInterference{}
@@ -62,7 +65,7 @@
 // Allow implements Filter.
 func (NoInterference) Allow(_ *Request, c *Candidate) bool { return !c.Interferes }
 
-// OnTime bars servers that are expected to miss the request's targets.
+// OnTime rejects servers that are expected to miss any of the request's targets.
 type OnTime struct{}
 
 var _ Filter = OnTime{}
--- a/request/choose/pick.go
+++ b/request/choose/pick.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// LowestCost takes the least cost; equal costs are settled by chance, so that
-// instances that see the same do not all take the same server.
+// LowestCost picks the lowest cost. Ties are broken at random, so that instances that
+// see the same costs don't all pick the same server.
 type LowestCost struct{}
 
 var _ Picker = LowestCost{}
@@ -25,38 +25,40 @@
 	return best
 }
 
-// NearLowestCost takes the highest rank among the costs close to the least. Instances
-// that see loads a little differently then send copies of one request to the
-// same server, and different requests to different ones. The two highest ranks
-// of all may cost more to be taken: copies that differ then meet on two servers.
+// NearLowestCost picks the highest hash among the costs close to the lowest one.
+// Instances with slightly different views of the load then send copies of one request to
+// the same server, and different requests to different servers. The servers with the
+// two highest hashes of all may cost more: copies whose views differ further then meet
+// on two servers.
 type NearLowestCost struct {
-	// FirstMargin, SecondMargin and Margin are how far above the least cost still counts as
-	// close, for the highest rank, the next one and all others.
+	// FirstMargin, SecondMargin and Margin are how far above the lowest cost, relative
+	// to it, a cost counts as close: for the highest hash, the second highest and all
+	// others.
 	FirstMargin, SecondMargin, Margin float64
 }
 
 var _ Picker = NearLowestCost{}
 
 // Pick implements Picker.
-func (n NearLowestCost) Pick(scores []float64, ranks *Hashes, random *rand.Rand) int {
-	best := LowestCost{}.Pick(scores, ranks, random)
+func (n NearLowestCost) Pick(scores []float64, hashes *Hashes, random *rand.Rand) int {
+	best := LowestCost{}.Pick(scores, hashes, random)
 	if best < 0 {
 		return best
 	}
-	least := scores[best]
+	lowest := scores[best]
 	for i, score := range scores {
-		if rank := ranks.Allowed[i]; rank > ranks.Allowed[best] && score <= least*(1+n.share(rank, ranks)) {
+		if hash := hashes.Allowed[i]; hash > hashes.Allowed[best] && score <= lowest*(1+n.margin(hash, hashes)) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (n NearLowestCost) share(rank uint64, ranks *Hashes) float64 {
-	switch rank {
-	case ranks.Highest:
+func (n NearLowestCost) margin(hash uint64, hashes *Hashes) float64 {
+	switch hash {
+	case hashes.Highest:
 		return n.FirstMargin
-	case ranks.SecondHighest:
+	case hashes.SecondHighest:
 		return n.SecondMargin
 	default:
 		return n.Margin
--- a/request/choose/score.go
+++ b/request/choose/score.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// CompletionTime costs the expected time until the whole answer is there.
+// CompletionTime costs the expected time until the answer is complete.
 type CompletionTime struct{}
 
 var _ Scorer = CompletionTime{}
@@ -12,7 +12,7 @@
 	return c.FirstToken.Seconds() + r.RemainingTokens*c.TokenGap.Seconds()
 }
 
-// Remote costs another data centre's time and volume.
+// Remote adds Cost to servers of another data centre, for latency and traffic.
 type Remote struct{ Cost time.Duration }
 
 var _ Scorer = Remote{}
@@ -25,10 +25,10 @@
 	return s.Cost.Seconds()
 }
 
-// Contention costs what the request adds to the gaps of those that run already:
-// each of them waits a little longer for each of the new one's tokens.
+// Contention costs the time that the request adds to the token gaps of the requests
+// already running: each of them waits a little longer for each of its tokens.
 type Contention struct {
-	// Weight is the share of that time that counts.
+	// Weight is the fraction of that time that is counted.
 	Weight float64
 }
 
@@ -42,7 +42,8 @@
 	return s.Weight * r.RemainingTokens * c.TokenGap.Seconds() * c.Load / c.Limit
 }
 
-// AffinityPenalty costs what the request does outside the servers that are kept for its kind.
+// AffinityPenalty costs running the request outside the servers preferred for its prompt
+// or its kind.
 type AffinityPenalty struct{}
 
 var _ Scorer = AffinityPenalty{}
@@ -50,9 +51,10 @@
 // Score implements Scorer.
 func (AffinityPenalty) Score(_ *Request, c *Candidate) float64 { return c.AffinityPenalty.Seconds() }
 
-// PrefillTime costs the engine's time that the request's prompt takes. Weight counts
-// what it takes from others too: while all engines are busy, a prompt read twice
-// delays everyone behind it, who then spread out and have theirs read twice.
+// PrefillTime costs the engine time that the prompt takes. Weight accounts for the effect
+// on other requests: while all engines are busy, a prompt processed twice delays the
+// requests behind it, which then spread to other engines and have their own prompts
+// processed twice.
 type PrefillTime struct{ Weight float64 }
 
 var _ Scorer = PrefillTime{}
@@ -62,9 +64,10 @@
 	return s.Weight * c.PrefillTime.Seconds()
 }
 
-// LatenessRisk costs the danger of a late first token. A wait that is short against the
-// target costs next to nothing, so that requests keep to the engines that hold
-// their prompt; close to the target it costs as much as a prompt of 50,000 tokens.
+// LatenessRisk costs the risk of a late first token, as the cube of the expected time to
+// first token relative to its target. A short wait costs almost nothing, so that requests
+// stay on the engines that have their prompt cached; close to the target it costs as much
+// as a prompt of 50,000 tokens.
 type LatenessRisk struct{}
 
 var _ Scorer = LatenessRisk{}
@@ -74,13 +77,13 @@
 	if r.FirstTokenTarget <= 0 {
 		return c.FirstToken.Seconds()
 	}
-	waited := r.FirstTokenTarget - r.FirstTokenBudget
-	share := (waited + c.FirstToken).Seconds() / r.FirstTokenTarget.Seconds()
-	return share * share * share
+	elapsed := r.FirstTokenTarget - r.FirstTokenBudget
+	fraction := (elapsed + c.FirstToken).Seconds() / r.FirstTokenTarget.Seconds()
+	return fraction * fraction * fraction
 }
 
-// DecodeTime costs the time of the answer's tokens, at a share: a slower engine that
-// keeps the targets does little harm.
+// DecodeTime costs the time to generate the remaining tokens. A Weight below 1
+// reflects that a slower engine that keeps the targets does little harm.
 type DecodeTime struct{ Weight float64 }
 
 var _ Scorer = DecodeTime{}
@@ -90,8 +93,8 @@
 	return s.Weight * r.RemainingTokens * c.TokenGap.Seconds()
 }
 
-// FailurePenalty costs the failures that are to be expected, as time: a server that
-// answers its liveness check well and fails part of its requests gets fewer.
+// FailurePenalty costs the expected failures, expressed as time: a server that passes its
+// liveness check but fails part of its requests gets fewer of them.
 type FailurePenalty struct{}
 
 var _ Scorer = FailurePenalty{}
@@ -99,7 +102,8 @@
 // Score implements Scorer.
 func (FailurePenalty) Score(_ *Request, c *Candidate) float64 { return c.FailurePenalty.Seconds() }
 
-// DisplacementOrder costs the server's place in the order that all instances take.
+// DisplacementOrder costs the server's position in the order that is common to all
+// instances.
 type DisplacementOrder struct{}
 
 var _ Scorer = DisplacementOrder{}
--- a/request/choose/subset.go
+++ b/request/choose/subset.go
@@ -7,12 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultSubsetSize is how many servers of a pool an instance uses if its settings don't say.
+// DefaultSubsetSize is the number of servers of a pool that an instance uses by default.
 const DefaultSubsetSize = 100
 
-// Subset returns the servers that an instance uses, by rendezvous hash of
-// instance and server: each instance gets its own, they stay the same while
-// others come and go, and all servers are used about equally often.
+// Subset returns the names of at most size servers for the instance, chosen by
+// rendezvous hash of instance and server: the selection is stable while other instances
+// and servers come and go, and all servers are used about equally often. A size of 0
+// or less means DefaultSubsetSize. If all servers fit, it returns servers itself,
+// else a sorted copy.
 func Subset(instance string, servers []string, size int) []string {
 	if size <= 0 {
 		size = DefaultSubsetSize
