--- a/request/limits/limits.go
+++ b/request/limits/limits.go
@@ -1,12 +1,12 @@
-// Package limits holds each team's limit of tokens a second over all
-// instances without a message for each request.
+// Package limits enforces each team's limit in tokens a second across all instances
+// without a message per request.
 //
-// Every instance keeps a copy of the team's one bucket. It takes its own
-// spending out at once, and that of the others as their digests tell it. So
-// the copies differ only by what was spent within the age of a digest. While
-// some instances are out of reach, their spending is unknown: the copy then
-// refills only at the reachable instances' share, so that both sides of a cut
-// together stay within the limit.
+// Every instance keeps its own copy of the team's token bucket. It deducts its own
+// spending at once, and that of its peers as their digests report it, so the copies
+// differ only by what was spent within the age of a digest. While some instances are
+// unreachable, their spending is unknown: the copy then refills only at the reachable
+// instances' share of the rate, so that both sides of a partition together stay within
+// the limit.
 package limits
 
 import (
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// burstSeconds is the bucket's size in seconds of the rate, if the team states none.
+// burstSeconds is the default size of a bucket, in seconds of the rate.
 const burstSeconds = 2
 
-// Limit is a team's setting.
+// Limit is the configured limit of a team.
 type Limit struct {
 	// Rate is in tokens a second; 0 means no limit.
 	Rate float64
-	// Burst is in tokens; 0 means two seconds of the rate.
+	// Burst is the bucket size in tokens; 0 means two seconds of the rate.
 	Burst float64
 }
 
@@ -32,30 +32,34 @@
 	return l.Rate * burstSeconds
 }
 
+// bucket is the local copy of a team's bucket. level is negative while the team is
+// overdrawn; spent is the cumulative spending at this instance only.
 type bucket struct {
-	level   float64
-	at      time.Time
-	spent   uint64
-	spentAt time.Time
+	level      float64
+	refilledAt time.Time
+	spent      uint64
+	spentAt    time.Time
 }
 
 type peerTeam struct{ peer, team string }
 
-// Table holds the buckets of teams that have a limit.
+// Table holds the buckets of teams that have a limit. It is not safe for concurrent
+// use.
 type Table struct {
 	buckets map[string]*bucket
-	// told is the last cumulative spending that each peer told of.
-	told  map[peerTeam]uint64
+	// reported is the last cumulative spending reported by each peer.
+	reported map[peerTeam]uint64
+	// share is the part of each rate that this instance may use, 0 to 1.
 	share float64
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{buckets: make(map[string]*bucket), told: make(map[peerTeam]uint64), share: 1}
+	return &Table{buckets: make(map[string]*bucket), reported: make(map[peerTeam]uint64), share: 1}
 }
 
-// SetShare sets the part of each rate that may be used here: reachable
-// instances over all known ones.
+// SetShare sets the part of each rate that may be used here to reachable over known
+// instances.
 func (t *Table) SetShare(reachable, known int) {
 	t.share = 1
 	if known > 0 {
@@ -66,19 +70,19 @@
 func (t *Table) refill(team string, limit Limit, now time.Time) *bucket {
 	b := t.buckets[team]
 	if b == nil {
-		b = &bucket{level: limit.burst() * t.share, at: now}
+		b = &bucket{level: limit.burst() * t.share, refilledAt: now}
 		t.buckets[team] = b
 	}
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.level = min(b.level+elapsed.Seconds()*limit.Rate*t.share, limit.burst()*t.share)
-		b.at = now
+		b.refilledAt = now
 	}
 	return b
 }
 
-// Allow tells whether the team may spend now; if not, when it may again. A
-// request is let in while the bucket isn't empty, so that a large one can't
-// be barred for ever.
+// Allow reports whether the team may spend now; if not, wait is the time until it may
+// again. A request is admitted while the bucket isn't empty, whatever its size, so that
+// a large request can't be refused forever.
 func (t *Table) Allow(team string, limit Limit, now time.Time) (wait time.Duration, ok bool) {
 	if limit.Rate <= 0 {
 		return 0, true
@@ -91,7 +95,7 @@
 	return time.Duration((1 - b.level) / rate * float64(time.Second)), false
 }
 
-// Spend takes tokens out of the team's bucket; a negative number gives back.
+// Spend deducts tokens from the team's bucket; a negative number is a refund.
 func (t *Table) Spend(team string, limit Limit, tokens float64, now time.Time) {
 	if limit.Rate <= 0 {
 		return
@@ -104,12 +108,12 @@
 	}
 }
 
-// ObserveSpent takes in a peer's cumulative spending. A smaller number than before
-// means that the peer started afresh.
+// ObserveSpent records a peer's cumulative spending. The first report of a peer is only
+// a baseline. A total below the previous one means that the peer was restarted.
 func (t *Table) ObserveSpent(peer, team string, limit Limit, total uint64, now time.Time) {
 	key := peerTeam{peer, team}
-	before, known := t.told[key]
-	t.told[key] = total
+	before, known := t.reported[key]
+	t.reported[key] = total
 	if !known || limit.Rate <= 0 {
 		return
 	}
@@ -120,19 +124,20 @@
 }
 
 const (
-	// recent is how long a team's spending is told to the others: many digests,
-	// since a lost one is made good by the next cumulative number.
-	recent = 10 * time.Second
-	// idle is after what time without spending a bucket is dropped; by then it
-	// is full again at any rate worth a limit.
-	idle = 10 * time.Minute
+	// reportFor is how long a team's spending is reported to peers after it last spent.
+	// It spans many digests, so that the cumulative total gets through even if some
+	// are lost.
+	reportFor = 10 * time.Second
+	// idleTimeout is the time since its last refill after which a bucket is dropped; by
+	// then it is full again at any practical rate.
+	idleTimeout = 10 * time.Minute
 )
 
-// RecentSpenders returns the teams that spent here lately, in order of name.
+// RecentSpenders returns the teams that spent here recently, sorted by name.
 func (t *Table) RecentSpenders(now time.Time) []string {
 	var names []string
 	for name, b := range t.buckets {
-		if b.spent > 0 && now.Sub(b.spentAt) < recent {
+		if b.spent > 0 && now.Sub(b.spentAt) < reportFor {
 			names = append(names, name)
 		}
 	}
@@ -140,21 +145,21 @@
 	return names
 }
 
-// Expire drops what is idle; call it now and then.
+// Expire drops idle buckets, and the peer reports that belong to them. Call it periodically.
 func (t *Table) Expire(now time.Time) {
 	for name, b := range t.buckets {
-		if now.Sub(b.at) > idle {
+		if now.Sub(b.refilledAt) > idleTimeout {
 			delete(t.buckets, name)
 		}
 	}
-	for key := range t.told {
+	for key := range t.reported {
 		if t.buckets[key.team] == nil {
-			delete(t.told, key)
+			delete(t.reported, key)
 		}
 	}
 }
 
-// Spent returns the team's spending at this instance since its start.
+// Spent returns the team's cumulative spending at this instance, in tokens.
 func (t *Table) Spent(team string) uint64 {
 	if b := t.buckets[team]; b != nil {
 		return b.spent
--- a/request/limits/limits_test.go
+++ b/request/limits/limits_test.go
@@ -9,9 +9,9 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-// A team sends to two instances at once. Each instance alone keeps the limit,
-// yet the team gets twice its rate, unless each counts what the other spent.
-func TestLimitHoldsOverInstances(t *testing.T) {
+// A team sends to two instances at once. If each instance enforced the limit alone, the
+// team would get twice its rate; each must count what the other spent.
+func TestLimitHoldsAcrossInstances(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 1000}
 	tables := []*Table{NewTable(), NewTable()}
@@ -36,7 +36,7 @@
 	is.True(spent/seconds > 900)
 }
 
-func TestCutOffInstancesUseTheirShareOnly(t *testing.T) {
+func TestPartitionedInstancesUseOnlyTheirShare(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 800}
 	table := NewTable()
@@ -53,7 +53,7 @@
 	is.True(spent/60 > 190)
 }
 
-func TestRefusalTellsWhenTokensAreBack(t *testing.T) {
+func TestAllowReturnsTheWaitUntilTokensAreAvailable(t *testing.T) {
 	is := is.New(t)
 	limit := Limit{Rate: 100, Burst: 100}
 	table := NewTable()
