--- a/request/estimate/estimate.go
+++ b/request/estimate/estimate.go
@@ -1,29 +1,32 @@
-// Package estimate predicts how long answers get, which nobody knows in
-// advance: running histograms by class and team, asked again as an answer grows.
+// Package estimate predicts the length of answers, which is not known in advance. It
+// keeps histograms by class and team with exponential decay; estimates are refined as an
+// answer grows.
 package estimate
 
 import "math"
 
 const (
-	// bucketsPerDoubling sets the resolution: about 19 % from bucket to bucket.
+	// bucketsPerDoubling sets the resolution: adjacent buckets differ by about 19 %.
 	bucketsPerDoubling = 4
-	// buckets cover answers from 1 to 65,536 tokens.
-	buckets = 16 * bucketsPerDoubling
-	// halfLife is the number of answers after which an old one counts half.
+	// bucketCount covers answers from 1 to 65,536 tokens.
+	bucketCount = 16 * bucketsPerDoubling
+	// halfLife is the number of newer answers after which an answer has half its weight.
 	halfLife = 200
-	// maxTeams bounds the histograms kept by team; further teams use the class's.
+	// maxTeams bounds the histograms by class and team; further ones use the class's.
 	maxTeams = 4096
-	// enough is the number of a team's answers that outweighs the class's own.
-	enough = 12
-	// unknown is the estimate before any answer was seen, in tokens.
-	unknown = 200
+	// teamPriorAnswers is the number of a team's answers at which its own estimate has
+	// the same weight as the class's.
+	teamPriorAnswers = 12
+	// defaultTokens is the estimate before any answer was observed, in tokens.
+	defaultTokens = 200
 )
 
-// histogram counts answers by the logarithm of their length, with decay.
+// histogram counts answers by the logarithm of their length, with exponential decay.
 type histogram struct {
-	weight [buckets]float64
+	weight [bucketCount]float64
 	sum    float64
-	// unit is the weight of the next answer; it grows in place of decaying all.
+	// unit is the weight of the next answer. It grows with each answer, which is
+	// equivalent to decaying all older ones.
 	unit float64
 }
 
@@ -31,16 +34,16 @@
 	if tokens < 1 {
 		return 0
 	}
-	return min(buckets-1, int(math.Log2(float64(tokens))*bucketsPerDoubling))
+	return min(bucketCount-1, int(math.Log2(float64(tokens))*bucketsPerDoubling))
 }
 
-func middle(bucket int) float64 {
+func bucketCenter(bucket int) float64 {
 	return math.Exp2((float64(bucket) + 0.5) / bucketsPerDoubling)
 }
 
 var growth = math.Exp2(1.0 / halfLife)
 
-// rescaleAt keeps the growing unit far from overflow.
+// rescaleAt is the unit at which weights are rescaled, far below overflow.
 const rescaleAt = 1e12
 
 func (h *histogram) add(tokens int) {
@@ -59,7 +62,7 @@
 	}
 }
 
-// count is the number of answers that the histogram stands for.
+// count returns the decayed number of answers in the histogram.
 func (h *histogram) count() float64 {
 	if h.unit == 0 {
 		return 0
@@ -67,13 +70,14 @@
 	return h.sum / h.unit
 }
 
-// left returns the mean rest of answers that are longer than got.
-func (h *histogram) left(got int) (tokens float64, known bool) {
+// remaining returns the mean number of remaining tokens over the answers that are longer
+// than generated; known is false if there are none.
+func (h *histogram) remaining(generated int) (tokens float64, known bool) {
 	weight, sum := 0.0, 0.0
-	for i := bucketOf(got + 1); i < buckets; i++ {
-		if m := middle(i); m > float64(got) {
+	for i := bucketOf(generated + 1); i < bucketCount; i++ {
+		if center := bucketCenter(i); center > float64(generated) {
 			weight += h.weight[i]
-			sum += h.weight[i] * (m - float64(got))
+			sum += h.weight[i] * (center - float64(generated))
 		}
 	}
 	if weight <= 0 {
@@ -82,44 +86,44 @@
 	return sum / weight, true
 }
 
-// quantile returns the length below which the share q of answers stays.
+// quantile returns the length that a fraction q of the answers does not exceed.
 func (h *histogram) quantile(q float64) float64 {
 	seen := 0.0
 	for i, weight := range h.weight {
 		seen += weight
 		if weight > 0 && seen >= q*h.sum {
-			return middle(i)
+			return bucketCenter(i)
 		}
 	}
-	return unknown
+	return defaultTokens
 }
 
-// Key names whose answers a histogram holds.
+// Key identifies the answers of a team in a class.
 type Key struct{ Class, Team string }
 
-// Table holds the histograms of one pool or instance.
+// Table holds the histograms of one pool or instance. It is not safe for concurrent use.
 type Table struct {
 	classes map[string]*histogram
 	teams   map[Key]*histogram
 	errors  ErrorStats
 }
 
-// ErrorStats sums up how far estimates were off.
+// ErrorStats sums the errors of estimates.
 type ErrorStats struct {
-	// Answers that were compared.
+	// Answers is the number of answers compared.
 	Answers int
 	// Absolute is the sum of |estimate - tokens|, Tokens the sum of tokens.
 	Absolute, Tokens float64
 }
 
-// Add takes in another table's errors.
+// Add adds the sums of another table.
 func (e *ErrorStats) Add(other ErrorStats) {
 	e.Answers += other.Answers
 	e.Absolute += other.Absolute
 	e.Tokens += other.Tokens
 }
 
-// Relative is the mean absolute error as a share of the mean length.
+// Relative returns the mean absolute error divided by the mean length, or 0 without data.
 func (e ErrorStats) Relative() float64 {
 	if e.Tokens == 0 {
 		return 0
@@ -132,37 +136,38 @@
 	return &Table{classes: make(map[string]*histogram), teams: make(map[Key]*histogram)}
 }
 
-// Remaining estimates how many more tokens an answer gets that has got so far.
-func (t *Table) Remaining(key Key, got int) float64 {
+// Remaining estimates how many more tokens an answer gets after generated tokens.
+func (t *Table) Remaining(key Key, generated int) float64 {
 	class, known := 0.0, false
 	if h := t.classes[key.Class]; h != nil {
-		class, known = h.left(got)
+		class, known = h.remaining(generated)
 	}
 	if !known {
-		// Longer than any answer seen: such answers tend to double.
-		class = max(float64(got), unknown)
+		// Longer than any answer observed: such answers tend to double in length.
+		class = max(float64(generated), defaultTokens)
 	}
 	h := t.teams[key]
 	if h == nil {
 		return class
 	}
-	team, known := h.left(got)
+	team, known := h.remaining(generated)
 	if !known {
 		return class
 	}
-	trust := h.count() / (h.count() + enough)
-	return trust*team + (1-trust)*class
+	teamShare := h.count() / (h.count() + teamPriorAnswers)
+	return teamShare*team + (1-teamShare)*class
 }
 
-// Quantile returns a quantile of the class's lengths.
+// Quantile returns the q-quantile of the class's answer lengths, in tokens.
 func (t *Table) Quantile(class string, q float64) float64 {
 	if h := t.classes[class]; h != nil {
 		return h.quantile(q)
 	}
-	return unknown
+	return defaultTokens
 }
 
-// Observe learns from a whole answer; estimated is what was predicted at its start.
+// Observe records the length of a complete answer; estimated is the prediction made at
+// its start.
 func (t *Table) Observe(key Key, tokens int, estimated float64) {
 	class := t.classes[key.Class]
 	if class == nil {
@@ -183,5 +188,5 @@
 	t.errors.Tokens += float64(tokens)
 }
 
-// Errors returns how far the estimates made at the start were off.
+// Errors returns the error sums of the estimates made at the start of answers.
 func (t *Table) Errors() ErrorStats { return t.errors }
--- a/request/estimate/estimate_test.go
+++ b/request/estimate/estimate_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEstimateLearnsATeamsHabitAndGrowsWithTheAnswer(t *testing.T) {
+func TestEstimateFollowsTheTeamsLengthsAndTheAnswersProgress(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -24,7 +24,7 @@
 	is.True(table.Errors().Answers == 800)
 }
 
-func TestOldAnswersFade(t *testing.T) {
+func TestOldAnswersDecay(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
 	for range 1000 {
--- a/request/retry/budget.go
+++ b/request/retry/budget.go
@@ -1,11 +1,13 @@
-// Package retry keeps retries from multiplying a fault: each first try earns a
-// share of a retry, and a retry spends a whole one.
+// Package retry keeps retries from amplifying an outage: each first attempt adds a fraction
+// of a retry to a budget, and each retry takes a whole one from it.
 package retry
 
-// Burst is how many retries may follow each other before first tries earn more.
+// Burst is the capacity of a budget: how many retries may follow each other before first
+// attempts must add more.
 const Burst = 20
 
-// Budget is a bucket of retries. The zero value allows nothing; use New.
+// Budget is a token bucket of retries, not safe for concurrent use. The zero value allows
+// no retries; use New.
 type Budget struct {
 	share   float64
 	level   float64
@@ -13,18 +15,18 @@
 	retries uint64
 }
 
-// New returns a full budget that earns share retries with each first try.
+// New returns a full budget to which each first attempt adds share retries.
 func New(share float64) *Budget {
 	return &Budget{share: share, level: Burst}
 }
 
-// Earn counts a first try.
+// Earn adds the share of a first attempt.
 func (b *Budget) Earn() {
 	b.earned += b.share
 	b.level = min(b.level+b.share, Burst)
 }
 
-// Take spends one retry; it returns false where none is left.
+// Take takes one retry from the budget; it returns false if less than one is left.
 func (b *Budget) Take() bool {
 	if b.level < 1 {
 		return false
@@ -34,5 +36,6 @@
 	return true
 }
 
-// WithinBudget is the invariant: all retries fit what was earned plus the burst.
+// WithinBudget reports whether the invariant holds that all retries so far fit what was
+// earned plus Burst.
 func (b *Budget) WithinBudget() bool { return float64(b.retries) <= b.earned+Burst }
