--- a/request/outcome/claims.go
+++ b/request/outcome/claims.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// claimTimeout is how long a claim may take before the request is refused.
+	// claimTimeout is the time after which a request whose claim has not been granted is
+	// refused.
 	claimTimeout = 3 * time.Second
-	// noQuorumRetry tells callers when to try again.
-	noQuorumRetry = 2 * time.Second
-	// inProgressRetry tells a second sender when to ask for the answer.
-	inProgressRetry = time.Second
-	// storePause lies between two tries to store an outcome, in the beginning.
-	storePause = 100 * time.Millisecond
-	// maxStorePause bounds the growing pause.
-	maxStorePause = 3 * time.Second
-	// storeTimeout is for one try.
+	// noQuorumRetryAfter is the least Retry-After when the ledger takes no claims.
+	noQuorumRetryAfter = 2 * time.Second
+	// inProgressRetryAfter is the Retry-After for a repeated request while the first one
+	// is in progress.
+	inProgressRetryAfter = time.Second
+	// minStoreBackoff is the initial backoff between attempts to store an outcome.
+	minStoreBackoff = 100 * time.Millisecond
+	// maxStoreBackoff bounds the exponential backoff.
+	maxStoreBackoff = 3 * time.Second
+	// storeTimeout bounds one attempt to store an outcome.
 	storeTimeout = 3 * time.Second
-	// MaxStoredBytes is the largest answer that is kept for a second sender, in bytes.
+	// MaxStoredBytes is the size of the largest answer body stored for repeated requests.
 	MaxStoredBytes = 64 << 10
 )
 
 // Ledger is the replicated record of non-idempotent requests.
 type Ledger interface {
-	// Claim fills in who claims. After an error the request must not run; a claim
-	// that may stand all the same is given up by the Ledger.
+	// Claim fills in the claimant. After an error the request must not run; if the claim
+	// may have been granted nevertheless, the Ledger releases it.
 	Claim(ctx context.Context, req *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error)
 	Outcome(ctx context.Context, req *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error)
 }
 
-// Claims makes and ends this instance's claims.
+// Claims manages the claims of this instance. It is safe for concurrent use.
 type Claims struct {
 	ledger  Ledger
 	life    context.Context
 	pending sync.WaitGroup
 }
 
-// NewClaims returns Claims; the storing of outcomes ends with life at the latest.
+// NewClaims returns Claims. Outcomes that are not stored when life ends are abandoned.
 func NewClaims(life context.Context, ledger Ledger) *Claims {
 	return &Claims{ledger: ledger, life: life}
 }
@@ -56,7 +58,8 @@
 	attempt string
 }
 
-// Digest is SHA-256 of path and body, by which a reused key is told.
+// Digest returns the SHA-256 of path and body, which detects the reuse of a key for
+// another request.
 func Digest(path string, body []byte) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(path))
@@ -65,9 +68,9 @@
 	return hash.Sum(nil)
 }
 
-// Begin claims the key. It returns the claim where the request may run now, or
-// the stored answer of its first run, or a typed error. attempt is the id of
-// this request.
+// Begin claims the key. It returns the claim if the request may run now, or the stored
+// answer of an earlier request with the key, or a typed error. attempt is the id of this
+// request.
 func (c *Claims) Begin(ctx context.Context, record *Record, team, key, attempt string, digest []byte) (*Claim, *lilacv1.StoredAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -77,13 +80,13 @@
 	})
 	if err != nil {
 		return nil, nil, record.Error(refusalKind(err),
-			"the ledger of non-idempotent requests takes no claim; send the same key again later",
-			fault.WithRetryAfter(max(noQuorumRetry, fault.RetryAfterOf(err))))
+			"the ledger of non-idempotent requests accepts no claims at the moment; retry later with the same key",
+			fault.WithRetryAfter(max(noQuorumRetryAfter, fault.RetryAfterOf(err))))
 	}
 	if reply.GetGranted() {
 		return claim, nil, nil
 	}
-	answer, err := standing(reply)
+	answer, err := earlierOutcome(reply)
 	return nil, answer, err
 }
 
@@ -94,35 +97,37 @@
 	return lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM
 }
 
-// standing tells a second sender where the first request stands.
-func standing(reply *lilacv1.ClaimReply) (*lilacv1.StoredAnswer, error) {
+// earlierOutcome returns the stored answer of an earlier request with the same key, or the
+// error for a repeated request.
+func earlierOutcome(reply *lilacv1.ClaimReply) (*lilacv1.StoredAnswer, error) {
 	refuse := func(kind fault.Kind, notRun fault.NotRun, message string, options ...fault.Option) (*lilacv1.StoredAnswer, error) {
 		return nil, fault.New(kind, message, append(options, fault.WithNotRun(notRun))...)
 	}
 	switch {
 	case reply.GetBodyDiffers():
-		return refuse(lilacv1.ErrorKind_ERROR_KIND_KEY_REUSED, lilacv1.NotRun_NOT_RUN_UNKNOWN, "Idempotency-Key was used for another request; make a new key")
+		return refuse(lilacv1.ErrorKind_ERROR_KIND_KEY_REUSED, lilacv1.NotRun_NOT_RUN_UNKNOWN, "Idempotency-Key was already used for another request; use a new key")
 	case reply.GetInDoubt() && reply.GetTakenAgainUnixMs() == 0:
-		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "the ledger lost what it knew of keys of this age, so an earlier send may have run; check at the service before you use a new key")
+		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "the ledger lost its records of keys of this age, so an earlier request may have run; check at the service before using a new key")
 	case reply.GetInDoubt():
-		again := time.UnixMilli(reply.GetTakenAgainUnixMs()).UTC().Format(time.RFC3339)
-		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "the ledger lost what it knew of keys without a time, so an earlier send may have run; check at the service, then send a new UUID of version 7 as Idempotency-Key (keys without a time are taken again from "+again+")")
+		acceptedFrom := time.UnixMilli(reply.GetTakenAgainUnixMs()).UTC().Format(time.RFC3339)
+		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "the ledger lost its records of keys without a timestamp, so an earlier request may have run; check at the service, then send a new UUID version 7 as Idempotency-Key (keys without a timestamp are accepted again from "+acceptedFrom+")")
 	case reply.GetExpired():
-		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "Idempotency-Key was used before and its answer is no longer kept; check at the service")
+		return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "Idempotency-Key was used before and its answer is no longer stored; check at the service")
 	}
 	switch reply.GetState() {
 	case lilacv1.ClaimState_CLAIM_STATE_RAN:
 		if reply.GetAnswer().GetTooLarge() {
-			return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_FALSE, "the request ran, but its answer was too large to keep; check at the service")
+			return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_FALSE, "the request ran, but its answer was too large to store; check at the service")
 		}
 		return reply.GetAnswer(), nil
 	case lilacv1.ClaimState_CLAIM_STATE_CLAIMED:
-		return refuse(lilacv1.ErrorKind_ERROR_KIND_IN_PROGRESS, lilacv1.NotRun_NOT_RUN_UNKNOWN, "a request with this key is in progress; send it again for its answer", fault.WithRetryAfter(inProgressRetry))
+		return refuse(lilacv1.ErrorKind_ERROR_KIND_IN_PROGRESS, lilacv1.NotRun_NOT_RUN_UNKNOWN, "a request with this key is in progress; retry to get its answer", fault.WithRetryAfter(inProgressRetryAfter))
 	}
-	return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "whether the request ran is not known; check at the service before you use a new key")
+	return refuse(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.NotRun_NOT_RUN_UNKNOWN, "it is unknown whether the request ran; check at the service before using a new key")
 }
 
-// Ran stores the whole answer.
+// Ran stores the complete answer in the background. Bodies above MaxStoredBytes are not
+// stored; the claim then only records that the request ran.
 func (k *Claim) Ran(status int, contentType string, body []byte) {
 	answer := &lilacv1.StoredAnswer{Status: uint32(status), ContentType: contentType, Body: body}
 	if len(body) > MaxStoredBytes {
@@ -131,8 +136,8 @@
 	k.store(lilacv1.ClaimState_CLAIM_STATE_RAN, answer)
 }
 
-// NotRun frees the key for another try; without a valid proof the outcome is
-// stored as unknown.
+// NotRun releases the key for another request; without a valid proof the outcome is stored
+// as unknown.
 func (k *Claim) NotRun(proof Proof) {
 	if !proof.Valid() {
 		k.Unknown()
@@ -141,17 +146,17 @@
 	k.store(lilacv1.ClaimState_CLAIM_STATE_NOT_RUN, nil)
 }
 
-// Unknown notes that the request may have run; it is never run again.
+// Unknown stores that the request may have run; it is never run again.
 func (k *Claim) Unknown() { k.store(lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, nil) }
 
-// store keeps trying in the background until the outcome is synced.
+// store retries in the background until the outcome is durable or life has ended.
 func (k *Claim) store(state lilacv1.ClaimState, answer *lilacv1.StoredAnswer) {
 	k.claims.pending.Add(1)
 	go func() {
 		defer k.claims.pending.Done()
-		for pause := storePause; !k.storeOnce(state, answer); pause = min(2*pause, maxStorePause) {
+		for backoff := minStoreBackoff; !k.storeOnce(state, answer); backoff = min(2*backoff, maxStoreBackoff) {
 			select {
-			case <-time.After(pause):
+			case <-time.After(backoff):
 			case <-k.claims.life.Done():
 				return
 			}
@@ -159,7 +164,7 @@
 	}()
 }
 
-// storeOnce reports whether the outcome needs no further try.
+// storeOnce reports whether no further attempt to store the outcome is needed.
 func (k *Claim) storeOnce(state lilacv1.ClaimState, answer *lilacv1.StoredAnswer) bool {
 	ctx, cancel := context.WithTimeout(k.claims.life, storeTimeout)
 	defer cancel()
@@ -169,10 +174,10 @@
 	return err == nil || fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT) || fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND)
 }
 
-// ErrStillStoring is the error of a Wait that ended before all outcomes were synced.
-var ErrStillStoring = errors.New("outcomes of non-idempotent requests are not stored yet; their keys will read as unknown")
+// ErrStillStoring is returned by Wait if ctx ends before all outcomes are stored.
+var ErrStillStoring = errors.New("outcomes of non-idempotent requests were not stored in time; their keys will be reported as unknown")
 
-// Wait returns when all outcomes are stored, or ctx has ended.
+// Wait waits until all outcomes are stored. It returns ErrStillStoring if ctx ends first.
 func (c *Claims) Wait(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
--- a/request/outcome/record.go
+++ b/request/outcome/record.go
@@ -1,5 +1,5 @@
-// Package outcome knows what became of a request: whether it is proved not to
-// have run, and how a non-idempotent one stands in the ledger.
+// Package outcome tracks what became of a request: whether it provably did not run, and,
+// for a non-idempotent one, its claim and its outcome in the ledger.
 package outcome
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Proof shows that a request did not run and never will. Its zero value proves
-// nothing; only Record.Proof makes one that does.
+// Proof is evidence that a request did not run and never will. The zero value is not
+// valid; only Record.Proof returns a valid one.
 type Proof struct{ valid bool }
 
-// Valid tells whether the value proves anything.
+// Valid reports whether the request provably did not run.
 func (p Proof) Valid() bool { return p.valid }
 
 func (p Proof) notRun() fault.NotRun {
@@ -22,45 +22,46 @@
 	return lilacv1.NotRun_NOT_RUN_UNKNOWN
 }
 
-type try struct {
+type attemptRecord struct {
 	attempt *upstream.Attempt
 	refused bool
 }
 
-// Record holds all attempts of one request. It is used by one goroutine.
+// Record holds all attempts of one request. It is not safe for concurrent use.
 type Record struct {
-	tries    []try
+	attempts []attemptRecord
 	answered bool
 }
 
-// Add starts the record of an attempt; onWrite is called just before its first
-// byte may go out.
+// Add starts the record of an attempt; onWrite is called just before its first byte may
+// be written.
 func (r *Record) Add(onWrite func()) *upstream.Attempt {
 	attempt := &upstream.Attempt{OnWrite: onWrite}
-	r.tries = append(r.tries, try{attempt: attempt})
+	r.attempts = append(r.attempts, attemptRecord{attempt: attempt})
 	return attempt
 }
 
-// Refused notes that the server stated that it did not run the last attempt.
-func (r *Record) Refused() { r.tries[len(r.tries)-1].refused = true }
+// Refused records that the server stated that it did not run the last attempt.
+func (r *Record) Refused() { r.attempts[len(r.attempts)-1].refused = true }
 
-// Answered notes that a part of an answer came: the request ran.
+// Answered records that part of an answer arrived, so the request did run.
 func (r *Record) Answered() { r.answered = true }
 
-// Proof gives all attempts up, and proves that the request did not run where
-// for each of them no byte was written, or the server said that it did not run.
+// Proof seals all attempts and reports whether the request provably did not run: for each
+// attempt, no byte was written, or the server stated that it did not run it. A sealed
+// attempt can no longer write.
 func (r *Record) Proof() (Proof, bool) {
 	proved := !r.answered
-	for _, t := range r.tries {
-		if !t.attempt.Seal() && !t.refused {
+	for _, a := range r.attempts {
+		if !a.attempt.Seal() && !a.refused {
 			proved = false
 		}
 	}
 	return Proof{valid: proved}, proved
 }
 
-// Error makes the request's final error. It is the one place of the request
-// path that states not_run, and takes it from the record alone.
+// Error returns the request's final error. It is the only place in the request path that
+// sets not_run, and derives it from the record alone. Like Proof, it seals all attempts.
 func (r *Record) Error(kind fault.Kind, message string, options ...fault.Option) error {
 	proof, _ := r.Proof()
 	notRun := proof.notRun()
--- a/request/suspect/table.go
+++ b/request/suspect/table.go
@@ -1,9 +1,9 @@
-// Package suspect finds the request that crashes backend servers.
+// Package suspect identifies requests that crash backend servers.
 //
-// All requests in flight on a server that crashes are suspects by digest. A
-// suspect runs again only as the one suspect on its server; two crashes
-// convict it, and a run that gets well past the place of the crash clears it.
-// What is known is shared with the other instances in digests.
+// All requests in flight on a server that crashes become suspects, identified by the
+// digest of their content. A suspect is retried only as the sole suspect on its server
+// (a trial); two crashes convict it, and a run that gets well past the position of the
+// crash clears it. Instances share this state in their digests.
 package suspect
 
 import (
@@ -14,48 +14,52 @@
 )
 
 const (
-	// ConvictionThreshold is the number of lost servers that convicts.
+	// ConvictionThreshold is the number of crashed servers that convicts a request.
 	ConvictionThreshold = 2
-	// keep is how long a suspicion lasts without news.
-	keep = 10 * time.Minute
-	// share is how long a suspicion is told to the other instances.
-	share = 20 * time.Second
-	// maxEntries bounds the table; the oldest goes first.
+	// retention is how long an entry is kept after its last update.
+	retention = 10 * time.Minute
+	// exportFor is how long an entry is sent to peers after its last update.
+	exportFor = 20 * time.Second
+	// maxEntries bounds the table; the entry created first is evicted first.
 	maxEntries = 4096
 )
 
-// Entry is what is known of one digest.
+// Entry is the state of one request digest.
 type Entry struct {
 	Digest string
 	Team   string
-	// Servers that crashed while they ran it, in order of name.
+	// Servers are the servers that crashed while running the request, sorted by name.
 	Servers []string
-	// Trial is the server on which this instance tries it now.
+	// Trial is the server of this instance's current, reserved or claimed trial, as
+	// reported to peers; empty if none.
 	Trial string
-	// UpdatedAt is when this instance last heard something new of it.
+	// UpdatedAt is when this instance last received new information on the request.
 	UpdatedAt time.Time
-	// PeerTrialAt is when a peer last told that it tries the request.
+	// PeerTrialAt is when a peer last reported a trial of its own.
 	PeerTrialAt time.Time
-	// CrashTimes is when this instance learned of each crash that counts.
+	// CrashTimes holds when this instance learned of each crash that counts.
 	CrashTimes []time.Time
-	// OwnCrash is true where a crash broke a run of this instance's own.
+	// OwnCrash is set if a crash interrupted a run by this instance.
 	OwnCrash bool
-	// Confirmed is the verdict on two crashes; until then they only bar the request.
+	// Confirmed is set once the conviction is confirmed; until then a convicted request
+	// is only held back.
 	Confirmed bool
-	// AttributedToOutage is true once crashes were put down to an outage; only once.
+	// AttributedToOutage is set once crashes were attributed to an outage; that happens
+	// only once.
 	AttributedToOutage bool
-	// places are how many tokens of its answer this instance held at each of
-	// its own crashes, by server.
-	places map[string]int
-	// forgiven are crashes that a later run cleared the request of. Peers go on
-	// telling of them for a while; they must not count again.
-	forgiven []string
+	// positions holds, by server, how many tokens of the answer this instance held at
+	// each crash that it observed.
+	positions map[string]int
+	// discounted are servers whose crashes no longer count against the request. Peers
+	// keep reporting them for a while; they must not be counted again.
+	discounted []string
 }
 
-// Convicted tells whether the request must not run again.
+// Convicted reports whether the request has reached ConvictionThreshold and must not run.
+// It is false for a nil Entry.
 func (e *Entry) Convicted() bool { return e != nil && len(e.Servers) >= ConvictionThreshold }
 
-// Table holds the suspects that one instance knows.
+// Table holds the suspects known to one instance. It is not safe for concurrent use.
 type Table struct {
 	entries map[string]*Entry
 	order   []string
@@ -64,7 +68,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: make(map[string]*Entry)} }
 
-// Get returns the entry of a digest that is suspected now, or nil.
+// Get returns the entry of a digest that is currently suspected, or nil. The table keeps
+// ownership of the entry.
 func (t *Table) Get(digest string) *Entry {
 	e := t.entries[digest]
 	if e == nil || len(e.Servers) == 0 {
@@ -73,7 +78,7 @@
 	return e
 }
 
-// Len returns the number of suspects.
+// Len returns the number of entries, including cleared ones.
 func (t *Table) Len() int { return len(t.entries) }
 
 func (t *Table) entry(digest, team string) *Entry {
@@ -90,12 +95,12 @@
 	return e
 }
 
-// RecordCrash notes that a server went down with the request in flight. It
-// returns true where that is news.
+// RecordCrash records that a server crashed with the request in flight. It reports
+// whether the crash was new.
 func (t *Table) RecordCrash(digest, team, server string, now time.Time) bool {
 	e := t.entry(digest, team)
 	at, known := slices.BinarySearch(e.Servers, server)
-	if known || slices.Contains(e.forgiven, server) {
+	if known || slices.Contains(e.discounted, server) {
 		return false
 	}
 	e.Servers = slices.Insert(e.Servers, at, server)
@@ -104,40 +109,41 @@
 	return true
 }
 
-// CrashRecorded tells whether the server's crash was ever put down to the request.
+// CrashRecorded reports whether the server's crash was ever counted against the request.
 func (e *Entry) CrashRecorded(server string) bool {
-	return slices.Contains(e.Servers, server) || slices.Contains(e.forgiven, server)
+	return slices.Contains(e.Servers, server) || slices.Contains(e.discounted, server)
 }
 
-// AttributeToOutage puts all crashes but one down to an outage: the request remains a
-// suspect. Each instance keeps the same crash, the first by name, so that
-// what they tell each other doesn't add up to two again.
+// AttributeToOutage discounts all crashes but one; the request remains a suspect. Each
+// instance keeps the same crash, the first by server name, so that the crashes reported
+// among instances don't add up to a conviction again.
 func (t *Table) AttributeToOutage(digest string, now time.Time) {
 	e := t.Get(digest)
 	if e == nil {
 		return
 	}
-	e.forgiven = append(e.forgiven, e.Servers[1:]...)
+	e.discounted = append(e.discounted, e.Servers[1:]...)
 	e.Servers = e.Servers[:1]
 	e.CrashTimes = nil
 	e.AttributedToOutage = true
 	e.UpdatedAt = now
 }
 
-// Clear ends the suspicion: the request ran past the place of the crash, or
-// the operators lifted its conviction. The crashes so far are forgiven.
+// Clear ends the suspicion: the request ran past the position of the crash, or an operator
+// lifted its conviction. The crashes so far are discounted.
 func (t *Table) Clear(digest string, now time.Time) {
 	e := t.Get(digest)
 	if e == nil {
 		return
 	}
-	e.forgiven = append(e.forgiven, e.Servers...)
-	e.Servers, e.Trial, e.CrashTimes, e.places = nil, "", nil, nil
+	e.discounted = append(e.discounted, e.Servers...)
+	e.Servers, e.Trial, e.CrashTimes, e.positions = nil, "", nil, nil
 	e.OwnCrash, e.Confirmed, e.AttributedToOutage = false, false, false
 	e.UpdatedAt = now
 }
 
-// Merge takes in a peer's suspects; it returns true where one is convicted by it.
+// Merge merges suspects reported by a peer. It reports whether one of them is convicted by
+// the merge.
 func (t *Table) Merge(suspects []*lilacv1.Suspect, now time.Time) bool {
 	convicted := false
 	for _, s := range suspects {
@@ -158,11 +164,11 @@
 	return convicted
 }
 
-// Expire drops what is old; call it now and then.
+// Expire drops entries that were not updated within the retention. Call it periodically.
 func (t *Table) Expire(now time.Time) {
 	kept := t.order[:0]
 	for _, digest := range t.order {
-		if e := t.entries[digest]; now.Sub(e.UpdatedAt) > keep {
+		if e := t.entries[digest]; now.Sub(e.UpdatedAt) > retention {
 			delete(t.entries, digest)
 		} else {
 			kept = append(kept, digest)
@@ -171,13 +177,13 @@
 	t.order = kept
 }
 
-// Export returns what the other instances should know: recent suspicions, and
-// without servers those that were cleared.
+// Export returns the entries to send to peers: those updated recently or with a trial.
+// Cleared ones have no servers. The result shares its slices with the table.
 func (t *Table) Export(now time.Time) []*lilacv1.Suspect {
 	var all []*lilacv1.Suspect
 	for _, digest := range t.order {
 		e := t.entries[digest]
-		if now.Sub(e.UpdatedAt) > share && e.Trial == "" {
+		if now.Sub(e.UpdatedAt) > exportFor && e.Trial == "" {
 			continue
 		}
 		all = append(all, &lilacv1.Suspect{Digest: digest, Team: e.Team, Servers: e.Servers, Trial: e.Trial})
--- a/request/suspect/table_test.go
+++ b/request/suspect/table_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Unix(1_800_000_000, 0)
 
-func TestTwoCrashesConvictOverInstances(t *testing.T) {
+func TestTwoCrashesConvictAcrossInstances(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
 	is.True(a.RecordCrash("d", "t", "r1", epoch))
@@ -20,12 +20,12 @@
 	is.True(!a.Get("d").Convicted())
 	is.True(a.Merge(b.Export(epoch), epoch))
 	is.True(a.Get("d").Convicted())
-	is.True(!a.Merge(b.Export(epoch), epoch)) // no news
+	is.True(!a.Merge(b.Export(epoch), epoch)) // nothing new
 }
 
-// An innocent request ran through its trial, but the others still tell of the
-// crash that it was in. The old word must not make it a suspect again, or a
-// second chance neighbour's crash would convict it.
+// A request passed its trial, but peers still report the crash that it was in. These old
+// reports must not make it a suspect again, or one more crash of a server that it happens
+// to run on would convict it.
 func TestClearedStaysCleared(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
@@ -40,7 +40,7 @@
 	is.True(!a.Get("d").Convicted())
 }
 
-func TestPlacesOfTwoCrashes(t *testing.T) {
+func TestComparePositionsOfTwoCrashes(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		first, second int
@@ -55,24 +55,24 @@
 			a.RecordCrashPosition("d", server, tokens)
 		}
 		is.Equal(a.Get("d").ComparePositions(), c.want)
-		a.RecordCrash("d", "t", "r3", epoch) // a peer's, of unknown place
+		a.RecordCrash("d", "t", "r3", epoch) // reported by a peer, position unknown
 		is.Equal(a.Get("d").ComparePositions(), PositionsUnknown)
 	}
 }
 
-func TestTrialsElsewhereAndExpiry(t *testing.T) {
+func TestPeerTrialsAndExpiry(t *testing.T) {
 	is := is.New(t)
 	a := NewTable()
 	a.Merge([]*lilacv1.Suspect{{Digest: "d", Servers: []string{"r1"}, Trial: "r2"}}, epoch)
 	is.Equal(a.Get("d").PeerTrialAt, epoch)
-	a.Expire(epoch.Add(keep + time.Second))
+	a.Expire(epoch.Add(retention + time.Second))
 	is.Equal(a.Len(), 0)
 }
 
-// Half of the engines died and a suspect's two servers were among them. Each
-// instance pardons it by itself, and what they tell each other afterwards must
-// not add up to two crashes again.
-func TestPardonHoldsOverInstances(t *testing.T) {
+// Half of the engines crashed, a suspect's two servers among them. Each instance attributes
+// the crashes to the outage on its own; their later reports to each other must not add up
+// to two crashes again.
+func TestOutageAttributionHoldsAcrossInstances(t *testing.T) {
 	is := is.New(t)
 	a, b := NewTable(), NewTable()
 	for _, server := range []string{"r1", "r2"} {
