--- a/request/tiers/fleet_test.go
+++ b/request/tiers/fleet_test.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	lowestTier = 3
-	ownEvery   = 500 * time.Millisecond
-	// callTimeout is how long the shell waits for an answer.
+	lowestTier  = 3
+	ownInterval = 500 * time.Millisecond
+	// callTimeout is how long the caller of an exchange waits for the reply.
 	callTimeout = time.Second
-	// regroup is how long after a cut heals its two sides need not know each other.
-	regroup = 15 * time.Second
+	// regroupTime is how long after the end of a partition its two sides may still not
+	// know of each other.
+	regroupTime = 15 * time.Second
 )
 
-// event is something that happens at an instant.
+// event is an action scheduled for a point in simulated time.
 type event struct {
 	at  time.Time
 	seq int
@@ -44,141 +45,142 @@
 	return last
 }
 
-// entry is one instance: the product's membership joined with the product's
-// table of one pool, as the daemon joins them.
-type entry struct {
-	self     member.Peer
-	core     *member.Core
-	table    *tiers.Table
-	sequence uint64
-	heard    map[string]uint64
-	busy     map[string]bool
-	dead     bool
-	needs    int
+// instance connects the real membership with the real table of one pool, in the same way as
+// the daemon does.
+type instance struct {
+	self          member.Peer
+	core          *member.Core
+	table         *tiers.Table
+	sequence      uint64
+	lastSequences map[string]uint64
+	busy          map[string]bool
+	dead          bool
+	neededTier    int
 }
 
-// world holds the entries, the clock and the network between them.
-type world struct {
-	now     time.Time
-	begun   time.Time
-	random  *rand.Rand
-	queue   events
-	seq     int
-	entries []*entry
-	byName  map[string]*entry
-	// loss is the share of messages lost; one in rare is late by up to slow.
-	loss     float64
-	slow     time.Duration
-	rare     int
-	cut      string
-	healedAt time.Time
-	// pools is how many pools each entry tells of beside the one under test,
-	// spends of how many teams; bytes counts what each sends and receives.
-	pools, spends int
-	bytes         map[string]int
+// fleet simulates instances, their clock and the network between them.
+type fleet struct {
+	now       time.Time
+	startedAt time.Time
+	random    *rand.Rand
+	queue     events
+	seq       int
+	instances []*instance
+	byName    map[string]*instance
+	// lossRate is the fraction of messages lost; one in delayOneIn is delayed by up to
+	// maxDelay.
+	lossRate   float64
+	maxDelay   time.Duration
+	delayOneIn int
+	isolated   string
+	healedAt   time.Time
+	// pools is the number of pools in each digest besides the one under test, teams the
+	// number of teams; bytes counts the digest bytes that each instance sends and receives.
+	pools, teams int
+	bytes        map[string]int
 }
 
-func newWorld(seed uint64, n, centers int) *world {
-	w := &world{now: time.Unix(1_800_000_000, 0), random: rand.New(rand.NewPCG(seed, 7)), byName: make(map[string]*entry), bytes: make(map[string]int)}
-	w.begun = w.now
+func newFleet(seed uint64, n, centers int) *fleet {
+	f := &fleet{now: time.Unix(1_800_000_000, 0), random: rand.New(rand.NewPCG(seed, 7)), byName: make(map[string]*instance), bytes: make(map[string]int)}
+	f.startedAt = f.now
 	var peers []member.Peer
 	for i := range n {
 		peers = append(peers, member.Peer{Name: fmt.Sprintf("entry-%04d", i), Address: "a", DataCenter: fmt.Sprint("dc-", i%centers)})
 	}
 	for _, self := range peers {
-		e := &entry{self: self, core: member.NewCore(self, peers), table: tiers.NewTable("m", w.now), heard: make(map[string]uint64), busy: make(map[string]bool), needs: -1}
-		w.entries = append(w.entries, e)
-		w.byName[self.Name] = e
-		first := time.Duration(w.random.Int64N(int64(member.TickInterval)))
-		w.after(first, func() { w.tick(e) })
-		w.after(first, func() { w.takeOwn(e) })
+		inst := &instance{self: self, core: member.NewCore(self, peers), table: tiers.NewTable("m", f.now), lastSequences: make(map[string]uint64), busy: make(map[string]bool), neededTier: -1}
+		f.instances = append(f.instances, inst)
+		f.byName[self.Name] = inst
+		first := time.Duration(f.random.Int64N(int64(member.TickInterval)))
+		f.after(first, func() { f.tick(inst) })
+		f.after(first, func() { f.refreshOwn(inst) })
 	}
-	return w
+	return f
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now.Add(d), w.seq, do})
+func (f *fleet) after(d time.Duration, do func()) {
+	f.seq++
+	heap.Push(&f.queue, event{f.now.Add(d), f.seq, do})
 }
 
-func (w *world) run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+func (f *fleet) run(d time.Duration) {
+	end := f.now.Add(d)
+	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
+		next := heap.Pop(&f.queue).(event)
+		f.now = next.at
 		next.do()
 	}
-	w.now = end
+	f.now = end
 }
 
-func (w *world) tick(e *entry) {
-	if e.dead {
+func (f *fleet) tick(inst *instance) {
+	if inst.dead {
 		return
 	}
-	w.after(member.TickInterval, func() { w.tick(e) })
-	if e.needs >= 0 {
-		e.table.HoldBack(e.needs, w.now)
+	f.after(member.TickInterval, func() { f.tick(inst) })
+	if inst.neededTier >= 0 {
+		inst.table.HoldBack(inst.neededTier, f.now)
 	}
-	w.update(e)
-	w.step(e, member.Tick{})
+	f.update(inst)
+	f.step(inst, member.Tick{})
 }
 
-func (w *world) takeOwn(e *entry) {
-	if e.dead {
+func (f *fleet) refreshOwn(inst *instance) {
+	if inst.dead {
 		return
 	}
-	w.after(ownEvery, func() { w.takeOwn(e) })
-	w.step(e, member.Tick{Own: w.own(e)})
+	f.after(ownInterval, func() { f.refreshOwn(inst) })
+	f.step(inst, member.Tick{Own: f.ownDigest(inst)})
 }
 
-func (w *world) update(e *entry) {
-	if e.table.Update(w.now) {
-		w.after(time.Millisecond, func() {
-			if !e.dead {
-				w.step(e, member.Tick{Own: w.own(e)})
+func (f *fleet) update(inst *instance) {
+	if inst.table.Update(f.now) {
+		f.after(time.Millisecond, func() {
+			if !inst.dead {
+				f.step(inst, member.Tick{Own: f.ownDigest(inst)})
 			}
 		})
 	}
 }
 
-func (w *world) own(e *entry) *lilacv1.Digest {
-	e.sequence++
+func (f *fleet) ownDigest(inst *instance) *lilacv1.Digest {
+	inst.sequence++
 	d := &lilacv1.Digest{
-		Instance: e.self.Name, DataCenter: e.self.DataCenter, Incarnation: "1", Sequence: e.sequence,
-		PromiseMs: uint32(e.table.Promise().Milliseconds()), Cutoffs: []*lilacv1.PoolCutoff{e.table.Cutoff(tiers.Demand{}, -1)},
+		Instance: inst.self.Name, DataCenter: inst.self.DataCenter, Incarnation: "1", Sequence: inst.sequence,
+		PromiseMs: uint32(inst.table.Promise().Milliseconds()), Cutoffs: []*lilacv1.PoolCutoff{inst.table.Cutoff(tiers.Demand{}, -1)},
 	}
-	for i := range w.pools {
+	for i := range f.pools {
 		d.Cutoffs = append(d.Cutoffs, &lilacv1.PoolCutoff{Pool: fmt.Sprintf("model-%02d/dc", i), HeldBackTier: 2, AdmittedTier: 2, WaitingTier: 3})
 	}
-	for i := range w.spends {
+	for i := range f.teams {
 		d.Spends = append(d.Spends, &lilacv1.TeamSpend{Team: fmt.Sprint("team-", i), Tokens: 200000})
 	}
 	return d
 }
 
-func (w *world) step(e *entry, what member.Event) {
-	for _, action := range e.core.Step(w.now, what) {
+func (f *fleet) step(inst *instance, ev member.Event) {
+	for _, action := range inst.core.Step(f.now, ev) {
 		switch a := action.(type) {
 		case member.Exchange:
-			w.exchange(e, a)
+			f.exchange(inst, a)
 		case member.Digest:
-			w.observe(e, a)
+			f.observe(inst, a)
 		case member.Gone:
-			delete(e.heard, a.Instance)
-			e.table.RemovePeer(a.Instance)
-			w.update(e)
+			delete(inst.lastSequences, a.Instance)
+			inst.table.RemovePeer(a.Instance)
+			f.update(inst)
 		}
 	}
 }
 
-// observe takes a digest in as the policy does: one that is not newer than the
-// last is dropped.
-func (w *world) observe(e *entry, a member.Digest) {
+// observe processes a digest as the policy does: one that is not newer than the last is
+// dropped.
+func (f *fleet) observe(inst *instance, a member.Digest) {
 	d := a.Digest
-	if last, known := e.heard[d.GetInstance()]; known && d.GetSequence() <= last {
+	if last, known := inst.lastSequences[d.GetInstance()]; known && d.GetSequence() <= last {
 		return
 	}
-	e.heard[d.GetInstance()] = d.GetSequence()
+	inst.lastSequences[d.GetInstance()] = d.GetSequence()
 	var cutoff *lilacv1.PoolCutoff
 	if len(d.GetCutoffs()) > 0 {
 		cutoff = d.GetCutoffs()[0]
@@ -187,79 +189,79 @@
 	if d.GetIncomplete() {
 		until = time.Time{}
 	}
-	e.table.ObserveUntil(d.GetInstance(), cutoff, until)
-	e.table.SetPromise(time.Duration(d.GetPromiseMs()) * time.Millisecond)
-	w.update(e)
+	inst.table.ObserveUntil(d.GetInstance(), cutoff, until)
+	inst.table.SetPromise(time.Duration(d.GetPromiseMs()) * time.Millisecond)
+	f.update(inst)
 }
 
-func (w *world) linked(a, b *entry) bool {
-	return a.self.DataCenter == b.self.DataCenter || a.self.DataCenter != w.cut && b.self.DataCenter != w.cut
+func (f *fleet) connected(a, b *instance) bool {
+	return a.self.DataCenter == b.self.DataCenter || a.self.DataCenter != f.isolated && b.self.DataCenter != f.isolated
 }
 
-// travel carries something from one entry to another, or loses it.
-func (w *world) travel(from, to *entry, arrive func()) {
-	if to.dead || !w.linked(from, to) || w.random.Float64() < w.loss {
+// deliver calls receive after a random delay, or never if the message is lost.
+func (f *fleet) deliver(from, to *instance, receive func()) {
+	if to.dead || !f.connected(from, to) || f.random.Float64() < f.lossRate {
 		return
 	}
-	late := time.Duration(w.random.Int64N(int64(40 * time.Millisecond)))
-	if w.slow > 0 && w.random.IntN(w.rare) == 0 {
-		late = time.Duration(w.random.Int64N(int64(w.slow)))
+	delay := time.Duration(f.random.Int64N(int64(40 * time.Millisecond)))
+	if f.maxDelay > 0 && f.random.IntN(f.delayOneIn) == 0 {
+		delay = time.Duration(f.random.Int64N(int64(f.maxDelay)))
 	}
-	w.after(late, func() {
+	f.after(delay, func() {
 		if !to.dead {
-			arrive()
+			receive()
 		}
 	})
 }
 
-func (w *world) exchange(from *entry, a member.Exchange) {
-	to := w.byName[a.Peer.Name]
+func (f *fleet) exchange(from *instance, a member.Exchange) {
+	to := f.byName[a.Peer.Name]
 	if from.busy[a.Peer.Name] {
 		return
 	}
 	from.busy[a.Peer.Name] = true
 	done := false
-	end := func(what member.Event) {
+	end := func(ev member.Event) {
 		if !done && !from.dead {
 			done = true
 			delete(from.busy, a.Peer.Name)
-			w.step(from, what)
+			f.step(from, ev)
 		}
 	}
-	w.after(callTimeout, func() { end(member.Failed{Peer: a.Peer.Name}) })
+	f.after(callTimeout, func() { end(member.Failed{Peer: a.Peer.Name}) })
 	sent := proto.CloneOf(a.Digest)
-	w.count(from, sent)
-	w.travel(from, to, func() {
-		w.count(to, sent)
-		w.step(to, member.Received{From: from.self.Name, Digest: sent})
-		reply := proto.CloneOf(to.core.Reply(w.now, from.self.Name))
-		w.count(to, reply)
-		w.count(from, reply)
-		w.travel(to, from, func() { end(member.Answered{Peer: a.Peer.Name, Digest: reply}) })
+	f.count(from, sent)
+	f.deliver(from, to, func() {
+		f.count(to, sent)
+		f.step(to, member.Received{From: from.self.Name, Digest: sent})
+		reply := proto.CloneOf(to.core.Reply(f.now, from.self.Name))
+		f.count(to, reply)
+		f.count(from, reply)
+		f.deliver(to, from, func() { end(member.Answered{Peer: a.Peer.Name, Digest: reply}) })
 	})
 }
 
-func (w *world) count(e *entry, d *lilacv1.Digest) { w.bytes[e.self.Name] += proto.Size(d) }
+func (f *fleet) count(inst *instance, d *lilacv1.Digest) { f.bytes[inst.self.Name] += proto.Size(d) }
 
-// broken returns a line for the first entry that may shed a tier while another
-// that it can reach admits a less urgent one, by both entries' true states.
-func (w *world) broken() string {
+// violation describes the first instance that may shed a tier while another instance that it
+// can reach admits a less urgent one, by the actual state of both; empty if there is none.
+func (f *fleet) violation() string {
 	admits := make(map[string]int)
-	who := make(map[string]*entry)
-	for _, e := range w.entries {
-		if dc := e.self.DataCenter; !e.dead && e.table.Admitted() >= admits[dc] {
-			admits[dc], who[dc] = e.table.Admitted(), e
+	admitters := make(map[string]*instance)
+	for _, inst := range f.instances {
+		if dc := inst.self.DataCenter; !inst.dead && inst.table.Admitted() >= admits[dc] {
+			admits[dc], admitters[dc] = inst.table.Admitted(), inst
 		}
 	}
-	apart := w.cut != "" || w.now.Sub(w.healedAt) < regroup
-	for _, e := range w.entries {
-		for tier := 0; tier < lowestTier && !e.dead; tier++ {
-			if !e.table.MayShed(tier, w.now) {
+	partitioned := f.isolated != "" || f.now.Sub(f.healedAt) < regroupTime
+	for _, inst := range f.instances {
+		for tier := 0; tier < lowestTier && !inst.dead; tier++ {
+			if !inst.table.MayShed(tier, f.now) {
 				continue
 			}
 			for dc, admitted := range admits {
-				if admitted > tier && (dc == e.self.DataCenter || !apart) {
-					return fmt.Sprintf("%v: %s may shed tier %d while %s admits tier %d", w.now.Sub(w.begun), e.self.Name, tier, who[dc].self.Name, admitted)
+				if admitted > tier && (dc == inst.self.DataCenter || !partitioned) {
+					return fmt.Sprintf("%v: %s may shed tier %d while %s admits tier %d", f.now.Sub(f.startedAt), inst.self.Name, tier, admitters[dc].self.Name, admitted)
 				}
 			}
 		}
@@ -267,16 +269,16 @@
 	return ""
 }
 
-// check lets time pass and looks each 50 ms; it counts the looks at which a
-// needy entry may shed what it must, above the lowest tier.
-func (w *world) check(d time.Duration) (broken string, allowed int) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.run(50 * time.Millisecond)
-		if line := w.broken(); line != "" {
+// check runs the fleet for d and checks for violations every 50 ms. allowed counts the
+// instances, over all checks, that may shed their needed tier above the lowest one.
+func (f *fleet) check(d time.Duration) (violation string, allowed int) {
+	for end := f.now.Add(d); f.now.Before(end); {
+		f.run(50 * time.Millisecond)
+		if line := f.violation(); line != "" {
 			return line, allowed
 		}
-		for _, e := range w.entries {
-			if !e.dead && e.needs >= 0 && e.needs < lowestTier && e.table.MayShed(e.needs, w.now) {
+		for _, inst := range f.instances {
+			if !inst.dead && inst.neededTier >= 0 && inst.neededTier < lowestTier && inst.table.MayShed(inst.neededTier, f.now) {
 				allowed++
 			}
 		}
@@ -284,61 +286,61 @@
 	return "", allowed
 }
 
-// bursts lets one to three entries at a time need to shed, again and again.
-func (w *world) bursts(n int) (broken string, allowed int) {
+// bursts runs n bursts, in each of which one to three instances need to shed.
+func (f *fleet) bursts(n int) (violation string, allowed int) {
 	for range n {
-		var needy []*entry
-		for range 1 + w.random.IntN(3) {
-			e := w.entries[w.random.IntN(len(w.entries))]
-			e.needs = w.random.IntN(lowestTier)
-			needy = append(needy, e)
+		var shedders []*instance
+		for range 1 + f.random.IntN(3) {
+			inst := f.instances[f.random.IntN(len(f.instances))]
+			inst.neededTier = f.random.IntN(lowestTier)
+			shedders = append(shedders, inst)
 		}
-		for _, phase := range []time.Duration{12 * time.Second, 6 * time.Second} {
-			line, count := w.check(phase + time.Duration(w.random.Int64N(int64(phase))))
+		for _, duration := range []time.Duration{12 * time.Second, 6 * time.Second} {
+			line, count := f.check(duration + time.Duration(f.random.Int64N(int64(duration))))
 			allowed += count
 			if line != "" {
 				return line, allowed
 			}
-			for _, e := range needy {
-				e.needs = -1
+			for _, inst := range shedders {
+				inst.neededTier = -1
 			}
 		}
 	}
 	return "", allowed
 }
 
-// relay is the living entry of the best rank in a data centre.
-func (w *world) relay(dataCenter string) *entry {
-	var best *entry
-	for _, e := range w.entries {
-		if !e.dead && e.self.DataCenter == dataCenter && (best == nil || member.CompareRank(e.self.Name, best.self.Name) < 0) {
-			best = e
+// relay returns the live instance of the best rank in a data centre.
+func (f *fleet) relay(dataCenter string) *instance {
+	var best *instance
+	for _, inst := range f.instances {
+		if !inst.dead && inst.self.DataCenter == dataCenter && (best == nil || member.CompareRank(inst.self.Name, best.self.Name) < 0) {
+			best = inst
 		}
 	}
 	return best
 }
 
-// admit tells whether no entry admits a tier less urgent than the given one.
-func (w *world) admit(tier int) bool {
-	for _, e := range w.entries {
-		if e.table.Admitted() > tier {
+// admitsAtMost reports whether no instance admits a tier less urgent than the given one.
+func (f *fleet) admitsAtMost(tier int) bool {
+	for _, inst := range f.instances {
+		if inst.table.Admitted() > tier {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) admitAll() bool {
-	for _, e := range w.entries {
-		if !e.table.Admits(lowestTier) {
+func (f *fleet) admitsAll() bool {
+	for _, inst := range f.instances {
+		if !inst.table.Admits(lowestTier) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) until(holds func() bool) {
-	for end := w.now.Add(2 * time.Minute); !holds() && w.now.Before(end); {
-		w.run(20 * time.Millisecond)
+func (f *fleet) until(condition func() bool) {
+	for end := f.now.Add(2 * time.Minute); !condition() && f.now.Before(end); {
+		f.run(20 * time.Millisecond)
 	}
 }
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -1,20 +1,21 @@
-// Package tiers makes shedding and the split of slots a joint decision of all
-// instances that share a pool, with nothing but their digests.
+// Package tiers makes shedding and the division of slots a joint decision of all instances
+// that share a pool, using only their digests.
 //
-// An instance that wants to shed tier t says so (held back). Each instance
-// that hears it cuts its own least urgent tier off, one tier for each round of
-// digests, and says what it still admits. Tier t is shed only while every
-// reachable instance says that it admits nothing less urgent than t.
+// An instance that wants to shed tier t announces it (held back). Each instance that
+// receives this cuts off its own least urgent tier, one tier per round of digests, and
+// announces which tiers it still admits. Tier t is shed only while every reachable instance
+// announces that it admits nothing less urgent than t.
 //
-// What an instance says it admits is a promise for a stated time, and a cut-off
-// tier is admitted again only when all promises that forbid it have ended. So
-// nobody sheds on a word that holds no longer, whatever time the word took:
-// the membership takes its age off, and a late or lost one only makes sheds wait.
-// When no word of an instance binds any more, nothing but the least urgent tier
-// is shed until it is heard again or is given up as unreachable.
+// An announcement of admitted tiers is a promise for a stated time, and a cut-off tier is
+// admitted again only after all promises that exclude it have ended. So no instance sheds
+// on the basis of an outdated announcement, however long it was in transit: the membership
+// subtracts its age, and a delayed or lost one only delays shedding. If no announcement of
+// some instance is in force, only the least urgent tier is shed until that instance is
+// heard from again or is considered unreachable.
 //
-// A digest that comes without a stated time (none passed through a membership)
-// counts for Fresh; that holds if it travels less than LiftDelay - Fresh.
+// A digest without a stated time (one that did not pass through a membership) is valid for
+// DefaultValidity; this is safe if it is in transit for less than
+// DefaultPromise - DefaultValidity.
 package tiers
 
 import (
@@ -26,25 +27,27 @@
 )
 
 const (
-	// DefaultValidity is how long a peer's word without a stated time counts after it was heard.
+	// DefaultValidity is how long an announcement without a stated time is valid after it
+	// was received.
 	DefaultValidity = 1200 * time.Millisecond
-	// DefaultPromise is how long an own word binds until SetPromise says otherwise.
+	// DefaultPromise is how long this instance's announcements bind unless SetPromise
+	// changes it.
 	DefaultPromise = 2 * time.Second
-	// settle is how long a new instance sheds nothing but the least urgent tier:
-	// it has not heard all others yet.
-	settle = 3 * time.Second
-	// holdFor is how long an instance goes on holding back after its last need.
-	holdFor = 2 * time.Second
-	// lowest is the least urgent tier.
-	lowest = model.Tiers - 1
-	// none stands for no tier.
-	none = model.Tiers
+	// startupDelay is how long a new instance sheds only the least urgent tier: it has not
+	// yet heard from all others.
+	startupDelay = 3 * time.Second
+	// holdBackDuration is how long an instance keeps holding back after the last HoldBack.
+	holdBackDuration = 2 * time.Second
+	// lowestTier is the least urgent tier.
+	lowestTier = model.Tiers - 1
+	// noTier stands for no tier.
+	noTier = model.Tiers
 )
 
-// Demand is the number of slots that are asked for, by place.
+// Demand is the number of requested slots by place.
 type Demand [model.Places]float64
 
-// LastPlace is the last place that anything is asked for at, or -1.
+// LastPlace returns the last place with any demand, or -1.
 func (d Demand) LastPlace() int {
 	last := len(d) - 1
 	for last >= 0 && d[last] == 0 {
@@ -53,7 +56,7 @@
 	return last
 }
 
-// LastTier is the least urgent tier that anything is asked for by, or 0.
+// LastTier returns the least urgent tier with any demand, or 0.
 func (d Demand) LastTier() int {
 	last := 0
 	for place, count := range d {
@@ -64,7 +67,7 @@
 	return last
 }
 
-// byTier sums up the places of each tier.
+// byTier returns the demand summed by tier.
 func (d Demand) byTier() (sums [model.Tiers]float64) {
 	for place, count := range d {
 		sums[model.TierOf(place)] += count
@@ -72,78 +75,81 @@
 	return sums
 }
 
-// Shares are the parts of the capacity, 0 to 1 together, that the classes of each
-// place are guaranteed. Instances that count different classes split a little
-// differently; servers' limits hold all the same.
+// Shares are the guaranteed shares of the capacity by place, 0 to 1 in total. Instances that
+// know different classes split slightly differently; servers' own limits hold regardless.
 type Shares [model.Places]float64
 
+// peer is the last announcement of a peer.
 type peer struct {
-	// until is when the peer's word binds no longer.
+	// until is when the announcement expires.
 	until    time.Time
 	admitted int
 	heldBack int
 	demand   Demand
 }
 
-// Table is what one instance knows of one pool.
+// Table is the state of one pool as known to one instance. It is not safe for concurrent
+// use.
 type Table struct {
 	pool  string
 	peers map[string]*peer
-	// said is the least urgent tier that this instance tells it admits;
-	// admitted is what it does admit.
-	said, admitted int
-	saidAt         time.Time
-	promise        time.Duration
-	need           int
-	needAt         time.Time
-	born           time.Time
-	// told is what all others ask for where that is told beside digests, and
-	// toldPeers how many they are; 0 where it isn't.
-	told      Demand
-	toldPeers int
+	// announced is the least urgent tier that this instance announces it admits;
+	// admitted is the one it does admit, which is never less urgent than announced.
+	announced, admitted int
+	announcedAt         time.Time
+	promise             time.Duration
+	// neededTier is the most urgent tier that this instance wants to shed, or noTier.
+	neededTier int
+	neededAt   time.Time
+	createdAt  time.Time
+	// reportedDemand is the demand of all other instances if it is reported outside
+	// digests, reportedPeers their number; reportedPeers is 0 if it is not.
+	reportedDemand Demand
+	reportedPeers  int
 }
 
 // NewTable returns a table that admits all tiers.
 func NewTable(pool string, now time.Time) *Table {
-	return &Table{pool: pool, born: now, peers: make(map[string]*peer), said: lowest, admitted: lowest, promise: DefaultPromise, need: none}
+	return &Table{pool: pool, createdAt: now, peers: make(map[string]*peer), announced: lowestTier, admitted: lowestTier, promise: DefaultPromise, neededTier: noTier}
 }
 
-// SetPromise sets how long own words are to bind. A shorter time counts when no
-// word of a longer one binds any more.
+// SetPromise sets how long this instance's announcements bind. A shorter duration takes
+// effect only when no announcement that excludes a tier is in force.
 func (t *Table) SetPromise(promise time.Duration) {
-	if promise > t.promise || t.said == lowest && t.admitted == lowest {
+	if promise > t.promise || t.announced == lowestTier && t.admitted == lowestTier {
 		t.promise = promise
 	}
 }
 
-// Promise returns how long own words bind from when they are told.
+// Promise returns how long announcements bind from when they are sent.
 func (t *Table) Promise() time.Duration { return t.promise }
 
-// Observe takes in what a peer said of the pool without a stated time; nil
-// means it said nothing.
+// Observe records a peer's announcement for the pool, valid for DefaultValidity; nil means
+// that the peer announced nothing.
 func (t *Table) Observe(name string, cutoff *lilacv1.PoolCutoff, now time.Time) {
 	t.ObserveUntil(name, cutoff, now.Add(DefaultValidity))
 }
 
-// ObserveUntil takes in what a peer said of the pool, which binds until then.
+// ObserveUntil is like Observe for an announcement that is valid until the given time.
 func (t *Table) ObserveUntil(name string, cutoff *lilacv1.PoolCutoff, until time.Time) {
 	p := t.peers[name]
 	if p == nil {
 		p = &peer{}
 		t.peers[name] = p
 	}
-	*p = peer{until: until, admitted: lowest, heldBack: none}
+	*p = peer{until: until, admitted: lowestTier, heldBack: noTier}
 	if cutoff == nil {
 		return
 	}
 	p.admitted = int(cutoff.GetAdmittedTier()) - 1
-	if held := cutoff.GetHeldBackTier(); held > 0 {
-		p.heldBack = int(held) - 1
+	if heldBack := cutoff.GetHeldBackTier(); heldBack > 0 {
+		p.heldBack = int(heldBack) - 1
 	}
 	p.demand = demandOf(cutoff)
 }
 
-// demandOf reads a peer's demand.
+// demandOf returns the demand in a peer's announcement. Peers that report no demand by place
+// report it by tier.
 func demandOf(cutoff *lilacv1.PoolCutoff) (demand Demand) {
 	for place, count := range cutoff.GetPlaceDemand() {
 		if place < model.Places {
@@ -161,54 +167,54 @@
 	return demand
 }
 
-// RemovePeer forgets a peer that is no longer reached.
+// RemovePeer forgets a peer that is no longer reachable.
 func (t *Table) RemovePeer(name string) { delete(t.peers, name) }
 
-// HoldBack notes that this instance wants to shed the tier.
+// HoldBack records that this instance wants to shed the tier. The request lapses unless it
+// is repeated.
 func (t *Table) HoldBack(tier int, now time.Time) {
-	t.need = min(t.need, tier)
-	t.needAt = now
+	t.neededTier = min(t.neededTier, tier)
+	t.neededAt = now
 }
 
-// Update moves the own cutoff by at most one tier down, or up when no promise
-// that was told forbids it any more.
-// It returns true where the others must hear of it at once.
+// Update moves this instance's cutoff down by at most one tier, or up once no promise that
+// excludes the tiers is in force. It reports whether peers must be informed at once.
 func (t *Table) Update(now time.Time) bool {
-	if t.need != none && now.Sub(t.needAt) > holdFor {
-		t.need = none
+	if t.neededTier != noTier && now.Sub(t.neededAt) > holdBackDuration {
+		t.neededTier = noTier
 	}
-	want := lowest
-	if t.need != none {
-		want = t.need
+	want := lowestTier
+	if t.neededTier != noTier {
+		want = t.neededTier
 	}
 	for _, p := range t.peers {
-		if p.heldBack != none {
+		if p.heldBack != noTier {
 			want = min(want, p.heldBack)
 		}
 	}
 	switch {
-	case want < t.said && t.cutElsewhere(t.said, now):
-		t.said--
-		t.admitted = min(t.admitted, t.said)
-		t.saidAt = now
+	case want < t.announced && t.peersCutOff(t.announced, now):
+		t.announced--
+		t.admitted = min(t.admitted, t.announced)
+		t.announcedAt = now
 		return true
-	case want > t.said:
-		t.said = want
-		t.saidAt = now
+	case want > t.announced:
+		t.announced = want
+		t.announcedAt = now
 		return true
-	case t.admitted < t.said && now.Sub(t.saidAt) >= t.promise:
-		t.admitted = t.said
+	case t.admitted < t.announced && now.Sub(t.announcedAt) >= t.promise:
+		t.admitted = t.announced
 	}
 	return false
 }
 
-// cutElsewhere tells whether every reachable peer has cut off all tiers less
-// urgent than tier, by a word that still binds.
-func (t *Table) cutElsewhere(tier int, now time.Time) bool {
-	if tier >= lowest {
+// peersCutOff reports whether every reachable peer has cut off all tiers less urgent than
+// tier, by an announcement in force.
+func (t *Table) peersCutOff(tier int, now time.Time) bool {
+	if tier >= lowestTier {
 		return true
 	}
-	if now.Sub(t.born) < settle {
+	if now.Sub(t.createdAt) < startupDelay {
 		return false
 	}
 	for _, p := range t.peers {
@@ -219,24 +225,24 @@
 	return true
 }
 
-// MayShed tells whether a request of the tier may be given up for load, as
-// far as the other instances and the own cutoff go.
+// MayShed reports whether the other instances and this instance's cutoff allow shedding
+// requests of the tier.
 func (t *Table) MayShed(tier int, now time.Time) bool {
-	return t.admitted <= tier && t.cutElsewhere(tier, now)
+	return t.admitted <= tier && t.peersCutOff(tier, now)
 }
 
-// Admits tells whether the tier is let in here.
+// Admits reports whether this instance admits the tier.
 func (t *Table) Admits(tier int) bool { return tier <= t.admitted }
 
-// Admitted returns the least urgent tier that is let in here.
+// Admitted returns the least urgent tier that this instance admits.
 func (t *Table) Admitted() int { return t.admitted }
 
-// Cutoff returns the pool's part of the digest; waiting is the least urgent
-// tier that waits, or -1.
+// Cutoff returns the pool's part of this instance's digest; waiting is the least urgent tier
+// with waiting requests, or -1.
 func (t *Table) Cutoff(demand Demand, waiting int) *lilacv1.PoolCutoff {
-	cutoff := &lilacv1.PoolCutoff{Pool: t.pool, AdmittedTier: uint32(t.said + 1), WaitingTier: uint32(waiting + 1)}
-	if t.need != none {
-		cutoff.HeldBackTier = uint32(t.need + 1)
+	cutoff := &lilacv1.PoolCutoff{Pool: t.pool, AdmittedTier: uint32(t.announced + 1), WaitingTier: uint32(waiting + 1)}
+	if t.neededTier != noTier {
+		cutoff.HeldBackTier = uint32(t.neededTier + 1)
 	}
 	for _, count := range demand.byTier() {
 		cutoff.Demand = append(cutoff.Demand, uint32(math.Round(count)))
@@ -247,30 +253,30 @@
 	return cutoff
 }
 
-// PeerCount returns how many instances share the pool, besides this one.
+// PeerCount returns the number of peers known from digests.
 func (t *Table) PeerCount() int { return len(t.peers) }
 
-// SetOthersDemand takes in what all other instances ask for and how many they are, where that is
-// told beside digests; no instances where it isn't known any more.
+// SetOthersDemand sets the demand of all other instances and their number, as reported
+// outside digests. It takes precedence over digests while instances is positive.
 func (t *Table) SetOthersDemand(demand Demand, instances int) {
-	t.told, t.toldPeers = demand, instances
+	t.reportedDemand, t.reportedPeers = demand, instances
 }
 
-// others is how many instances Others speaks for.
-func (t *Table) others() int {
-	if t.toldPeers > 0 {
-		return t.toldPeers
+// otherInstances returns the number of instances that OthersDemand covers.
+func (t *Table) otherInstances() int {
+	if t.reportedPeers > 0 {
+		return t.reportedPeers
 	}
 	return len(t.peers)
 }
 
-// InstanceCount is how many share the pool, this one included.
-func (t *Table) InstanceCount() int { return t.others() + 1 }
+// InstanceCount returns the number of instances that share the pool, including this one.
+func (t *Table) InstanceCount() int { return t.otherInstances() + 1 }
 
-// OthersDemand returns what all reachable peers run and hold.
+// OthersDemand returns the demand of all other instances.
 func (t *Table) OthersDemand() Demand {
-	if t.toldPeers > 0 {
-		return t.told
+	if t.reportedPeers > 0 {
+		return t.reportedDemand
 	}
 	var sum Demand
 	for _, p := range t.peers {
@@ -282,29 +288,29 @@
 }
 
 // Split returns how many requests of each place this instance may run at once, and how
-// many in all. Of capacity each place gets its share first, as far as it is asked for;
-// the rest is given out place by place. Within a place slots go in proportion to
-// demand. What nobody asks for is split evenly, and open to each place.
+// many in total. Each place first gets its share of capacity, up to its demand; the rest is
+// granted place by place. Within a place, slots are divided among instances in proportion to
+// demand. Capacity without demand is divided evenly and is open to every place.
 func (t *Table) Split(capacity float64, own Demand, shares Shares) (split Demand, quota float64) {
 	total := t.OthersDemand()
-	left := capacity
-	var given Demand
+	remaining := capacity
+	var granted Demand
 	for place := range own {
 		total[place] += own[place]
-		given[place] = min(total[place], shares[place]*capacity)
-		left -= given[place]
+		granted[place] = min(total[place], shares[place]*capacity)
+		remaining -= granted[place]
 	}
 	for place := range own {
-		more := min(total[place]-given[place], max(left, 0))
-		left -= more
+		extra := min(total[place]-granted[place], max(remaining, 0))
+		remaining -= extra
 		if total[place] > 0 {
-			split[place] = (given[place] + more) * own[place] / total[place]
+			split[place] = (granted[place] + extra) * own[place] / total[place]
 			quota += split[place]
 		}
 	}
-	even := max(left, 0) / float64(t.others()+1)
+	evenShare := max(remaining, 0) / float64(t.otherInstances()+1)
 	for place := range split {
-		split[place] += even
+		split[place] += evenShare
 	}
-	return split, max(1, quota+even)
+	return split, max(1, quota+evenShare)
 }
--- a/request/tiers/table_test.go
+++ b/request/tiers/table_test.go
@@ -19,20 +19,20 @@
 	return all
 }
 
-func TestQuotaGivesUrgentTiersFirst(t *testing.T) {
+func TestQuotaServesUrgentTiersFirst(t *testing.T) {
 	is := is.New(t)
 	a := NewTable("m", epoch)
 	a.Observe("b", &lilacv1.PoolCutoff{AdmittedTier: 4, Demand: []uint32{60, 40, 0, 0}}, epoch)
 	const tier1, tier3 = 1, 3
-	is.Equal(quota(a, 100, Demand{0: 20, tier1: 40}, Shares{}), 20.0+20*0.5) // tier 1 halves what tier 0 leaves
-	is.Equal(quota(a, 100, Demand{tier3: 30}, Shares{}), 1.0)                // never none
-	is.Equal(quota(a, 100, Demand{tier3: 30}, Shares{tier3: 0.1}), 10.0)     // its share comes first
-	is.Equal(quota(a, 200, Demand{0: 20}, Shares{}), 20.0+40)                // the rest is split evenly
+	is.Equal(quota(a, 100, Demand{0: 20, tier1: 40}, Shares{}), 20.0+20*0.5) // tier 1 gets half of what tier 0 leaves
+	is.Equal(quota(a, 100, Demand{tier3: 30}, Shares{}), 1.0)                // at least 1
+	is.Equal(quota(a, 100, Demand{tier3: 30}, Shares{tier3: 0.1}), 10.0)     // its guaranteed share comes first
+	is.Equal(quota(a, 200, Demand{0: 20}, Shares{}), 20.0+40)                // the rest is divided evenly
 }
 
-// One instance runs long notes, another turns away queries of the same tier. By
-// tiers alone both would have half of the slots, and the notes would go on starting.
-func TestQuotaGivesUrgentRanksFirst(t *testing.T) {
+// One instance runs long notes while another refuses queries of the same tier. By tiers
+// alone, each would get half of the slots, and the notes would keep starting.
+func TestQuotaServesUrgentRanksFirst(t *testing.T) {
 	is := is.New(t)
 	const queries, notes = 1, 2*model.Tiers + 1
 	busy, pressed := NewTable("m", epoch), NewTable("m", epoch)
@@ -42,9 +42,9 @@
 	is.Equal(quota(busy, 100, Demand{notes: 80}, Shares{}), 20.0)
 }
 
-// Queries will need most of the slots soon. Notes that took what the queries don't
-// occupy yet would hold it for many seconds.
-func TestSplitLeavesLessUrgentLevelsOnlyWhatIsNotAskedFor(t *testing.T) {
+// Queries will soon need most of the slots. Notes that started in the slots not yet
+// occupied by queries would hold them for many seconds.
+func TestSplitLeavesLessUrgentPlacesOnlyWhatIsNotRequested(t *testing.T) {
 	is := is.New(t)
 	const queries, notes = 1, 2*model.Tiers + 1
 	a := NewTable("m", epoch)
@@ -53,11 +53,11 @@
 	is.Equal(split[notes], 30.0)
 	is.Equal(quota, 100.0)
 	split, _ = a.Split(100, Demand{queries: 20, notes: 30}, Shares{})
-	is.Equal(split[notes], 30.0+50) // what nobody asks for is open
+	is.Equal(split[notes], 30.0+50) // unrequested slots are open to every place
 }
 
-// Notes of an urgent tier took the slots that short queries of the next one need.
-func TestBulkOfAnUrgentTierComesAfterShortWorkOfOthers(t *testing.T) {
+// Notes of an urgent tier must not take the slots that short queries of the next tier need.
+func TestBulkWorkOfAnUrgentTierComesAfterShortWorkOfOtherTiers(t *testing.T) {
 	is := is.New(t)
 	const queries, urgentNotes = 1, 2 * model.Tiers
 	a := NewTable("m", epoch)
@@ -66,10 +66,10 @@
 	is.Equal(split[urgentNotes], 60.0)
 }
 
-// An urgent request is refused at one instance while another still lets
-// nightly work in. Instances cut off and admit again at random; digests are
-// lost, late and overtake each other, so that each acts on old words.
-func TestNobodyShedsOnAWordThatHoldsNoLonger(t *testing.T) {
+// Guards against an instance refusing an urgent request while another still admits nightly
+// work. Instances cut off and admit tiers at random; digests are lost, delayed and reordered,
+// so that each instance acts on outdated announcements.
+func TestNoInstanceShedsOnAnExpiredPromise(t *testing.T) {
 	is := is.New(t)
 	allowed := 0
 	for seed := range uint64(10) {
@@ -86,15 +86,15 @@
 
 const (
 	instances = 5
-	// longestTravel keeps the promise that the package's comment asks for.
-	longestTravel = DefaultPromise - DefaultValidity - 20*time.Millisecond
+	// maxTransit stays within the transit time that the package comment requires.
+	maxTransit = DefaultPromise - DefaultValidity - 20*time.Millisecond
 )
 
 func randomRun(t *testing.T, seed uint64) (allowed int) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	tables := make([]*Table, instances)
 	inbox := make([][]message, instances)
-	silent := make(map[[2]int]time.Time)
+	silentUntil := make(map[[2]int]time.Time)
 	for i := range tables {
 		tables[i] = NewTable("m", epoch.Add(-time.Hour))
 	}
@@ -107,7 +107,7 @@
 			}
 			table.Update(now)
 			if step%50 == i*7 || random.IntN(200) == 0 {
-				send(table, i, inbox, silent, random, now)
+				send(table, i, inbox, silentUntil, random, now)
 			}
 			allowed += checkShed(t, seed, tables, i, now)
 		}
@@ -116,33 +116,33 @@
 }
 
 func deliver(table *Table, inbox []message, now time.Time) []message {
-	kept := inbox[:0]
+	pending := inbox[:0]
 	for _, m := range inbox {
 		if m.at.After(now) {
-			kept = append(kept, m)
+			pending = append(pending, m)
 			continue
 		}
 		table.Observe(fmt.Sprint(m.from), m.cutoff, now)
 	}
-	return kept
+	return pending
 }
 
-func send(table *Table, from int, inbox [][]message, silent map[[2]int]time.Time, random *rand.Rand, now time.Time) {
+func send(table *Table, from int, inbox [][]message, silentUntil map[[2]int]time.Time, random *rand.Rand, now time.Time) {
 	for to := range inbox {
 		if to == from || random.Float64() < 0.3 {
 			continue
 		}
-		// Now and then one direction of one link falls silent for a while.
+		// Occasionally one direction of one link loses everything for a while.
 		link := [2]int{from, to}
 		if random.IntN(40) == 0 {
-			silent[link] = now.Add(6 * time.Second)
+			silentUntil[link] = now.Add(6 * time.Second)
 		}
-		if now.Before(silent[link]) {
+		if now.Before(silentUntil[link]) {
 			continue
 		}
-		// A digest that is overtaken is dropped by its sequence; here each
-		// link keeps its order by taking the later of the two moments.
-		at := now.Add(time.Duration(random.Int64N(int64(longestTravel))))
+		// A real receiver drops an overtaken digest by its sequence; here each link
+		// keeps its order by using the later of the two times.
+		at := now.Add(time.Duration(random.Int64N(int64(maxTransit))))
 		for _, m := range inbox[to] {
 			if m.from == from && m.at.After(at) {
 				at = m.at
@@ -153,7 +153,7 @@
 }
 
 func checkShed(t *testing.T, seed uint64, tables []*Table, i int, now time.Time) (allowed int) {
-	for tier := range lowest {
+	for tier := range lowestTier {
 		if !tables[i].MayShed(tier, now) {
 			continue
 		}
@@ -167,11 +167,11 @@
 	return allowed
 }
 
-func TestNewInstanceShedsOnlyTheLowestUntilItHeardTheOthers(t *testing.T) {
+func TestNewInstanceShedsOnlyTheLowestTierUntilItHasHeardFromOthers(t *testing.T) {
 	is := is.New(t)
 	a := NewTable("m", epoch)
 	is.True(a.MayShed(3, epoch))
-	for at := epoch; at.Before(epoch.Add(settle)); at = at.Add(100 * time.Millisecond) {
+	for at := epoch; at.Before(epoch.Add(startupDelay)); at = at.Add(100 * time.Millisecond) {
 		a.HoldBack(0, at)
 		a.Update(at)
 		is.True(!a.MayShed(2, at))
