--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -2,91 +2,91 @@
 
 import "time"
 
-// A shared prompt of 13,300 tokens takes an engine a quarter of a second to read,
-// and all answers that it runs meanwhile get their tokens seven times slower. An
-// engine can fetch the part from another one that holds it, in half the time and
-// beside its own work. So a request that finds the engine of its prompt busy goes
-// to another one without the prompt being read there again.
+// A shared prompt of 13,300 tokens takes an engine a quarter of a second to prefill, and
+// meanwhile all its running answers get their tokens seven times slower. An engine can instead
+// fetch the KV cache of the part from one that holds it, in half the time and in parallel with
+// its own work. So if the engine that holds the prompt is busy, a request can go to another one
+// without a second prefill.
 
 const (
-	// leastFetch is the least time of reading that a fetch spares: some 5 ms pass
-	// before a fetch begins.
-	leastFetch = 6 * time.Millisecond
-	// leastAgain is the least part of a prompt, in tokens, for whose sake a request
-	// stays at the engine that reads it already: one chunk. While all engines are
-	// busy, a prompt read twice delays all others, and who does so to be in time makes
-	// more than one of them late.
-	leastAgain = readChunk
-	// fetchShare is what a fetched token costs of what a read one does: it takes the
-	// links' time and volume in place of the engine's.
-	fetchShare = 0.5
+	// minFetchGain is the least prefill time that a fetch must save: about 5 ms pass before a
+	// fetch begins.
+	minFetchGain = 6 * time.Millisecond
+	// minDuplicatePrefill is the least part of a prompt, in tokens, that keeps a request at the
+	// engine that already prefills it: one chunk. While all engines are busy, a second prefill
+	// that lets one request be in time makes more than one other late.
+	minDuplicatePrefill = prefillChunk
+	// fetchCostRatio is the cost of a fetched token relative to a prefilled one: a fetch uses
+	// network bandwidth instead of the engine's time.
+	fetchCostRatio = 0.5
 )
 
-// supply is how an engine comes by a request's prompt.
-type supply struct {
-	// read is what it must read, fetched what it takes from another engine, in tokens.
-	read, fetched float64
-	// from is the engine that holds the fetched part; nil for none.
+// promptSource is how an engine would obtain a request's prompt.
+type promptSource struct {
+	// prefill is the number of tokens to prefill, fetched the number to fetch from another
+	// engine.
+	prefill, fetched float64
+	// from is the engine that the fetched part comes from; nil for none.
 	from *server
-	// again is the part of read that another engine holds or reads already.
-	again float64
+	// duplicate is the part of prefill that another engine holds or already prefills.
+	duplicate float64
 }
 
-// work is the supply's cost, as tokens to be read.
-func (p supply) work() float64 { return p.read + fetchShare*p.fetched }
+// cost returns the cost of the prompt in prefilled tokens.
+func (s promptSource) cost() float64 { return s.prefill + fetchCostRatio*s.fetched }
 
-// fetchTime is how long the fetched part takes on its way.
+// fetchTime returns the time to fetch so many tokens.
 func (s *server) fetchTime(tokens float64) time.Duration {
-	return time.Duration(tokens * float64(s.cacheToken))
+	return time.Duration(tokens * float64(s.fetchPerToken))
 }
 
-// supplyAt says how the server would come by the request's prompt.
-func (h *homes) supplyAt(s *server, r *request) supply {
-	p := supply{read: h.uncachedAt(s, r)}
-	held := float64(r.PromptTokens+r.tokens) - p.read
-	more := h.held - held
-	if h.holder != nil && s != h.holder && s.cacheToken > 0 && r.pool.readTime(more) >= leastFetch {
-		p.read, p.fetched, p.from = p.read-more, more, h.holder
-		held += more
+// sourceAt returns how the server would obtain the request's prompt.
+func (h *homes) sourceAt(s *server, r *request) promptSource {
+	source := promptSource{prefill: h.uncachedAt(s, r)}
+	held := float64(r.PromptTokens+r.tokens) - source.prefill
+	fetched := h.heldTokens - held
+	if h.holder != nil && s != h.holder && s.fetchPerToken > 0 && r.pool.prefillTime(fetched) >= minFetchGain {
+		source.prefill, source.fetched, source.from = source.prefill-fetched, fetched, h.holder
+		held += fetched
 	}
-	p.again = max(0, h.kept-held)
-	return p
+	source.duplicate = max(0, h.assignedTokens-held)
+	return source
 }
 
-// leavingGives is how long a leaving engine still passes its cache on: it stays for
-// some seconds after the word that it leaves, and its prompts, once fetched, need not
-// be read again by those who take its place.
-const leavingGives = 2 * time.Second
+// leavingFetchWindow is how long a leaving engine still serves fetches: it stays for some seconds
+// after the announcement, and what is fetched from it need not be prefilled again by the engines
+// that take over.
+const leavingFetchWindow = 2 * time.Second
 
-// canGive tells whether others may fetch from the engine.
-func (s *server) canGive(now time.Time) bool {
-	if s.gone || s.cut || now.Before(s.ejectedUntil) {
+// servesFetches reports whether other engines may fetch from the engine.
+func (s *server) servesFetches(now time.Time) bool {
+	if s.gone || s.unreachable || now.Before(s.ejectedUntil) {
 		return false
 	}
-	return !s.closed() || now.Sub(s.closedAt) < leavingGives
+	return !s.closed() || now.Sub(s.closedAt) < leavingFetchWindow
 }
 
-// noteHolder keeps the engine that holds the most of the request's shared parts.
-// Where others' requests are not known, the first home is taken for it.
-func (h *homes) noteHolder(now time.Time, s *server, r *request, shared int) {
-	if kept := float64(s.cache.hit(r.Prefix[:shared+1])); kept > h.kept && !s.closed() && !s.limitReached(now) && !s.intrudes(now, r, s.uncached(r)) {
-		h.keeper, h.kept = s, kept
+// updateHolders updates the engines that hold, or were sent, the most of the request's shared
+// parts.
+func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
+	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.limitReached(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
+		h.assigned, h.assignedTokens = s, assignedTokens
 	}
-	held := float64(s.cache.ready(now, r.Prefix[:shared+1]))
-	if held > h.held {
-		h.holder, h.held = s, held
+	heldTokens := float64(s.cache.readyTokens(now, r.Prefix[:lastShared+1]))
+	if heldTokens > h.heldTokens {
+		h.holder, h.heldTokens = s, heldTokens
 	}
 }
 
-// holdAtHome takes the first home for the holder where it is assumed to be one and
-// has not failed just now.
-func (h *homes) holdAtHome(now time.Time, r *request, shared int) {
-	if !h.assumed || h.first() == nil || now.Before(h.first().ejectedUntil) {
+// assumeHeldAtHome makes the first home the holder of all shared parts if that is assumed and the
+// home has not just failed.
+func (h *homes) assumeHeldAtHome(now time.Time, r *request, lastShared int) {
+	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
 		return
 	}
-	all := float64(r.Prefix[shared].End)
-	h.keeper, h.kept = h.first(), all
-	if h.held < all {
-		h.holder, h.held = h.first(), all
+	sharedTokens := float64(r.Prefix[lastShared].End)
+	h.assigned, h.assignedTokens = h.first(), sharedTokens
+	if h.heldTokens < sharedTokens {
+		h.holder, h.heldTokens = h.first(), sharedTokens
 	}
 }
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -35,7 +35,7 @@
 				c := &core{options: Options{Instance: view.self.Name}, fleet: view}
 				s := newServer("i-1")
 				s.dataCenter = "b"
-				s.limited.Limit = loadboard.Limit{Named: true, PerSecond: perSecond}
+				s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: perSecond}
 				c.shareLimit(epoch, s)
 				if s.allowed.share > 0 {
 					s.allowed.credit = 1e9
@@ -58,7 +58,7 @@
 	views := fleetViews(8)
 	s := newServer("i-1")
 	s.dataCenter = "b"
-	s.limited.Limit = loadboard.Limit{Named: true, PerSecond: 1}
+	s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: 1}
 	before := views[0].senders(s)
 	is.Equal(len(before), 3)
 	views[0].update(epoch.Add(time.Minute), nil)
@@ -72,7 +72,7 @@
 // for it rather than have the prompt read elsewhere.
 func TestARequestDoesNotWaitForALimitedHome(t *testing.T) {
 	is := is.New(t)
-	c, home := withDigestAtHome(t)
+	c, home := coreWithCachedPrompt(t)
 	finish(c, epoch.Add(slowTick), home)
 	c.Step(epoch.Add(time.Second), namedLimit(home.Server, 0))
 	start := only[Start](t, c.Step(epoch.Add(2*time.Second), digest(2, 7)))
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -8,215 +8,229 @@
 )
 
 const (
-	// defaultSlots is how many requests a server runs at once if it doesn't say.
+	// defaultSlots is the number of concurrent requests of a server whose configuration does not
+	// state one.
 	defaultSlots = 8
-	// minBusy is how long a server that refused for load gets nothing, at least.
-	minBusy = 100 * time.Millisecond
-	// ejectFirst is how long a failed server gets nothing; it doubles up to ejectMost.
-	ejectFirst = time.Second
-	ejectMost  = 8 * time.Second
-	// batchBase is the size of a batch at which a step costs twice what an empty
-	// one would: engines' steps take a fixed time and some for each request.
-	batchBase = 6
-	// defaultNorm is the gap between tokens over batch size plus batchBase, in
-	// seconds, before anything was measured.
-	defaultNorm = 0.0018
-	// defaultPrefill is the time for a prompt token before anything was measured, in seconds.
+	// minOverloadBackoff is the least time for which a server that refused a request for load
+	// gets no new ones.
+	minOverloadBackoff = 100 * time.Millisecond
+	// initialEjection is how long a failed server gets no new requests; the time doubles with
+	// each failure up to maxEjection.
+	initialEjection = time.Second
+	maxEjection     = 8 * time.Second
+	// defaultStepOffset is the batch size at which a step takes twice as long as with an empty
+	// batch: a step takes a fixed time plus some for each request.
+	defaultStepOffset = 6
+	// defaultGapPerRequest is the initial estimate of the gap between tokens divided by batch
+	// size plus step offset, in seconds.
+	defaultGapPerRequest = 0.0018
+	// defaultPrefill is the initial estimate of the prefill time of one prompt token, in seconds.
 	defaultPrefill = 0.00015
-	// defaultService is the time of a plain service's answer before anything was measured, in seconds.
-	defaultService = 0.08
-	// learn is the weight of one measurement; jumpLearn where it is far off.
-	learn     = 0.05
-	jumpLearn = 0.2
-	jump      = 2.5
-	// headroom keeps the gap between tokens below its target.
+	// defaultServiceTime is the initial estimate of the response time of a plain service, in
+	// seconds.
+	defaultServiceTime = 0.08
+	// sampleWeight is the weight of one sample in a moving average; outlierWeight that of a
+	// sample of more than outlierRatio times the average.
+	sampleWeight  = 0.05
+	outlierWeight = 0.2
+	outlierRatio  = 2.5
+	// headroom is the fraction of a target for the gap between tokens that batches are sized for.
 	headroom = 0.93
-	// historyLength times slowTick is how far back own load is remembered.
+	// historyLength is the number of samples of the own load kept, one for each slowTick.
 	historyLength = 64
-	// leavingGrace is within what time a leaving server's news must take effect.
+	// leavingGrace is the time within which news that a server is leaving must take effect.
 	leavingGrace = 3 * time.Second
-	// reportTrust is the age at which a report of load counts half, in seconds.
-	reportTrust = 0.4
-	// digestAge is the usual age of what peers tell, in seconds.
-	digestAge = 0.35
+	// reportAgeScale is the age in seconds at which the weight of a load report has fallen to
+	// half.
+	reportAgeScale = 0.4
+	// typicalDigestAge is the typical age of peer digests, in seconds.
+	typicalDigestAge = 0.35
 )
 
-// server is a backend server as this instance sees it.
+// server is the state of a backend server as known to this instance.
 type server struct {
 	name string
-	// key is its name in told loads.
+	// key identifies the server on the load board.
 	key        uint32
 	dataCenter string
-	// remote is true for servers of other regions.
+	// remote is true for servers in another region.
 	remote  bool
 	service bool
-	// large is true for engines whose configuration tells the size of their cache.
-	large bool
-	slots int
-	// configLeaving is the operators' word, leaving and gone membership's.
+	// largeBatch is true for engines whose configuration states a cache size.
+	largeBatch bool
+	slots      int
+	// configLeaving is set by the configuration; leaving and gone are set by the membership of
+	// servers.
 	configLeaving, leaving, gone bool
 	closedAt                     time.Time
 
-	own []*request
-	// ahead is the prompt work of own requests that have no first token yet.
-	ahead backlog
-	// peersAhead is the same of other instances, by their digests.
-	peersAhead backlog
-	// peers is what other instances run here, by their digests.
-	peers float64
-	// toldLoad and toldAhead are the same of all others together, where they tell
-	// their loads beside their digests.
-	toldLoad  float64
-	toldAhead backlog
-	// toldYielding counts those of the others' requests that give way to more urgent ones.
-	toldYielding float64
-	// others joins peers with reports.
-	others float64
-
-	// engine is what was learned of the pool's engines; nil for servers with small
-	// batches and plain services.
+	running []*request
+	// ownBacklog is the prompt tokens of this instance's requests that have no first token yet.
+	ownBacklog backlog
+	// peerBacklog is the same for other instances, from their digests.
+	peerBacklog backlog
+	// peerLoad is the number of requests of other instances, from their digests.
+	peerLoad float64
+	// boardLoad and boardBacklog are the same for all other instances together, from the load
+	// board.
+	boardLoad    float64
+	boardBacklog backlog
+	// boardBulk is the number of bulk requests of other instances, which engines preempt for more
+	// urgent ones, from the load board.
+	boardBulk float64
+	// otherLoad is the estimate of the other instances' requests from digests, load board and
+	// load reports.
+	otherLoad float64
+
+	// engine is the pool's shared engine model; nil for engines with small batches and for plain
+	// services.
 	engine *engineModel
-	// slow is how much longer than its pool the server reads a prompt token.
-	slow float64
-	// base is the batch at which a step costs twice what an empty one does.
-	base    float64
-	norm    float64
-	prefill float64
-	// cacheToken is how long a token of KV cache takes from another engine; 0 where
-	// it can't be fetched.
-	cacheToken time.Duration
-	answer     float64
-	decoding   int
-	lastToken  time.Time
-	stall      time.Duration
-	heardGap   time.Time
-
-	history   [historyLength]int16
-	historyAt int
-	reportAge float64
-	reported  float64
+	// prefillRatio is the server's prefill time per token relative to its pool's.
+	prefillRatio float64
+	// stepOffset is the batch size at which a step takes twice as long as with an empty batch.
+	stepOffset    float64
+	gapPerRequest float64
+	prefill       float64
+	// fetchPerToken is the time to fetch the KV cache of one token from another engine; 0 if the
+	// server cannot fetch.
+	fetchPerToken time.Duration
+	serviceTime   float64
+	decoding      int
+	lastTokenAt   time.Time
+	stall         time.Duration
+	peerGapAt     time.Time
+
+	history      [historyLength]int16
+	historyIndex int
+	reportAge    float64
+	reportedLoad float64
 
 	ejectedUntil time.Time
 	ejectFor     time.Duration
-	// probing allows one request at a time until the server has proved itself.
+	// probing limits the server to one request at a time until it has answered one after a
+	// failure.
 	probing   bool
 	crashedAt time.Time
-	// fellAt is the first word of the last crash, fellHeard the latest, from anyone.
-	fellAt, fellHeard time.Time
-	busyUntil         time.Time
+	// crashFirstReportedAt and crashLastReportedAt are the first and the latest report of the
+	// last crash, from any instance.
+	crashFirstReportedAt, crashLastReportedAt time.Time
+	busyUntil                                 time.Time
 
-	// leavingUntil is how long a peer's word that the server leaves holds.
+	// leavingUntil is when a peer's report that the server is leaving expires.
 	leavingUntil time.Time
-	// leavesAt is the first word of the platform that it leaves, wentAt when it
-	// was seen to have gone.
-	leavesAt, wentAt time.Time
-	// heardAt is the last answer or token of any own request.
-	heardAt time.Time
-	// trouble is the share of requests that failed here lately.
-	trouble float64
-	// lane is what an engine is kept for; see lanes.
+	// leavingNoticeAt is when the platform first announced that the server is leaving, goneAt
+	// when it was found gone.
+	leavingNoticeAt, goneAt time.Time
+	// lastResponseAt is the time of the last response or token for any request of this instance.
+	lastResponseAt time.Time
+	// failureRate is the moving average of the share of requests that failed here.
+	failureRate float64
+	// lane is the kind of request that the engine is dedicated to; see lanes.go.
 	lane lane
-	// quietUntil is how long an engine that left the tight lane reads no long prompts.
-	quietUntil time.Time
-	// cut is true while the server's data centre is out of reach.
-	cut bool
-	// shunned is true while others fill the server's room; see herd.
-	shunned bool
-	// startsLeft is how many more requests than end here this instance starts until the next
-	// word of loads, displaceLeft how many it starts in the place of others.
-	startsLeft, displaceLeft float64
-	// fullUntil is how long the server counts as full after a late first token.
+	// noLongPromptsUntil is until when an engine that left the tight lane gets no long prompts.
+	noLongPromptsUntil time.Time
+	// unreachable is true while the server's data centre is cut off.
+	unreachable bool
+	// skipped is true if this instance starts nothing on the server until the next load update;
+	// see herd.go.
+	skipped bool
+	// startBudget is how many requests, net of those that end, this instance may still start
+	// until the next load update; displaceBudget is how many of them may displace bulk.
+	startBudget, displaceBudget float64
+	// fullUntil is until when the server counts as full after a late first token.
 	fullUntil time.Time
 
-	// limited is how many requests a second the server says that it takes.
+	// limited is the request rate limit that the server states.
 	limited serverLimit
 	allowed allowance
 
 	trial      string
 	peerTrials int
-	cache      prefixSet
+	cache      prefixCache
 }
 
 func newServer(name string) *server {
-	return &server{name: name, key: loadboard.Key(name), base: batchBase, norm: defaultNorm, prefill: defaultPrefill, answer: defaultService, slow: 1, startsLeft: math.Inf(1), cache: newPrefixSet()}
+	return &server{name: name, key: loadboard.Key(name), stepOffset: defaultStepOffset, gapPerRequest: defaultGapPerRequest, prefill: defaultPrefill, serviceTime: defaultServiceTime, prefillRatio: 1, startBudget: math.Inf(1), cache: newPrefixCache()}
 }
 
 func (s *server) closed() bool { return s.configLeaving || s.leaving || s.gone }
 
-func (s *server) barred(now time.Time) bool {
-	if s.closed() || s.cut || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.limitReached(now) {
+func (s *server) unavailable(now time.Time) bool {
+	if s.closed() || s.unreachable || now.Before(s.leavingUntil) || now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || now.Before(s.fullUntil) || s.limitReached(now) {
 		return true
 	}
-	return s.probing && len(s.own) > 0
+	return s.probing && len(s.running) > 0
 }
 
-// load is the estimated number of requests of all instances on the server.
-func (s *server) load() float64 { return float64(len(s.own)) + s.others }
+// load returns the estimated number of requests of all instances on the server.
+func (s *server) load() float64 { return float64(len(s.running)) + s.otherLoad }
 
-// gapAt is the expected gap between tokens in a batch of n.
+// gapAt returns the expected gap between tokens at batch size n.
 func (s *server) gapAt(n float64) time.Duration {
-	gap := time.Duration(s.norm * (n + s.base) * float64(time.Second))
+	gap := time.Duration(s.gapPerRequest * (n + s.stepOffset) * float64(time.Second))
 	return max(gap, s.stall)
 }
 
-// sustain is the batch size that keeps the gap within the target.
-func (s *server) sustain(target time.Duration) float64 {
+// maxBatch returns the largest batch that keeps the gap between tokens within target.
+func (s *server) maxBatch(target time.Duration) float64 {
 	if target <= 0 {
 		return float64(s.slots)
 	}
-	return min(float64(s.slots), headroom*target.Seconds()/s.norm-s.base)
+	return min(float64(s.slots), headroom*target.Seconds()/s.gapPerRequest-s.stepOffset)
 }
 
-// limit is how many requests the server takes: what keeps the tightest target
-// in the pool, or where it can't keep that at all, the asking class's own.
-func (s *server) limit(tight, own time.Duration) float64 {
+// limit returns how many requests the server may run: the batch that keeps poolTarget, or if that
+// is smaller than minStrictBatch, the one that keeps classTarget.
+func (s *server) limit(poolTarget, classTarget time.Duration) float64 {
 	if s.service {
-		return float64(s.slots) * serviceOver
+		return float64(s.slots) * serviceOvercommit
 	}
-	n := s.sustain(tight)
-	if n < minTight {
-		n = s.sustain(own)
+	n := s.maxBatch(poolTarget)
+	if n < minStrictBatch {
+		n = s.maxBatch(classTarget)
 	}
 	return max(n, 1)
 }
 
-// paced is the gap between tokens that the server's batch is kept within for a request
-// with the given one: beside a tight lane, its answers need not be thought of elsewhere.
-func (s *server) paced(p *pool, own time.Duration) time.Duration {
+// gapTarget returns the gap between tokens to which the server's batch is limited for a request
+// whose class allows classTarget. Where the pool has a tight lane, servers outside the lane need
+// not keep the pool's strictest target.
+func (s *server) gapTarget(p *pool, classTarget time.Duration) time.Duration {
 	if s.engine != nil && p.hasLane[laneTight] && s.lane != laneTight {
-		return own
+		return classTarget
 	}
-	return p.tight
+	return p.minBetween
 }
 
 const (
-	// serviceOver lets calls to plain services wait at the service a little:
-	// they are shorter than the age of what is known of its load.
-	serviceOver = 1.5
-	// minTight is the batch below which a server is left to looser classes.
-	minTight = 3
+	// serviceOvercommit lets a few calls queue at plain services: they take less time than the
+	// load information is old.
+	serviceOvercommit = 1.5
+	// minStrictBatch is the batch size below which a server is left to classes with looser
+	// targets.
+	minStrictBatch = 3
 )
 
-// fade lets a gap that nobody measures any more return to the pool's.
-func (s *server) fade(now time.Time, poolNorm float64) {
+// decayGap returns a gap estimate without recent samples to the pool's average.
+func (s *server) decayGap(now time.Time, poolGapPerRequest float64) {
 	if s.engine != nil {
-		poolNorm = s.engine.each
+		poolGapPerRequest = s.engine.perRequest
 	}
-	if now.Sub(s.lastToken) > forgetAfter && now.Sub(s.heardGap) > forgetAfter && s.norm > poolNorm {
-		s.norm += forgetting * (poolNorm - s.norm)
+	if now.Sub(s.lastTokenAt) > gapMaxAge && now.Sub(s.peerGapAt) > gapMaxAge && s.gapPerRequest > poolGapPerRequest {
+		s.gapPerRequest += gapDecay * (poolGapPerRequest - s.gapPerRequest)
 	}
 }
 
-// answered takes in the time to a first token, or to a service's answer.
-func (s *server) answered(r *request, took time.Duration) {
+// observeResponse records the time to the first token, or to the response of a plain service.
+func (s *server) observeResponse(r *request, took time.Duration) {
 	if s.service {
-		s.answer += learn * (took.Seconds() - s.answer)
+		s.serviceTime += sampleWeight * (took.Seconds() - s.serviceTime)
 		return
 	}
 	work := r.uncached + r.workAhead
 	if s.engine != nil {
-		if r.fetched == 0 && r.workAhead <= aheadMost*r.uncached {
-			s.learnReading(took, work)
+		if r.fetched == 0 && r.workAhead <= maxBacklogRatio*r.uncached {
+			s.observePrefill(took, work)
 		}
 		return
 	}
@@ -225,128 +239,129 @@
 	}
 	sample := (took - s.gapAt(s.load())).Seconds() / work
 	sample = min(max(sample, 0), 20*defaultPrefill)
-	s.prefill += learn * (sample - s.prefill)
+	s.prefill += sampleWeight * (sample - s.prefill)
 }
 
-// learnReading takes in the time to a first token after so much prompt work. The step
-// in which the token was made is the engine's usual one: the server's own gaps include
-// those beside long prompts.
-func (s *server) learnReading(took time.Duration, work float64) {
-	reading := took.Seconds() - s.engine.stepAt(s.load())
-	if work < readingLeast {
-		s.engine.waited(s, reading-s.prefill*work)
+// observePrefill records the time to the first token after work prompt tokens. It subtracts the
+// step time of the engine model, since the server's own gap estimate includes steps that also
+// prefill long prompts.
+func (s *server) observePrefill(took time.Duration, work float64) {
+	elapsed := took.Seconds() - s.engine.stepAt(s.load())
+	if work < minPrefillSample {
+		s.engine.observeFixed(s, elapsed-s.prefill*work)
 		return
 	}
-	s.engine.read(s, max(reading-s.engine.way(s), 0), work)
+	s.engine.observePrefill(s, max(elapsed-s.engine.farDelay(s), 0), work)
 }
 
-// before is the prompt work of all instances before a request of the level.
-func (s *server) before(level int) float64 {
-	return s.ahead.before(level) + s.peersAhead.before(level) + s.toldAhead.before(level)
+// backlogBefore returns the prompt tokens, of all instances, that are prefilled before a request
+// of the level.
+func (s *server) backlogBefore(level int) float64 {
+	return s.ownBacklog.before(level) + s.peerBacklog.before(level) + s.boardBacklog.before(level)
 }
 
-// firstToken is the expected time to the first token of a prompt on top of load n.
+// firstToken returns the expected time to the first token for a prompt with so many uncached
+// tokens, as one of n requests.
 func (s *server) firstToken(n, uncached float64, level int) time.Duration {
 	if s.service {
-		return time.Duration(s.answer * max(1, n/float64(s.slots)) * float64(time.Second))
+		return time.Duration(s.serviceTime * max(1, n/float64(s.slots)) * float64(time.Second))
 	}
-	first := s.gapAt(n) + time.Duration(s.prefill*(uncached+s.before(level))*float64(time.Second))
+	first := s.gapAt(n) + time.Duration(s.prefill*(uncached+s.backlogBefore(level))*float64(time.Second))
 	if s.engine != nil {
 		first += time.Duration(*s.engine.fixed(s) * float64(time.Second))
 	}
-	if over := n - float64(s.slots); over > 0 {
-		first += time.Duration(over * slotWait * float64(s.gapAt(n)))
+	if excess := n - float64(s.slots); excess > 0 {
+		first += time.Duration(excess * slotWaitGaps * float64(s.gapAt(n)))
 	}
 	return first
 }
 
 const (
-	// troubleLearn is the weight of one request's end in a server's share of
-	// failures.
-	troubleLearn = 0.15
-	// troubleFade is what the share loses at each slowTick: half in 4.6 s, so that
-	// a server that failed is tried again.
-	troubleFade = 0.015
+	// failureSampleWeight is the weight of one request in the server's failure rate.
+	failureSampleWeight = 0.15
+	// failureDecay is the part of the failure rate that is lost at each slowTick. It halves the
+	// rate in 4.6 s, so that a server that failed is tried again.
+	failureDecay = 0.015
 )
 
-// slotWait is how many gaps it takes until one of a full batch ends.
-const slotWait = 12
+// slotWaitGaps is the expected wait for a slot of a full batch, in gaps between tokens.
+const slotWaitGaps = 12
 
-// sample remembers own load and notices a server that fell silent: its own
-// requests have begun their answers, and no token came for several gaps.
-func (s *server) sample(now time.Time) {
-	s.historyAt = (s.historyAt + 1) % historyLength
-	s.history[s.historyAt] = int16(len(s.own))
-	s.trouble -= troubleFade * s.trouble
+// sampleLoad records the own load and detects a stall: running answers that have had no token for
+// several gaps.
+func (s *server) sampleLoad(now time.Time) {
+	s.historyIndex = (s.historyIndex + 1) % historyLength
+	s.history[s.historyIndex] = int16(len(s.running))
+	s.failureRate -= failureDecay * s.failureRate
 	s.stall = 0
 	if s.decoding == 0 {
 		return
 	}
-	silent := now.Sub(s.lastToken)
-	if silent > stallFloor && silent > stallGaps*s.gapAt(s.load()) {
+	silent := now.Sub(s.lastTokenAt)
+	if silent > minStall && silent > stallGaps*s.gapAt(s.load()) {
 		s.stall = silent
 	}
 }
 
 const (
-	// stallGaps is how many gaps of silence make a stall, stallFloor the least time.
-	stallGaps  = 5
-	stallFloor = 250 * time.Millisecond
+	// stallGaps is the number of gaps without a token that make a stall, minStall the least time.
+	stallGaps = 5
+	minStall  = 250 * time.Millisecond
 )
 
-// ownAgo returns how many own requests the server ran some time ago.
-func (s *server) ownAgo(age time.Duration) float64 {
-	back := int(age / slowTick)
-	if back >= historyLength {
-		back = historyLength - 1
+// runningAgo returns how many requests of this instance the server ran at the given age.
+func (s *server) runningAgo(age time.Duration) float64 {
+	steps := int(age / slowTick)
+	if steps >= historyLength {
+		steps = historyLength - 1
 	}
-	return float64(s.history[(s.historyAt-back+historyLength)%historyLength])
+	return float64(s.history[(s.historyIndex-steps+historyLength)%historyLength])
 }
 
-// join weighs what peers tell against what the server reported, by age.
-func (s *server) join(peersKnown bool) {
+// estimateOtherLoad combines what peers say with the server's load report, weighted by age.
+func (s *server) estimateOtherLoad(peersKnown bool) {
 	if s.reportAge < 0 {
-		s.others = s.peers + s.toldLoad
+		s.otherLoad = s.peerLoad + s.boardLoad
 		return
 	}
 	if !peersKnown {
-		s.others = s.reported
+		s.otherLoad = s.reportedLoad
 		return
 	}
-	report := 1 / (reportTrust + s.reportAge)
-	// Reports older than a few seconds describe other requests than today's.
+	reportWeight := 1 / (reportAgeScale + s.reportAge)
+	// After a few seconds most of the requests in a report have ended.
 	if s.reportAge > 2 {
-		report = 0
+		reportWeight = 0
 	}
-	digest := 1 / (reportTrust + digestAge)
-	s.others = (report*s.reported + digest*(s.peers+s.toldLoad)) / (report + digest)
+	digestWeight := 1 / (reportAgeScale + typicalDigestAge)
+	s.otherLoad = (reportWeight*s.reportedLoad + digestWeight*(s.peerLoad+s.boardLoad)) / (reportWeight + digestWeight)
 }
 
-// eject keeps new work away after a failure, for longer each time.
+// eject keeps new requests away after a failure, for longer with each failure in a row.
 func (s *server) eject(now time.Time) {
 	if now.Before(s.ejectedUntil) {
 		return
 	}
-	s.ejectFor = min(max(2*s.ejectFor, ejectFirst), ejectMost)
+	s.ejectFor = min(max(2*s.ejectFor, initialEjection), maxEjection)
 	s.ejectedUntil = now.Add(s.ejectFor)
 	s.probing = true
 }
 
-// proved ends the server's probation.
-func (s *server) proved() {
+// endProbing ends probing and resets the ejection time.
+func (s *server) endProbing() {
 	s.probing = false
 	s.ejectFor = 0
 }
 
 func (s *server) attach(r *request) {
-	r.serverIndex = len(s.own)
-	s.own = append(s.own, r)
+	r.serverIndex = len(s.running)
+	s.running = append(s.running, r)
 }
 
 func (s *server) detach(r *request) {
-	last := len(s.own) - 1
-	s.own[r.serverIndex] = s.own[last]
-	s.own[r.serverIndex].serverIndex = r.serverIndex
-	s.own[last] = nil
-	s.own = s.own[:last]
+	last := len(s.running) - 1
+	s.running[r.serverIndex] = s.running[last]
+	s.running[r.serverIndex].serverIndex = r.serverIndex
+	s.running[last] = nil
+	s.running = s.running[:last]
 }
--- a/request/tiers/fleet_test.go
+++ b/request/tiers/fleet_test.go
@@ -163,9 +163,9 @@
 		switch a := action.(type) {
 		case member.Exchange:
 			f.exchange(inst, a)
-		case member.Digest:
+		case member.PolicyDigest:
 			f.observe(inst, a)
-		case member.Gone:
+		case member.DigestExpired:
 			delete(inst.lastSequences, a.Instance)
 			inst.table.RemovePeer(a.Instance)
 			f.update(inst)
@@ -175,7 +175,7 @@
 
 // observe processes a digest as the policy does: one that is not newer than the last is
 // dropped.
-func (f *fleet) observe(inst *instance, a member.Digest) {
+func (f *fleet) observe(inst *instance, a member.PolicyDigest) {
 	d := a.Digest
 	if last, known := inst.lastSequences[d.GetInstance()]; known && d.GetSequence() <= last {
 		return
@@ -228,16 +228,16 @@
 			f.step(from, ev)
 		}
 	}
-	f.after(callTimeout, func() { end(member.Failed{Peer: a.Peer.Name}) })
+	f.after(callTimeout, func() { end(member.ExchangeFailed{Peer: a.Peer.Name}) })
 	sent := proto.CloneOf(a.Digest)
 	f.count(from, sent)
 	f.deliver(from, to, func() {
 		f.count(to, sent)
-		f.step(to, member.Received{From: from.self.Name, Digest: sent})
+		f.step(to, member.DigestReceived{From: from.self.Name, Digest: sent})
 		reply := proto.CloneOf(to.core.Reply(f.now, from.self.Name))
 		f.count(to, reply)
 		f.count(from, reply)
-		f.deliver(to, from, func() { end(member.Answered{Peer: a.Peer.Name, Digest: reply}) })
+		f.deliver(to, from, func() { end(member.ReplyReceived{Peer: a.Peer.Name, Digest: reply}) })
 	})
 }
 
