--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -158,7 +158,7 @@
 	working, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { d.entry.Work(working) })
+	group.Go(func() { d.entry.Run(working) })
 	group.Go(func() { _ = d.watcher.Run(working) })
 	group.Go(func() { _ = d.state.Run(working) })
 	group.Go(func() { _ = d.gossip.Run(working) })
--- a/daemon/entry/daemon_test.go
+++ b/daemon/entry/daemon_test.go
@@ -41,7 +41,7 @@
 func (l *loneLog) Barrier(context.Context) error { return nil }
 
 func (l *loneLog) Status() state.LogStatus {
-	return state.LogStatus{Leads: true, Status: &lilacv1.StateStatus{Role: "leader"}}
+	return state.LogStatus{IsLeader: true, Status: &lilacv1.StateStatus{Role: "leader"}}
 }
 
 // stateProcess serves the state methods; its port stays closed until started.
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// Work runs the entry's goroutines until ctx ends.
-func (e *Entry) Work(ctx context.Context) {
+// Run runs the entry's goroutines until ctx ends.
+func (e *Entry) Run(ctx context.Context) {
 	go e.poller.Run(ctx)
 	go e.proposeConvictions(ctx)
 	e.relay.Run(ctx)
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -126,7 +126,7 @@
 	server := e.callerServer(listener)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { e.Work(ctx) })
+	running.Go(func() { e.Run(ctx) })
 	running.Go(func() { _ = server.Start(context.Background()) })
 	t.Cleanup(func() {
 		server.Close()
--- a/daemon/state/admin.go
+++ b/daemon/state/admin.go
@@ -26,7 +26,7 @@
 		switch {
 		case stopping():
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
-		case status.Contact > readyContact:
+		case status.Staleness > readyContact:
 			http.Error(w, "no leader with a quorum, or not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, "ready")
--- a/daemon/state/capture_test.go
+++ b/daemon/state/capture_test.go
@@ -82,5 +82,5 @@
 		is.True(string(now) != string(want))
 	}
 	is.True(m.Counts().Tombstones > 0)
-	is.Equal(m.Counts().Broken, uint64(0))
+	is.Equal(m.Counts().BrokenInvariants, uint64(0))
 }
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -125,7 +125,7 @@
 	upstream := func() []link.Caller {
 		status := d.log.Status()
 		at := status.Status.GetLeader()
-		if status.Leads || at == "" || status.Contact > leaderSilent {
+		if status.IsLeader || at == "" || status.Staleness > leaderSilent {
 			return nil
 		}
 		if at != address {
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -41,7 +41,7 @@
 	return l.machine.Apply(l.index, command), nil
 }
 func (l *answeringLog) Barrier(context.Context) error { return l.err }
-func (l *answeringLog) Status() LogStatus             { return LogStatus{Leads: l.err == nil} }
+func (l *answeringLog) Status() LogStatus             { return LogStatus{IsLeader: l.err == nil} }
 
 // decodeText reads "VERSION text"; a text that says "invalid" has a route
 // without a timeout.
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -89,7 +89,7 @@
 }
 
 func (l *memberLog) Status() LogStatus {
-	return LogStatus{Leads: l.leads(), Status: &lilacv1.StateStatus{Leader: l.group.leader, Process: l.address}}
+	return LogStatus{IsLeader: l.leads(), Status: &lilacv1.StateStatus{Leader: l.group.leader, Process: l.address}}
 }
 
 // process is a state process over the real link.
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -50,7 +50,7 @@
 	first, err := c.Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
 	is.True(first.GetGranted())
-	leader := slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().Leads })
+	leader := slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().IsLeader })
 	is.NoErr(all[leader].running.Close())
 	all[leader].server.Close()
 
@@ -85,7 +85,7 @@
 	again := claimOf("ended")
 	again.Instance, again.Incarnation, again.Attempt = "e", "e", "a"
 	seen := func() bool {
-		_, final := left.service.machine.FinalClaim(again)
+		_, final := left.service.machine.FinalReply(again)
 		return final
 	}
 	for left.service.machine.Revision() < 1 || !seen() {
@@ -143,7 +143,7 @@
 	if _, err := c.Propose(b.Context(), proposal("one", "alerts", 0)); err != nil {
 		b.Fatal(err)
 	}
-	leader := all[slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().Leads })]
+	leader := all[slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().IsLeader })]
 	plain := dialer(b)(leader.peer.Address.Value)
 	run := 0
 	for _, workers := range []int{1, 16, 128, 512} {
--- a/daemon/state/leaseclock.go
+++ b/daemon/state/leaseclock.go
@@ -20,7 +20,7 @@
 	return &LeaseClock{machine: machine, timer: timer}
 }
 
-// Judge says in the request whether the lease that it asks for has run out.
-func (c *LeaseClock) Judge(r *lilacv1.LeaseRequest) {
+// SetExpiredRenewal says in the request whether the lease that it asks for has run out.
+func (c *LeaseClock) SetExpiredRenewal(r *lilacv1.LeaseRequest) {
 	r.ExpiredRenewal = c.timer.expired(c.machine.Lease(r.GetName()))
 }
--- a/daemon/state/lives.go
+++ b/daemon/state/lives.go
@@ -86,7 +86,7 @@
 }
 
 func (s *Service) endSilent(ctx context.Context) {
-	silent := s.lives.silent(s.log.Status().Leads, s.machine.Incarnations())
+	silent := s.lives.silent(s.log.Status().IsLeader, s.machine.Incarnations())
 	if len(silent) == 0 {
 		return
 	}
--- a/daemon/state/log.go
+++ b/daemon/state/log.go
@@ -21,10 +21,10 @@
 
 // LogStatus is where one process of the group stands.
 type LogStatus struct {
-	// Leads is true on the leader, as far as it knows.
-	Leads bool
-	// Contact is how long ago all that was committed was surely applied here.
-	Contact time.Duration
+	// IsLeader is true on the leader, as far as it knows.
+	IsLeader bool
+	// Staleness is how long ago all that was committed was surely applied here.
+	Staleness time.Duration
 	// Members are the processes of the group, learners included.
 	Members []*lilacv1.StateMember
 	// Status is what operators see; Revision and Claims are filled in by the Service.
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -237,14 +237,14 @@
 
 // Counts are sizes for metrics and status.
 type Counts struct {
-	Revision     uint64
-	Applied      uint64
-	Claims       int
-	OpenClaims   int
-	Tombstones   int
-	LateOutcomes uint64
-	Doubted      uint64
-	Broken       uint64
+	Revision         uint64
+	Applied          uint64
+	Claims           int
+	OpenClaims       int
+	Tombstones       int
+	LateOutcomes     uint64
+	InDoubtClaims    uint64
+	BrokenInvariants uint64
 }
 
 // Counts returns the sizes as of now.
@@ -252,19 +252,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Counts{
-		Revision:     m.config.Revision(),
-		Applied:      m.applied,
-		Claims:       m.ledger.Len(),
-		OpenClaims:   m.ledger.OpenClaims(),
-		Tombstones:   m.ledger.Tombstones(),
-		LateOutcomes: m.ledger.LateOutcomes(),
-		Doubted:      m.ledger.InDoubtClaims(),
-		Broken:       m.ledger.BrokenInvariants(),
+		Revision:         m.config.Revision(),
+		Applied:          m.applied,
+		Claims:           m.ledger.Len(),
+		OpenClaims:       m.ledger.OpenClaims(),
+		Tombstones:       m.ledger.Tombstones(),
+		LateOutcomes:     m.ledger.LateOutcomes(),
+		InDoubtClaims:    m.ledger.InDoubtClaims(),
+		BrokenInvariants: m.ledger.BrokenInvariants(),
 	}
 }
 
-// FinalClaim answers a claim that needs no place in the log, as ledger.FinalReply does.
-func (m *Machine) FinalClaim(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
+// FinalReply answers a claim that needs no place in the log, as ledger.FinalReply does.
+func (m *Machine) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.FinalReply(r)
--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -224,7 +224,7 @@
 			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.doubleRuns, h.lostChanges, h.wrongNumbers, h.reused)
 		}
 		changes, runs, granted = changes+len(h.classes), runs+len(h.runs), granted+len(h.runs)-before
-		h.is.Equal(h.machine.Counts().Broken, uint64(0))
+		h.is.Equal(h.machine.Counts().BrokenInvariants, uint64(0))
 	}
 	t.Logf("%d histories: %d accepted changes, %d requests ran, %d of them after the recovery", seeds, changes, runs, granted)
 	is.New(t).True(granted > 0)
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -28,7 +28,7 @@
 	var leader string
 	await(func() bool {
 		for name, m := range c.running {
-			if m.running.Status().Leads {
+			if m.running.Status().IsLeader {
 				leader = name
 			}
 		}
--- a/daemon/state/replica.go
+++ b/daemon/state/replica.go
@@ -80,9 +80,9 @@
 func (l *replicaLog) Status() LogStatus {
 	s := l.node.Status()
 	return LogStatus{
-		Leads:   s.Role == replica.Leader,
-		Contact: s.Staleness,
-		Members: stateMembers(s.Members),
+		IsLeader:  s.Role == replica.Leader,
+		Staleness: s.Staleness,
+		Members:   stateMembers(s.Members),
 		Status: &lilacv1.StateStatus{
 			Process: l.name, DataCenter: l.dc, Role: s.Role.String(), Term: s.Term, Leader: s.LeaderAddress,
 			CommitIndex: s.CommitIndex, AppliedIndex: s.AppliedIndex,
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -67,7 +67,7 @@
 
 // Known returns the newest revision and how long ago it was surely the newest.
 func (s source) Known() (newest uint64, age time.Duration) {
-	return s.Revision(), s.log.Status().Contact
+	return s.Revision(), s.log.Status().Staleness
 }
 
 // run replicates a command and decodes its result.
@@ -114,7 +114,7 @@
 // claim is stamped with the leader's clock: a caller instance whose clock is
 // wrong must not end the retention of others' keys.
 func (s *Service) claim(ctx context.Context, _ link.Peer, r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error) {
-	if reply, final := s.machine.FinalClaim(r); final {
+	if reply, final := s.machine.FinalReply(r); final {
 		return reply, nil
 	}
 	r.NowUnixMs = s.now().UnixMilli()
@@ -182,7 +182,7 @@
 // heartbeat is answered by the leader only, since it alone judges who lives.
 func (s *Service) heartbeat(_ context.Context, _ link.Peer, r *lilacv1.HeartbeatRequest) (*lilacv1.HeartbeatReply, error) {
 	status := s.log.Status()
-	if !status.Leads {
+	if !status.IsLeader {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "this state process does not lead; ask the leader",
 			fault.WithLeader(status.Status.GetLeader()), fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
@@ -194,7 +194,7 @@
 	held := s.machine.Lease(r.GetName())
 	r.ExpiredRenewal = s.timer.expired(held)
 	other := held.GetHolder() != "" && held.GetIncarnation() != r.GetIncarnation()
-	if other && r.GetExpiredRenewal() == 0 && s.log.Status().Leads {
+	if other && r.GetExpiredRenewal() == 0 && s.log.Status().IsLeader {
 		// Many ask, one holds: those that get nothing need no place in the log.
 		return &lilacv1.LeaseReply{Holder: held.GetHolder(), Incarnation: held.GetIncarnation(), Fencing: held.GetFencing(), DurationMs: held.GetDurationMs()}, nil
 	}
--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -172,7 +172,7 @@
 // serve answers as a state process's service does.
 func (n *node) serve(c *lilacv1.Command, reply func(*lilacv1.CommandResult, error)) {
 	if claim := c.GetClaim(); claim != nil && n.answers() {
-		if answer, final := n.machine.FinalClaim(claim); final {
+		if answer, final := n.machine.FinalReply(claim); final {
 			reply(&lilacv1.CommandResult{Reply: &lilacv1.CommandResult_Claim{Claim: answer}}, nil)
 			return
 		}
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -367,7 +367,7 @@
 			return
 		}
 		request := &lilacv1.LeaseRequest{Name: "orders", Holder: e.name, Incarnation: fmt.Sprint(e.name, "/", life), DurationMs: leaseMs}
-		leader.leases.Judge(request)
+		leader.leases.SetExpiredRenewal(request)
 		ask := command(&lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: request}})
 		leader.turn(replica.Request{Event: ask(), Reply: func(o replica.Outcome) {
 			if o.Err != nil {
