--- a/daemon/state/admin.go
+++ b/daemon/state/admin.go
@@ -13,8 +13,8 @@
 	"github.com/lilacbridge/lilacbridge/process/metrics"
 )
 
-// readyContact is how fresh the contact with a leader must be for /readyz.
-const readyContact = 5 * time.Second
+// maxReadyStaleness is how fresh the contact with a leader must be for /readyz.
+const maxReadyStaleness = 5 * time.Second
 
 // newAdmin returns the server of /metrics, /healthz, /readyz and pprof.
 func newAdmin(address string, s *Service, registry *prometheus.Registry, stopping func() bool) *kratoshttp.Server {
@@ -26,7 +26,7 @@
 		switch {
 		case stopping():
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
-		case status.Staleness > readyContact:
+		case status.Staleness > maxReadyStaleness:
 			http.Error(w, "no leader with a quorum, or not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, "ready")
--- a/daemon/state/capture_test.go
+++ b/daemon/state/capture_test.go
@@ -12,9 +12,9 @@
 	"github.com/lilacbridge/lilacbridge/process/ledger"
 )
 
-// commandsOf returns commands of round n that change every part of the state:
+// commandsForRound returns commands of round n that change every part of the state:
 // teams, refusals, claims, answers, retentions that end, restarts and leases.
-func commandsOf(n int) []*lilacv1.Command {
+func commandsForRound(n int) []*lilacv1.Command {
 	now := int64(n) * time.Minute.Milliseconds()
 	incarnation := fmt.Sprint("e/", n/7)
 	var all []*lilacv1.Command
@@ -51,7 +51,7 @@
 	round := 1
 	apply := func(rounds int) {
 		for end := round + rounds; round < end; round++ {
-			for _, c := range commandsOf(round) {
+			for _, c := range commandsForRound(round) {
 				data, err := proto.Marshal(c)
 				is.NoErr(err)
 				m.Apply(uint64(round), data)
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -125,7 +125,7 @@
 	upstream := func() []link.Caller {
 		status := d.log.Status()
 		at := status.Status.GetLeader()
-		if status.IsLeader || at == "" || status.Staleness > leaderSilent {
+		if status.IsLeader || at == "" || status.Staleness > maxLeaderStaleness {
 			return nil
 		}
 		if at != address {
@@ -139,8 +139,8 @@
 	})
 }
 
-// leaderSilent is how old the contact with the leader may be for it to be asked.
-const leaderSilent = 2 * time.Second
+// maxLeaderStaleness is how old the contact with the leader may be for it to be asked.
+const maxLeaderStaleness = 2 * time.Second
 
 // openControl opens the listener for the operators of the gateway's document.
 func (d *Daemon) openControl(control Control) error {
@@ -181,7 +181,7 @@
 		kratos.Server(d.servers()...),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
 		kratos.StopTimeout(stopTimeout),
-		kratos.BeforeStop(func(context.Context) error { return d.handOver() }),
+		kratos.BeforeStop(func(context.Context) error { return d.stepDown() }),
 	)
 	// A log that fails, as on a broken disk, ends the whole process.
 	stopApp := func(err error) error {
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// handOver lets the others take over while this process still answers.
-func (d *Daemon) handOver() error {
+// stepDown lets the others take over while this process still answers.
+func (d *Daemon) stepDown() error {
 	d.stopping.Store(true)
 	err := d.log.Close()
 	d.service.Close()
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -26,22 +26,22 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// answeringLog applies at once, or fails as the test says.
-type answeringLog struct {
+// immediateLog applies at once, or fails as the test says.
+type immediateLog struct {
 	machine *Machine
 	index   uint64
 	err     error
 }
 
-func (l *answeringLog) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l *immediateLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	if l.err != nil {
 		return nil, l.err
 	}
 	l.index++
 	return l.machine.Apply(l.index, command), nil
 }
-func (l *answeringLog) Barrier(context.Context) error { return l.err }
-func (l *answeringLog) Status() LogStatus             { return LogStatus{IsLeader: l.err == nil} }
+func (l *immediateLog) Barrier(context.Context) error { return l.err }
+func (l *immediateLog) Status() LogStatus             { return LogStatus{IsLeader: l.err == nil} }
 
 // decodeText reads "VERSION text"; a text that says "invalid" has a route
 // without a timeout.
@@ -58,9 +58,9 @@
 	return d, nil
 }
 
-func newDocuments(t *testing.T) (*documents, *answeringLog) {
+func newDocuments(t *testing.T) (*documents, *immediateLog) {
 	machine := NewMachine(100, ledger.Limits{Retention: time.Hour})
-	log := &answeringLog{machine: machine}
+	log := &immediateLog{machine: machine}
 	return &documents{
 		service: NewService(machine, log, hclog.NewNullLogger()), decode: decodeText, logger: hclog.NewNullLogger(), name: "s1",
 		control: netip.MustParseAddrPort("10.0.0.1:8229"),
@@ -134,10 +134,10 @@
 	now := time.Unix(1_800_000_000, 0)
 	table := newEntryTable(func() time.Time { return now })
 	table.heard(&lilacv1.StateMember{Name: "e2"})
-	now = now.Add(entryMemory / 2)
+	now = now.Add(entryTTL / 2)
 	table.heard(&lilacv1.StateMember{Name: "e1"})
 	is.Equal(len(table.list()), 2)
-	now = now.Add(entryMemory/2 + time.Second)
+	now = now.Add(entryTTL/2 + time.Second)
 	list := table.list()
 	is.Equal(len(list), 1)
 	is.Equal(list[0].GetName(), "e1")
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	_, all := group(t, 1)
 	putDocuments(t, all[0], 30)
-	entries := watchers(t, all, 3)
+	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
 		is.Equal(waitFor(w, 30).Document.GetVersion(), uint64(30))
 	}
--- a/daemon/state/entries.go
+++ b/daemon/state/entries.go
@@ -9,9 +9,9 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// entryMemory is how long an entry that asks no more is still named: three of
+// entryTTL is how long an entry that asks no more is still named: three of
 // the pauses between two questions, so that one lost answer does no harm.
-const entryMemory = 6 * time.Second
+const entryTTL = 6 * time.Second
 
 // entryTable holds the entries that asked this process lately. It is a hint: who
 // is alive the entries find out among themselves.
@@ -43,7 +43,7 @@
 	defer t.mu.Unlock()
 	var entries []*lilacv1.StateMember
 	for name, seen := range t.seen {
-		if t.now().Sub(seen.at) > entryMemory {
+		if t.now().Sub(seen.at) > entryTTL {
 			delete(t.seen, name)
 			continue
 		}
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -101,10 +101,10 @@
 }
 
 // group starts n state processes, the first of which leads.
-func group(t testing.TB, n int) (*sharedLog, []*process) { return groupKeeping(t, n, 0) }
+func group(t testing.TB, n int) (*sharedLog, []*process) { return groupWithRetention(t, n, 0) }
 
-// groupKeeping is group with so many revisions in the audit trail.
-func groupKeeping(t testing.TB, n, retention int) (*sharedLog, []*process) {
+// groupWithRetention is group with so many revisions in the audit trail.
+func groupWithRetention(t testing.TB, n, retention int) (*sharedLog, []*process) {
 	shared := &sharedLog{}
 	var all []*process
 	for i := range n {
@@ -135,11 +135,11 @@
 var testKey = []byte("one key for all tests")
 
 func newClient(t testing.TB, all []*process, name string) *stateclient.Client {
-	return newClientKnowing(t, all, name, nil)
+	return newClientWithRecoveries(t, all, name, nil)
 }
 
-// newClientKnowing is newClient of an instance that knows of so many recoveries.
-func newClientKnowing(t testing.TB, all []*process, name string, recoveries func() uint32) *stateclient.Client {
+// newClientWithRecoveries is newClient of an instance that knows of so many recoveries.
+func newClientWithRecoveries(t testing.TB, all []*process, name string, recoveries func() uint32) *stateclient.Client {
 	dialed := dialer(t)
 	var peers []settings.Peer
 	for _, p := range all {
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -62,7 +62,7 @@
 	is.NoErr(err)
 	is.True(!second.GetGranted())
 	is.Equal(second.GetState(), lilacv1.ClaimState_CLAIM_STATE_CLAIMED)
-	for _, w := range watchers(t, processes(all), 2) {
+	for _, w := range startWatchers(t, processes(all), 2) {
 		is.Equal(len(waitFor(w, 20).Classes), 20)
 	}
 }
@@ -106,7 +106,7 @@
 	audit, err := c.Audit(t.Context(), &lilacv1.AuditRequest{})
 	is.NoErr(err)
 	is.Equal(len(audit.GetRevisions()), 1)
-	for _, w := range watchers(t, processes(all), 2) {
+	for _, w := range startWatchers(t, processes(all), 2) {
 		is.Equal(len(waitFor(w, 1).Classes), 1)
 	}
 }
--- a/daemon/state/leasetimer.go
+++ b/daemon/state/leasetimer.go
@@ -7,10 +7,10 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// driftAllowance lengthens a lease as the leader counts it, so that a holder
+// driftDivisor lengthens a lease as the leader counts it, so that a holder
 // whose clock runs slow has surely stopped before another takes over: one part
 // in this many.
-const driftAllowance = 20
+const driftDivisor = 20
 
 // leaseTimer times leases by this process's monotonic clock, from when it
 // applied the last grant or renewal.
@@ -18,22 +18,22 @@
 	now func() time.Time
 
 	mu   sync.Mutex
-	last map[string]timedRenewal
+	last map[string]observedRenewal
 }
 
-type timedRenewal struct {
+type observedRenewal struct {
 	renewal uint64
 	at      time.Time
 }
 
 func newLeaseTimer(now func() time.Time) *leaseTimer {
-	return &leaseTimer{now: now, last: make(map[string]timedRenewal)}
+	return &leaseTimer{now: now, last: make(map[string]observedRenewal)}
 }
 
 func (t *leaseTimer) renewed(e *lilacv1.LeaseEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last[e.GetName()] = timedRenewal{e.GetRenewal(), t.now()}
+	t.last[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
 }
 
 // expired returns the number of the lease's last renewal if it has run out, else 0.
@@ -49,11 +49,11 @@
 	defer t.mu.Unlock()
 	seen, ok := t.last[e.GetName()]
 	if !ok || seen.renewal != e.GetRenewal() {
-		t.last[e.GetName()] = timedRenewal{e.GetRenewal(), t.now()}
+		t.last[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
 		return 0
 	}
 	length := time.Duration(e.GetDurationMs()) * time.Millisecond
-	if t.now().Sub(seen.at) > length+length/driftAllowance {
+	if t.now().Sub(seen.at) > length+length/driftDivisor {
 		return e.GetRenewal()
 	}
 	return 0
--- a/daemon/state/lives.go
+++ b/daemon/state/lives.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// goneAfter is the silence of a claiming instance after which its open
+	// livenessTimeout is the silence of a claiming instance after which its open
 	// claims become unknown. Its clients send heartbeats every HeartbeatInterval.
-	goneAfter = 15 * time.Second
+	livenessTimeout = 15 * time.Second
 	// HeartbeatInterval is how often an instance that has claimed says that it lives.
 	HeartbeatInterval = 3 * time.Second
-	// livesTick is how often the leader looks for silent instances.
-	livesTick = time.Second
+	// livenessInterval is how often the leader looks for silent instances.
+	livenessInterval = time.Second
 )
 
 // lives times the silence of each incarnation by the leader's monotonic clock.
@@ -28,7 +28,7 @@
 	since time.Time
 }
 
-func newLives(now func() time.Time) *lives {
+func newLivenessTracker(now func() time.Time) *lives {
 	return &lives{now: now, last: make(map[string]time.Time)}
 }
 
@@ -38,7 +38,7 @@
 	l.last[incarnation] = l.now()
 }
 
-// silent returns which of the incarnations have said nothing for goneAfter.
+// silent returns which of the incarnations have said nothing for livenessTimeout.
 //
 // It guards against a new leader that takes everybody for dead because it has
 // heard nobody yet: nobody counts as silent for longer than it has led.
@@ -61,7 +61,7 @@
 		if last.Before(l.since) {
 			last = l.since
 		}
-		if now.Sub(last) > goneAfter {
+		if now.Sub(last) > livenessTimeout {
 			silent = append(silent, incarnation)
 			continue
 		}
@@ -73,24 +73,24 @@
 
 // Run ends the claims of silent instances while this process leads, until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	ticker := time.NewTicker(livesTick)
+	ticker := time.NewTicker(livenessInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			s.endSilent(ctx)
+			s.expireIncarnations(ctx)
 		}
 	}
 }
 
-func (s *Service) endSilent(ctx context.Context) {
+func (s *Service) expireIncarnations(ctx context.Context) {
 	silent := s.lives.silent(s.log.Status().IsLeader, s.machine.Incarnations())
 	if len(silent) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, goneAfter)
+	ctx, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
 	gone := &lilacv1.IncarnationsGone{Incarnations: silent, NowUnixMs: s.now().UnixMilli()}
 	// A failure is tried again at the next tick, by whoever leads then.
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -32,9 +32,9 @@
 	onLease func(*lilacv1.LeaseEntry)
 }
 
-// roomPart is the part of the last snapshot's size by which the next may be
+// headroomDivisor is the part of the last snapshot's size by which the next may be
 // larger without a new buffer.
-const roomPart = 8
+const headroomDivisor = 8
 
 // NewMachine returns an empty Machine. All processes of a group must have the
 // same audit retention (in revisions) and limits.
@@ -83,7 +83,7 @@
 }
 
 func (m *Machine) propose(p *lilacv1.Proposal) *lilacv1.CommandResult {
-	if err := m.checkForget(p); err != nil {
+	if err := m.checkForgetKeys(p); err != nil {
 		return failed(err)
 	}
 	before := m.config.Revision()
@@ -95,10 +95,10 @@
 	return result
 }
 
-// checkForget has the ledger check a date that is not its configuration's. The
+// checkForgetKeys has the ledger check a date that is not its configuration's. The
 // caller holds mu.
-func (m *Machine) checkForget(p *lilacv1.Proposal) error {
-	for _, before := range forgotten(p) {
+func (m *Machine) checkForgetKeys(p *lilacv1.Proposal) error {
+	for _, before := range forgetCutoffs(p) {
 		if err := m.ledger.CheckForget(before); err != nil {
 			return err
 		}
@@ -107,13 +107,13 @@
 }
 
 func (m *Machine) forget(p *lilacv1.Proposal) {
-	for _, before := range forgotten(p) {
+	for _, before := range forgetCutoffs(p) {
 		m.ledger.Forget(before)
 	}
 }
 
-// forgotten returns the moments before which the proposal has keys forgotten.
-func forgotten(p *lilacv1.Proposal) []int64 {
+// forgetCutoffs returns the moments before which the proposal has keys forgotten.
+func forgetCutoffs(p *lilacv1.Proposal) []int64 {
 	var moments []int64
 	for _, change := range p.GetChanges() {
 		if op, ok := change.GetOp().(*lilacv1.Change_ForgetKeysBeforeUnixMs); ok {
@@ -149,7 +149,7 @@
 	configured, claimed, leased := m.config.Capture(), m.ledger.Capture(), m.leases.Snapshot()
 	size := m.encoded
 	return func() ([]byte, error) {
-		data := make([]byte, 0, size+size/roomPart)
+		data := make([]byte, 0, size+size/headroomDivisor)
 		add := func(part *lilacv1.MachineSnapshot) (err error) {
 			data, err = proto.MarshalOptions{Deterministic: true}.MarshalAppend(data, part)
 			return err
@@ -187,7 +187,7 @@
 	preview.DryRun = true
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.checkForget(preview); err != nil {
+	if err := m.checkForgetKeys(preview); err != nil {
 		return failed(err)
 	}
 	return m.config.Apply(preview)
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -29,8 +29,8 @@
 const (
 	testLease        = 600 * time.Millisecond
 	testOrderTimeout = 2400 * time.Millisecond
-	// testOnTheWay is how long a slow order travels; it stays below the timeout.
-	testOnTheWay = testOrderTimeout * 9 / 10
+	// slowOrderDelay is how long a slow order travels; it stays below the timeout.
+	slowOrderDelay = testOrderTimeout * 9 / 10
 )
 
 // backend is a stand-in engine behind a network that can be slow.
@@ -38,7 +38,7 @@
 	ignores bool
 	handler http.Handler
 	address string
-	// slow orders land testOnTheWay after they were sent, whatever becomes of
+	// slow orders land slowOrderDelay after they were sent, whatever becomes of
 	// their sender.
 	slow atomic.Bool
 	// sent gets the number of each order whose body came in whole.
@@ -75,7 +75,7 @@
 	slow := b.slow.Load()
 	b.sent <- order.Fencing
 	if slow {
-		time.Sleep(testOnTheWay)
+		time.Sleep(slowOrderDelay)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,8 +88,8 @@
 	w.WriteHeader(recorder.Code)
 }
 
-// awaitAbove returns when an order with a greater number is told of.
-func awaitAbove(numbers chan uint64, fencing uint64) {
+// waitForFencingAbove returns when an order with a greater number is told of.
+func waitForFencingAbove(numbers chan uint64, fencing uint64) {
 	for <-numbers <= fencing {
 	}
 }
@@ -176,9 +176,9 @@
 	}
 }
 
-// eachKind runs the test with an engine that checks numbers and with one that
+// forEachFencingMode runs the test with an engine that checks numbers and with one that
 // ignores them.
-func eachKind(t *testing.T, test func(t *testing.T, all []*process, engine *backend)) {
+func forEachFencingMode(t *testing.T, test func(t *testing.T, all []*process, engine *backend)) {
 	t.Parallel()
 	for _, ignores := range []bool{false, true} {
 		t.Run(fmt.Sprint("ignores ", ignores), func(t *testing.T) {
@@ -193,12 +193,12 @@
 // out, another takes over and orders something else. When the first wakes, its
 // order must not take effect any more: the engine would end with the old wish.
 func TestFrozenHolderWakesAfterTakeover(t *testing.T) {
-	eachKind(t, func(t *testing.T, all []*process, engine *backend) {
+	forEachFencingMode(t, func(t *testing.T, all []*process, engine *backend) {
 		is := is.New(t)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(true))
 		fencing := <-old.decided
 		next := runHolder(t, all, "entry-new", "small", engine, newFreezer(false))
-		awaitAbove(engine.landed, fencing)
+		waitForFencingAbove(engine.landed, fencing)
 		_, holds := old.giver.Holds()
 		is.True(!holds)
 		looked := old.looks.Load()
@@ -219,7 +219,7 @@
 // engine that checks numbers refuses the late order; for one that ignores them
 // the new holder must wait until the old order has landed.
 func TestHolderIsKilledWithAnOrderOnTheWay(t *testing.T) {
-	eachKind(t, func(t *testing.T, all []*process, engine *backend) {
+	forEachFencingMode(t, func(t *testing.T, all []*process, engine *backend) {
 		engine.slow.Store(true)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(false))
 		fencing := <-engine.sent
--- a/daemon/state/recover.go
+++ b/daemon/state/recover.go
@@ -79,7 +79,7 @@
 // Recover turns the folder of a voter that survived the loss of a majority into
 // the first voter of a new group, or tells what that would do.
 func Recover(ctx context.Context, o RecoverOptions) (*Recovery, error) {
-	held, err := askEntries(ctx, o)
+	held, err := fetchNewestConfig(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plan, err := newPlan(ctx, o, state, held)
+		plan, err := newRecoveryPlan(ctx, o, state, held)
 		if err != nil {
 			return nil, err
 		}
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	defer store.Close()
-	plan, err := newPlan(ctx, o, state, held)
+	plan, err := newRecoveryPlan(ctx, o, state, held)
 	if err != nil {
 		return nil, err
 	}
@@ -123,17 +123,17 @@
 	report  *Recovery
 }
 
-func newPlan(ctx context.Context, o RecoverOptions, state *wal.State, held *heldConfig) (*recoveryPlan, error) {
+func newRecoveryPlan(ctx context.Context, o RecoverOptions, state *wal.State, held *entryConfig) (*recoveryPlan, error) {
 	members, err := membersOf(o.Folder, state)
 	if err != nil {
 		return nil, err
 	}
 	p := &recoveryPlan{machine: NewMachine(o.AuditRetention, o.Limits), report: &Recovery{Identity: state.Hard.GetId(), Group: state.Hard.GetGroup()}}
-	p.lineage(o, state, members)
+	p.setLineage(o, state, members)
 	if len(p.report.Lost) == 0 {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "group "+p.report.Group+" has no other voter, so nothing is lost; start the process on this folder")
 	}
-	if err := p.checkLost(ctx, o.Dial); err != nil {
+	if err := p.checkLostVoters(ctx, o.Dial); err != nil {
 		return nil, err
 	}
 	found, err := p.machine.replay(state, held.snapshot)
@@ -147,8 +147,8 @@
 	return p, nil
 }
 
-// lineage gives the new group its number, terms after all old ones and members.
-func (p *recoveryPlan) lineage(o RecoverOptions, state *wal.State, members *lilacv1.RaftMembers) {
+// setLineage gives the new group its number, terms after all old ones and members.
+func (p *recoveryPlan) setLineage(o RecoverOptions, state *wal.State, members *lilacv1.RaftMembers) {
 	old, r := state.Hard, p.report
 	r.LastIndex, r.LastTerm = state.Snapshot.GetIndex(), state.Snapshot.GetTerm()
 	if n := len(state.Entries); n > 0 {
@@ -174,12 +174,12 @@
 	}
 }
 
-// checkLost refuses while a process that is to be given up still runs with a log.
+// checkLostVoters refuses while a process that is to be given up still runs with a log.
 //
 // It guards against an operator who takes a data centre that is cut off for
 // lost, or recovers a second survivor: two groups would serve one fleet. It
 // holds as far as this process reaches the others; see the note for the rest.
-func (p *recoveryPlan) checkLost(ctx context.Context, dial func(string) link.Caller) error {
+func (p *recoveryPlan) checkLostVoters(ctx context.Context, dial func(string) link.Caller) error {
 	for _, member := range p.meta.GetMembers().GetMembers() {
 		if member.GetVoter() {
 			continue
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (p *recoveryPlan) adopt(ctx context.Context, held *heldConfig, found *replayed) error {
+func (p *recoveryPlan) adopt(ctx context.Context, held *entryConfig, found *replayResult) error {
 	r := p.report
 	r.Revision, r.EntryRevision = found.revision, held.snapshot.GetRevision()
 	switch {
--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -17,10 +17,10 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// lostHistory drives a majority's machine with operators, callers and holders of a
+// majorityLoss drives a majority's machine with operators, callers and holders of a
 // lease, loses it, recovers from a survivor that is behind and may have written
 // an end of its own, and goes on.
-type lostHistory struct {
+type majorityLoss struct {
 	is      *is.I
 	random  *rand.Rand
 	machine *Machine
@@ -38,10 +38,10 @@
 	runs    map[string]int
 	fencing uint64
 	// Promises that were broken.
-	doubleRuns, lostChanges, wrongNumbers, reused int
+	duplicateRuns, lostChanges, wrongFencing, reused int
 }
 
-func (h *lostHistory) apply(c *lilacv1.Command) *lilacv1.CommandResult {
+func (h *majorityLoss) apply(c *lilacv1.Command) *lilacv1.CommandResult {
 	command := encodeCommand(h.is, c)
 	h.index++
 	h.log = append(h.log, command)
@@ -50,7 +50,7 @@
 	return result
 }
 
-func (h *lostHistory) step() {
+func (h *majorityLoss) step() {
 	h.nowMs += h.random.Int64N(20_000)
 	switch h.random.IntN(8) {
 	case 0, 1:
@@ -67,16 +67,16 @@
 	}
 }
 
-func (h *lostHistory) newKey() string {
+func (h *majorityLoss) newKey() string {
 	h.number++
 	if h.random.IntN(2) == 0 {
 		return fmt.Sprint("plain-", h.number)
 	}
 	// The caller's clock is up to a minute off.
-	return keyMadeAt(time.UnixMilli(h.nowMs+h.random.Int64N(120_000)-60_000), h.number)
+	return timedKey(time.UnixMilli(h.nowMs+h.random.Int64N(120_000)-60_000), h.number)
 }
 
-func (h *lostHistory) change() {
+func (h *majorityLoss) change() {
 	h.number++
 	class := fmt.Sprint("class-", h.number)
 	result := h.apply(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal(fmt.Sprint(h.number), class, 0)}})
@@ -92,7 +92,7 @@
 }
 
 // claim runs the request if it is granted, unless it is given up unsent.
-func (h *lostHistory) claim(key string) {
+func (h *majorityLoss) claim(key string) {
 	h.number++
 	attempt := fmt.Sprint("attempt-", h.number)
 	request := claimOf(key)
@@ -105,7 +105,7 @@
 	if h.random.IntN(4) == 0 {
 		end = lilacv1.ClaimState_CLAIM_STATE_NOT_RUN
 	} else if h.runs[key]++; h.runs[key] > 1 {
-		h.doubleRuns++
+		h.duplicateRuns++
 	}
 	if h.random.IntN(3) > 0 {
 		h.apply(&lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: &lilacv1.OutcomeRequest{Team: "coop", Key: key, Attempt: attempt, State: end, NowUnixMs: h.nowMs}}})
@@ -113,7 +113,7 @@
 }
 
 // lease lets another holder take over once the last renewal has run out.
-func (h *lostHistory) lease() {
+func (h *majorityLoss) lease() {
 	holder := fmt.Sprint("h-", h.random.IntN(3))
 	held := h.machine.Lease("orders")
 	request := &lilacv1.LeaseRequest{Name: "orders", Holder: holder, Incarnation: holder, DurationMs: 1000}
@@ -125,13 +125,13 @@
 		return
 	}
 	if reply.GetFencing() < h.fencing || reply.GetFencing() == h.fencing && held.GetHolder() != holder {
-		h.wrongNumbers++
+		h.wrongFencing++
 	}
 	h.fencing = max(h.fencing, reply.GetFencing())
 }
 
 // lose leaves the survivor with a part of the log, and an end of its own at times.
-func (h *lostHistory) lose() *wal.State {
+func (h *majorityLoss) lose() *wal.State {
 	known := h.random.IntN(len(h.log) + 1)
 	state := &wal.State{
 		Hard:     &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 3},
@@ -153,8 +153,8 @@
 
 // recover asks an entry that is up to date, or only one that is behind: changes
 // that nobody who answers holds are then lost.
-func (h *lostHistory) recover(upToDate bool) {
-	held := &heldConfig{snapshot: h.machine.Config()}
+func (h *majorityLoss) recover(upToDate bool) {
+	held := &entryConfig{snapshot: h.machine.Config()}
 	if !upToDate {
 		held.snapshot = h.behind
 	}
@@ -162,7 +162,7 @@
 		Folder: wal.ReadOnlyFolder("a"), KeyMargin: time.Hour, Random: h.random.Uint64,
 		Now: func() time.Time { return time.UnixMilli(h.nowMs) }, Dial: func(string) link.Caller { return unreachable{} },
 	}
-	plan, err := newPlan(context.Background(), o, h.lose(), held)
+	plan, err := newRecoveryPlan(context.Background(), o, h.lose(), held)
 	h.is.NoErr(err)
 	h.machine, h.index, h.log = plan.machine, plan.meta.GetIndex(), nil
 	if !upToDate {
@@ -180,7 +180,7 @@
 	return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no answer")
 }
 
-func (h *lostHistory) checkChanges() {
+func (h *majorityLoss) checkChanges() {
 	present := map[string]bool{}
 	for _, class := range h.machine.Config().GetClasses() {
 		present[class.GetName()] = true
@@ -201,7 +201,7 @@
 	const seeds, steps = 300, 60
 	changes, runs, granted := 0, 0, 0
 	for seed := range uint64(seeds) {
-		h := &lostHistory{is: is.New(t), random: rand.New(rand.NewPCG(seed, 1)), machine: NewMachine(0, ledger.Limits{}),
+		h := &majorityLoss{is: is.New(t), random: rand.New(rand.NewPCG(seed, 1)), machine: NewMachine(0, ledger.Limits{}),
 			index: 1, nowMs: 1_764_700_000_000, contents: map[uint64]string{}, runs: map[string]int{}}
 		for range steps {
 			h.step()
@@ -220,8 +220,8 @@
 			h.step()
 		}
 		h.checkChanges()
-		if h.doubleRuns+h.lostChanges+h.wrongNumbers+h.reused > 0 {
-			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.doubleRuns, h.lostChanges, h.wrongNumbers, h.reused)
+		if h.duplicateRuns+h.lostChanges+h.wrongFencing+h.reused > 0 {
+			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.duplicateRuns, h.lostChanges, h.wrongFencing, h.reused)
 		}
 		changes, runs, granted = changes+len(h.classes), runs+len(h.runs), granted+len(h.runs)-before
 		h.is.Equal(h.machine.Counts().BrokenInvariants, uint64(0))
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -50,7 +50,7 @@
 	return data
 }
 
-func keyMadeAt(at time.Time, n int) string {
+func timedKey(at time.Time, n int) string {
 	ms := at.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
@@ -66,7 +66,7 @@
 	client := newClient(t, c.processes(), "entry-1")
 	_, err := client.Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
-	entries := watchers(t, c.processes(), 1)
+	entries := startWatchers(t, c.processes(), 1)
 	waitFor(entries[0], 1)
 	entryAddress, _, _ := serveEntry(t, entries[0].Watcher)
 	// The entry keeps what it sent here, as it does when another entry starts.
@@ -79,7 +79,7 @@
 	_, err = client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
 	made := time.Now()
-	for _, key := range []string{"plain", keyMadeAt(made, 1)} {
+	for _, key := range []string{"plain", timedKey(made, 1)} {
 		reply, err := client.Claim(t.Context(), claimOf(key))
 		is.NoErr(err)
 		is.True(reply.GetGranted())
@@ -116,7 +116,7 @@
 	again, err := client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
 	is.True(again.GetRepeatedCommand())
-	for _, key := range []string{"plain", keyMadeAt(made, 1)} {
+	for _, key := range []string{"plain", timedKey(made, 1)} {
 		reply, err := newClient(t, c.processes(), "entry-2").Claim(t.Context(), claimOf(key))
 		is.NoErr(err)
 		is.True(!reply.GetGranted() && reply.GetInDoubt())
@@ -163,7 +163,7 @@
 	_, err := client.Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
 	var known uint32
-	client = newClientKnowing(t, all, "entry-1", func() uint32 { return known })
+	client = newClientWithRecoveries(t, all, "entry-1", func() uint32 { return known })
 	reply, err := client.Claim(t.Context(), claimOf("before"))
 	is.NoErr(err)
 	is.True(reply.GetGranted())
--- a/daemon/state/replay.go
+++ b/daemon/state/replay.go
@@ -13,8 +13,8 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// replayed is what a folder's snapshot and entries gave.
-type replayed struct {
+// replayResult is what a folder's snapshot and entries gave.
+type replayResult struct {
 	// committed is the revision of the snapshot, which is surely accepted.
 	committed, revision uint64
 	// differs is true if the folder gave a revision of the entries another content.
@@ -27,13 +27,13 @@
 // An entry holds accepted revisions only. Where it holds another content under a
 // number that the folder has too, the folder's end was written by a leader that
 // had lost its quorum, and was never accepted.
-func (m *Machine) replay(state *wal.State, held *lilacv1.Snapshot) (*replayed, error) {
+func (m *Machine) replay(state *wal.State, held *lilacv1.Snapshot) (*replayResult, error) {
 	if state.Snapshot.GetSize() > 0 {
 		if err := m.Restore(state.SnapshotData); err != nil {
 			return nil, err
 		}
 	}
-	found := &replayed{committed: m.Revision()}
+	found := &replayResult{committed: m.Revision()}
 	for _, entry := range state.Entries {
 		before := m.Revision()
 		if entry.GetKind() == lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_COMMAND {
@@ -75,14 +75,14 @@
 	return members, nil
 }
 
-// heldConfig is the newest configuration of the entries that were asked.
-type heldConfig struct {
+// entryConfig is the newest configuration of the entries that were asked.
+type entryConfig struct {
 	snapshot *lilacv1.Snapshot
 	entry    link.Caller
 }
 
-func askEntries(ctx context.Context, o RecoverOptions) (*heldConfig, error) {
-	held := &heldConfig{}
+func fetchNewestConfig(ctx context.Context, o RecoverOptions) (*entryConfig, error) {
+	held := &entryConfig{}
 	for _, address := range o.Entries {
 		entry := o.Dial(address)
 		asked, cancel := context.WithTimeout(ctx, entryTimeout)
@@ -111,7 +111,7 @@
 
 // tail returns the revisions after have, for the audit trail; none where the
 // entry has them in its configuration only.
-func (h *heldConfig) tail(ctx context.Context, have uint64) []*lilacv1.Revision {
+func (h *entryConfig) tail(ctx context.Context, have uint64) []*lilacv1.Revision {
 	if h.entry == nil {
 		return nil
 	}
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -33,7 +33,7 @@
 func NewService(machine *Machine, log Log, logger hclog.Logger) *Service {
 	s := &Service{machine: machine, log: log, now: time.Now}
 	s.timer = newLeaseTimer(s.now)
-	s.lives = newLives(s.now)
+	s.lives = newLivenessTracker(s.now)
 	s.entries = newEntryTable(s.now)
 	s.watch = spreadlink.NewServer(source{machine, log}, logger)
 	machine.mu.Lock()
@@ -93,7 +93,7 @@
 	if p.GetDryRun() {
 		return s.preview(ctx, p)
 	}
-	return conflictAsReply(s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: p}}))
+	return conflictToReply(s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: p}}))
 }
 
 func (s *Service) preview(ctx context.Context, p *lilacv1.Proposal) (*lilacv1.ProposeReply, error) {
@@ -101,10 +101,10 @@
 		return nil, err
 	}
 	result := s.machine.Preview(p)
-	return conflictAsReply(result, fault.FromStatus(result.GetStatus()))
+	return conflictToReply(result, fault.FromStatus(result.GetStatus()))
 }
 
-func conflictAsReply(result *lilacv1.CommandResult, err error) (*lilacv1.ProposeReply, error) {
+func conflictToReply(result *lilacv1.CommandResult, err error) (*lilacv1.ProposeReply, error) {
 	if err != nil && result.GetPropose().GetWinner() == nil {
 		return nil, err
 	}
@@ -166,14 +166,14 @@
 		s.entries.heard(entry)
 	}
 	reply := &lilacv1.StateMembers{Members: s.log.Status().Members, Entries: s.entries.list()}
-	if reply.Version = versionOf(reply); reply.Version == r.GetHave() {
+	if reply.Version = membersVersion(reply); reply.Version == r.GetHave() {
 		return &lilacv1.StateMembers{Version: reply.Version}, nil
 	}
 	return reply, nil
 }
 
-// versionOf gives equal lists equal versions, never 0.
-func versionOf(members *lilacv1.StateMembers) uint64 {
+// membersVersion gives equal lists equal versions, never 0.
+func membersVersion(members *lilacv1.StateMembers) uint64 {
 	// Messages of our own types always marshal.
 	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(members)
 	return max(xxhash.Sum64(data), 1)
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -179,12 +179,12 @@
 	c := newClient(t, all, "entry-1")
 	_, err := c.Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
-	service.endSilent(t.Context())
-	now = now.Add(goneAfter)
-	service.endSilent(t.Context())
+	service.expireIncarnations(t.Context())
+	now = now.Add(livenessTimeout)
+	service.expireIncarnations(t.Context())
 	is.Equal(service.machine.Counts().OpenClaims, 1)
 	now = now.Add(time.Second)
-	service.endSilent(t.Context())
+	service.expireIncarnations(t.Context())
 	is.Equal(service.machine.Counts().OpenClaims, 0)
 	old, err := newClient(t, all, "entry-2").Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
@@ -228,8 +228,8 @@
 	traffic *link.Traffic
 }
 
-// watchers starts n entries of one data centre.
-func watchers(t testing.TB, all []*process, n int) []*follower {
+// startWatchers starts n entries of one data centre.
+func startWatchers(t testing.TB, all []*process, n int) []*follower {
 	var state []settings.Peer
 	for _, p := range all {
 		state = append(state, p.peer)
@@ -259,14 +259,14 @@
 	return started
 }
 
-// watched is an entry that follows revisions.
-type watched interface {
+// revisionWatcher is an entry that follows revisions.
+type revisionWatcher interface {
 	Changed() <-chan struct{}
 	Current() *model.View
 	Revision() uint64
 }
 
-func waitFor(w watched, revision uint64) *model.View {
+func waitFor(w revisionWatcher, revision uint64) *model.View {
 	for {
 		changed := w.Changed()
 		if w.Current() != nil && w.Revision() >= revision {
@@ -279,7 +279,7 @@
 func TestRevisionsReachAllEntries(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
-	entries := watchers(t, all, 4)
+	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
 		waitFor(w, 0)
 	}
@@ -298,7 +298,7 @@
 func TestEntriesGoOnWithoutTheirRelay(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
-	entries := watchers(t, all, 4)
+	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
 		waitFor(w, 0)
 	}
@@ -316,13 +316,13 @@
 // snapshot, and then each later change in order.
 func TestLongAbsenceIsMadeGoodBySnapshot(t *testing.T) {
 	is := is.New(t)
-	_, all := groupKeeping(t, 1, 5)
+	_, all := groupWithRetention(t, 1, 5)
 	c := newClient(t, all, "entry-1")
 	for i := range 20 {
 		_, err := c.Propose(t.Context(), proposal(fmt.Sprint(i), fmt.Sprint("class-", i), 0))
 		is.NoErr(err)
 	}
-	entries := watchers(t, all, 3)
+	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
 		is.Equal(len(waitFor(w, 20).Classes), 20)
 	}
--- a/daemon/state/signs_bench_test.go
+++ b/daemon/state/signs_bench_test.go
@@ -16,7 +16,7 @@
 	for _, following := range []int{2, 4, 6, 8} {
 		b.Run(fmt.Sprint("followers=", following), func(b *testing.B) {
 			_, all := group(b, 1)
-			entries := watchers(b, all, following+1)
+			entries := startWatchers(b, all, following+1)
 			time.Sleep(settle)
 			before := make(map[*follower]uint64)
 			for _, e := range entries {
--- a/daemon/state/size_bench_test.go
+++ b/daemon/state/size_bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/lilacbridge/lilacbridge/process/ledger"
 )
 
-// filled returns a machine with so many teams, revisions of the audit trail and
+// filledMachine returns a machine with so many teams, revisions of the audit trail and
 // ended keys, in equal parts of all that it holds.
-func filled(b *testing.B, teams, keys int) *Machine {
+func filledMachine(b *testing.B, teams, keys int) *Machine {
 	m := NewMachine(0, ledger.Limits{Entries: max(1, keys/2), Tombstones: max(1, keys)})
 	index := uint64(0)
 	apply := func(c *lilacv1.Command) {
@@ -45,7 +45,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			m := filled(b, c.teams, c.keys)
+			m := filledMachine(b, c.teams, c.keys)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			size, longest := 0, time.Duration(0)
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	benchCenters = 5
+	benchDataCenters = 5
 	// nearDelay and farDelay are one way, inside a data centre and between two.
 	nearDelay = time.Millisecond
 	farDelay  = 30 * time.Millisecond
@@ -28,23 +28,23 @@
 // wire counts the messages that pass and delays each as the network would.
 type wire struct{ near, far, fromState atomic.Int64 }
 
-type wiredCaller struct {
+type meteredCaller struct {
 	link.Caller
 	wire       *wire
 	far, state bool
 }
 
-type wiredStream struct {
+type meteredStream struct {
 	link.Stream
-	caller *wiredCaller
+	caller *meteredCaller
 }
 
-func (c *wiredCaller) Open(ctx context.Context, method string, req proto.Message) (link.Stream, error) {
+func (c *meteredCaller) Open(ctx context.Context, method string, req proto.Message) (link.Stream, error) {
 	s, err := c.Caller.Open(ctx, method, req)
-	return &wiredStream{s, c}, err
+	return &meteredStream{s, c}, err
 }
 
-func (s *wiredStream) Recv(m proto.Message) error {
+func (s *meteredStream) Recv(m proto.Message) error {
 	err := s.Stream.Recv(m)
 	size := int64(proto.Size(m))
 	if s.caller.state {
@@ -69,7 +69,7 @@
 	service.Register(muxes["state"])
 	var peers []settings.Peer
 	for i := range n {
-		name, center := fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%benchCenters)
+		name, center := fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%benchDataCenters)
 		peers = append(peers, settings.Peer{Name: name, Address: settings.Address{Value: name}, DataCenter: center})
 		muxes[name], centers[name] = link.NewMux(), center
 	}
@@ -87,7 +87,7 @@
 			o.Entries = peers
 		}
 		o.Dial = func(address string) link.Caller {
-			return &wiredCaller{&link.Local{Mux: muxes[address]}, w, centers[address] != peer.DataCenter, address == "state"}
+			return &meteredCaller{&link.Local{Mux: muxes[address]}, w, centers[address] != peer.DataCenter, address == "state"}
 		}
 		watcher := spreadlink.NewWatcher(o)
 		spreadlink.NewServer(watcher, hclog.NewNullLogger()).Register(muxes[peer.Name], "entry")
--- a/daemon/state/stall_bench_test.go
+++ b/daemon/state/stall_bench_test.go
@@ -21,7 +21,7 @@
 // the longest wait of a proposal while several snapshots are taken.
 func BenchmarkStall(b *testing.B) {
 	const proposals, every = 4000, 1000
-	m := filled(b, 45000, 200000)
+	m := filledMachine(b, 45000, 200000)
 	folder, err := wal.OSFolder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
