--- a/daemon/entry/bench_test.go
+++ b/daemon/entry/bench_test.go
@@ -31,7 +31,7 @@
 		body, _ := io.ReadAll(r.Body)
 		_, rest, _ := strings.Cut(string(body), "tokens:")
 		count, _ := strconv.Atoi(strings.Trim(strings.SplitN(rest, " ", 2)[0], `"}]`))
-		id := heldID(r)
+		id := requestID(r)
 		w.Header().Set("X-Request-Id", id)
 		startStream(w)
 		for i := range count {
--- a/daemon/entry/callers_test.go
+++ b/daemon/entry/callers_test.go
@@ -16,7 +16,7 @@
 // A caller's program has a fault. It must learn at once which one, that nothing
 // ran, and no backend server may hear of it.
 func TestFaultyRequestsAreRefusedBeforeAnyServer(t *testing.T) {
-	backend := newFake(t, func(http.ResponseWriter, *http.Request, int) {})
+	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) {})
 	s := testSettings()
 	s.Limits.BodyBytes, s.Limits.HeaderBytes = 2000, 4000
 	f := start(t, s, backend.engine("r1"), backend.service("g1"))
@@ -50,7 +50,7 @@
 			is := is.New(t)
 			resp, body := f.post(c.path, c.body, c.header...)
 			is.Equal(resp.StatusCode, c.status)
-			is.Equal(errorOf(body), errorEvent{Type: c.kind, NotRun: true})
+			is.Equal(parseError(body), errorEvent{Type: c.kind, NotRun: true})
 			is.True(resp.Header.Get("X-Request-Id") != "")
 			is.Equal(resp.Header.Get("X-Lilac-Instance"), "entry-1")
 		})
@@ -62,7 +62,7 @@
 // connection must end after the read timeout with a typed error, in the header
 // as well as in the body.
 func TestSlowCallersAreCut(t *testing.T) {
-	backend := newFake(t, func(http.ResponseWriter, *http.Request, int) {})
+	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) {})
 	f := start(t, testSettings(), backend.engine("r1"))
 	auth := "Authorization: Bearer " + secret.CallerToken(testKey, "coop") + "\r\n"
 	for name, part := range map[string]string{
@@ -81,7 +81,7 @@
 			is.NoErr(err) // the entry closes the connection
 			is.True(strings.HasPrefix(string(answer), "HTTP/1.1 408 "))
 			_, body, _ := strings.Cut(string(answer), "\r\n\r\n")
-			is.Equal(errorOf(body), errorEvent{Type: "slow_caller", NotRun: true})
+			is.Equal(parseError(body), errorEvent{Type: "slow_caller", NotRun: true})
 		})
 	}
 	is.New(t).Equal(len(backend.calls("")), 0)
@@ -95,7 +95,7 @@
 	resp, body := f.post("/v1/chat/completions", chatBody)
 	is.Equal(resp.StatusCode, 503)
 	is.Equal(resp.Header.Get("Retry-After"), "2")
-	is.Equal(errorOf(body), errorEvent{Type: "unavailable", NotRun: true})
+	is.Equal(parseError(body), errorEvent{Type: "unavailable", NotRun: true})
 	is.Equal(f.Ready(), errNoConfiguration)
 	f.Configure(view())
 	is.NoErr(f.Ready())
--- a/daemon/entry/claims_test.go
+++ b/daemon/entry/claims_test.go
@@ -29,7 +29,7 @@
 // answer; another booking under the same key is refused.
 func TestBookingRunsOnceAndItsAnswerIsGivenAgain(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, ran)
+	backend := newFakeBackend(t, ran)
 	f := start(t, testSettings(), backend.service("g1"))
 	for range 3 {
 		resp, body := f.post(bookingURL, booking, "Idempotency-Key", "k1")
@@ -42,7 +42,7 @@
 	is.Equal(backend.calls("/book")[0].key, "k1")
 	resp, body := f.post(bookingURL, `{"berth":8}`, "Idempotency-Key", "k1")
 	is.Equal(resp.StatusCode, http.StatusConflict)
-	is.Equal(errorOf(body).Type, "key_reused")
+	is.Equal(parseError(body).Type, "key_reused")
 	is.Equal(len(backend.calls("/book")), 1)
 }
 
@@ -51,7 +51,7 @@
 func TestSecondSendInProgressIsToldAtOnce(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
 		ran(w, r, n)
@@ -62,7 +62,7 @@
 	<-arrived
 	resp, body := f.post(bookingURL, booking, "Idempotency-Key", "k1")
 	is.Equal(resp.StatusCode, http.StatusConflict)
-	is.Equal(errorOf(body).Type, "in_progress")
+	is.Equal(parseError(body).Type, "in_progress")
 	close(release)
 	first.Wait()
 	is.Equal(len(backend.calls("/book")), 1)
@@ -104,7 +104,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, c.answer)
+			backend := newFakeBackend(t, c.answer)
 			f := start(t, testSettings(), backend.service("g1"))
 			if c.down {
 				backend.Close()
@@ -116,18 +116,18 @@
 			}
 			resp, body := f.post(bookingURL, booking, headers...)
 			is.True(resp.StatusCode >= 400)
-			is.Equal(errorOf(body).NotRun, c.notRun)
+			is.Equal(parseError(body).NotRun, c.notRun)
 			is.Equal(len(backend.calls("")), c.calls)
 			waitFor(t, func() bool { return f.ledger.state("k") == c.state })
 		})
 	}
 	t.Run("service refuses", func(t *testing.T) {
 		is := is.New(t)
-		backend := newFake(t, refuse)
+		backend := newFakeBackend(t, refuse)
 		f := start(t, testSettings(), backend.service("g1"))
 		resp, body := f.post(bookingURL, booking, "X-Lilac-Deadline-Ms", "500", "Idempotency-Key", "k")
 		is.True(resp.StatusCode >= 400)
-		is.Equal(errorOf(body).NotRun, true)
+		is.Equal(parseError(body).NotRun, true)
 		waitFor(t, func() bool { return f.ledger.state("k") == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN })
 	})
 }
@@ -138,7 +138,7 @@
 	for _, body := range []string{booking, ""} {
 		t.Run("body "+body, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+			backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 				if n > 1 {
 					abort()
 				}
@@ -149,7 +149,7 @@
 			is.Equal(resp.StatusCode, http.StatusCreated)
 			resp, text := f.post(bookingURL, body, "Idempotency-Key", "k2")
 			is.Equal(resp.StatusCode, http.StatusConflict)
-			is.Equal(errorOf(text).Type, "outcome_unknown")
+			is.Equal(parseError(text).Type, "outcome_unknown")
 			is.Equal(len(backend.calls("/book")), 2)
 		})
 	}
@@ -160,7 +160,7 @@
 func TestBookingOutlivesItsCaller(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
 		ran(w, r, n)
@@ -184,7 +184,7 @@
 // Calls that are idempotent by their method are tried again where the first try broke.
 func TestBrokenGetIsTriedAgain(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(w http.ResponseWriter, _ *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, _ *http.Request, n int) {
 		if n == 1 {
 			abort()
 		}
--- a/daemon/entry/convict.go
+++ b/daemon/entry/convict.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// maxConvicts bounds the convictions that wait to be proposed.
-	maxConvicts = 256
-	// convictionTime is how long a conviction lasts.
-	convictionTime = 24 * time.Hour
-	convictPause   = 500 * time.Millisecond
-	convictTimeout = 5 * time.Second
+	// maxPendingConvictions bounds the convictions that wait to be proposed.
+	maxPendingConvictions = 256
+	// convictionTTL is how long a conviction lasts.
+	convictionTTL        = 24 * time.Hour
+	proposeRetryInterval = 500 * time.Millisecond
+	proposeTimeout       = 5 * time.Second
 )
 
 // convict is called by the core's goroutine and must not wait.
@@ -47,7 +47,7 @@
 		CommandId: rand.Text(), Who: "lilacbridge", Instance: e.settings.Name, Statement: "CONVICT " + c.Digest,
 		ProposedUnixMs: now.UnixMilli(),
 		Changes: []*lilacv1.Change{{Op: &lilacv1.Change_Convict{Convict: &lilacv1.Conviction{
-			Digest: c.Digest, Team: c.Team, Servers: c.Servers, ExpiresUnixMs: now.Add(convictionTime).UnixMilli(),
+			Digest: c.Digest, Team: c.Team, Servers: c.Servers, ExpiresUnixMs: now.Add(convictionTTL).UnixMilli(),
 		}}}},
 	}
 	e.logger.Warn("convicted a request that crashed backend servers", "digest", c.Digest, "servers", c.Servers)
@@ -55,12 +55,12 @@
 		if e.proposeOnce(ctx, proposal) {
 			return
 		}
-		_ = sleep(ctx, convictPause)
+		_ = sleep(ctx, proposeRetryInterval)
 	}
 }
 
 func (e *Entry) proposeOnce(ctx context.Context, proposal *lilacv1.Proposal) bool {
-	ctx, cancel := context.WithTimeout(ctx, convictTimeout)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	_, err := e.state.Propose(ctx, proposal)
 	return err == nil
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -29,21 +29,21 @@
 	is := is.New(t)
 	const after = 2
 	var old, next *fake
-	old = newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	old = newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/export" {
 			_, _ = w.Write([]byte("cache"))
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[:after], "")
+		sendTokens(w, requestID(r), tokens[:after], "")
 		<-r.Context().Done()
 	})
-	next = newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	next = newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/import" {
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[after:], "stop")
+		sendTokens(w, requestID(r), tokens[after:], "stop")
 		sendDone(w)
 	})
 	got := 0
@@ -63,7 +63,7 @@
 	})
 	f := startWith(t, testSettings(), core, old.engine("r1"), next.engine("r2"))
 	_, stream := f.post("/v1/chat/completions", chatBody)
-	text, ids, done, _ := textOf(stream)
+	text, ids, done, _ := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(len(ids), 1)
@@ -82,7 +82,7 @@
 // repeat what it can't prove, and must count the broken invariant.
 func TestShellTrustsItsRecordMoreThanThePolicy(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(http.ResponseWriter, *http.Request, int) { abort() })
+	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) { abort() })
 	core := scripted(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
@@ -94,7 +94,7 @@
 	})
 	f := startWith(t, testSettings(), core, backend.service("g1"))
 	_, body := f.post(bookingURL, booking)
-	is.Equal(errorOf(body), errorEvent{Type: "overloaded", NotRun: "unknown"})
+	is.Equal(parseError(body), errorEvent{Type: "overloaded", NotRun: "unknown"})
 	families, err := f.registry.Gather()
 	is.NoErr(err)
 	found := false
@@ -108,7 +108,7 @@
 // the core decided before must not be acted on.
 func TestWokenEntryChecksTheDeadline(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, ran)
+	backend := newFakeBackend(t, ran)
 	core := scripted(func(event policy.Event) []policy.Action {
 		if e, ok := event.(policy.Arrival); ok {
 			// The freeze: the decision arrives late, and the timer not yet.
@@ -120,7 +120,7 @@
 	f := startWith(t, testSettings(), core, backend.service("g1"))
 	resp, body := f.post(bookingURL, booking, "X-Lilac-Deadline-Ms", "50")
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
-	is.Equal(errorOf(body), errorEvent{Type: "timeout", NotRun: true})
+	is.Equal(parseError(body), errorEvent{Type: "timeout", NotRun: true})
 	is.Equal(len(backend.calls("")), 0)
 }
 
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -68,11 +68,11 @@
 	if err != nil {
 		return nil, err
 	}
-	callerKey, err := openUnless(s.CallerKeyFile == "", s.CallerKeyFile, secret.ReadKey)
+	callerKey, err := openOptional(s.CallerKeyFile == "", s.CallerKeyFile, secret.ReadKey)
 	if err != nil {
 		return nil, err
 	}
-	operators, err := openUnless(s.OperatorTokensFile == "", s.OperatorTokensFile, secret.ReadOperators)
+	operators, err := openOptional(s.OperatorTokensFile == "", s.OperatorTokensFile, secret.ReadOperators)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		Dial: d.dialer.dial, Timing: d.timing(), OnView: d.onView, Logger: logger,
 	})
 	if platform != nil {
-		d.gateway = newRouted(d, platform)
+		d.gateway = newGatewayRouter(d, platform)
 	}
 	mux := link.NewMux()
 	mux.Handle("entry.query", link.Unary(func(ctx context.Context, _ link.Peer, req *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
@@ -201,9 +201,9 @@
 	return err
 }
 
-// openUnless opens a file of secrets, or gives an empty one where none is named:
+// openOptional opens a file of secrets, or gives an empty one where none is named:
 // nothing that needs it is served then.
-func openUnless[T any](none bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
+func openOptional[T any](none bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
 	if none {
 		var empty T
 		return secret.Fixed(empty), nil
--- a/daemon/entry/daemon_test.go
+++ b/daemon/entry/daemon_test.go
@@ -24,23 +24,23 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// loneLog is a log of one process, kept in memory.
-type loneLog struct {
+// singleNodeLog is a log of one process, kept in memory.
+type singleNodeLog struct {
 	mu      sync.Mutex
 	index   uint64
 	machine *state.Machine
 }
 
-func (l *loneLog) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l *singleNodeLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
 	return l.machine.Apply(l.index, command), nil
 }
 
-func (l *loneLog) Barrier(context.Context) error { return nil }
+func (l *singleNodeLog) Barrier(context.Context) error { return nil }
 
-func (l *loneLog) Status() state.LogStatus {
+func (l *singleNodeLog) Status() state.LogStatus {
 	return state.LogStatus{IsLeader: true, Status: &lilacv1.StateStatus{Role: "leader"}}
 }
 
@@ -55,7 +55,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	machine := state.NewMachine(100, ledger.Limits{Retention: time.Hour})
-	p := &stateProcess{listener: listener, service: state.NewService(machine, &loneLog{machine: machine}, hclog.NewNullLogger())}
+	p := &stateProcess{listener: listener, service: state.NewService(machine, &singleNodeLog{machine: machine}, hclog.NewNullLogger())}
 	mux := link.NewMux()
 	p.service.Register(mux)
 	p.links = link.NewServer(link.Identity{Peer: link.Peer{Process: "state-1", DataCenter: "dakar-a"}, Keys: secret.Always([]byte(key))}, mux)
@@ -122,7 +122,7 @@
 		return status == http.StatusOK
 	})
 
-	backend := newFake(t, ran)
+	backend := newFakeBackend(t, ran)
 	server := backend.service("g1")
 	proposal := &lilacv1.Proposal{Who: "ana", Changes: []*lilacv1.Change{
 		{Op: &lilacv1.Change_SetClass{SetClass: &lilacv1.Class{Name: "default", FirstTokenMs: 1000}}},
--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -12,8 +12,8 @@
 	errNoConfiguration = errors.New("no configuration yet: no state process has answered; check that they run")
 )
 
-// claimsTime is how long outcomes may take to be stored after the last request.
-const claimsTime = 10 * time.Second
+// outcomeStoreTimeout is how long outcomes may take to be stored after the last request.
+const outcomeStoreTimeout = 10 * time.Second
 
 // Drain ends the entry's service without cutting a request off.
 //
@@ -43,7 +43,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimsTime)
+	ctx, cancel := context.WithTimeout(ctx, outcomeStoreTimeout)
 	defer cancel()
 	return e.claims.Wait(ctx)
 }
--- a/daemon/entry/drain_test.go
+++ b/daemon/entry/drain_test.go
@@ -15,7 +15,7 @@
 
 // pacedEngine sends one token each time that the test allows it.
 func pacedEngine(t *testing.T, pace <-chan struct{}) *fake {
-	return newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	return newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
 		for i, token := range tokens {
 			<-pace
@@ -23,7 +23,7 @@
 			if i == len(tokens)-1 {
 				finish = "stop"
 			}
-			sendChunk(w, heldID(r), token, finish)
+			sendChunk(w, requestID(r), token, finish)
 		}
 		sendDone(w)
 	})
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	pace, release := make(chan struct{}, len(tokens)), make(chan struct{})
 	backend := pacedEngine(t, pace)
-	counter := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	counter := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		if n == 1 {
 			<-release
 		}
@@ -66,7 +66,7 @@
 	var refusal errorEvent
 	waitFor(t, func() bool {
 		refused, body := f.post(bookingURL, booking)
-		refusal = errorOf(body)
+		refusal = parseError(body)
 		return refused.Header.Get("Retry-After") == "1" && refusal.Type == "draining"
 	})
 	is.Equal(refusal.NotRun, true)
@@ -77,7 +77,7 @@
 	requests.Wait()
 	drain.Wait()
 	is.NoErr(drained)
-	text, _, done, _ := textOf(stream)
+	text, _, done, _ := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(f.ledger.state("k1"), lilacv1.ClaimState_CLAIM_STATE_RAN)
@@ -99,7 +99,7 @@
 	waitFor(t, func() bool { return len(backend.calls("")) == 1 })
 	is.NoErr(f.Drain(context.Background()))
 	requests.Wait()
-	_, _, done, failure := textOf(stream)
+	_, _, done, failure := parseStream(stream)
 	is.True(!done)
 	is.True(failure != nil)
 	is.Equal(failure.Type, "draining")
@@ -111,7 +111,7 @@
 func TestDrainWaitsForOutcomes(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	counter := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	counter := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		<-release
 		ran(w, r, n)
 	})
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -74,7 +74,7 @@
 func New(options Options) *Entry {
 	e := &Entry{
 		settings: options.Settings, logger: options.Logger, state: options.State,
-		log: logs.New(options.Logger), registry: metrics.NewRegistry(), clients: upstream.NewClient(), convicts: make(chan policy.Convict, maxConvicts),
+		log: logs.New(options.Logger), registry: metrics.NewRegistry(), clients: upstream.NewClient(), convicts: make(chan policy.Convict, maxPendingConvictions),
 	}
 	e.life, e.end = context.WithCancel(context.Background())
 	e.counters = metrics.NewEntry(e.registry)
--- a/daemon/entry/fake_test.go
+++ b/daemon/entry/fake_test.go
@@ -29,9 +29,9 @@
 
 type script func(w http.ResponseWriter, r *http.Request, n int)
 
-// newFake starts a server that answers its n-th call (from 1) by the script;
+// newFakeBackend starts a server that answers its n-th call (from 1) by the script;
 // reports and cancels are answered here.
-func newFake(t *testing.T, answer script) *fake {
+func newFakeBackend(t *testing.T, answer script) *fake {
 	f := &fake{}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" || r.URL.Path == "/cache/events" {
@@ -113,8 +113,8 @@
 
 const chatBody = `{"model":"redaction","stream":true,"messages":[{"role":"user","content":"compte"}]}`
 
-// textOf joins the content of a stream's events; done tells of the regular end.
-func textOf(stream string) (text string, ids map[string]bool, done bool, failure *errorEvent) {
+// parseStream joins the content of a stream's events; done tells of the regular end.
+func parseStream(stream string) (text string, ids map[string]bool, done bool, failure *errorEvent) {
 	ids = make(map[string]bool)
 	for _, line := range strings.Split(stream, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
@@ -154,7 +154,7 @@
 	NotRun any    `json:"not_run"`
 }
 
-func errorOf(body string) errorEvent {
+func parseError(body string) errorEvent {
 	var typed struct {
 		Error errorEvent `json:"error"`
 	}
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -25,18 +25,18 @@
 )
 
 const (
-	// askedForList is how many state processes are asked for the list before the
+	// maxListSources is how many state processes are asked for the list before the
 	// platform is.
-	askedForList = 2
-	// membersEvery is how often the state processes are asked for their group.
-	membersEvery = 2 * time.Second
-	// keysTrusted is the share of the bound on revocations for which the keys may
+	maxListSources = 2
+	// membersInterval is how often the state processes are asked for their group.
+	membersInterval = 2 * time.Second
+	// keysFreshShare is the share of the bound on revocations for which the keys may
 	// go unconfirmed: the rest is for clocks that run apart and for the request's
 	// own way to the backend server.
-	keysTrusted = 0.8
-	// denialTrusted is the share of the bound on documents for which the one in force
+	keysFreshShare = 0.8
+	// denialFreshShare is the share of the bound on documents for which the one in force
 	// may go unconfirmed and still deny: the rest is for the request's own way.
-	denialTrusted = 0.8
+	denialFreshShare = 0.8
 )
 
 // routed is the gateway of an entry: the document in force joined with the list
@@ -67,7 +67,7 @@
 
 var _ gateway.Router = (*routed)(nil)
 
-func newRouted(d *Daemon, platform gateway.Platform) *routed {
+func newGatewayRouter(d *Daemon, platform gateway.Platform) *routed {
 	g := &routed{daemon: d, logger: d.logger, platform: platform}
 	g.list = platform.ServerList(d.settings.Gateway.ServerList.Value, serverlist.NewClient())
 	g.handler = gateway.NewHandler(platform, g, d.entry.counters, requestLog{d.entry.log})
@@ -91,14 +91,14 @@
 // that was taken away. The age counts from a moment at which a quorum was heard, by
 // a clock that counts suspension too.
 func (g *routed) KeysFresh() bool {
-	return g.confirmedWithin(&g.revocation, keysTrusted)
+	return g.confirmedWithin(&g.revocation, keysFreshShare)
 }
 
 // MayDeny implements gateway.Router.
 //
 // An instance that a document has not reached yet can't tell a route or key that was
 // added from one that never was.
-func (g *routed) MayDeny() bool { return g.confirmedWithin(&g.applied, denialTrusted) }
+func (g *routed) MayDeny() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
 
 // confirmedWithin tells whether what is in force was surely the newest within a
 // share of the bound.
@@ -174,7 +174,7 @@
 	for _, peer := range g.daemon.watcher.Nearest() {
 		callers = append(callers, g.daemon.dialer.dial(peer.Address.Value))
 	}
-	return callers[:min(len(callers), askedForList)]
+	return callers[:min(len(callers), maxListSources)]
 }
 
 // onList brings a list of backend servers into force.
@@ -189,7 +189,7 @@
 	s := g.daemon.settings
 	self := settings.Peer{Name: s.Name, Address: s.LinkForOthers(), DataCenter: s.DataCenter}
 	for {
-		asked, cancel := context.WithTimeout(ctx, membersEvery)
+		asked, cancel := context.WithTimeout(ctx, membersInterval)
 		members, entries, err := g.daemon.state.Members(asked, self)
 		cancel()
 		if err != nil {
@@ -202,7 +202,7 @@
 			g.daemon.watcher.SetState(members)
 			g.daemon.gossip.SetEntries(entries)
 		}
-		if sleep(ctx, membersEvery) != nil {
+		if sleep(ctx, membersInterval) != nil {
 			return
 		}
 	}
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -57,8 +57,8 @@
 		// its data centre: all follow the state processes themselves.
 		d.watcher.SetEntries(peers)
 	}
-	d.loads.SetPeers(membersOf(peers))
-	d.entry.relay.Post(policy.Fleet{Others: instancesOf(peers)})
+	d.loads.SetPeers(memberPeers(peers))
+	d.entry.relay.Post(policy.Fleet{Others: policyInstances(peers)})
 	d.orders.SetPosition(d.position(peers))
 	d.entry.poller.SetBudget(pollBudget(len(peers)+1, d.relays(peers)))
 }
@@ -78,19 +78,19 @@
 
 // relays tells whether no entry of the own data centre ranks above this one.
 func (d *Daemon) relays(peers []settings.Peer) bool {
-	return member.Position(d.settings.Name, d.neighbours(peers)) == 0
+	return member.Position(d.settings.Name, d.dataCenterPeers(peers)) == 0
 }
 
 // position counts the entries of the own data centre that rank below this one.
 // The last in rank ask for the lease for orders first: those of the best rank
 // carry the others' digests and have the least room for the holder's readings.
 func (d *Daemon) position(peers []settings.Peer) int {
-	names := d.neighbours(peers)
+	names := d.dataCenterPeers(peers)
 	return len(names) - member.Position(d.settings.Name, names)
 }
 
-// neighbours names the other entries of the own data centre.
-func (d *Daemon) neighbours(peers []settings.Peer) []string {
+// dataCenterPeers names the other entries of the own data centre.
+func (d *Daemon) dataCenterPeers(peers []settings.Peer) []string {
 	var names []string
 	for _, p := range peers {
 		if p.DataCenter == d.settings.DataCenter {
@@ -100,8 +100,8 @@
 	return names
 }
 
-// instancesOf are the peers as the policy knows them.
-func instancesOf(peers []settings.Peer) []policy.Instance {
+// policyInstances are the peers as the policy knows them.
+func policyInstances(peers []settings.Peer) []policy.Instance {
 	others := make([]policy.Instance, 0, len(peers))
 	for _, p := range peers {
 		others = append(others, policy.Instance{Name: p.Name, DataCenter: p.DataCenter})
--- a/daemon/entry/leaving_test.go
+++ b/daemon/entry/leaving_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// longWords is far more than an engine makes before it is gone.
-const longWords = 600
+// longAnswerWords is far more than an engine makes before it is gone.
+const longAnswerWords = 600
 
 // word is a part of the long answer.
 func word(n int) string { return fmt.Sprintf("w%d ", n) }
@@ -22,8 +22,8 @@
 // longAnswer streams words until its reader leaves; begun is called after two.
 func longAnswer(w http.ResponseWriter, r *http.Request, begun func()) {
 	startStream(w)
-	for n := range longWords {
-		sendChunk(w, heldID(r), word(n), "")
+	for n := range longAnswerWords {
+		sendChunk(w, requestID(r), word(n), "")
 		if n == 1 {
 			begun()
 		}
@@ -63,19 +63,19 @@
 				from := resumedAt()
 				startStream(w)
 				for n := range rest {
-					sendChunk(w, heldID(r), word(from+n), "")
+					sendChunk(w, requestID(r), word(from+n), "")
 				}
-				sendChunk(w, heldID(r), "", "stop")
+				sendChunk(w, requestID(r), "", "stop")
 				sendDone(w)
 			default:
 				longAnswer(w, r, leaving)
 			}
 		}
 	}
-	first, second = newFake(t, scriptOf("r1")), newFake(t, scriptOf("r2"))
+	first, second = newFakeBackend(t, scriptOf("r1")), newFakeBackend(t, scriptOf("r2"))
 	f = start(t, testSettings(), first.engine("r1"), second.engine("r2"))
 	_, stream := f.post("/v1/chat/completions", strings.Replace(chatBody, "compte", strings.Repeat("compte ", 3000), 1))
-	text, ids, done, _ := textOf(stream)
+	text, ids, done, _ := parseStream(stream)
 	var want strings.Builder
 	for n := range resumedAt() + rest {
 		want.WriteString(word(n))
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -32,7 +32,7 @@
 	return word, true
 }
 
-func membersOf(peers []settings.Peer) []member.Peer {
+func memberPeers(peers []settings.Peer) []member.Peer {
 	members := make([]member.Peer, 0, len(peers))
 	for _, p := range peers {
 		members = append(members, member.Peer{Name: p.Name, Address: p.Address.Value, DataCenter: p.DataCenter})
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -19,18 +19,18 @@
 func TestMoveWithoutCacheGoesOnFromTheText(t *testing.T) {
 	is := is.New(t)
 	const after = 2
-	old := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	old := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/export" {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[:after], "")
+		sendTokens(w, requestID(r), tokens[:after], "")
 		<-r.Context().Done()
 	})
-	next := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	next := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[after:], "stop")
+		sendTokens(w, requestID(r), tokens[after:], "stop")
 		sendDone(w)
 	})
 	got := 0
@@ -53,7 +53,7 @@
 	})
 	f := startWith(t, testSettings(), core, old.engine("r1"), next.engine("r2"))
 	_, stream := f.post("/v1/chat/completions", chatBody)
-	text, ids, done, _ := textOf(stream)
+	text, ids, done, _ := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(len(ids), 1)
@@ -64,9 +64,9 @@
 // was spared, in tokens.
 func TestLeavingCallerSparesTokens(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
-		sendChunk(w, heldID(r), "un", "")
+		sendChunk(w, requestID(r), "un", "")
 		<-r.Context().Done()
 	})
 	f := start(t, testSettings(), backend.engine("r1"))
--- a/daemon/entry/reports.go
+++ b/daemon/entry/reports.go
@@ -14,9 +14,9 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// maxPolled bounds the servers that one instance asks for their load, so that
+// maxPolledServers bounds the servers that one instance asks for their load, so that
 // its cost does not grow with the pool.
-const maxPolled = 100
+const maxPolledServers = 100
 
 // reports gives engines' reports to the core.
 type reports struct{ relay *relay.Relay }
@@ -48,5 +48,5 @@
 	}
 	rank := func(s *lilacv1.Server) uint64 { return xxhash.Sum64String(instance + "\x00" + s.GetName()) }
 	slices.SortFunc(servers, func(a, b *lilacv1.Server) int { return cmp.Compare(rank(a), rank(b)) })
-	return servers[:min(len(servers), maxPolled)]
+	return servers[:min(len(servers), maxPolledServers)]
 }
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -19,9 +19,9 @@
 const (
 	// idleTimeout closes callers' connections that carry no request.
 	idleTimeout = 2 * time.Minute
-	// headerRoom is above the limit of the settings, so that a header a little
+	// headerMargin is above the limit of the settings, so that a header a little
 	// too long gets a typed error and not the library's plain one.
-	headerRoom = 256 << 10
+	headerMargin = 256 << 10
 )
 
 // callerServer serves callers. The handler stands before the library's router,
@@ -38,7 +38,7 @@
 	server.ReadHeaderTimeout = e.settings.Limits.ReadTimeout.Duration
 	server.ConnContext = caller.ConnContext
 	server.IdleTimeout = idleTimeout
-	server.MaxHeaderBytes = e.settings.Limits.HeaderBytes + headerRoom
+	server.MaxHeaderBytes = e.settings.Limits.HeaderBytes + headerMargin
 	server.ErrorLog = e.quiet()
 	return server
 }
--- a/daemon/entry/stream_test.go
+++ b/daemon/entry/stream_test.go
@@ -16,7 +16,7 @@
 )
 
 // held is the id under which the first engine holds the answer.
-func heldID(r *http.Request) string { return r.Header.Get("X-Request-Id") }
+func requestID(r *http.Request) string { return r.Header.Get("X-Request-Id") }
 
 // A stream breaks between an entry and its engine after a part of the answer.
 // The caller must get the rest, byte for byte and under one id, whether the
@@ -37,7 +37,7 @@
 		return func(w http.ResponseWriter, r *http.Request, _ int) {
 			if calls.Add(1) == 1 {
 				startStream(w)
-				sendTokens(w, heldID(r), tokens[:after], "")
+				sendTokens(w, requestID(r), tokens[:after], "")
 				if end == "died" {
 					backends[own].Listener.Close()
 				}
@@ -48,17 +48,17 @@
 				return
 			}
 			startStream(w)
-			sendTokens(w, heldID(r), tokens[after:], "stop")
+			sendTokens(w, requestID(r), tokens[after:], "stop")
 			if after == len(tokens) {
-				sendChunk(w, heldID(r), "", "stop")
+				sendChunk(w, requestID(r), "", "stop")
 			}
 			sendDone(w)
 		}
 	}
-	backends[0], backends[1] = newFake(t, answer(0)), newFake(t, answer(1))
+	backends[0], backends[1] = newFakeBackend(t, answer(0)), newFakeBackend(t, answer(1))
 	f := start(t, testSettings(), backends[0].engine("r1"), backends[1].engine("r2"))
 	_, stream := f.post("/v1/chat/completions", chatBody)
-	text, ids, done, failure := textOf(stream)
+	text, ids, done, failure := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(failure, nil)
@@ -89,26 +89,26 @@
 func TestBadStreamsNeverLookComplete(t *testing.T) {
 	cases := map[string]script{
 		"error event": func(w http.ResponseWriter, r *http.Request, _ int) {
-			sendChunk(w, heldID(r), "un", "")
+			sendChunk(w, requestID(r), "un", "")
 			_, _ = w.Write([]byte("data: {\"error\":{\"message\":\"out of memory\"}}\n\n"))
 		},
 		"done without reason": func(w http.ResponseWriter, r *http.Request, _ int) {
-			sendChunk(w, heldID(r), "un", "")
+			sendChunk(w, requestID(r), "un", "")
 			sendDone(w)
 		},
 		"no JSON": func(w http.ResponseWriter, r *http.Request, _ int) {
-			sendChunk(w, heldID(r), "un", "")
+			sendChunk(w, requestID(r), "un", "")
 			_, _ = w.Write([]byte("data: {\"choices\n\n"))
 		},
 		"cut": func(w http.ResponseWriter, r *http.Request, _ int) {
-			sendChunk(w, heldID(r), "un", "")
+			sendChunk(w, requestID(r), "un", "")
 			abort()
 		},
 	}
 	for name, answer := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+			backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 				if n > 1 {
 					w.WriteHeader(http.StatusInternalServerError)
 					return
@@ -118,7 +118,7 @@
 			})
 			f := start(t, testSettings(), backend.engine("r1"))
 			_, stream := f.post("/v1/chat/completions", chatBody, "X-Lilac-Deadline-Ms", "1500")
-			text, _, done, failure := textOf(stream)
+			text, _, done, failure := parseStream(stream)
 			is.Equal(text, "un")
 			is.True(!done)
 			is.True(failure != nil)
@@ -136,8 +136,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
-				id := heldID(r)
+			backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
+				id := requestID(r)
 				if n == 1 {
 					mark(w)
 					id = "other-1"
@@ -152,7 +152,7 @@
 			})
 			f := start(t, testSettings(), backend.engine("r1"))
 			_, stream := f.post("/v1/chat/completions", chatBody)
-			text, _, done, _ := textOf(stream)
+			text, _, done, _ := parseStream(stream)
 			is.Equal(text, strings.Join(tokens, ""))
 			is.True(done)
 		})
@@ -164,9 +164,9 @@
 func TestLeavingCallerCancelsAtTheEngine(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
-		sendChunk(w, heldID(r), "un", "")
+		sendChunk(w, requestID(r), "un", "")
 		<-r.Context().Done()
 		close(gone)
 	})
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -96,7 +96,7 @@
 	service.Register(mux)
 	servers := serverlist.NewHolder()
 	servers.Register(mux)
-	register(registry, service)
+	registerMetrics(registry, service)
 	metrics.RegisterTraffic(registry, metrics.LinkBytes, metrics.LinkBytesHelp, id.Traffic.Bytes)
 	metrics.RegisterTraffic(registry, metrics.LinkPackets, metrics.LinkPacketsHelp, id.Traffic.Packets)
 	listener, err := net.Listen("tcp", s.Link.Value)
--- a/daemon/state/documents.go
+++ b/daemon/state/documents.go
@@ -57,7 +57,7 @@
 	reply, err := d.service.propose(ctx, link.Peer{}, proposal)
 	if err != nil {
 		d.logger.Info("document not accepted", "version", decoded.Version, "error", err)
-		return d.moved(err)
+		return d.redirectToLeader(err)
 	}
 	d.logger.Info("document accepted", "version", decoded.Version, "revision", reply.GetRevision(), "repeated", reply.GetRepeatedCommand(), "bytes", len(content))
 	return nil
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(ctx, documentTimeout)
 	defer cancel()
 	if err := d.service.log.Barrier(ctx); err != nil {
-		return nil, d.moved(err)
+		return nil, d.redirectToLeader(err)
 	}
 	held := d.service.machine.Document()
 	if held == nil {
@@ -93,8 +93,8 @@
 	return packed.Text(held)
 }
 
-// moved names the leader's own address for operators where it is known.
-func (d *documents) moved(err error) error {
+// redirectToLeader names the leader's own address for operators where it is known.
+func (d *documents) redirectToLeader(err error) error {
 	leader, parseErr := netip.ParseAddrPort(fault.LeaderOf(err))
 	if !fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER) || parseErr != nil {
 		return err
--- a/daemon/state/entries.go
+++ b/daemon/state/entries.go
@@ -31,7 +31,7 @@
 	return &entryTable{now: now, seen: make(map[string]seenEntry)}
 }
 
-func (t *entryTable) heard(entry *lilacv1.StateMember) {
+func (t *entryTable) record(entry *lilacv1.StateMember) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seen[entry.GetName()] = seenEntry{entry, t.now()}
--- a/daemon/state/lease_test.go
+++ b/daemon/state/lease_test.go
@@ -29,7 +29,7 @@
 			service := all[0].service
 			now := time.Now()
 			clock := func() time.Time { return now }
-			service.timer.now = clock
+			service.leaseTimer.now = clock
 			a, b := newClient(t, all, "entry-a"), newClient(t, all, "entry-b")
 			held, err := a.Lease(t.Context(), leaseOf(1000))
 			is.NoErr(err)
@@ -43,7 +43,7 @@
 			is.Equal(service.machine.Counts().Applied, applied)
 			now = now.Add(100 * time.Millisecond)
 			if c.newLeader {
-				service.timer = newLeaseTimer(clock)
+				service.leaseTimer = newLeaseTimer(clock)
 				refused, err = b.Lease(t.Context(), leaseOf(1000))
 				is.NoErr(err)
 				is.True(!refused.GetGranted())
--- a/daemon/state/leaseclock.go
+++ b/daemon/state/leaseclock.go
@@ -16,11 +16,11 @@
 // NewLeaseClock returns the LeaseClock of a Machine that no Service uses.
 func NewLeaseClock(machine *Machine, now func() time.Time) *LeaseClock {
 	timer := newLeaseTimer(now)
-	machine.onLease = timer.renewed
+	machine.onLease = timer.recordRenewal
 	return &LeaseClock{machine: machine, timer: timer}
 }
 
 // SetExpiredRenewal says in the request whether the lease that it asks for has run out.
 func (c *LeaseClock) SetExpiredRenewal(r *lilacv1.LeaseRequest) {
-	r.ExpiredRenewal = c.timer.expired(c.machine.Lease(r.GetName()))
+	r.ExpiredRenewal = c.timer.expiredRenewal(c.machine.Lease(r.GetName()))
 }
--- a/daemon/state/leasetimer.go
+++ b/daemon/state/leasetimer.go
@@ -17,8 +17,8 @@
 type leaseTimer struct {
 	now func() time.Time
 
-	mu   sync.Mutex
-	last map[string]observedRenewal
+	mu       sync.Mutex
+	renewals map[string]observedRenewal
 }
 
 type observedRenewal struct {
@@ -27,29 +27,29 @@
 }
 
 func newLeaseTimer(now func() time.Time) *leaseTimer {
-	return &leaseTimer{now: now, last: make(map[string]observedRenewal)}
+	return &leaseTimer{now: now, renewals: make(map[string]observedRenewal)}
 }
 
-func (t *leaseTimer) renewed(e *lilacv1.LeaseEntry) {
+func (t *leaseTimer) recordRenewal(e *lilacv1.LeaseEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.last[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
+	t.renewals[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
 }
 
-// expired returns the number of the lease's last renewal if it has run out, else 0.
+// expiredRenewal returns the number of the lease's last renewal if it has run out, else 0.
 //
 // It guards against a lease taken over too early by a process that has just
 // started or just taken a snapshot, and so never saw the renewal applied: the
 // lease then counts from when it was first looked at.
-func (t *leaseTimer) expired(e *lilacv1.LeaseEntry) uint64 {
+func (t *leaseTimer) expiredRenewal(e *lilacv1.LeaseEntry) uint64 {
 	if e.GetHolder() == "" {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	seen, ok := t.last[e.GetName()]
+	seen, ok := t.renewals[e.GetName()]
 	if !ok || seen.renewal != e.GetRenewal() {
-		t.last[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
+		t.renewals[e.GetName()] = observedRenewal{e.GetRenewal(), t.now()}
 		return 0
 	}
 	length := time.Duration(e.GetDurationMs()) * time.Millisecond
--- a/daemon/state/lives.go
+++ b/daemon/state/liveness.go
@@ -18,48 +18,48 @@
 	livenessInterval = time.Second
 )
 
-// lives times the silence of each incarnation by the leader's monotonic clock.
-type lives struct {
+// livenessTracker times the silence of each incarnation by the leader's monotonic clock.
+type livenessTracker struct {
 	now func() time.Time
 
-	mu   sync.Mutex
-	last map[string]time.Time
-	// since is when this process began to lead and listen; zero while it does not.
-	since time.Time
+	mu        sync.Mutex
+	lastHeard map[string]time.Time
+	// leaderSince is when this process began to lead and listen; zero while it does not.
+	leaderSince time.Time
 }
 
-func newLivenessTracker(now func() time.Time) *lives {
-	return &lives{now: now, last: make(map[string]time.Time)}
+func newLivenessTracker(now func() time.Time) *livenessTracker {
+	return &livenessTracker{now: now, lastHeard: make(map[string]time.Time)}
 }
 
-func (l *lives) heard(incarnation string) {
+func (l *livenessTracker) record(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last[incarnation] = l.now()
+	l.lastHeard[incarnation] = l.now()
 }
 
-// silent returns which of the incarnations have said nothing for livenessTimeout.
+// timedOut returns which of the incarnations have said nothing for livenessTimeout.
 //
 // It guards against a new leader that takes everybody for dead because it has
-// heard nobody yet: nobody counts as silent for longer than it has led.
-func (l *lives) silent(leads bool, incarnations []string) []string {
+// heard nobody yet: nobody counts as timedOut for longer than it has led.
+func (l *livenessTracker) timedOut(leads bool, incarnations []string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	if !leads {
-		l.since = time.Time{}
-		clear(l.last)
+		l.leaderSince = time.Time{}
+		clear(l.lastHeard)
 		return nil
 	}
-	if l.since.IsZero() {
-		l.since = now
+	if l.leaderSince.IsZero() {
+		l.leaderSince = now
 	}
 	var silent []string
 	kept := make(map[string]time.Time, len(incarnations))
 	for _, incarnation := range incarnations {
-		last := l.last[incarnation]
-		if last.Before(l.since) {
-			last = l.since
+		last := l.lastHeard[incarnation]
+		if last.Before(l.leaderSince) {
+			last = l.leaderSince
 		}
 		if now.Sub(last) > livenessTimeout {
 			silent = append(silent, incarnation)
@@ -67,7 +67,7 @@
 		}
 		kept[incarnation] = last
 	}
-	l.last = kept
+	l.lastHeard = kept
 	return silent
 }
 
@@ -86,7 +86,7 @@
 }
 
 func (s *Service) expireIncarnations(ctx context.Context) {
-	silent := s.lives.silent(s.log.Status().IsLeader, s.machine.Incarnations())
+	silent := s.liveness.timedOut(s.log.Status().IsLeader, s.machine.Incarnations())
 	if len(silent) == 0 {
 		return
 	}
@@ -94,5 +94,5 @@
 	defer cancel()
 	gone := &lilacv1.IncarnationsGone{Incarnations: silent, NowUnixMs: s.now().UnixMilli()}
 	// A failure is tried again at the next tick, by whoever leads then.
-	_, _ = s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Gone{Gone: gone}})
+	_, _ = s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Gone{Gone: gone}})
 }
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -24,8 +24,8 @@
 	ledger  *ledger.Ledger
 	leases  *lease.Table
 	applied uint64
-	// encoded is the size of the last snapshot, in bytes.
-	encoded int
+	// lastSnapshotSize is the size of the last snapshot, in bytes.
+	lastSnapshotSize int
 	// changed is closed and replaced at each new revision.
 	changed chan struct{}
 	// onLease is told of each grant or renewal as it is applied.
@@ -89,8 +89,8 @@
 	before := m.config.Revision()
 	result := m.config.Apply(p)
 	if m.config.Revision() != before {
-		m.forget(p)
-		m.wake()
+		m.forgetKeys(p)
+		m.notifyChanged()
 	}
 	return result
 }
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (m *Machine) forget(p *lilacv1.Proposal) {
+func (m *Machine) forgetKeys(p *lilacv1.Proposal) {
 	for _, before := range forgetCutoffs(p) {
 		m.ledger.Forget(before)
 	}
@@ -132,7 +132,7 @@
 	return &lilacv1.CommandResult{Status: fault.ToStatus(err), Reply: &lilacv1.CommandResult_Lease{Lease: reply}}
 }
 
-func (m *Machine) wake() {
+func (m *Machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -147,7 +147,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	configured, claimed, leased := m.config.Capture(), m.ledger.Capture(), m.leases.Snapshot()
-	size := m.encoded
+	size := m.lastSnapshotSize
 	return func() ([]byte, error) {
 		data := make([]byte, 0, size+size/headroomDivisor)
 		add := func(part *lilacv1.MachineSnapshot) (err error) {
@@ -160,7 +160,7 @@
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.encoded = len(data)
+		m.lastSnapshotSize = len(data)
 		return data, err
 	}
 }
@@ -176,8 +176,8 @@
 	m.config.Restore(s.GetConfig())
 	m.ledger.Restore(s.GetLedger())
 	m.leases.Restore(s.GetLeases())
-	m.encoded = len(data)
-	m.wake()
+	m.lastSnapshotSize = len(data)
+	m.notifyChanged()
 	return nil
 }
 
--- a/daemon/state/metrics.go
+++ b/daemon/state/metrics.go
@@ -4,8 +4,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// register adds the gauges of a state process.
-func register(registry prometheus.Registerer, s *Service) {
+// registerMetrics adds the gauges of a state process.
+func registerMetrics(registry prometheus.Registerer, s *Service) {
 	gauge := func(name, help string, value func() float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "lilacbridge_state_" + name, Help: help}, value))
 	}
--- a/daemon/state/query.go
+++ b/daemon/state/query.go
@@ -18,22 +18,22 @@
 	reply := &lilacv1.QueryReply{Revision: s.machine.Revision(), Columns: []string{"lease", "holder", "fencing", "left"}}
 	for _, e := range s.machine.Leases() {
 		reply.Rows = append(reply.Rows, &lilacv1.QueryRow{Values: []string{
-			e.GetName(), e.GetHolder(), strconv.FormatUint(e.GetFencing(), 10), s.timer.left(e),
+			e.GetName(), e.GetHolder(), strconv.FormatUint(e.GetFencing(), 10), s.leaseTimer.remaining(e),
 		}})
 	}
 	return reply, nil
 }
 
-// left tells how long the lease still lasts as this process counts it; "-" for
+// remaining tells how long the lease still lasts as this process counts it; "-" for
 // one that nobody holds.
-func (t *leaseTimer) left(e *lilacv1.LeaseEntry) string {
+func (t *leaseTimer) remaining(e *lilacv1.LeaseEntry) string {
 	if e.GetHolder() == "" {
 		return "-"
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	length := time.Duration(e.GetDurationMs()) * time.Millisecond
-	seen, ok := t.last[e.GetName()]
+	seen, ok := t.renewals[e.GetName()]
 	if !ok || seen.renewal != e.GetRenewal() {
 		return "at most " + length.String()
 	}
--- a/daemon/state/recover.go
+++ b/daemon/state/recover.go
@@ -124,7 +124,7 @@
 }
 
 func newRecoveryPlan(ctx context.Context, o RecoverOptions, state *wal.State, held *entryConfig) (*recoveryPlan, error) {
-	members, err := membersOf(o.Folder, state)
+	members, err := folderMembers(o.Folder, state)
 	if err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.adopt(ctx, held, found); err != nil {
+	if err := p.adoptEntryConfig(ctx, held, found); err != nil {
 		return nil, err
 	}
 	p.finish(o, max(found.revision, held.snapshot.GetRevision()))
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (p *recoveryPlan) adopt(ctx context.Context, held *entryConfig, found *replayResult) error {
+func (p *recoveryPlan) adoptEntryConfig(ctx context.Context, held *entryConfig, found *replayResult) error {
 	r := p.report
 	r.Revision, r.EntryRevision = found.revision, held.snapshot.GetRevision()
 	switch {
@@ -205,16 +205,16 @@
 	case held.snapshot.GetRecoveries() < p.machine.Recoveries():
 		return nil
 	}
-	r.Diverged = found.differs
-	r.Adopted = found.differs || r.EntryRevision > r.Revision
+	r.Diverged = found.diverged
+	r.Adopted = found.diverged || r.EntryRevision > r.Revision
 	if !r.Adopted {
 		return nil
 	}
 	keep := found.revision
-	if found.differs {
+	if found.diverged {
 		keep = found.committed
 	}
-	p.machine.config.Adopt(held.snapshot, keep, held.tail(ctx, keep))
+	p.machine.config.Adopt(held.snapshot, keep, held.revisionsAfter(ctx, keep))
 	return nil
 }
 
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -196,7 +196,7 @@
 	}
 	found, err := own.replay(state, accepted.Config())
 	is.NoErr(err)
-	is.True(found.differs)
+	is.True(found.diverged)
 	is.Equal(found.revision, uint64(2))
 	is.Equal(found.committed, uint64(0))
 }
--- a/daemon/state/replay.go
+++ b/daemon/state/replay.go
@@ -17,8 +17,8 @@
 type replayResult struct {
 	// committed is the revision of the snapshot, which is surely accepted.
 	committed, revision uint64
-	// differs is true if the folder gave a revision of the entries another content.
-	differs bool
+	// diverged is true if the folder gave a revision of the entries another content.
+	diverged bool
 }
 
 // replay applies all that the folder holds, the entries too that may never have
@@ -40,15 +40,15 @@
 			m.Apply(entry.GetIndex(), entry.GetData())
 		}
 		if m.Revision() != before && m.Revision() == held.GetRevision() {
-			found.differs = !proto.Equal(m.Config(), held)
+			found.diverged = !proto.Equal(m.Config(), held)
 		}
 	}
 	found.revision = m.Revision()
 	return found, nil
 }
 
-// membersOf returns the newest members that the folder knows, if it is a voter's.
-func membersOf(folder wal.Folder, state *wal.State) (*lilacv1.RaftMembers, error) {
+// folderMembers returns the newest members that the folder knows, if it is a voter's.
+func folderMembers(folder wal.Folder, state *wal.State) (*lilacv1.RaftMembers, error) {
 	refuse := func(reason string) (*lilacv1.RaftMembers, error) {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "data folder "+folder.Path()+" "+reason)
 	}
@@ -109,9 +109,9 @@
 	return a.GetRevision() > b.GetRevision()
 }
 
-// tail returns the revisions after have, for the audit trail; none where the
+// revisionsAfter returns the revisions after have, for the audit trail; none where the
 // entry has them in its configuration only.
-func (h *entryConfig) tail(ctx context.Context, have uint64) []*lilacv1.Revision {
+func (h *entryConfig) revisionsAfter(ctx context.Context, have uint64) []*lilacv1.Revision {
 	if h.entry == nil {
 		return nil
 	}
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -19,25 +19,25 @@
 
 // Service answers the methods of a state process.
 type Service struct {
-	machine *Machine
-	log     Log
-	watch   *spreadlink.Server
-	timer   *leaseTimer
-	lives   *lives
-	entries *entryTable
-	now     func() time.Time
+	machine     *Machine
+	log         Log
+	watchServer *spreadlink.Server
+	leaseTimer  *leaseTimer
+	liveness    *livenessTracker
+	entries     *entryTable
+	now         func() time.Time
 }
 
 // NewService joins a machine and the log that drives it. The logger gets a line
 // for each snapshot of the configuration that is given.
 func NewService(machine *Machine, log Log, logger hclog.Logger) *Service {
 	s := &Service{machine: machine, log: log, now: time.Now}
-	s.timer = newLeaseTimer(s.now)
-	s.lives = newLivenessTracker(s.now)
+	s.leaseTimer = newLeaseTimer(s.now)
+	s.liveness = newLivenessTracker(s.now)
 	s.entries = newEntryTable(s.now)
-	s.watch = spreadlink.NewServer(source{machine, log}, logger)
+	s.watchServer = spreadlink.NewServer(watchSource{machine, log}, logger)
 	machine.mu.Lock()
-	machine.onLease = s.timer.renewed
+	machine.onLease = s.leaseTimer.recordRenewal
 	machine.mu.Unlock()
 	return s
 }
@@ -53,25 +53,25 @@
 	mux.Handle("state.lease", link.Unary(s.lease))
 	mux.Handle("state.members", link.Unary(s.members))
 	mux.Handle("state.query", link.Unary(s.query))
-	s.watch.Register(mux, "state")
+	s.watchServer.Register(mux, "state")
 }
 
 // Close ends the streams of watchers, so that they go to another process.
-func (s *Service) Close() { s.watch.Close() }
+func (s *Service) Close() { s.watchServer.Close() }
 
-// source lets watchers follow the machine.
-type source struct {
+// watchSource lets watchers follow the machine.
+type watchSource struct {
 	*Machine
 	log Log
 }
 
 // Known returns the newest revision and how long ago it was surely the newest.
-func (s source) Known() (newest uint64, age time.Duration) {
+func (s watchSource) Known() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Staleness
 }
 
-// run replicates a command and decodes its result.
-func (s *Service) run(ctx context.Context, c *lilacv1.Command) (*lilacv1.CommandResult, error) {
+// replicate replicates a command and decodes its result.
+func (s *Service) replicate(ctx context.Context, c *lilacv1.Command) (*lilacv1.CommandResult, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command does not encode")
@@ -93,7 +93,7 @@
 	if p.GetDryRun() {
 		return s.preview(ctx, p)
 	}
-	return conflictToReply(s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: p}}))
+	return conflictToReply(s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: p}}))
 }
 
 func (s *Service) preview(ctx context.Context, p *lilacv1.Proposal) (*lilacv1.ProposeReply, error) {
@@ -118,8 +118,8 @@
 		return reply, nil
 	}
 	r.NowUnixMs = s.now().UnixMilli()
-	s.lives.heard(r.GetIncarnation())
-	result, err := s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: r}})
+	s.liveness.record(r.GetIncarnation())
+	result, err := s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: r}})
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 
 func (s *Service) outcome(ctx context.Context, _ link.Peer, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	r.NowUnixMs = s.now().UnixMilli()
-	result, err := s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: r}})
+	result, err := s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: r}})
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 // state process only.
 func (s *Service) members(_ context.Context, _ link.Peer, r *lilacv1.StateMembersRequest) (*lilacv1.StateMembers, error) {
 	if entry := r.GetEntry(); entry != nil {
-		s.entries.heard(entry)
+		s.entries.record(entry)
 	}
 	reply := &lilacv1.StateMembers{Members: s.log.Status().Members, Entries: s.entries.list()}
 	if reply.Version = membersVersion(reply); reply.Version == r.GetHave() {
@@ -186,19 +186,19 @@
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "this state process does not lead; ask the leader",
 			fault.WithLeader(status.Status.GetLeader()), fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
-	s.lives.heard(r.GetIncarnation())
+	s.liveness.record(r.GetIncarnation())
 	return &lilacv1.HeartbeatReply{}, nil
 }
 
 func (s *Service) lease(ctx context.Context, _ link.Peer, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 	held := s.machine.Lease(r.GetName())
-	r.ExpiredRenewal = s.timer.expired(held)
+	r.ExpiredRenewal = s.leaseTimer.expiredRenewal(held)
 	other := held.GetHolder() != "" && held.GetIncarnation() != r.GetIncarnation()
 	if other && r.GetExpiredRenewal() == 0 && s.log.Status().IsLeader {
 		// Many ask, one holds: those that get nothing need no place in the log.
 		return &lilacv1.LeaseReply{Holder: held.GetHolder(), Incarnation: held.GetIncarnation(), Fencing: held.GetFencing(), DurationMs: held.GetDurationMs()}, nil
 	}
-	result, err := s.run(ctx, &lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: r}})
+	result, err := s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: r}})
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -175,7 +175,7 @@
 	_, all := group(t, 1)
 	service := all[0].service
 	now := time.Now()
-	service.lives.now = func() time.Time { return now }
+	service.liveness.now = func() time.Time { return now }
 	c := newClient(t, all, "entry-1")
 	_, err := c.Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
