--- a/daemon/entry/bench_test.go
+++ b/daemon/entry/bench_test.go
@@ -50,7 +50,7 @@
 	return server
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
@@ -95,7 +95,7 @@
 		work <- struct{}{}
 	}
 	close(work)
-	before := processorTime()
+	before := cpuTime()
 	var group sync.WaitGroup
 	for _, client := range clients {
 		group.Go(func() {
@@ -105,7 +105,7 @@
 		})
 	}
 	group.Wait()
-	return processorTime() - before
+	return cpuTime() - before
 }
 
 // The framework's lines would stand in the middle of the benchmark's.
--- a/daemon/entry/claims_test.go
+++ b/daemon/entry/claims_test.go
@@ -18,7 +18,7 @@
 	bookingURL = "/services/guichet/book?day=3"
 )
 
-func ran(w http.ResponseWriter, _ *http.Request, _ int) {
+func serveBooking(w http.ResponseWriter, _ *http.Request, _ int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusCreated)
 	_, _ = w.Write([]byte(`{"booked":true}`))
@@ -29,7 +29,7 @@
 // answer; another booking under the same key is refused.
 func TestBookingRunsOnceAndItsAnswerIsGivenAgain(t *testing.T) {
 	is := is.New(t)
-	backend := newFakeBackend(t, ran)
+	backend := newFakeBackend(t, serveBooking)
 	f := start(t, testSettings(), backend.service("g1"))
 	for range 3 {
 		resp, body := f.post(bookingURL, booking, "Idempotency-Key", "k1")
@@ -54,7 +54,7 @@
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	f := start(t, testSettings(), backend.service("g1"))
 	var first sync.WaitGroup
@@ -94,9 +94,9 @@
 		state  lilacv1.ClaimState
 		calls  int
 	}{
-		{"port closed", ran, true, false, "k", true, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN, 0},
-		{"port closed, no key", ran, true, false, "", true, 0, 0},
-		{"ledger out of reach", ran, false, true, "k", true, 0, 0},
+		{"port closed", serveBooking, true, false, "k", true, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN, 0},
+		{"port closed, no key", serveBooking, true, false, "", true, 0, 0},
+		{"ledger out of reach", serveBooking, false, true, "k", true, 0, 0},
 		{"cut after the request", cut, false, false, "k", "unknown", lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, 1},
 		{"cut after the request, no key", cut, false, false, "", "unknown", 0, 1},
 		{"cut in the answer", half, false, false, "k", "unknown", lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, 1},
@@ -142,7 +142,7 @@
 				if n > 1 {
 					abort()
 				}
-				ran(w, r, n)
+				serveBooking(w, r, n)
 			})
 			f := start(t, testSettings(), backend.service("g1"))
 			resp, _ := f.post(bookingURL, body, "Idempotency-Key", "k1")
@@ -163,7 +163,7 @@
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	f := start(t, testSettings(), backend.service("g1"))
 	client := http.Client{Timeout: 200 * time.Millisecond}
--- a/daemon/entry/convict.go
+++ b/daemon/entry/convict.go
@@ -18,10 +18,10 @@
 	proposeTimeout       = 5 * time.Second
 )
 
-// convict is called by the core's goroutine and must not wait.
-func (e *Entry) convict(c policy.Convict) {
+// queueConviction is called by the core's goroutine and must not wait.
+func (e *Entry) queueConviction(c policy.Convict) {
 	select {
-	case e.convicts <- c:
+	case e.convictions <- c:
 	default:
 		e.counters.Broken("convictions_pile_up")
 	}
@@ -34,7 +34,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-e.convicts:
+		case c := <-e.convictions:
 			e.proposeConviction(ctx, c)
 		}
 	}
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -14,13 +14,13 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// scripted is a core that decides as a test says.
-type scripted func(event policy.Event) []policy.Action
+// scriptedCore is a core that decides as a test says.
+type scriptedCore func(event policy.Event) []policy.Action
 
-func (s scripted) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
-func (s scripted) Digest(time.Time) *lilacv1.Digest                     { return &lilacv1.Digest{} }
-func (s scripted) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
-func (s scripted) Stats() policy.Stats                                  { return policy.Stats{} }
+func (s scriptedCore) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
+func (s scriptedCore) Digest(time.Time) *lilacv1.Digest                     { return &lilacv1.Digest{} }
+func (s scriptedCore) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
+func (s scriptedCore) Stats() policy.Stats                                  { return policy.Stats{} }
 
 // An engine is drained in the middle of an answer. Its KV cache moves to another
 // engine, which goes on; the caller sees one whole answer, and the first engine
@@ -28,7 +28,7 @@
 func TestAnswerMovesWithItsCache(t *testing.T) {
 	is := is.New(t)
 	const after = 2
-	var old, next *fake
+	var old, next *fakeBackend
 	old = newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/export" {
 			_, _ = w.Write([]byte("cache"))
@@ -47,7 +47,7 @@
 		sendDone(w)
 	})
 	got := 0
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "r1", Attempt: 1}}
@@ -83,7 +83,7 @@
 func TestShellTrustsItsRecordMoreThanThePolicy(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) { abort() })
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "g1", Attempt: 1}}
@@ -108,8 +108,8 @@
 // the core decided before must not be acted on.
 func TestWokenEntryChecksTheDeadline(t *testing.T) {
 	is := is.New(t)
-	backend := newFakeBackend(t, ran)
-	core := scripted(func(event policy.Event) []policy.Action {
+	backend := newFakeBackend(t, serveBooking)
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		if e, ok := event.(policy.Arrival); ok {
 			// The freeze: the decision arrives late, and the timer not yet.
 			time.Sleep(time.Until(e.Deadline))
@@ -128,9 +128,9 @@
 // conviction is proposed to the log, once, also when the first try fails.
 func TestConvictionIsProposed(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, testSettings(), scripted(func(policy.Event) []policy.Action { return nil }))
+	f := startWith(t, testSettings(), scriptedCore(func(policy.Event) []policy.Action { return nil }))
 	f.ledger.setDown(true)
-	f.convict(policy.Convict{Digest: "d1", Team: "coop", Servers: []string{"r1", "r2"}})
+	f.queueConviction(policy.Convict{Digest: "d1", Team: "coop", Servers: []string{"r1", "r2"}})
 	f.ledger.setDown(false)
 	waitFor(t, func() bool { return len(f.ledger.proposed()) == 1 })
 	conviction := f.ledger.proposed()[0].GetChanges()[0].GetConvict()
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -45,7 +45,7 @@
 	orders   *orders.Giver
 	links    *link.Server
 	// gateway is nil where the settings name none.
-	gateway   *routed
+	gateway   *gatewayRouter
 	operators *secret.Reloadable[*secret.Operators]
 	callerKey *secret.Reloadable[[]byte]
 	linkKeys  *secret.Reloadable[secret.Keys]
@@ -59,7 +59,7 @@
 }
 
 // listeners are nil where the settings name no address.
-type listeners struct{ callers, operators, admin, link, routed, readiness net.Listener }
+type listeners struct{ callers, operators, admin, link, gatewayCallers, readiness net.Listener }
 
 // NewDaemon reads the keys and opens the listeners; Run serves. The platform is
 // nil where the settings name no gateway.
@@ -147,7 +147,7 @@
 	d.listeners.admin, errs[2] = open(d.settings.Admin)
 	d.listeners.link, errs[3] = open(d.settings.Link)
 	if d.gateway != nil {
-		d.listeners.routed, errs[4] = open(d.settings.Gateway.Callers)
+		d.listeners.gatewayCallers, errs[4] = open(d.settings.Gateway.Callers)
 		d.listeners.readiness, errs[5] = open(d.settings.Gateway.Readiness)
 	}
 	return errors.Join(errs[:]...)
@@ -254,7 +254,7 @@
 	if d.listeners.callers != nil {
 		return d.listeners.callers.Addr().String()
 	}
-	return d.listeners.routed.Addr().String()
+	return d.listeners.gatewayCallers.Addr().String()
 }
 
 // operatorServer serves operators' statements.
@@ -274,7 +274,7 @@
 		khttp.Filter(func(http.Handler) http.Handler { return handler }),
 	)
 	server.ReadHeaderTimeout = d.settings.Limits.ReadTimeout.Duration
-	server.ErrorLog = d.entry.quiet()
+	server.ErrorLog = d.entry.debugLogger()
 	return server
 }
 
--- a/daemon/entry/daemon_test.go
+++ b/daemon/entry/daemon_test.go
@@ -122,7 +122,7 @@
 		return status == http.StatusOK
 	})
 
-	backend := newFakeBackend(t, ran)
+	backend := newFakeBackend(t, serveBooking)
 	server := backend.service("g1")
 	proposal := &lilacv1.Proposal{Who: "ana", Changes: []*lilacv1.Change{
 		{Op: &lilacv1.Change_SetClass{SetClass: &lilacv1.Class{Name: "default", FirstTokenMs: 1000}}},
--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -50,10 +50,10 @@
 
 // Close frees what New took.
 func (e *Entry) Close() {
-	e.end()
+	e.cancel()
 	e.clients.Close()
-	if e.routed != nil {
-		e.routed.Close()
+	if e.gatewayUpstream != nil {
+		e.gatewayUpstream.Close()
 	}
 }
 
--- a/daemon/entry/drain_test.go
+++ b/daemon/entry/drain_test.go
@@ -14,7 +14,7 @@
 )
 
 // pacedEngine sends one token each time that the test allows it.
-func pacedEngine(t *testing.T, pace <-chan struct{}) *fake {
+func pacedEngine(t *testing.T, pace <-chan struct{}) *fakeBackend {
 	return newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
 		for i, token := range tokens {
@@ -41,7 +41,7 @@
 		if n == 1 {
 			<-release
 		}
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	s := testSettings()
 	s.DrainLag.Duration = 200 * time.Millisecond
@@ -113,7 +113,7 @@
 	release := make(chan struct{})
 	counter := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		<-release
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	f := start(t, testSettings(), counter.service("g1"))
 	var requests, drain sync.WaitGroup
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -56,29 +56,29 @@
 	registry *prometheus.Registry
 	counters *metrics.Entry
 	clients  *upstream.Client
-	// routed has the connections of the gateway's requests; nil without one.
-	routed   *upstream.Client
-	relay    *relay.Relay
-	claims   *outcome.Claims
-	callers  *caller.Handler
-	poller   *engine.Poller
-	convicts chan policy.Convict
-	leaving  atomic.Bool
+	// gatewayUpstream has the connections of the gateway's requests; nil without one.
+	gatewayUpstream *upstream.Client
+	relay           *relay.Relay
+	claims          *outcome.Claims
+	callers         *caller.Handler
+	poller          *engine.Poller
+	convictions     chan policy.Convict
+	leaving         atomic.Bool
 	// onLeave tells the gateway that the instance leaves; nil without one.
 	onLeave func()
-	life    context.Context
-	end     context.CancelFunc
+	ctx     context.Context
+	cancel  context.CancelFunc
 }
 
 // New makes an Entry; Work must run for it to answer.
 func New(options Options) *Entry {
 	e := &Entry{
 		settings: options.Settings, logger: options.Logger, state: options.State,
-		log: logs.New(options.Logger), registry: metrics.NewRegistry(), clients: upstream.NewClient(), convicts: make(chan policy.Convict, maxPendingConvictions),
+		log: logs.New(options.Logger), registry: metrics.NewRegistry(), clients: upstream.NewClient(), convictions: make(chan policy.Convict, maxPendingConvictions),
 	}
-	e.life, e.end = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.counters = metrics.NewEntry(e.registry)
-	e.claims = outcome.NewClaims(e.life, options.State)
+	e.claims = outcome.NewClaims(e.ctx, options.State)
 	core := options.Core
 	if core == nil {
 		core = newCore(options.Settings)
@@ -86,8 +86,8 @@
 	engines := engine.NewClient(e.clients)
 	e.relay = relay.New(relay.Options{
 		Core: core, Engines: engines, Services: service.NewClient(e.clients), Claims: e.claims,
-		Counter: e.counters, OnConvict: e.convict, OnAnnounce: options.OnAnnounce,
-		Log: e.log, Protocol: options.Gateway, Gateway: e.gatewayClient(options.Gateway),
+		Counter: e.counters, OnConvict: e.queueConviction, OnAnnounce: options.OnAnnounce,
+		Log: e.log, Protocol: options.Gateway, Gateway: e.newGatewayClient(options.Gateway),
 	})
 	e.registry.MustRegister(newCoreStats(e.relay))
 	metrics.RegisterTraffic(e.registry, "lilacbridge_control_upstream_bytes_total",
@@ -99,13 +99,13 @@
 	return e
 }
 
-// gatewayClient opens the connections of a gateway's requests, if there is one.
-func (e *Entry) gatewayClient(protocol gateway.Protocol) *gateway.Client {
+// newGatewayClient opens the connections of a gateway's requests, if there is one.
+func (e *Entry) newGatewayClient(protocol gateway.Protocol) *gateway.Client {
 	if protocol == nil {
 		return nil
 	}
-	e.routed = upstream.NewClientFor(protocol.IDHeader())
-	return gateway.NewClient(e.routed, protocol)
+	e.gatewayUpstream = upstream.NewClientFor(protocol.IDHeader())
+	return gateway.NewClient(e.gatewayUpstream, protocol)
 }
 
 func newCore(s *settings.Entry) policy.Core {
@@ -120,7 +120,7 @@
 // Configure brings a revision into force.
 func (e *Entry) Configure(view *model.View) {
 	e.relay.Configure(view)
-	if e.routed == nil {
+	if e.gatewayUpstream == nil {
 		// Behind a gateway, servers tell their load with each answer.
 		e.poller.Watch(pollSet(view, e.settings.Name))
 	}
--- a/daemon/entry/fake_test.go
+++ b/daemon/entry/fake_test.go
@@ -13,14 +13,14 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// fake is a scripted backend server that keeps what it received.
-type fake struct {
+// fakeBackend is a scripted backend server that keeps what it received.
+type fakeBackend struct {
 	*httptest.Server
-	mu   sync.Mutex
-	seen []received
+	mu       sync.Mutex
+	received []receivedCall
 }
 
-type received struct {
+type receivedCall struct {
 	path string
 	id   string
 	key  string
@@ -31,8 +31,8 @@
 
 // newFakeBackend starts a server that answers its n-th call (from 1) by the script;
 // reports and cancels are answered here.
-func newFakeBackend(t *testing.T, answer script) *fake {
-	f := &fake{}
+func newFakeBackend(t *testing.T, answer script) *fakeBackend {
+	f := &fakeBackend{}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" || r.URL.Path == "/cache/events" {
 			fmt.Fprint(w, "{}")
@@ -40,9 +40,9 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		f.mu.Lock()
-		f.seen = append(f.seen, received{r.URL.Path, r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key"), string(body)})
+		f.received = append(f.received, receivedCall{r.URL.Path, r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key"), string(body)})
 		n := 0
-		for _, one := range f.seen {
+		for _, one := range f.received {
 			if one.path != "/v1/cancel" {
 				n++
 			}
@@ -59,11 +59,11 @@
 }
 
 // calls returns what came to the path; "" means all but cancels.
-func (f *fake) calls(path string) []received {
+func (f *fakeBackend) calls(path string) []receivedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var found []received
-	for _, one := range f.seen {
+	var found []receivedCall
+	for _, one := range f.received {
 		if one.path == path || path == "" && one.path != "/v1/cancel" {
 			found = append(found, one)
 		}
@@ -71,9 +71,9 @@
 	return found
 }
 
-func (f *fake) engine(name string) *lilacv1.Server { return engineAt(name, f.URL) }
+func (f *fakeBackend) engine(name string) *lilacv1.Server { return engineAt(name, f.URL) }
 
-func (f *fake) service(name string) *lilacv1.Server {
+func (f *fakeBackend) service(name string) *lilacv1.Server {
 	server := engineAt(name, f.URL)
 	server.Kind, server.Serves = lilacv1.ServerKind_SERVER_KIND_SERVICE, []string{"guichet"}
 	return server
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -39,9 +39,9 @@
 	denialFreshShare = 0.8
 )
 
-// routed is the gateway of an entry: the document in force joined with the list
+// gatewayRouter is the gateway of an entry: the document in force joined with the list
 // of backend servers.
-type routed struct {
+type gatewayRouter struct {
 	daemon   *Daemon
 	logger   hclog.Logger
 	platform gateway.Platform
@@ -59,16 +59,16 @@
 	mu      sync.Mutex
 	view    *model.View
 	servers []routing.Server
-	// newest is the document of view, indexed.
-	newest *routing.Table
-	// listed is true once the list was read.
-	listed bool
+	// newestTable is the document of view, indexed.
+	newestTable *routing.Table
+	// hasList is true once the list was read.
+	hasList bool
 }
 
-var _ gateway.Router = (*routed)(nil)
+var _ gateway.Router = (*gatewayRouter)(nil)
 
-func newGatewayRouter(d *Daemon, platform gateway.Platform) *routed {
-	g := &routed{daemon: d, logger: d.logger, platform: platform}
+func newGatewayRouter(d *Daemon, platform gateway.Platform) *gatewayRouter {
+	g := &gatewayRouter{daemon: d, logger: d.logger, platform: platform}
 	g.list = platform.ServerList(d.settings.Gateway.ServerList.Value, serverlist.NewClient())
 	g.handler = gateway.NewHandler(platform, g, d.entry.counters, requestLog{d.entry.log})
 	d.entry.onLeave = g.handler.Leave
@@ -77,20 +77,20 @@
 	return g
 }
 
-func (g *routed) setBounds(s *settings.Gateway) {
+func (g *gatewayRouter) setBounds(s *settings.Gateway) {
 	g.revocation.Store(int64(s.Revocation.Duration))
 	g.applied.Store(int64(s.AppliedWithin.Duration))
 }
 
 // Table implements gateway.Router.
-func (g *routed) Table() *routing.Table { return g.table.Load() }
+func (g *gatewayRouter) Table() *routing.Table { return g.table.Load() }
 
 // KeysFresh implements gateway.Router.
 //
 // An instance that is cut off from the state processes must not go on taking a key
 // that was taken away. The age counts from a moment at which a quorum was heard, by
 // a clock that counts suspension too.
-func (g *routed) KeysFresh() bool {
+func (g *gatewayRouter) KeysFresh() bool {
 	return g.confirmedWithin(&g.revocation, keysFreshShare)
 }
 
@@ -98,22 +98,22 @@
 //
 // An instance that a document has not reached yet can't tell a route or key that was
 // added from one that never was.
-func (g *routed) MayDeny() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
+func (g *gatewayRouter) MayDeny() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
 
 // confirmedWithin tells whether what is in force was surely the newest within a
 // share of the bound.
-func (g *routed) confirmedWithin(bound *atomic.Int64, share float64) bool {
+func (g *gatewayRouter) confirmedWithin(bound *atomic.Int64, share float64) bool {
 	most := bound.Load()
 	return most == 0 || g.daemon.watcher.Unconfirmed() < time.Duration(share*float64(most))
 }
 
 // Forward implements gateway.Router.
-func (g *routed) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
+func (g *gatewayRouter) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
 	return g.daemon.entry.relay.Forward(ctx, q, answer)
 }
 
 // onView takes a revision of the replicated log.
-func (g *routed) onView(view *model.View) {
+func (g *gatewayRouter) onView(view *model.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	newest := view.Document
@@ -125,7 +125,7 @@
 			g.logger.Error("document does not decode; run one version on all instances", "version", newest.GetVersion(), "error", err)
 			return
 		}
-		g.newest = routing.NewTable(decoded, view.Revision)
+		g.newestTable = routing.NewTable(decoded, view.Revision)
 		g.logger.Info("document in force", "version", newest.GetVersion(), "revision", view.Revision, "routes", len(decoded.Routes),
 			"packed_bytes", len(newest.GetContent()), "decoded_ms", time.Since(begun).Milliseconds())
 	}
@@ -133,7 +133,7 @@
 	g.configure()
 }
 
-func (g *routed) decode(d *lilacv1.Document) (*routing.Document, error) {
+func (g *gatewayRouter) decode(d *lilacv1.Document) (*routing.Document, error) {
 	text, err := packed.Text(d)
 	if err != nil {
 		return nil, err
@@ -144,16 +144,16 @@
 // configure gives the policy the document and the servers, and only then lets
 // requests in by the document: the policy refuses a class that it does not know. The
 // caller holds mu.
-func (g *routed) configure() {
-	if g.newest == nil || !g.listed {
+func (g *gatewayRouter) configure() {
+	if g.newestTable == nil || !g.hasList {
 		return
 	}
-	g.daemon.entry.Configure(routing.View(g.newest, g.servers, g.view.Convictions))
-	g.table.Store(g.newest)
+	g.daemon.entry.Configure(routing.View(g.newestTable, g.servers, g.view.Convictions))
+	g.table.Store(g.newestTable)
 }
 
 // run follows the list of backend servers and the group of state processes.
-func (g *routed) run(ctx context.Context) {
+func (g *gatewayRouter) run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { g.followList(ctx) })
 	group.Go(func() { g.followMembers(ctx) })
@@ -162,14 +162,14 @@
 
 // followList takes the list from the state processes, the nearest first, and from
 // the platform itself where none of them knows it.
-func (g *routed) followList(ctx context.Context) {
+func (g *gatewayRouter) followList(ctx context.Context) {
 	serverlist.NewFollower(serverlist.NewHolder(), serverlist.Options{
 		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
 		OnList: g.onList, Logger: g.logger,
 	}).Run(ctx)
 }
 
-func (g *routed) upstream() []link.Caller {
+func (g *gatewayRouter) upstream() []link.Caller {
 	var callers []link.Caller
 	for _, peer := range g.daemon.watcher.Nearest() {
 		callers = append(callers, g.daemon.dialer.dial(peer.Address.Value))
@@ -178,14 +178,14 @@
 }
 
 // onList brings a list of backend servers into force.
-func (g *routed) onList(servers []routing.Server) {
+func (g *gatewayRouter) onList(servers []routing.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.servers, g.listed = servers, true
+	g.servers, g.hasList = servers, true
 	g.configure()
 }
 
-func (g *routed) followMembers(ctx context.Context) {
+func (g *gatewayRouter) followMembers(ctx context.Context) {
 	s := g.daemon.settings
 	self := settings.Peer{Name: s.Name, Address: s.LinkForOthers(), DataCenter: s.DataCenter}
 	for {
@@ -208,16 +208,16 @@
 	}
 }
 
-func (g *routed) httpServers(l listeners) []transport.Server {
+func (g *gatewayRouter) httpServers(l listeners) []transport.Server {
 	return []transport.Server{
-		httpserver.New(l.routed, g.handler),
+		httpserver.New(l.gatewayCallers, g.handler),
 		httpserver.New(l.readiness, http.HandlerFunc(g.serveReady)),
 	}
 }
 
 // serveReady tells the balancer whether connections should come here: not while
 // the instance leaves, knows no document or can't check keys.
-func (g *routed) serveReady(w http.ResponseWriter, r *http.Request) {
+func (g *gatewayRouter) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != g.platform.ReadinessPath() {
 		http.NotFound(w, r)
 		return
@@ -229,7 +229,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
-func (g *routed) ready() error {
+func (g *gatewayRouter) ready() error {
 	switch {
 	case g.daemon.entry.leaving.Load():
 		return errLeaving
--- a/daemon/entry/gateway_test.go
+++ b/daemon/entry/gateway_test.go
@@ -20,11 +20,11 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// numbered is a platform whose documents are numbers; each has one route more than
+// numberedPlatform is a platform whose documents are numbers; each has one route more than
 // the one before it.
-type numbered struct{ gateway.Platform }
+type numberedPlatform struct{ gateway.Platform }
 
-func (numbered) Document(content []byte) (*routing.Document, error) {
+func (numberedPlatform) Document(content []byte) (*routing.Document, error) {
 	version, err := strconv.ParseUint(string(content), 10, 64)
 	document := &routing.Document{Version: version, Services: []routing.Service{{Name: "desk"}}}
 	for number := range version {
@@ -43,7 +43,7 @@
 	const documents = 200
 	var known *model.View
 	var unknown, asked atomic.Int64
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Configured:
 			known = e.View
@@ -57,7 +57,7 @@
 		return nil
 	})
 	f := startWith(t, testSettings(), core)
-	g := &routed{daemon: &Daemon{entry: f.Entry}, logger: hclog.NewNullLogger(), platform: numbered{}}
+	g := &gatewayRouter{daemon: &Daemon{entry: f.Entry}, logger: hclog.NewNullLogger(), platform: numberedPlatform{}}
 	g.onList([]routing.Server{{Name: "desk-1", Identity: "desk-1", Service: "desk", Address: "127.0.0.1:1", DataCenter: "dakar-a", Slots: 1}})
 	var callers sync.WaitGroup
 	callers.Go(func() {
@@ -85,9 +85,9 @@
 // the list of backend servers: requests would be refused for an unknown class.
 func TestRequestsWaitForTheListOfServersAfterAStart(t *testing.T) {
 	is := is.New(t)
-	core := scripted(func(policy.Event) []policy.Action { return nil })
+	core := scriptedCore(func(policy.Event) []policy.Action { return nil })
 	f := startWith(t, testSettings(), core)
-	g := &routed{daemon: &Daemon{entry: f.Entry}, logger: hclog.NewNullLogger(), platform: numbered{}}
+	g := &gatewayRouter{daemon: &Daemon{entry: f.Entry}, logger: hclog.NewNullLogger(), platform: numberedPlatform{}}
 	g.onView(model.NewView(&lilacv1.Snapshot{Revision: 1, Document: &lilacv1.Document{Version: 1, Content: []byte("1")}}))
 	is.Equal(g.Table(), nil) // requests are held, or told to come back
 	g.onList([]routing.Server{{Name: "desk-1", Identity: "desk-1", Service: "desk", Address: "127.0.0.1:1", DataCenter: "dakar-a", Slots: 1}})
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -60,7 +60,7 @@
 	d.loads.SetPeers(memberPeers(peers))
 	d.entry.relay.Post(policy.Fleet{Others: policyInstances(peers)})
 	d.orders.SetPosition(d.position(peers))
-	d.entry.poller.SetBudget(pollBudget(len(peers)+1, d.relays(peers)))
+	d.entry.poller.SetBudget(pollBudget(len(peers)+1, d.isRelay(peers)))
 }
 
 // pollBudget returns what polls may cost among so many entries, in bytes a
@@ -76,8 +76,8 @@
 	return engine.LargeFleetBytes
 }
 
-// relays tells whether no entry of the own data centre ranks above this one.
-func (d *Daemon) relays(peers []settings.Peer) bool {
+// isRelay tells whether no entry of the own data centre ranks above this one.
+func (d *Daemon) isRelay(peers []settings.Peer) bool {
 	return member.Position(d.settings.Name, d.dataCenterPeers(peers)) == 0
 }
 
--- a/daemon/entry/instance.go
+++ b/daemon/entry/instance.go
@@ -22,12 +22,12 @@
 	return instanceColumns, []*lilacv1.QueryRow{{Values: []string{
 		d.settings.DataCenter, state, strconv.FormatUint(revision, 10),
 		strconv.FormatUint(max(newest, revision)-revision, 10), age.Round(time.Millisecond).String(),
-		strconv.Itoa(d.entry.relay.InFlight()), build.Version, time.Since(d.started).Round(time.Second).String(), d.tokensSpared(),
+		strconv.Itoa(d.entry.relay.InFlight()), build.Version, time.Since(d.started).Round(time.Second).String(), d.tokensSaved(),
 	}}}
 }
 
-// tokensSpared is empty where the core does not answer in time.
-func (d *Daemon) tokensSpared() string {
+// tokensSaved is empty where the core does not answer in time.
+func (d *Daemon) tokensSaved() string {
 	ctx, cancel := context.WithTimeout(context.Background(), statsTimeout)
 	defer cancel()
 	stats, err := d.entry.relay.Stats(ctx)
--- a/daemon/entry/leaving_test.go
+++ b/daemon/entry/leaving_test.go
@@ -41,7 +41,7 @@
 func TestPolicyMovesAnAnswerOffALeavingEngine(t *testing.T) {
 	is := is.New(t)
 	const rest = 5
-	var first, second *fake
+	var first, second *fakeBackend
 	resumedAt := func() int {
 		var asked struct {
 			AfterTokens int `json:"after_tokens"`
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -35,7 +35,7 @@
 	})
 	got := 0
 	var recomputed atomic.Int32
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "r1", Attempt: 1}}
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -39,12 +39,12 @@
 	server.ConnContext = caller.ConnContext
 	server.IdleTimeout = idleTimeout
 	server.MaxHeaderBytes = e.settings.Limits.HeaderBytes + headerMargin
-	server.ErrorLog = e.quiet()
+	server.ErrorLog = e.debugLogger()
 	return server
 }
 
-// quiet keeps the HTTP library's lines on callers' broken connections at debug.
-func (e *Entry) quiet() *log.Logger {
+// debugLogger keeps the HTTP library's lines on callers' broken connections at debug.
+func (e *Entry) debugLogger() *log.Logger {
 	return e.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})
 }
 
--- a/daemon/entry/stats.go
+++ b/daemon/entry/stats.go
@@ -16,32 +16,32 @@
 
 // coreStats shows the policy core's counters at each scrape.
 type coreStats struct {
-	relay   *relay.Relay
-	events  *prometheus.Desc
-	now     *prometheus.Desc
-	checked *prometheus.Desc
-	broken  *prometheus.Desc
-	spared  *prometheus.Desc
-	limited *prometheus.Desc
+	relay             *relay.Relay
+	events            *prometheus.Desc
+	requests          *prometheus.Desc
+	invariantsChecked *prometheus.Desc
+	invariantsBroken  *prometheus.Desc
+	tokensSaved       *prometheus.Desc
+	serverLimit       *prometheus.Desc
 }
 
 var _ prometheus.Collector = (*coreStats)(nil)
 
 func newCoreStats(r *relay.Relay) *coreStats {
 	return &coreStats{
-		relay:   r,
-		events:  prometheus.NewDesc("lilacbridge_policy_decisions_total", "What the policy decided or saw.", []string{"decision"}, nil),
-		now:     prometheus.NewDesc("lilacbridge_policy_requests", "Requests in the policy's hands.", []string{"state"}, nil),
-		checked: prometheus.NewDesc("lilacbridge_policy_invariants_checked_total", "Evaluations of invariants.", nil, nil),
-		broken:  prometheus.NewDesc("lilacbridge_policy_invariants_broken_total", "Invariants of the policy seen broken; must stay 0.", []string{"invariant"}, nil),
-		spared:  prometheus.NewDesc("lilacbridge_policy_tokens_spared_total", "Tokens that engines did not have to make: the estimated rest of answers whose caller left or whose deadline passed, and what moved by its KV cache.", []string{"cause"}, nil),
-		limited: prometheus.NewDesc("lilacbridge_server_limit", "Requests a second that a backend server takes from all instances together, by its own word; only servers that name a limit.", []string{"server"}, nil),
+		relay:             r,
+		events:            prometheus.NewDesc("lilacbridge_policy_decisions_total", "What the policy decided or saw.", []string{"decision"}, nil),
+		requests:          prometheus.NewDesc("lilacbridge_policy_requests", "Requests in the policy's hands.", []string{"state"}, nil),
+		invariantsChecked: prometheus.NewDesc("lilacbridge_policy_invariants_checked_total", "Evaluations of invariants.", nil, nil),
+		invariantsBroken:  prometheus.NewDesc("lilacbridge_policy_invariants_broken_total", "Invariants of the policy seen broken; must stay 0.", []string{"invariant"}, nil),
+		tokensSaved:       prometheus.NewDesc("lilacbridge_policy_tokens_spared_total", "Tokens that engines did not have to make: the estimated rest of answers whose caller left or whose deadline passed, and what moved by its KV cache.", []string{"cause"}, nil),
+		serverLimit:       prometheus.NewDesc("lilacbridge_server_limit", "Requests a second that a backend server takes from all instances together, by its own word; only servers that name a limit.", []string{"server"}, nil),
 	}
 }
 
 // Describe names the metrics.
 func (c *coreStats) Describe(descs chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{c.events, c.now, c.checked, c.broken, c.spared, c.limited} {
+	for _, desc := range []*prometheus.Desc{c.events, c.requests, c.invariantsChecked, c.invariantsBroken, c.tokensSaved, c.serverLimit} {
 		descs <- desc
 	}
 }
@@ -60,18 +60,18 @@
 	for decision, value := range decisions(&stats) {
 		counter(c.events, value, decision)
 	}
-	counter(c.checked, stats.Checked)
+	counter(c.invariantsChecked, stats.Checked)
 	for invariant, value := range stats.Violations {
-		counter(c.broken, value, string(invariant))
+		counter(c.invariantsBroken, value, string(invariant))
 	}
-	counter(c.spared, stats.SavedTokens.Canceled, "canceled")
-	counter(c.spared, stats.SavedTokens.Expired, "expired")
-	counter(c.spared, stats.SavedTokens.Moved, "moved")
+	counter(c.tokensSaved, stats.SavedTokens.Canceled, "canceled")
+	counter(c.tokensSaved, stats.SavedTokens.Expired, "expired")
+	counter(c.tokensSaved, stats.SavedTokens.Moved, "moved")
 	for server, perSecond := range stats.Limited {
-		out <- prometheus.MustNewConstMetric(c.limited, prometheus.GaugeValue, perSecond, server)
+		out <- prometheus.MustNewConstMetric(c.serverLimit, prometheus.GaugeValue, perSecond, server)
 	}
-	out <- prometheus.MustNewConstMetric(c.now, prometheus.GaugeValue, float64(stats.Waiting), "waiting")
-	out <- prometheus.MustNewConstMetric(c.now, prometheus.GaugeValue, float64(stats.Running), "running")
+	out <- prometheus.MustNewConstMetric(c.requests, prometheus.GaugeValue, float64(stats.Waiting), "waiting")
+	out <- prometheus.MustNewConstMetric(c.requests, prometheus.GaugeValue, float64(stats.Running), "running")
 }
 
 func decisions(s *policy.Stats) map[string]uint64 {
--- a/daemon/entry/stream_test.go
+++ b/daemon/entry/stream_test.go
@@ -24,15 +24,15 @@
 func TestBrokenStreamIsContinued(t *testing.T) {
 	for _, after := range []int{0, 1, 3, 5, 6} {
 		for _, end := range []string{"holds", "lost", "died"} {
-			t.Run(end+strconv.Itoa(after), func(t *testing.T) { continued(t, after, end) })
+			t.Run(end+strconv.Itoa(after), func(t *testing.T) { testContinuedStream(t, after, end) })
 		}
 	}
 }
 
-func continued(t *testing.T, after int, end string) {
+func testContinuedStream(t *testing.T, after int, end string) {
 	is := is.New(t)
 	var calls atomic.Int32
-	var backends [2]*fake
+	var backends [2]*fakeBackend
 	answer := func(own int) script {
 		return func(w http.ResponseWriter, r *http.Request, _ int) {
 			if calls.Add(1) == 1 {
