--- a/daemon/state/cluster_test.go
+++ b/daemon/state/cluster_test.go
@@ -65,19 +65,19 @@
 
 func (c *cluster) data(name string) string { return filepath.Join(c.folder, name) }
 
-func (c *cluster) place(name string) int {
+func (c *cluster) peerIndex(name string) int {
 	return slices.IndexFunc(c.peers, func(p settings.Peer) bool { return p.Name == name })
 }
 
 // start starts the process on the folder as it is; an error is of the start itself.
 func (c *cluster) start(name string) error {
-	listener, err := net.Listen("tcp", c.peers[c.place(name)].Address.Value)
+	listener, err := net.Listen("tcp", c.peers[c.peerIndex(name)].Address.Value)
 	c.is.NoErr(err)
 	return c.serve(name, listener)
 }
 
 func (c *cluster) serve(name string, listener net.Listener) error {
-	i := c.place(name)
+	i := c.peerIndex(name)
 	peer := c.peers[i]
 	s := &settings.State{
 		Common: settings.Common{Name: peer.Name, DataCenter: peer.DataCenter, Link: peer.Address},
@@ -124,8 +124,8 @@
 	return all
 }
 
-// await polls until it holds; the test's own deadline ends one that never does.
-func await(holds func() bool) {
+// waitUntil polls until it holds; the test's own deadline ends one that never does.
+func waitUntil(holds func() bool) {
 	for !holds() {
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -152,7 +152,7 @@
 	putDocuments(t, all[0], 30)
 	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
-		is.Equal(waitFor(w, 30).Document.GetVersion(), uint64(30))
+		is.Equal(waitForRevision(w, 30).Document.GetVersion(), uint64(30))
 	}
 }
 
@@ -249,9 +249,9 @@
 		defer close(done)
 		_ = w.Run(ctx)
 	}()
-	is.Equal(waitFor(w, 8).Document.GetVersion(), uint64(8))
+	is.Equal(waitForRevision(w, 8).Document.GetVersion(), uint64(8))
 	is.NoErr(d.Put(t.Context(), []byte("9 "+randomText(size))))
-	is.Equal(waitFor(w, 9).Document.GetVersion(), uint64(9))
+	is.Equal(waitForRevision(w, 9).Document.GetVersion(), uint64(9))
 	stop()
 	<-done
 	is.True(sent.Load() < 3*size)
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -29,7 +29,7 @@
 	leader   string
 }
 
-func (g *sharedLog) run(command []byte) []byte {
+func (g *sharedLog) apply(command []byte) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.index++
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	result := l.group.run(command)
+	result := l.group.apply(command)
 	l.group.mu.Lock()
 	after := l.after
 	l.group.mu.Unlock()
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -63,7 +63,7 @@
 	is.True(!second.GetGranted())
 	is.Equal(second.GetState(), lilacv1.ClaimState_CLAIM_STATE_CLAIMED)
 	for _, w := range startWatchers(t, processes(all), 2) {
-		is.Equal(len(waitFor(w, 20).Classes), 20)
+		is.Equal(len(waitForRevision(w, 20).Classes), 20)
 	}
 }
 
@@ -107,7 +107,7 @@
 	is.NoErr(err)
 	is.Equal(len(audit.GetRevisions()), 1)
 	for _, w := range startWatchers(t, processes(all), 2) {
-		is.Equal(len(waitFor(w, 1).Classes), 1)
+		is.Equal(len(waitForRevision(w, 1).Classes), 1)
 	}
 }
 
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -33,35 +33,35 @@
 	slowOrderDelay = testOrderTimeout * 9 / 10
 )
 
-// backend is a stand-in engine behind a network that can be slow.
-type backend struct {
-	ignores bool
-	handler http.Handler
-	address string
+// delayedEngine is a stand-in engine behind a network that can be slow.
+type delayedEngine struct {
+	ignoresFencing bool
+	handler        http.Handler
+	address        string
 	// slow orders land slowOrderDelay after they were sent, whatever becomes of
 	// their sender.
 	slow atomic.Bool
 	// sent gets the number of each order whose body came in whole.
 	sent chan uint64
-	// landed gets the number of each order that the engine took or refused.
-	landed chan uint64
+	// delivered gets the number of each order that the engine took or refused.
+	delivered chan uint64
 
 	mu sync.Mutex
 	// effects are the numbers of the orders that the engine carried out.
 	effects []uint64
 }
 
-func newBackend(t *testing.T, ignores bool) *backend {
+func newDelayedEngine(t *testing.T, ignores bool) *delayedEngine {
 	server := khttp.NewServer()
 	standin.NewEngine(standin.EngineConfig{IgnoreFencing: ignores}).Routes(server)
-	b := &backend{ignores: ignores, handler: server, sent: make(chan uint64, 100), landed: make(chan uint64, 100)}
+	b := &delayedEngine{ignoresFencing: ignores, handler: server, sent: make(chan uint64, 100), delivered: make(chan uint64, 100)}
 	front := httptest.NewServer(b)
 	t.Cleanup(front.Close)
 	b.address = strings.TrimPrefix(front.URL, "http://")
 	return b
 }
 
-func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *delayedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		b.handler.ServeHTTP(w, r)
 		return
@@ -84,7 +84,7 @@
 	if recorder.Code == http.StatusOK {
 		b.effects = append(b.effects, order.Fencing)
 	}
-	b.landed <- order.Fencing
+	b.delivered <- order.Fencing
 	w.WriteHeader(recorder.Code)
 }
 
@@ -94,46 +94,46 @@
 	}
 }
 
-// freezer stops a holder between the decision on an order, which it logs, and
+// holderFreezer stops a holder between the decision on an order, which it logs, and
 // the sending, and keeps its renewals back meanwhile.
-type freezer struct {
+type holderFreezer struct {
 	hclog.Logger
-	armed   bool
-	decided chan uint64
-	frozen  atomic.Bool
-	wake    chan struct{}
-	looks   atomic.Int64
+	armed     bool
+	decided   chan uint64
+	frozen    atomic.Bool
+	resume    chan struct{}
+	viewCalls atomic.Int64
 }
 
-func newFreezer(armed bool) *freezer {
-	return &freezer{Logger: hclog.NewNullLogger(), armed: armed, decided: make(chan uint64, 100), wake: make(chan struct{})}
+func newFreezer(armed bool) *holderFreezer {
+	return &holderFreezer{Logger: hclog.NewNullLogger(), armed: armed, decided: make(chan uint64, 100), resume: make(chan struct{})}
 }
 
-func (f *freezer) Info(message string, args ...any) {
+func (f *holderFreezer) Info(message string, args ...any) {
 	if message == "order" && f.armed {
 		f.frozen.Store(true)
 		f.decided <- args[len(args)-1].(uint64)
-		<-f.wake
+		<-f.resume
 	}
 }
 
 // holder runs an order giver over the real link to the state processes.
 type holder struct {
-	*freezer
+	*holderFreezer
 	giver  *orders.Giver
 	killed atomic.Bool
 	stop   func()
 }
 
-func runHolder(t *testing.T, all []*process, name, wish string, engine *backend, f *freezer) *holder {
+func runHolder(t *testing.T, all []*process, name, wish string, engine *delayedEngine, f *holderFreezer) *holder {
 	view, client := model.NewView(&lilacv1.Snapshot{
-		Servers: []*lilacv1.Server{{Name: "r0", Address: engine.address, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, ChecksFencing: !engine.ignores}},
+		Servers: []*lilacv1.Server{{Name: "r0", Address: engine.address, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, ChecksFencing: !engine.ignoresFencing}},
 		Orders:  []*lilacv1.ModelOrder{{Server: "r0", Model: wish, Loaded: true}},
 	}), newClient(t, all, name)
-	h := &holder{freezer: f}
+	h := &holder{holderFreezer: f}
 	h.giver = orders.New(orders.Options{
 		View: func() *model.View {
-			h.looks.Add(1)
+			h.viewCalls.Add(1)
 			return view
 		},
 		Lease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
@@ -141,7 +141,7 @@
 				return nil, errors.New("killed")
 			}
 			if h.frozen.Load() {
-				<-h.wake
+				<-h.resume
 			}
 			return client.Lease(ctx, r)
 		},
@@ -168,7 +168,7 @@
 
 // checkEffects wants the orders carried out in order of their numbers, and the
 // last one to be from after the holding with the number.
-func checkEffects(t *testing.T, b *backend, fencing uint64) {
+func checkEffects(t *testing.T, b *delayedEngine, fencing uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.IsSorted(b.effects) || len(b.effects) == 0 || b.effects[len(b.effects)-1] <= fencing {
@@ -178,13 +178,13 @@
 
 // forEachFencingMode runs the test with an engine that checks numbers and with one that
 // ignores them.
-func forEachFencingMode(t *testing.T, test func(t *testing.T, all []*process, engine *backend)) {
+func forEachFencingMode(t *testing.T, test func(t *testing.T, all []*process, engine *delayedEngine)) {
 	t.Parallel()
 	for _, ignores := range []bool{false, true} {
 		t.Run(fmt.Sprint("ignores ", ignores), func(t *testing.T) {
 			t.Parallel()
 			_, all := group(t, 3)
-			test(t, all, newBackend(t, ignores))
+			test(t, all, newDelayedEngine(t, ignores))
 		})
 	}
 }
@@ -193,19 +193,19 @@
 // out, another takes over and orders something else. When the first wakes, its
 // order must not take effect any more: the engine would end with the old wish.
 func TestFrozenHolderWakesAfterTakeover(t *testing.T) {
-	forEachFencingMode(t, func(t *testing.T, all []*process, engine *backend) {
+	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		is := is.New(t)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(true))
 		fencing := <-old.decided
 		next := runHolder(t, all, "entry-new", "small", engine, newFreezer(false))
-		waitForFencingAbove(engine.landed, fencing)
+		waitForFencingAbove(engine.delivered, fencing)
 		_, holds := old.giver.Holds()
 		is.True(!holds)
-		looked := old.looks.Load()
+		looked := old.viewCalls.Load()
 		old.frozen.Store(false)
-		close(old.wake)
+		close(old.resume)
 		// The order that it had decided on goes out before it looks twice again.
-		for old.looks.Load() < looked+3 {
+		for old.viewCalls.Load() < looked+3 {
 			time.Sleep(time.Millisecond)
 		}
 		old.stop()
@@ -219,7 +219,7 @@
 // engine that checks numbers refuses the late order; for one that ignores them
 // the new holder must wait until the old order has landed.
 func TestHolderIsKilledWithAnOrderOnTheWay(t *testing.T) {
-	forEachFencingMode(t, func(t *testing.T, all []*process, engine *backend) {
+	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		engine.slow.Store(true)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(false))
 		fencing := <-engine.sent
@@ -227,7 +227,7 @@
 		old.kill()
 		next := runHolder(t, all, "entry-new", "small", engine, newFreezer(false))
 		for late, newer := false, false; !late || !newer; {
-			landed := <-engine.landed
+			landed := <-engine.delivered
 			late, newer = late || landed <= fencing, newer || landed > fencing
 		}
 		next.stop()
--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -32,13 +32,13 @@
 	// classes are those of accepted changes; contents what each revision stands for.
 	classes  []string
 	contents map[uint64]string
-	// behind is what an entry holds that is cut off since some revision.
-	behind  *lilacv1.Snapshot
-	keys    []string
-	runs    map[string]int
-	fencing uint64
+	// staleConfig is what an entry holds that is cut off since some revision.
+	staleConfig *lilacv1.Snapshot
+	keys        []string
+	runs        map[string]int
+	fencing     uint64
 	// Promises that were broken.
-	duplicateRuns, lostChanges, wrongFencing, reused int
+	duplicateRuns, lostChanges, wrongFencing, reusedRevisions int
 }
 
 func (h *majorityLoss) apply(c *lilacv1.Command) *lilacv1.CommandResult {
@@ -82,11 +82,11 @@
 	result := h.apply(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal(fmt.Sprint(h.number), class, 0)}})
 	revision := result.GetPropose().GetRevision()
 	if other, taken := h.contents[revision]; taken && other != class {
-		h.reused++
+		h.reusedRevisions++
 	}
 	h.contents[revision] = class
 	if h.random.IntN(4) == 0 {
-		h.behind = h.machine.Config()
+		h.staleConfig = h.machine.Config()
 	}
 	h.classes = append(h.classes, class)
 }
@@ -130,8 +130,8 @@
 	h.fencing = max(h.fencing, reply.GetFencing())
 }
 
-// lose leaves the survivor with a part of the log, and an end of its own at times.
-func (h *majorityLoss) lose() *wal.State {
+// survivorState leaves the survivor with a part of the log, and an end of its own at times.
+func (h *majorityLoss) survivorState() *wal.State {
 	known := h.random.IntN(len(h.log) + 1)
 	state := &wal.State{
 		Hard:     &lilacv1.RaftHardState{Id: "a", Group: "g", Term: 3},
@@ -156,13 +156,13 @@
 func (h *majorityLoss) recover(upToDate bool) {
 	held := &entryConfig{snapshot: h.machine.Config()}
 	if !upToDate {
-		held.snapshot = h.behind
+		held.snapshot = h.staleConfig
 	}
 	o := RecoverOptions{
 		Folder: wal.ReadOnlyFolder("a"), KeyMargin: time.Hour, Random: h.random.Uint64,
 		Now: func() time.Time { return time.UnixMilli(h.nowMs) }, Dial: func(string) link.Caller { return unreachable{} },
 	}
-	plan, err := newRecoveryPlan(context.Background(), o, h.lose(), held)
+	plan, err := newRecoveryPlan(context.Background(), o, h.survivorState(), held)
 	h.is.NoErr(err)
 	h.machine, h.index, h.log = plan.machine, plan.meta.GetIndex(), nil
 	if !upToDate {
@@ -220,8 +220,8 @@
 			h.step()
 		}
 		h.checkChanges()
-		if h.duplicateRuns+h.lostChanges+h.wrongFencing+h.reused > 0 {
-			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.duplicateRuns, h.lostChanges, h.wrongFencing, h.reused)
+		if h.duplicateRuns+h.lostChanges+h.wrongFencing+h.reusedRevisions > 0 {
+			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.duplicateRuns, h.lostChanges, h.wrongFencing, h.reusedRevisions)
 		}
 		changes, runs, granted = changes+len(h.classes), runs+len(h.runs), granted+len(h.runs)-before
 		h.is.Equal(h.machine.Counts().BrokenInvariants, uint64(0))
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -26,7 +26,7 @@
 // majority returns the names of a leader and one more voter, and the third voter.
 func (c *cluster) majority() (two []string, third string) {
 	var leader string
-	await(func() bool {
+	waitUntil(func() bool {
 		for name, m := range c.running {
 			if m.running.Status().IsLeader {
 				leader = name
@@ -67,14 +67,14 @@
 	_, err := client.Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
 	entries := startWatchers(t, c.processes(), 1)
-	waitFor(entries[0], 1)
+	waitForRevision(entries[0], 1)
 	entryAddress, _, _ := serveEntry(t, entries[0].Watcher)
 	// The entry keeps what it sent here, as it does when another entry starts.
 	early, err := spreadlink.FetchConfig(t.Context(), dialer(t)(entryAddress))
 	is.NoErr(err)
 	is.Equal(early.GetRevision(), uint64(1))
 	lost, survivor := c.majority()
-	await(func() bool { return c.running[survivor].service.machine.Revision() == 1 })
+	waitUntil(func() bool { return c.running[survivor].service.machine.Revision() == 1 })
 	c.stop(survivor)
 	_, err = client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
@@ -87,7 +87,7 @@
 	leased, err := client.Lease(t.Context(), &lilacv1.LeaseRequest{Name: "orders", DurationMs: 1000})
 	is.NoErr(err)
 	is.True(leased.GetGranted())
-	waitFor(entries[0], 2)
+	waitForRevision(entries[0], 2)
 
 	// While they run, there is nothing to recover.
 	_, err = Recover(t.Context(), c.options(survivor, entryAddress))
@@ -112,7 +112,7 @@
 	reply, err := client.Propose(t.Context(), proposal("three", "berths", 0))
 	is.NoErr(err)
 	is.Equal(reply.GetRevision(), done.NewRevision+1)
-	is.Equal(len(waitFor(entries[0], reply.GetRevision()).Classes), 3)
+	is.Equal(len(waitForRevision(entries[0], reply.GetRevision()).Classes), 3)
 	again, err := client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
 	is.True(again.GetRepeatedCommand())
@@ -128,9 +128,9 @@
 	for _, name := range lost {
 		is.NoErr(c.start(name))
 	}
-	await(func() bool { return len(c.running[survivor].service.Status().GetVoters()) == 3 })
+	waitUntil(func() bool { return len(c.running[survivor].service.Status().GetVoters()) == 3 })
 	status := c.running[lost[0]].service.Status()
-	await(func() bool {
+	waitUntil(func() bool {
 		status = c.running[lost[0]].service.Status()
 		return status.GetGroup() == done.NewGroup
 	})
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -266,7 +266,7 @@
 	Revision() uint64
 }
 
-func waitFor(w revisionWatcher, revision uint64) *model.View {
+func waitForRevision(w revisionWatcher, revision uint64) *model.View {
 	for {
 		changed := w.Changed()
 		if w.Current() != nil && w.Revision() >= revision {
@@ -281,7 +281,7 @@
 	_, all := group(t, 3)
 	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
-		waitFor(w, 0)
+		waitForRevision(w, 0)
 	}
 	c := newClient(t, all, "entry-1")
 	_, err := c.Propose(t.Context(), proposal("one", "alerts", 0))
@@ -289,7 +289,7 @@
 	_, err = c.Propose(t.Context(), proposal("two", "alerts", 3))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(waitFor(w, 2).Classes["alerts"].GetTier(), uint32(3))
+		is.Equal(waitForRevision(w, 2).Classes["alerts"].GetTier(), uint32(3))
 	}
 }
 
@@ -300,14 +300,14 @@
 	_, all := group(t, 3)
 	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
-		waitFor(w, 0)
+		waitForRevision(w, 0)
 	}
 	slices.SortFunc(entries, func(a, b *follower) int { return member.CompareRank(a.name, b.name) })
 	entries[0].kill()
 	_, err := newClient(t, all, "entry-1").Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 1).Classes), 1)
+		is.Equal(len(waitForRevision(w, 1).Classes), 1)
 	}
 }
 
@@ -324,12 +324,12 @@
 	}
 	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 20).Classes), 20)
+		is.Equal(len(waitForRevision(w, 20).Classes), 20)
 	}
 	_, err := c.Propose(t.Context(), proposal("20", "class-20", 0))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 21).Classes), 21)
+		is.Equal(len(waitForRevision(w, 21).Classes), 21)
 		newest, _ := w.Known()
 		is.Equal(newest, uint64(21))
 	}
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -25,12 +25,12 @@
 	farDelay  = 30 * time.Millisecond
 )
 
-// wire counts the messages that pass and delays each as the network would.
-type wire struct{ near, far, fromState atomic.Int64 }
+// trafficMeter counts the messages that pass and delays each as the network would.
+type trafficMeter struct{ near, far, fromState atomic.Int64 }
 
 type meteredCaller struct {
 	link.Caller
-	wire       *wire
+	meter      *trafficMeter
 	far, state bool
 }
 
@@ -48,21 +48,21 @@
 	err := s.Stream.Recv(m)
 	size := int64(proto.Size(m))
 	if s.caller.state {
-		s.caller.wire.fromState.Add(size)
+		s.caller.meter.fromState.Add(size)
 	}
 	if s.caller.far {
-		s.caller.wire.far.Add(size)
+		s.caller.meter.far.Add(size)
 		time.Sleep(farDelay)
 		return err
 	}
-	s.caller.wire.near.Add(size)
+	s.caller.meter.near.Add(size)
 	time.Sleep(nearDelay)
 	return err
 }
 
-// entries starts n watchers in five data centres below one state process. Flat
+// startEntries starts n watchers in five data centres below one state process. Flat
 // ones know of no other entry, so that each follows the state process.
-func entries(b *testing.B, service *Service, w *wire, n int, flat bool) []*spreadlink.Watcher {
+func startEntries(b *testing.B, service *Service, w *trafficMeter, n int, flat bool) []*spreadlink.Watcher {
 	muxes := make(map[string]*link.Mux)
 	centers := map[string]string{"state": "dc-0"}
 	muxes["state"] = link.NewMux()
@@ -108,15 +108,15 @@
 				machine := NewMachine(0, ledger.Limits{})
 				shared := &sharedLog{machines: []*Machine{machine}, leader: "state"}
 				service := NewService(machine, &memberLog{group: shared, address: "state"}, hclog.NewNullLogger())
-				w := &wire{}
-				watchers := entries(b, service, w, n, flat)
+				w := &trafficMeter{}
+				watchers := startEntries(b, service, w, n, flat)
 				propose := func(i int) {
 					command, _ := proto.Marshal(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal(fmt.Sprint(i), "alerts", uint32(i%4))}})
-					shared.run(command)
+					shared.apply(command)
 				}
 				arrive := func(revision uint64) {
 					for _, watcher := range watchers {
-						waitFor(watcher, revision)
+						waitForRevision(watcher, revision)
 					}
 				}
 				propose(0)
