--- a/daemon/entry/callers_test.go
+++ b/daemon/entry/callers_test.go
@@ -61,7 +61,7 @@
 // A caller on a bad link, or a hostile one, sends its request byte by byte. The
 // connection must end after the read timeout with a typed error, in the header
 // as well as in the body.
-func TestSlowCallersAreCut(t *testing.T) {
+func TestSlowCallersAreDisconnected(t *testing.T) {
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) {})
 	f := start(t, testSettings(), backend.engine("r1"))
 	auth := "Authorization: Bearer " + secret.CallerToken(testKey, "coop") + "\r\n"
@@ -89,7 +89,7 @@
 
 // An entry starts while no state process answers. Callers must be told so with
 // a typed error, and the balancer by /readyz, until a configuration comes.
-func TestEntryWithoutConfigurationSaysSo(t *testing.T) {
+func TestEntryWithoutConfigurationIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	f := start(t, testSettings())
 	resp, body := f.post("/v1/chat/completions", chatBody)
--- a/daemon/entry/claims_test.go
+++ b/daemon/entry/claims_test.go
@@ -27,7 +27,7 @@
 // A skipper's client books a berth, loses the answer and sends the booking
 // again. The berth must be booked once, and the second send gets the first
 // answer; another booking under the same key is refused.
-func TestBookingRunsOnceAndItsAnswerIsGivenAgain(t *testing.T) {
+func TestKeyedCallRunsOnceAndItsAnswerIsReplayed(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, serveBooking)
 	f := start(t, testSettings(), backend.service("g1"))
@@ -48,7 +48,7 @@
 
 // A client sends a booking while its first send is still at the service. The
 // second must be told so at once and not wait or run.
-func TestSecondSendInProgressIsToldAtOnce(t *testing.T) {
+func TestSecondSendInProgressIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -71,7 +71,7 @@
 // Faults before, during and after the first byte of a call that may not be
 // repeated. "Not run" must be said only where the service saw nothing, and no
 // call may reach the service twice.
-func TestNotRunIsSaidOnlyWhereItIsProved(t *testing.T) {
+func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	cut := func(http.ResponseWriter, *http.Request, int) { abort() }
 	refuse := func(w http.ResponseWriter, _ *http.Request, _ int) {
 		w.Header().Set("Retry-After", "1")
@@ -157,7 +157,7 @@
 
 // A caller leaves while its booking runs. The booking goes on, and its answer
 // is there for the next send.
-func TestBookingOutlivesItsCaller(t *testing.T) {
+func TestCallContinuesAfterItsCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
@@ -182,7 +182,7 @@
 }
 
 // Calls that are idempotent by their method are tried again where the first try broke.
-func TestBrokenGetIsTriedAgain(t *testing.T) {
+func TestBrokenGetIsRetried(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(w http.ResponseWriter, _ *http.Request, n int) {
 		if n == 1 {
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -80,7 +80,7 @@
 
 // The policy says "not run" of a request that has been sent. The entry must not
 // repeat what it can't prove, and must count the broken invariant.
-func TestShellTrustsItsRecordMoreThanThePolicy(t *testing.T) {
+func TestPolicyClaimOfNotRunNeedsProof(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) { abort() })
 	core := scriptedCore(func(event policy.Event) []policy.Action {
@@ -106,7 +106,7 @@
 
 // An entry is frozen while a request waits, and woken after its deadline. What
 // the core decided before must not be acted on.
-func TestWokenEntryChecksTheDeadline(t *testing.T) {
+func TestExpiredRequestIsNotSentAfterAFreeze(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, serveBooking)
 	core := scriptedCore(func(event policy.Event) []policy.Action {
--- a/daemon/entry/drain_test.go
+++ b/daemon/entry/drain_test.go
@@ -33,7 +33,7 @@
 // balancer looks late. What is in progress must end whole and its outcome be
 // stored, what still comes is served for a while and then refused by a typed
 // error, and never by a closed port.
-func TestDrainCutsNothingOff(t *testing.T) {
+func TestDrainCompletesRequestsInProgress(t *testing.T) {
 	is := is.New(t)
 	pace, release := make(chan struct{}, len(tokens)), make(chan struct{})
 	backend := pacedEngine(t, pace)
@@ -85,7 +85,7 @@
 
 // A stream outlasts the time for draining. Its caller must get an explicit
 // error and no "[DONE]", and the instance must end.
-func TestDrainEndsWithATypedErrorAtItsLimit(t *testing.T) {
+func TestDrainLimitEndsStreamsWithATypedError(t *testing.T) {
 	is := is.New(t)
 	pace := make(chan struct{}, len(tokens))
 	backend := pacedEngine(t, pace)
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -16,7 +16,7 @@
 // An answer moves to another engine, but the old one has dropped it meanwhile.
 // The caller must get the whole answer all the same, and the policy must hear
 // that the prompt was computed again.
-func TestMoveWithoutCacheGoesOnFromTheText(t *testing.T) {
+func TestMoveWithoutCacheContinuesFromTheText(t *testing.T) {
 	is := is.New(t)
 	const after = 2
 	old := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
@@ -62,7 +62,7 @@
 
 // A caller leaves in the middle of an answer. Operators must see what the engine
 // was spared, in tokens.
-func TestLeavingCallerSparesTokens(t *testing.T) {
+func TestDisconnectedCallerSavesTokens(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
--- a/daemon/entry/stream_test.go
+++ b/daemon/entry/stream_test.go
@@ -161,7 +161,7 @@
 
 // A caller leaves in the middle of an answer. The engine must be told at once,
 // so that its slot is free for others.
-func TestLeavingCallerCancelsAtTheEngine(t *testing.T) {
+func TestDisconnectedCallerCancelsAtTheEngine(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
--- a/daemon/state/capture_test.go
+++ b/daemon/state/capture_test.go
@@ -45,7 +45,7 @@
 // are opened again and expire. If the file held one of them, a process that
 // starts from it would run the command a second time and differ from the others
 // from then on, without any error. The capture must be what it was at its index.
-func TestCaptureStaysAsItWas(t *testing.T) {
+func TestCaptureIsUnaffectedByLaterCommands(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(20, ledger.Limits{Retention: 10 * time.Minute, Entries: 30, TotalAnswerBytes: 500})
 	round := 1
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -69,7 +69,7 @@
 
 // Operators send versions out of order, again, and other texts under a version
 // that is held. The highest version must stay, as it was first accepted.
-func TestHighestDocumentStays(t *testing.T) {
+func TestHighestDocumentVersionIsKept(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
 	ctx := t.Context()
@@ -98,7 +98,7 @@
 
 // A process that does not lead sends the operator to the one that does, on that
 // machine's own port for operators; without a leader nothing is promised.
-func TestOperatorsAreSentToTheLeader(t *testing.T) {
+func TestOperatorsAreRedirectedToTheLeader(t *testing.T) {
 	is := is.New(t)
 	d, log := newDocuments(t)
 	log.err = fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another leads", fault.WithLeader("10.0.0.4:7340"))
@@ -112,7 +112,7 @@
 }
 
 // Hundreds of large documents come in a day. The trail must not hold them all.
-func TestTrailHoldsFewLargeDocuments(t *testing.T) {
+func TestAuditTrailBoundsLargeDocuments(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
 	large := randomText(200 << 10)
@@ -129,7 +129,7 @@
 
 // An entry asks for the members of the group and so is named to the others; one
 // that asks no more is forgotten.
-func TestEntriesFindEachOtherThroughTheStateProcesses(t *testing.T) {
+func TestEntriesDiscoverEachOtherThroughStateProcesses(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := newEntryTable(func() time.Time { return now })
@@ -146,7 +146,7 @@
 // Guards against a loss of power after which every entry holds the newest revision
 // without the document: more documents came than the trail holds, so entries that
 // start take a snapshot.
-func TestEntryThatStartsAfterManyDocumentsHasTheNewest(t *testing.T) {
+func TestEntryStartedAfterManyDocumentsGetsTheNewest(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	putDocuments(t, all[0], 30)
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -39,7 +39,7 @@
 // The leader stops while operators and callers are at work. What was accepted
 // must still be there, a claim that was granted must not be granted again, and
 // the entries must find the new leader by themselves.
-func TestAcceptedSurvivesTheLeader(t *testing.T) {
+func TestCommittedStateSurvivesLossOfTheLeader(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
 	c := newClient(t, processes(all), "entry-1")
@@ -70,7 +70,7 @@
 // Two of three data centres are cut off. The third must refuse new claims with
 // "not run", at once after the first time, and still give the first answer of a
 // request that it has seen end, the audit trail and the configuration.
-func TestCutOffMinorityRefusesAndReads(t *testing.T) {
+func TestMinorityRefusesClaimsAndServesReads(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
 	c := newClient(t, processes(all), "entry-1")
--- a/daemon/state/lease_test.go
+++ b/daemon/state/lease_test.go
@@ -18,7 +18,7 @@
 // has counted the whole lease and a little more, and at a leader that has only
 // just come to office counting begins anew: the old holder may have renewed
 // there a moment ago for all that it knows.
-func TestLeaseIsTakenOverOnlyWhenItHasRunOut(t *testing.T) {
+func TestLeaseIsTakenOverOnlyAfterItExpired(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		newLeader bool
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -192,7 +192,7 @@
 // The holder decides on an order and freezes before it sends it. Its lease runs
 // out, another takes over and orders something else. When the first wakes, its
 // order must not take effect any more: the engine would end with the old wish.
-func TestFrozenHolderWakesAfterTakeover(t *testing.T) {
+func TestFrozenHolderResumesAfterTakeover(t *testing.T) {
 	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		is := is.New(t)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(true))
@@ -218,7 +218,7 @@
 // slowly: another takes over and orders something else before it lands. An
 // engine that checks numbers refuses the late order; for one that ignores them
 // the new holder must wait until the old order has landed.
-func TestHolderIsKilledWithAnOrderOnTheWay(t *testing.T) {
+func TestHolderIsKilledWithAnOrderInTransit(t *testing.T) {
 	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		engine.slow.Store(true)
 		old := runHolder(t, all, "entry-old", "large", engine, newFreezer(false))
--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -197,7 +197,7 @@
 // revisions, or in every third history only some.
 // Callers send all their keys again. No accepted change may be lost, no number
 // of a revision stand for two contents, no key run twice, no fencing number fall.
-func TestNoHistoryIsBrokenByARecovery(t *testing.T) {
+func TestRecoveryKeepsGuaranteesInRandomHistories(t *testing.T) {
 	const seeds, steps = 300, 60
 	changes, runs, granted := 0, 0, 0
 	for seed := range uint64(seeds) {
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -180,7 +180,7 @@
 // The survivor led once, lost its quorum and wrote a change that was never
 // accepted, under the number that the others then gave to another one. Both the
 // survivor's folder and an entry hold that number: the entry's is the truth.
-func TestEntriesOverruleWhatWasNeverAccepted(t *testing.T) {
+func TestEntryConfigOverridesUncommittedRevisions(t *testing.T) {
 	is := is.New(t)
 	accepted, own := NewMachine(0, ledger.Limits{}), NewMachine(0, ledger.Limits{})
 	apply := func(m *Machine, index uint64, id, class string) []byte {
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -35,7 +35,7 @@
 	return &lilacv1.ClaimRequest{Team: "coop", Key: key, Digest: digest(1)}
 }
 
-func TestTheWholeInterface(t *testing.T) {
+func TestClientCalls(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
 	c := newClient(t, all, "entry-1")
@@ -85,7 +85,7 @@
 
 // What the client makes of each way in which a call can fail, and what it says
 // of the command: refused and surely not in the log, or perhaps in it.
-func TestFaultsOnTheWayToTheLeader(t *testing.T) {
+func TestCallFaultsAndNotRun(t *testing.T) {
 	noLeader := func(s *sharedLog, _ []*process) { s.leader = "" }
 	for _, c := range []struct {
 		name   string
@@ -144,7 +144,7 @@
 // know whether it stands; it does not send the request and tells its caller "not
 // run". When the link heals, the claim must be given up by itself, so that the
 // caller's resend runs.
-func TestClaimWhoseAnswerWasLostIsGivenUp(t *testing.T) {
+func TestClaimWithLostReplyIsReleased(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	all[0].log.setAfter(func() error { return errors.New("answer lost") })
@@ -170,7 +170,7 @@
 // An entry is silent for longer than claims may wait, so the leader takes it for
 // dead and its claim becomes unknown. The entry was only cut off: when it comes
 // back it must be able to claim again without a restart.
-func TestSilentEntryLosesItsClaimsAndComesBack(t *testing.T) {
+func TestTimedOutEntryLosesItsClaimsAndClaimsAgain(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	service := all[0].service
@@ -194,7 +194,7 @@
 	is.True(fresh.GetGranted())
 }
 
-func TestMachineComesBackFromItsSnapshot(t *testing.T) {
+func TestMachineRestoresFromItsSnapshot(t *testing.T) {
 	is := is.New(t)
 	shared, all := group(t, 1)
 	c := newClient(t, all, "entry-1")
@@ -295,7 +295,7 @@
 
 // The relay of a data centre dies. The entries below it must go on with the next
 // in rank, and that one with a state process, without an operator.
-func TestEntriesGoOnWithoutTheirRelay(t *testing.T) {
+func TestEntriesFailOverWhenTheirRelayDies(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
 	entries := startWatchers(t, all, 4)
@@ -314,7 +314,7 @@
 // An entry starts after more changes than the audit trail holds. Neither the
 // state processes nor the relay can give them one by one, so it must take a
 // snapshot, and then each later change in order.
-func TestLongAbsenceIsMadeGoodBySnapshot(t *testing.T) {
+func TestEntryBeyondTheAuditTrailGetsASnapshot(t *testing.T) {
 	is := is.New(t)
 	_, all := groupWithRetention(t, 1, 5)
 	c := newClient(t, all, "entry-1")
@@ -337,7 +337,7 @@
 
 // An entry that holds what this process would answer is told so, and nothing else, until
 // another entry comes.
-func TestMembersAreSentOnlyWhereTheyDiffer(t *testing.T) {
+func TestMembersAreSentOnlyWhenChanged(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	ask := func(name string, have uint64) *lilacv1.StateMembers {
