--- a/daemon/program/program.go
+++ b/daemon/program/program.go
@@ -1,5 +1,5 @@
-// Package program is what the mains of the daemons share: the command line, the
-// reading of settings, the logger and the exit status.
+// Package program holds what the main packages of the daemons have in common: the
+// command line, settings loading and reloading, the logger and the exit status.
 package program
 
 import (
@@ -18,24 +18,25 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// exitFailed is the status of a daemon that could not start or go on;
-// settings.ExitCode that of one whose settings are wrong.
+// exitFailed is the exit status of a daemon that failed to start or failed while
+// running. A daemon with invalid settings exits with settings.ExitCode.
 const exitFailed = 1
 
-// Settings are those of one kind of daemon.
+// Settings are the settings of one kind of daemon.
 type Settings interface {
 	settings.Validator
-	// Shared returns the part that all kinds have.
+	// Shared returns the settings that every kind of daemon has.
 	Shared() *settings.Common
 }
 
-// Daemon runs until it is told to stop.
+// Daemon is a process that runs until ctx ends or it receives a stop signal.
 type Daemon interface {
+	// Run returns nil after a requested stop.
 	Run(ctx context.Context) error
 }
 
-// Main reads the settings that the command line names, opens the daemon and
-// runs it. It does not return if anything failed.
+// Main loads the settings file given on the command line, opens the daemon and runs
+// it. On failure it prints the error and exits the process.
 func Main[S Settings](name, short string, s S, open func(S, hclog.Logger) (Daemon, error)) {
 	var file string
 	code := settings.ExitCode
@@ -62,7 +63,7 @@
 }
 
 func run[S Settings](ctx context.Context, file string, s S, open func(S, hclog.Logger) (Daemon, error)) error {
-	// The framework's own lines are no changes of state.
+	// Discards the framework's log lines: they report no state changes of the daemon.
 	kratoslog.SetLogger(kratoslog.NewStdLogger(io.Discard))
 	common := s.Shared()
 	if common.GCPercent > 0 {
@@ -78,15 +79,15 @@
 		return err
 	}
 	if reloadable, ok := daemon.(Reloadable[S]); ok {
-		// What was read at the start; a later change differs from it.
+		// The baseline for detecting later changes of the file.
 		content, err := os.ReadFile(file)
 		if err != nil {
 			return err
 		}
-		following, stop := context.WithCancel(ctx)
+		reloadCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		r := &reloader[S]{file: file, logger: logger, daemon: reloadable, content: content}
-		go r.follow(following)
+		go r.run(reloadCtx)
 	}
 	return daemon.Run(ctx)
 }
--- a/daemon/program/reload.go
+++ b/daemon/program/reload.go
@@ -14,70 +14,71 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// lookEvery is how often the file is compared with what was read last: platforms
-// may change it without a signal.
-const lookEvery = 2 * time.Second
+// pollInterval is how often the file is compared with the content read last.
+// Polling is needed because a platform may change the file without a signal.
+const pollInterval = 2 * time.Second
 
-// Reloadable daemons take changed settings while they run. An error refuses them
-// whole: the old ones stay in force.
+// Reloadable is a daemon that applies changed settings while it runs. If Reload
+// returns an error, none of the new settings have been applied.
 type Reloadable[S Settings] interface{ Reload(s S) error }
 
-// reloader follows the settings file of a process.
+// reloader applies changes of a settings file to a running daemon.
 type reloader[S Settings] struct {
-	file    string
-	logger  hclog.Logger
-	daemon  Reloadable[S]
+	file   string
+	logger hclog.Logger
+	daemon Reloadable[S]
+	// content is the file content read last, valid or not.
 	content []byte
 }
 
-// follow reads the file again at SIGHUP and whenever its content has changed,
-// until ctx ends.
-func (r *reloader[S]) follow(ctx context.Context) {
-	hangUp := make(chan os.Signal, 1)
-	signal.Notify(hangUp, syscall.SIGHUP)
-	defer signal.Stop(hangUp)
-	ticker := time.NewTicker(lookEvery)
+// run reloads the file on SIGHUP and whenever polling finds a change, until ctx ends.
+func (r *reloader[S]) run(ctx context.Context) {
+	hangUps := make(chan os.Signal, 1)
+	signal.Notify(hangUps, syscall.SIGHUP)
+	defer signal.Stop(hangUps)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangUp:
-			r.look(true)
+		case <-hangUps:
+			r.reload(true)
 		case <-ticker.C:
-			r.look(false)
+			r.reload(false)
 		}
 	}
 }
 
-// look takes the file's settings in if they differ; asked is true after a signal.
-func (r *reloader[S]) look(asked bool) {
+// reload applies the file's settings if its content has changed. After a signal
+// (signaled) it also logs read errors and unchanged content.
+func (r *reloader[S]) reload(signaled bool) {
 	content, err := os.ReadFile(r.file)
 	switch {
 	case err != nil:
-		if asked {
-			r.logger.Error("settings not reloaded, the old ones stay in force", "error", err)
+		if signaled {
+			r.logger.Error("settings not reloaded, keeping the current ones", "error", err)
 		}
 		return
 	case bytes.Equal(content, r.content):
-		if asked {
-			r.logger.Info("settings reloaded, nothing has changed")
+		if signaled {
+			r.logger.Info("settings unchanged")
 		}
 		return
 	}
 	r.content = content
-	if err := r.take(content); err != nil {
-		r.logger.Error("settings not reloaded, the old ones stay in force", "error", err)
+	if err := r.apply(content); err != nil {
+		r.logger.Error("settings not reloaded, keeping the current ones", "error", err)
 		return
 	}
 	r.logger.Info("settings reloaded")
 }
 
-func (r *reloader[S]) take(content []byte) error {
+func (r *reloader[S]) apply(content []byte) error {
 	var s S
-	fresh := reflect.New(reflect.TypeOf(s).Elem()).Interface().(S)
-	if err := settings.Parse(r.file, content, fresh); err != nil {
+	updated := reflect.New(reflect.TypeOf(s).Elem()).Interface().(S)
+	if err := settings.Parse(r.file, content, updated); err != nil {
 		return err
 	}
-	return r.daemon.Reload(fresh)
+	return r.daemon.Reload(updated)
 }
