--- a/daemon/entry/convict.go
+++ b/daemon/entry/convict.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// maxPendingConvictions bounds the convictions that wait to be proposed.
+	// maxPendingConvictions is the capacity of the queue of convictions to propose.
 	maxPendingConvictions = 256
-	// convictionTTL is how long a conviction lasts.
+	// convictionTTL is how long a conviction stays in force.
 	convictionTTL        = 24 * time.Hour
 	proposeRetryInterval = 500 * time.Millisecond
-	proposeTimeout       = 5 * time.Second
+	// proposeTimeout bounds one attempt to propose a conviction.
+	proposeTimeout = 5 * time.Second
 )
 
-// queueConviction is called by the core's goroutine and must not wait.
+// queueConviction is called by the core's goroutine and must not block: if the queue
+// is full, it drops the conviction and counts a broken invariant.
 func (e *Entry) queueConviction(c policy.Convict) {
 	select {
 	case e.convictions <- c:
@@ -27,8 +29,8 @@
 	}
 }
 
-// proposeConvictions proposes each conviction until it is accepted, so that all
-// instances refuse the request that crashes servers.
+// proposeConvictions proposes each queued conviction until it is accepted, so that
+// all instances refuse the request that crashes servers.
 func (e *Entry) proposeConvictions(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +45,7 @@
 func (e *Entry) proposeConviction(ctx context.Context, c policy.Convict) {
 	now := time.Now()
 	proposal := &lilacv1.Proposal{
-		// One id for all tries, so that it is accepted once.
+		// All attempts share one id, so that the proposal is accepted only once.
 		CommandId: rand.Text(), Who: "lilacbridge", Instance: e.settings.Name, Statement: "CONVICT " + c.Digest,
 		ProposedUnixMs: now.UnixMilli(),
 		Changes: []*lilacv1.Change{{Op: &lilacv1.Change_Convict{Convict: &lilacv1.Conviction{
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -31,7 +31,7 @@
 	"github.com/lilacbridge/lilacbridge/version/spread"
 )
 
-// Daemon is an entry instance with its listeners and its links to the others.
+// Daemon is an entry instance with its listeners and its links to other processes.
 type Daemon struct {
 	settings *settings.Entry
 	logger   hclog.Logger
@@ -44,7 +44,7 @@
 	loads    *loadlink.Link
 	orders   *orders.Giver
 	links    *link.Server
-	// gateway is nil where the settings name none.
+	// gateway is nil if the settings configure none.
 	gateway   *gatewayRouter
 	operators *secret.Reloadable[*secret.Operators]
 	callerKey *secret.Reloadable[[]byte]
@@ -54,15 +54,15 @@
 	started   time.Time
 
 	mu sync.Mutex
-	// live are the other entries that are taken for alive.
+	// live are the other entries considered alive. Guarded by mu.
 	live []settings.Peer
 }
 
-// listeners are nil where the settings name no address.
+// listeners holds the open listeners. Those without an address in the settings are nil.
 type listeners struct{ callers, operators, admin, link, gatewayCallers, readiness net.Listener }
 
 // NewDaemon reads the keys and opens the listeners; Run serves. The platform is
-// nil where the settings name no gateway.
+// ignored if the settings configure no gateway, and may then be nil.
 func NewDaemon(s *settings.Entry, logger hclog.Logger, platform gateway.Platform) (*Daemon, error) {
 	linkKeys, err := secret.OpenKeys(s.LinkKeyFile, s.LinkKey)
 	if err != nil {
@@ -110,14 +110,14 @@
 	return d, d.listen()
 }
 
-// Reload takes changed settings in: seeds, and what a gateway's bounds are. Other
+// Reload applies changed settings of a gateway: its seeds and time bounds. All other
 // fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.Entry) error {
 	if err := s.SameProcess(&d.settings.Common); err != nil {
 		return err
 	}
 	if d.gateway != nil && s.Gateway == nil {
-		return &settings.Problem{Line: 1, Field: "gateway", Message: "is gone; restart the process to serve without one"}
+		return &settings.Problem{Line: 1, Field: "gateway", Message: "removed; restart the process to serve without one"}
 	}
 	if d.gateway != nil {
 		d.gateway.setBounds(s.Gateway)
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// recoveries tells how many recoveries of the state processes this entry knows of.
+// recoveries returns the number of recoveries of the state processes known to this
+// entry.
 func (d *Daemon) recoveries() uint32 {
 	if view := d.watcher.Current(); view != nil {
 		return view.Recoveries
@@ -153,25 +154,27 @@
 	return errors.Join(errs[:]...)
 }
 
-// Run serves until SIGTERM, SIGINT or the end of ctx, then drains.
+// Run serves until SIGTERM, SIGINT or the end of ctx, then drains and returns.
 func (d *Daemon) Run(ctx context.Context) error {
-	working, stop := context.WithCancel(context.Background())
+	// Not derived from ctx: background work must continue during the drain.
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { d.entry.Run(working) })
-	group.Go(func() { _ = d.watcher.Run(working) })
-	group.Go(func() { _ = d.state.Run(working) })
-	group.Go(func() { _ = d.gossip.Run(working) })
-	group.Go(func() { d.loads.Run(working) })
+	group.Go(func() { d.entry.Run(background) })
+	group.Go(func() { _ = d.watcher.Run(background) })
+	group.Go(func() { _ = d.state.Run(background) })
+	group.Go(func() { _ = d.gossip.Run(background) })
+	group.Go(func() { d.loads.Run(background) })
 	if d.gateway != nil {
-		group.Go(func() { d.gateway.run(working) })
+		group.Go(func() { d.gateway.run(background) })
 	} else {
-		// A gateway's engines are not lilacbridge's to give orders to.
-		group.Go(func() { _ = d.orders.Run(working) })
+		// Model orders are given only without a gateway: with one, the platform manages
+		// the engines.
+		group.Go(func() { _ = d.orders.Run(background) })
 	}
 	group.Go(func() { _ = d.links.Serve(d.listeners.link) })
 	group.Go(func() {
-		secret.ReloadOnHangUp(working, d.logger, d.links.DropOldKeys, d.linkKeys, d.callerKey, d.operators)
+		secret.ReloadOnHangUp(background, d.logger, d.links.DropOldKeys, d.linkKeys, d.callerKey, d.operators)
 	})
 	app := kratos.New(
 		kratos.Name("lilacbridge-entry"),
@@ -180,13 +183,14 @@
 		kratos.Server(d.servers()...),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
 		kratos.StopTimeout(d.settings.Closing()),
-		// The drain comes before the library closes anything.
+		// Drains before the framework closes its servers.
 		kratos.BeforeStop(func(context.Context) error {
 			d.gossip.Leave()
 			return d.entry.Drain(context.Background())
 		}),
 	)
-	// The library drains on a signal, but not where its own context ends.
+	// The framework runs BeforeStop on a signal but not when its own context ends, so
+	// the end of ctx has to call Stop.
 	defer context.AfterFunc(ctx, func() { _ = app.Stop() })()
 	d.logger.Info("started", "callers", d.callerAddress(), "version", build.Version)
 	err := app.Run()
@@ -201,10 +205,10 @@
 	return err
 }
 
-// openOptional opens a file of secrets, or gives an empty one where none is named:
-// nothing that needs it is served then.
-func openOptional[T any](none bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
-	if none {
+// openOptional opens a file of secrets, or returns an empty value if absent is true:
+// the interface that needs the secrets is not served then.
+func openOptional[T any](absent bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
+	if absent {
 		var empty T
 		return secret.Fixed(empty), nil
 	}
@@ -218,7 +222,8 @@
 	return platform
 }
 
-// timing keeps a gateway's entries within the bounds that its platform sets.
+// timing returns shorter intervals with a gateway, whose platform bounds how long a
+// change may take to come into force.
 func (d *Daemon) timing() spread.Timing {
 	if d.settings.Gateway != nil {
 		return spread.Quick
@@ -226,7 +231,7 @@
 	return spread.Usual
 }
 
-// onView brings a revision into force, through the gateway where there is one.
+// onView applies a new revision, through the gateway if there is one.
 func (d *Daemon) onView(view *model.View) {
 	if d.gateway != nil {
 		d.gateway.onView(view)
@@ -235,7 +240,7 @@
 	d.entry.Configure(view)
 }
 
-// servers are the HTTP servers of the interfaces that the settings name.
+// servers returns the HTTP servers of the interfaces that have a listener.
 func (d *Daemon) servers() []transport.Server {
 	servers := []transport.Server{d.entry.adminServer(d.listeners.admin)}
 	if d.listeners.callers != nil {
@@ -257,7 +262,7 @@
 	return d.listeners.gatewayCallers.Addr().String()
 }
 
-// operatorServer serves operators' statements.
+// operatorServer returns the HTTP server for operators' statements.
 func (d *Daemon) operatorServer(listener net.Listener) *khttp.Server {
 	handler := operator.NewHandler(operator.Options{
 		Instance: d.settings.Name, DataCenter: d.settings.DataCenter,
--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -7,21 +7,22 @@
 )
 
 var (
-	errLeaving         = errors.New("leaving: requests in progress are being finished")
-	errKeysStale       = errors.New("cut off from the state processes: keys can't be checked; see the links to them")
-	errNoConfiguration = errors.New("no configuration yet: no state process has answered; check that they run")
+	errLeaving         = errors.New("draining: finishing requests in progress")
+	errKeysStale       = errors.New("state processes unreachable: API keys can't be verified; check the links to them")
+	errNoConfiguration = errors.New("no configuration yet: no state process has answered; check that they are running")
 )
 
-// outcomeStoreTimeout is how long outcomes may take to be stored after the last request.
+// outcomeStoreTimeout bounds the wait for outcomes to be stored after the last request.
 const outcomeStoreTimeout = 10 * time.Second
 
-// Drain ends the entry's service without cutting a request off.
+// Drain stops accepting requests and waits until those in progress have ended and
+// their outcomes are stored. Requests still running after the configured drain time
+// are aborted.
 //
-// It guards against a balancer that looks late: requests that it still sends
-// after SIGTERM would meet a closed port. It shows as refused connections during
-// a restart. It holds because /readyz says no first, the entry goes on accepting
-// for the lag, then refuses with a typed error, and only closes its port when
-// the last request has ended and its outcome is stored.
+// A load balancer may notice the shutdown late and keep sending requests after
+// SIGTERM; if the port closed at once, callers would see refused connections on each
+// restart. Drain therefore fails /readyz first, keeps accepting for the drain lag,
+// then refuses with a typed error. The listener is closed only after Drain returns.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
 	e.callers.Leave()
@@ -37,7 +38,7 @@
 	select {
 	case <-e.relay.Idle():
 	case <-time.After(e.settings.Drain.Duration):
-		e.logger.Warn("cutting requests off; raise drain in the settings", "in_flight", e.relay.InFlight())
+		e.logger.Warn("drain time exceeded, aborting requests; increase drain in the settings", "in_flight", e.relay.InFlight())
 		e.relay.Abort()
 		<-e.relay.Idle()
 	case <-ctx.Done():
@@ -48,7 +49,7 @@
 	return e.claims.Wait(ctx)
 }
 
-// Close frees what New took.
+// Close cancels background work and closes all upstream connections.
 func (e *Entry) Close() {
 	e.cancel()
 	e.clients.Close()
@@ -57,6 +58,7 @@
 	}
 }
 
+// sleep waits for d or until ctx ends, in which case it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry composes an entry instance: callers' HTTP in, backend servers
-// out.
+// Package entry assembles an entry instance. It accepts callers' HTTP requests,
+// schedules them with the policy core and forwards them to backend servers.
 package entry
 
 import (
@@ -27,27 +27,29 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// State is what an entry needs of the state processes.
+// State is the client of the state processes, as used by an entry.
 type State interface {
 	outcome.Ledger
+	// Propose returns once the state processes have accepted or refused the proposal.
 	Propose(ctx context.Context, proposal *lilacv1.Proposal) (*lilacv1.ProposeReply, error)
 }
 
-// Options are the parts that an Entry is made of.
+// Options configure an Entry. All fields are required unless noted otherwise.
 type Options struct {
 	Settings  *settings.Entry
 	CallerKey *secret.Reloadable[[]byte]
 	State     State
 	Logger    hclog.Logger
-	// OnAnnounce is told that the digest should go out at once; may be nil.
+	// OnAnnounce is called when the digest should be sent at once. It must not block;
+	// it may be nil.
 	OnAnnounce func()
-	// Gateway translates for routed requests; nil without a gateway.
+	// Gateway is the wire protocol of gateway requests; nil without a gateway.
 	Gateway gateway.Protocol
-	// Core decides; nil means the product's own policy.
+	// Core makes the scheduling decisions; nil means the default policy.
 	Core policy.Core
 }
 
-// Entry is the request path of an entry instance, without its listeners.
+// Entry is the request path of an entry instance. The caller owns the listeners.
 type Entry struct {
 	settings *settings.Entry
 	logger   hclog.Logger
@@ -56,7 +58,7 @@
 	registry *prometheus.Registry
 	counters *metrics.Entry
 	clients  *upstream.Client
-	// gatewayUpstream has the connections of the gateway's requests; nil without one.
+	// gatewayUpstream holds the connections of gateway requests; nil without a gateway.
 	gatewayUpstream *upstream.Client
 	relay           *relay.Relay
 	claims          *outcome.Claims
@@ -64,13 +66,14 @@
 	poller          *engine.Poller
 	convictions     chan policy.Convict
 	leaving         atomic.Bool
-	// onLeave tells the gateway that the instance leaves; nil without one.
+	// onLeave tells the gateway handler that the instance drains; nil without a gateway.
 	onLeave func()
 	ctx     context.Context
 	cancel  context.CancelFunc
 }
 
-// New makes an Entry; Work must run for it to answer.
+// New returns an Entry. It serves requests only while Run is running; Close releases
+// its connections.
 func New(options Options) *Entry {
 	e := &Entry{
 		settings: options.Settings, logger: options.Logger, state: options.State,
@@ -99,7 +102,7 @@
 	return e
 }
 
-// newGatewayClient opens the connections of a gateway's requests, if there is one.
+// newGatewayClient returns the client for gateway requests; nil without a gateway.
 func (e *Entry) newGatewayClient(protocol gateway.Protocol) *gateway.Client {
 	if protocol == nil {
 		return nil
@@ -117,11 +120,11 @@
 	})
 }
 
-// Configure brings a revision into force.
+// Configure applies a configuration revision.
 func (e *Entry) Configure(view *model.View) {
 	e.relay.Configure(view)
 	if e.gatewayUpstream == nil {
-		// Behind a gateway, servers tell their load with each answer.
+		// With a gateway, servers report their load in each response.
 		e.poller.Watch(pollSet(view, e.settings.Name))
 	}
 }
@@ -133,7 +136,7 @@
 	e.relay.Run(ctx)
 }
 
-// Digest returns what other instances must know of this one.
+// Digest returns the state that this instance sends to the others.
 func (e *Entry) Digest(ctx context.Context) (*lilacv1.Digest, error) {
 	digest, err := e.relay.Digest(ctx)
 	if err != nil {
@@ -143,7 +146,7 @@
 	return digest, nil
 }
 
-// Ready returns nil where the entry takes requests, else why not.
+// Ready returns nil if the entry accepts requests, otherwise the reason why not.
 func (e *Entry) Ready() error {
 	switch {
 	case e.leaving.Load():
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -25,22 +25,24 @@
 )
 
 const (
-	// maxListSources is how many state processes are asked for the list before the
-	// platform is.
+	// maxListSources is how many state processes are asked for the server list before
+	// falling back to the platform.
 	maxListSources = 2
-	// membersInterval is how often the state processes are asked for their group.
+	// membersInterval is the pause between two requests for the members of the group of
+	// state processes, and the timeout of one request.
 	membersInterval = 2 * time.Second
-	// keysFreshShare is the share of the bound on revocations for which the keys may
-	// go unconfirmed: the rest is for clocks that run apart and for the request's
-	// own way to the backend server.
+	// keysFreshShare is the share of the revocation bound during which API keys may go
+	// unconfirmed. The remainder allows for clock drift and for the time that a request
+	// takes to reach the backend server.
 	keysFreshShare = 0.8
-	// denialFreshShare is the share of the bound on documents for which the one in force
-	// may go unconfirmed and still deny: the rest is for the request's own way.
+	// denialFreshShare is the share of the bound on applying documents during which an
+	// unconfirmed document may still be used to deny requests. The remainder allows for
+	// the request's own latency.
 	denialFreshShare = 0.8
 )
 
-// gatewayRouter is the gateway of an entry: the document in force joined with the list
-// of backend servers.
+// gatewayRouter routes an entry's gateway requests by the document in force and the
+// list of backend servers.
 type gatewayRouter struct {
 	daemon   *Daemon
 	logger   hclog.Logger
@@ -48,20 +50,21 @@
 	handler  *gateway.Handler
 	list     gateway.ServerList
 	table    atomic.Pointer[routing.Table]
-	// revocation and applied are the bounds on taken keys and on documents, in
-	// nanoseconds, 0 for none; seeds are the state processes to ask while none that
-	// is known answers.
+	// revocation bounds how long a revoked key may be accepted, applied how long an
+	// accepted document may take to come into force. Nanoseconds; 0 for no bound.
 	revocation atomic.Int64
 	applied    atomic.Int64
-	seeds      atomic.Pointer[[]settings.Peer]
+	// seeds are the state processes to contact while no known one answers.
+	seeds atomic.Pointer[[]settings.Peer]
 
-	// mu guards what the view for the policy is made of.
+	// mu guards the fields below, from which the policy's view is built.
 	mu      sync.Mutex
 	view    *model.View
 	servers []routing.Server
-	// newestTable is the document of view, indexed.
+	// newestTable is the routing table of the document in view. It may precede table,
+	// which is set only once the policy has been configured.
 	newestTable *routing.Table
-	// hasList is true once the list was read.
+	// hasList is true once a server list has been received.
 	hasList bool
 }
 
@@ -87,24 +90,24 @@
 
 // KeysFresh implements gateway.Router.
 //
-// An instance that is cut off from the state processes must not go on taking a key
-// that was taken away. The age counts from a moment at which a quorum was heard, by
-// a clock that counts suspension too.
+// An instance that is cut off from the state processes must not keep accepting a
+// revoked key. The age is measured since the last contact with a quorum, by a clock
+// that also advances while the machine is suspended.
 func (g *gatewayRouter) KeysFresh() bool {
 	return g.confirmedWithin(&g.revocation, keysFreshShare)
 }
 
 // MayDeny implements gateway.Router.
 //
-// An instance that a document has not reached yet can't tell a route or key that was
-// added from one that never was.
+// An instance that has not received the newest document can't distinguish a newly
+// added route or key from an unknown one.
 func (g *gatewayRouter) MayDeny() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
 
-// confirmedWithin tells whether what is in force was surely the newest within a
-// share of the bound.
+// confirmedWithin reports whether the revision in force was confirmed as the newest
+// within the given share of the bound; always true without a bound.
 func (g *gatewayRouter) confirmedWithin(bound *atomic.Int64, share float64) bool {
-	most := bound.Load()
-	return most == 0 || g.daemon.watcher.Unconfirmed() < time.Duration(share*float64(most))
+	limit := bound.Load()
+	return limit == 0 || g.daemon.watcher.Unconfirmed() < time.Duration(share*float64(limit))
 }
 
 // Forward implements gateway.Router.
@@ -112,22 +115,23 @@
 	return g.daemon.entry.relay.Forward(ctx, q, answer)
 }
 
-// onView takes a revision of the replicated log.
+// onView applies a revision of the replicated log.
 func (g *gatewayRouter) onView(view *model.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	newest := view.Document
 	if newest != nil && (g.view == nil || g.view.Document.GetVersion() != newest.GetVersion()) {
-		begun := time.Now()
+		start := time.Now()
 		decoded, err := g.decode(newest)
 		if err != nil {
-			// The state processes have decoded the same text before they took it.
-			g.logger.Error("document does not decode; run one version on all instances", "version", newest.GetVersion(), "error", err)
+			// The state processes decoded the same text before they accepted it, so this
+			// instance runs another version.
+			g.logger.Error("failed to decode document; run the same version on all instances", "version", newest.GetVersion(), "error", err)
 			return
 		}
 		g.newestTable = routing.NewTable(decoded, view.Revision)
 		g.logger.Info("document in force", "version", newest.GetVersion(), "revision", view.Revision, "routes", len(decoded.Routes),
-			"packed_bytes", len(newest.GetContent()), "decoded_ms", time.Since(begun).Milliseconds())
+			"packed_bytes", len(newest.GetContent()), "decoded_ms", time.Since(start).Milliseconds())
 	}
 	g.view = view
 	g.configure()
@@ -141,9 +145,9 @@
 	return g.platform.Document(text)
 }
 
-// configure gives the policy the document and the servers, and only then lets
-// requests in by the document: the policy refuses a class that it does not know. The
-// caller holds mu.
+// configure passes the document and the servers to the policy, and only then publishes
+// the routing table: the policy refuses requests of a class that it does not know.
+// Without both a document and a server list it does nothing. The caller holds mu.
 func (g *gatewayRouter) configure() {
 	if g.newestTable == nil || !g.hasList {
 		return
@@ -152,7 +156,8 @@
 	g.table.Store(g.newestTable)
 }
 
-// run follows the list of backend servers and the group of state processes.
+// run follows the list of backend servers and the members of the group of state
+// processes until ctx ends.
 func (g *gatewayRouter) run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { g.followList(ctx) })
@@ -160,8 +165,8 @@
 	group.Wait()
 }
 
-// followList takes the list from the state processes, the nearest first, and from
-// the platform itself where none of them knows it.
+// followList reads the server list from the nearest state processes, or from the
+// platform if none of them has it.
 func (g *gatewayRouter) followList(ctx context.Context) {
 	serverlist.NewFollower(serverlist.NewHolder(), serverlist.Options{
 		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
@@ -177,7 +182,7 @@
 	return callers[:min(len(callers), maxListSources)]
 }
 
-// onList brings a list of backend servers into force.
+// onList applies a list of backend servers.
 func (g *gatewayRouter) onList(servers []routing.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -189,14 +194,14 @@
 	s := g.daemon.settings
 	self := settings.Peer{Name: s.Name, Address: s.LinkForOthers(), DataCenter: s.DataCenter}
 	for {
-		asked, cancel := context.WithTimeout(ctx, membersInterval)
-		members, entries, err := g.daemon.state.Members(asked, self)
+		callCtx, cancel := context.WithTimeout(ctx, membersInterval)
+		members, entries, err := g.daemon.state.Members(callCtx, self)
 		cancel()
 		if err != nil {
-			// All that were known may be gone; the seeds may be newer.
+			// All known members may have been replaced; the seeds may be more recent.
 			g.daemon.state.SetPeers(*g.seeds.Load())
 			g.daemon.watcher.SetState(*g.seeds.Load())
-			g.logger.Debug("no state process names its group", "error", err)
+			g.logger.Debug("no state process returned the group's members", "error", err)
 		} else {
 			g.daemon.state.SetPeers(members)
 			g.daemon.watcher.SetState(members)
@@ -215,8 +220,8 @@
 	}
 }
 
-// serveReady tells the balancer whether connections should come here: not while
-// the instance leaves, knows no document or can't check keys.
+// serveReady answers the load balancer's readiness probe. The instance is not ready
+// while it drains, has no document or can't verify keys.
 func (g *gatewayRouter) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != g.platform.ReadinessPath() {
 		http.NotFound(w, r)
@@ -241,7 +246,7 @@
 	return nil
 }
 
-// requestLog writes a line for each request that fails.
+// requestLog logs each gateway request that is refused or fails.
 type requestLog struct{ log *logs.Log }
 
 // Refused implements gateway.Log.
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -12,10 +12,10 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// digestTimeout bounds the wait for the core's own digest.
+// digestTimeout bounds the wait for the core's digest or load report.
 const digestTimeout = 200 * time.Millisecond
 
-// newGossip joins the policy core with the membership.
+// newGossip connects the policy core to the membership protocol.
 func (d *Daemon) newGossip() *gossip.Gossip {
 	relay := d.entry.relay
 	return gossip.New(gossip.Options{
@@ -53,8 +53,8 @@
 	d.live = peers
 	d.mu.Unlock()
 	if d.settings.Gateway == nil {
-		// Behind a gateway an entry that is cut off must not hold up the others of
-		// its data centre: all follow the state processes themselves.
+		// With a gateway, every entry follows the state processes directly, so that a
+		// partitioned entry can't delay the others of its data centre.
 		d.watcher.SetEntries(peers)
 	}
 	d.loads.SetPeers(memberPeers(peers))
@@ -63,9 +63,9 @@
 	d.entry.poller.SetBudget(pollBudget(len(peers)+1, d.isRelay(peers)))
 }
 
-// pollBudget returns what polls may cost among so many entries, in bytes a
-// second; less for the relay of a data centre, whose digests take most of what
-// control may cost.
+// pollBudget returns the budget for polling servers in bytes per second, given the
+// number of entries. The relay of a data centre gets less, because forwarding digests
+// uses most of its budget for control traffic.
 func pollBudget(entries int, relay bool) int {
 	switch {
 	case entries <= member.MeshLimit:
@@ -76,20 +76,21 @@
 	return engine.LargeFleetBytes
 }
 
-// isRelay tells whether no entry of the own data centre ranks above this one.
+// isRelay reports whether this entry ranks first in its data centre.
 func (d *Daemon) isRelay(peers []settings.Peer) bool {
 	return member.Position(d.settings.Name, d.dataCenterPeers(peers)) == 0
 }
 
-// position counts the entries of the own data centre that rank below this one.
-// The last in rank ask for the lease for orders first: those of the best rank
-// carry the others' digests and have the least room for the holder's readings.
+// position returns how many entries of this data centre rank below this one. Entries
+// with the lowest rank request the order lease first: those with the highest rank
+// forward the others' digests and have the least budget left for the load readings
+// that the lease holder makes.
 func (d *Daemon) position(peers []settings.Peer) int {
 	names := d.dataCenterPeers(peers)
 	return len(names) - member.Position(d.settings.Name, names)
 }
 
-// dataCenterPeers names the other entries of the own data centre.
+// dataCenterPeers returns the names of the other entries in this data centre.
 func (d *Daemon) dataCenterPeers(peers []settings.Peer) []string {
 	var names []string
 	for _, p := range peers {
@@ -100,7 +101,7 @@
 	return names
 }
 
-// policyInstances are the peers as the policy knows them.
+// policyInstances converts the peers for the policy.
 func policyInstances(peers []settings.Peer) []policy.Instance {
 	others := make([]policy.Instance, 0, len(peers))
 	for _, p := range peers {
--- a/daemon/entry/instance.go
+++ b/daemon/entry/instance.go
@@ -11,7 +11,7 @@
 
 var instanceColumns = []string{"data_center", "state", "revision", "behind", "age", "in_flight", "version", "uptime", "tokens_spared"}
 
-// instanceRow describes this instance to operators.
+// instanceRow returns this instance's row of SHOW INSTANCES.
 func (d *Daemon) instanceRow() ([]string, []*lilacv1.QueryRow) {
 	state := "ready"
 	if err := d.entry.Ready(); err != nil {
@@ -26,7 +26,7 @@
 	}}}
 }
 
-// tokensSaved is empty where the core does not answer in time.
+// tokensSaved is empty if the core does not answer within statsTimeout.
 func (d *Daemon) tokensSaved() string {
 	ctx, cancel := context.WithTimeout(context.Background(), statsTimeout)
 	defer cancel()
--- a/daemon/entry/links.go
+++ b/daemon/entry/links.go
@@ -11,10 +11,12 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// dialer keeps one client for each address.
+// dialer caches one link client per address.
 type dialer struct {
-	id      link.Identity
-	mu      sync.Mutex
+	id link.Identity
+
+	mu sync.Mutex
+	// clients is guarded by mu.
 	clients map[string]*link.Client
 }
 
@@ -41,7 +43,7 @@
 	}
 }
 
-// peers makes the operators' view of other processes.
+// peers returns the processes as peers to which operators' queries are sent.
 func (d *dialer) peers(list []settings.Peer) []operator.Peer {
 	peers := make([]operator.Peer, 0, len(list))
 	for _, p := range list {
@@ -50,7 +52,7 @@
 	return peers
 }
 
-// query answers this instance's part of an operator's SHOW.
+// query returns this instance's part of an operator's SHOW statement.
 func (d *Daemon) query(_ context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
 	newest, age := d.watcher.Known()
 	reply := &lilacv1.QueryReply{
@@ -65,7 +67,7 @@
 	case "instances":
 		reply.Columns, reply.Rows = d.instanceRow()
 	default:
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "instances know no %q; ask for requests, servers or instances", request.GetSubject())
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown subject %q: instances answer requests, servers or instances", request.GetSubject())
 	}
 	return reply, operator.Narrow(request, d.settings.Name, reply)
 }
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -10,28 +10,30 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// newLoads joins the policy core with the board of loads.
+// newLoads connects the policy core to the exchange of load reports between entries.
 func (d *Daemon) newLoads() *loadlink.Link {
 	return loadlink.New(loadlink.Options{
 		Self:    member.Peer{Name: d.settings.Name, Address: d.settings.LinkForOthers().Value, DataCenter: d.settings.DataCenter},
 		Dial:    d.dialer.dial,
 		Own:     d.ownLoads,
-		OnLoads: func(word loadboard.Report) { d.entry.relay.Post(policy.PeerLoads{Report: word}) },
+		OnLoads: func(report loadboard.Report) { d.entry.relay.Post(policy.PeerLoads{Report: report}) },
 	})
 }
 
-// ownLoads asks the core; false where it doesn't answer in time.
+// ownLoads returns the core's load report, or false if the core does not answer within
+// digestTimeout.
 func (d *Daemon) ownLoads() (loadboard.Report, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), digestTimeout)
 	defer cancel()
-	word, err := d.entry.relay.Loads(ctx)
+	report, err := d.entry.relay.Loads(ctx)
 	if err != nil {
-		d.logger.Warn("own loads not known in time; the last ones are told again", "error", err)
+		d.logger.Warn("policy core did not report its loads in time; repeating the previous report", "error", err)
 		return loadboard.Report{}, false
 	}
-	return word, true
+	return report, true
 }
 
+// memberPeers converts the peers for the membership and load exchange.
 func memberPeers(peers []settings.Peer) []member.Peer {
 	members := make([]member.Peer, 0, len(peers))
 	for _, p := range peers {
--- a/daemon/entry/reports.go
+++ b/daemon/entry/reports.go
@@ -14,22 +14,23 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// maxPolledServers bounds the servers that one instance asks for their load, so that
-// its cost does not grow with the pool.
+// maxPolledServers bounds how many servers one instance polls for load, so that the
+// cost of polling does not grow with the number of servers.
 const maxPolledServers = 100
 
-// reports gives engines' reports to the core.
+// reports forwards engine reports to the policy core.
 type reports struct{ relay *relay.Relay }
 
 var _ engine.Reports = reports{}
 
-// OnLoad passes a load report on with its age.
+// OnLoad implements engine.Reports. The core receives the report's age instead of its
+// wall-clock time.
 func (r reports) OnLoad(server string, load *engine.Load) {
 	age := max(0, time.Since(time.UnixMilli(load.MeasuredUnixMs)))
 	r.relay.Post(policy.LoadReport{Server: server, Running: load.Running, Waiting: load.Waiting, KVUsed: load.KVUsed, Age: age})
 }
 
-// OnCacheEvents passes cache events on.
+// OnCacheEvents implements engine.Reports.
 func (r reports) OnCacheEvents(server string, events []engine.CacheEvent) {
 	for _, event := range events {
 		r.relay.Post(policy.CacheEvent{
@@ -39,8 +40,8 @@
 	}
 }
 
-// pollSet returns the servers whose reports this instance reads: all of a small
-// fleet, else those that rank first by a hash with the instance's name.
+// pollSet returns the servers that this instance polls: all of them in a small fleet,
+// otherwise the maxPolledServers with the lowest hash of instance and server name.
 func pollSet(view *model.View, instance string) []*lilacv1.Server {
 	servers := make([]*lilacv1.Server, 0, len(view.Servers))
 	for _, server := range view.Servers {
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -17,15 +17,17 @@
 )
 
 const (
-	// idleTimeout closes callers' connections that carry no request.
+	// idleTimeout is how long a caller's connection may stay open without a request.
 	idleTimeout = 2 * time.Minute
-	// headerMargin is above the limit of the settings, so that a header a little
-	// too long gets a typed error and not the library's plain one.
+	// headerMargin is added to the configured header limit for net/http, in bytes, so
+	// that a header slightly over the limit gets a typed error instead of the plain
+	// one of the library.
 	headerMargin = 256 << 10
 )
 
-// callerServer serves callers. The handler stands before the library's router,
-// which would redirect paths that services must see as they are.
+// callerServer returns the HTTP server for callers. The handler is installed as a
+// filter ahead of the framework's router, because the router would redirect paths
+// that services must receive unchanged.
 func (e *Entry) callerServer(listener net.Listener) *khttp.Server {
 	server := khttp.NewServer(
 		khttp.Listener(e.callers.Listen(listener)),
@@ -33,8 +35,8 @@
 		khttp.Timeout(0),
 		khttp.Filter(func(http.Handler) http.Handler { return e.callers }),
 	)
-	// Guards against callers that send their header byte by byte: the timeout
-	// covers the whole header, so each holds a connection for that long at most.
+	// The timeout covers the whole header, which bounds how long a caller that sends
+	// its header byte by byte can hold a connection.
 	server.ReadHeaderTimeout = e.settings.Limits.ReadTimeout.Duration
 	server.ConnContext = caller.ConnContext
 	server.IdleTimeout = idleTimeout
@@ -43,12 +45,13 @@
 	return server
 }
 
-// debugLogger keeps the HTTP library's lines on callers' broken connections at debug.
+// debugLogger logs the HTTP library's messages about callers' broken connections at
+// debug level.
 func (e *Entry) debugLogger() *log.Logger {
 	return e.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})
 }
 
-// adminServer serves /metrics, /healthz, /readyz and pprof.
+// adminServer returns the HTTP server for /metrics, /healthz, /readyz and pprof.
 func (e *Entry) adminServer(listener net.Listener) *khttp.Server {
 	server := khttp.NewServer(khttp.Listener(listener), khttp.Timeout(0), khttp.Endpoint(httpserver.Endpoint(listener.Addr().String())))
 	server.ReadHeaderTimeout = e.settings.Limits.ReadTimeout.Duration
