--- a/daemon/entry/bench_test.go
+++ b/daemon/entry/bench_test.go
@@ -25,7 +25,7 @@
 	benchGap     = 2 * time.Millisecond
 )
 
-// benchEngine streams as many tokens as the prompt's first number says.
+// benchEngine starts an engine that streams the number of tokens named in the prompt.
 func benchEngine(tb testing.TB) *httptest.Server {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -108,11 +108,12 @@
 	return cpuTime() - before
 }
 
-// The framework's lines would stand in the middle of the benchmark's.
+// Discards the framework's log lines, which would be mixed into the benchmark results.
 func init() { kratoslog.SetLogger(kratoslog.NewStdLogger(io.Discard)) }
 
-// BenchmarkEntry gives the processor time that an entry adds to a request of so
-// many tokens: the whole less the same load on the engine itself.
+// BenchmarkEntry measures the CPU time that an entry adds to a request of a given
+// number of tokens: the time through the entry minus the time of the same load sent
+// directly to the engine.
 func BenchmarkEntry(b *testing.B) {
 	for _, count := range []int{1, 50, 100, 200} {
 		b.Run(fmt.Sprintf("stream/tokens=%d", count), func(b *testing.B) {
--- a/daemon/entry/callers_test.go
+++ b/daemon/entry/callers_test.go
@@ -13,8 +13,8 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// A caller's program has a fault. It must learn at once which one, that nothing
-// ran, and no backend server may hear of it.
+// An invalid request must be refused at once with the kind of its error and not_run,
+// and must reach no backend server.
 func TestFaultyRequestsAreRefusedBeforeAnyServer(t *testing.T) {
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) {})
 	s := testSettings()
@@ -58,9 +58,9 @@
 	is.New(t).Equal(len(backend.calls("")), 0)
 }
 
-// A caller on a bad link, or a hostile one, sends its request byte by byte. The
-// connection must end after the read timeout with a typed error, in the header
-// as well as in the body.
+// A caller with a poor connection or bad intent sends its request byte by byte. The
+// entry must answer with a typed error and close the connection after the read
+// timeout, both while reading the header and while reading the body.
 func TestSlowCallersAreDisconnected(t *testing.T) {
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) {})
 	f := start(t, testSettings(), backend.engine("r1"))
@@ -87,8 +87,8 @@
 	is.New(t).Equal(len(backend.calls("")), 0)
 }
 
-// An entry starts while no state process answers. Callers must be told so with
-// a typed error, and the balancer by /readyz, until a configuration comes.
+// An entry starts while no state process answers. Until it receives a configuration,
+// it must refuse callers with a typed error and fail /readyz.
 func TestEntryWithoutConfigurationIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	f := start(t, testSettings())
--- a/daemon/entry/claims_test.go
+++ b/daemon/entry/claims_test.go
@@ -18,15 +18,16 @@
 	bookingURL = "/services/guichet/book?day=3"
 )
 
+// serveBooking answers as a service that has carried out the booking.
 func serveBooking(w http.ResponseWriter, _ *http.Request, _ int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusCreated)
 	_, _ = w.Write([]byte(`{"booked":true}`))
 }
 
-// A skipper's client books a berth, loses the answer and sends the booking
-// again. The berth must be booked once, and the second send gets the first
-// answer; another booking under the same key is refused.
+// A client sends a booking, loses the answer and sends the booking again with the same
+// idempotency key. The service must see it once and the client must get the stored
+// answer; a different body under the same key is refused.
 func TestKeyedCallRunsOnceAndItsAnswerIsReplayed(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, serveBooking)
@@ -46,8 +47,8 @@
 	is.Equal(len(backend.calls("/book")), 1)
 }
 
-// A client sends a booking while its first send is still at the service. The
-// second must be told so at once and not wait or run.
+// A client repeats a request while the first one is still running at the service. The
+// second must be refused at once as in progress; it must neither wait nor run.
 func TestSecondSendInProgressIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -68,9 +69,9 @@
 	is.Equal(len(backend.calls("/book")), 1)
 }
 
-// Faults before, during and after the first byte of a call that may not be
-// repeated. "Not run" must be said only where the service saw nothing, and no
-// call may reach the service twice.
+// A non-idempotent call fails before, during or after its first byte. not_run must be
+// true only if the service provably did not run the call, and no call may reach the
+// service twice.
 func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	cut := func(http.ResponseWriter, *http.Request, int) { abort() }
 	refuse := func(w http.ResponseWriter, _ *http.Request, _ int) {
@@ -88,7 +89,7 @@
 		name   string
 		answer script
 		down   bool // the service's port is closed
-		ledger bool // the ledger is out of reach
+		ledger bool // the ledger is unreachable
 		key    string
 		notRun any
 		state  lilacv1.ClaimState
@@ -132,8 +133,8 @@
 	})
 }
 
-// A service closes kept connections while a call is on its way. net/http would
-// send a POST with an Idempotency-Key again by itself; the service must see it once.
+// A service closes a keep-alive connection while a call is in transit. net/http would
+// by itself repeat a POST that has an Idempotency-Key; the service must see it once.
 func TestLibraryDoesNotRepeatPosts(t *testing.T) {
 	for _, body := range []string{booking, ""} {
 		t.Run("body "+body, func(t *testing.T) {
@@ -155,8 +156,8 @@
 	}
 }
 
-// A caller leaves while its booking runs. The booking goes on, and its answer
-// is there for the next send.
+// A caller disconnects while its keyed call runs. The call must continue, and its
+// answer must be stored for the next request with the same key.
 func TestCallContinuesAfterItsCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -181,7 +182,7 @@
 	is.True(json.Valid([]byte(body)))
 }
 
-// Calls that are idempotent by their method are tried again where the first try broke.
+// Calls with an idempotent method are retried if the first attempt broke off.
 func TestBrokenGetIsRetried(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(w http.ResponseWriter, _ *http.Request, n int) {
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -14,7 +14,7 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// scriptedCore is a core that decides as a test says.
+// scriptedCore is a policy core whose decisions are made by a test function.
 type scriptedCore func(event policy.Event) []policy.Action
 
 func (s scriptedCore) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
@@ -22,9 +22,9 @@
 func (s scriptedCore) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
 func (s scriptedCore) Stats() policy.Stats                                  { return policy.Stats{} }
 
-// An engine is drained in the middle of an answer. Its KV cache moves to another
-// engine, which goes on; the caller sees one whole answer, and the first engine
-// keeps the answer until it was exported.
+// An engine is drained in the middle of an answer. The KV cache must move to another
+// engine, which continues: the caller gets one complete answer, and the first engine
+// keeps its part until the cache has been exported.
 func TestAnswerMovesWithItsCache(t *testing.T) {
 	is := is.New(t)
 	const after = 2
@@ -78,8 +78,8 @@
 	waitFor(t, func() bool { return len(old.calls("/v1/cancel")) == 1 })
 }
 
-// The policy says "not run" of a request that has been sent. The entry must not
-// repeat what it can't prove, and must count the broken invariant.
+// The policy refuses a request as not run although it has been sent. The entry must
+// report not_run as unknown and count the broken invariant.
 func TestPolicyClaimOfNotRunNeedsProof(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) { abort() })
@@ -104,14 +104,15 @@
 	is.True(found)
 }
 
-// An entry is frozen while a request waits, and woken after its deadline. What
-// the core decided before must not be acted on.
+// An entry is suspended while a request waits and resumed after the request's deadline.
+// It must not carry out the start that the core decided on before.
 func TestExpiredRequestIsNotSentAfterAFreeze(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, serveBooking)
 	core := scriptedCore(func(event policy.Event) []policy.Action {
 		if e, ok := event.(policy.Arrival); ok {
-			// The freeze: the decision arrives late, and the timer not yet.
+			// Simulates the suspension: the decision arrives after the deadline, before
+			// the timer has fired.
 			time.Sleep(time.Until(e.Deadline))
 			return []policy.Action{policy.Start{ID: e.ID, Server: "g1", Attempt: 1}}
 		}
@@ -124,8 +125,9 @@
 	is.Equal(len(backend.calls("")), 0)
 }
 
-// A request has crashed two engines. All instances must learn of it: the
-// conviction is proposed to the log, once, also when the first try fails.
+// A request has crashed two engines. Its conviction must be proposed to the replicated
+// log, so that all instances learn of it, and exactly once even if the first attempt
+// fails.
 func TestConvictionIsProposed(t *testing.T) {
 	is := is.New(t)
 	f := startWith(t, testSettings(), scriptedCore(func(policy.Event) []policy.Action { return nil }))
--- a/daemon/entry/daemon_test.go
+++ b/daemon/entry/daemon_test.go
@@ -24,7 +24,7 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// singleNodeLog is a log of one process, kept in memory.
+// singleNodeLog is an in-memory log of one process.
 type singleNodeLog struct {
 	mu      sync.Mutex
 	index   uint64
@@ -44,7 +44,8 @@
 	return state.LogStatus{IsLeader: true, Status: &lilacv1.StateStatus{Role: "leader"}}
 }
 
-// stateProcess serves the state methods; its port stays closed until started.
+// stateProcess serves the methods of a state process once started. Until then its port
+// accepts connections but nothing answers on them.
 type stateProcess struct {
 	listener net.Listener
 	links    *link.Server
@@ -100,9 +101,9 @@
 	return resp.StatusCode, string(body)
 }
 
-// An instance starts while no state process answers, waits not ready, learns
-// its configuration once one does, takes a statement, books once, shows itself
-// to operators, and ends without an error when it is told to.
+// An instance starts while no state process answers and stays not ready. Once one
+// answers, it must apply the configuration, run a keyed call once, answer operators'
+// statements and metrics requests, and stop without an error after draining.
 func TestDaemonFromStartToDrain(t *testing.T) {
 	is := is.New(t)
 	const key = "a link key for tests"
@@ -136,7 +137,7 @@
 	for range 2 {
 		resp, _ := f.post(bookingURL, booking, "Idempotency-Key", "k1")
 		is.Equal(resp.StatusCode, http.StatusCreated)
-		// The second send comes once the first one's outcome is stored.
+		// The second request is sent after the outcome of the first is stored.
 		is.NoErr(d.entry.claims.Wait(t.Context()))
 	}
 	is.Equal(len(backend.calls("/book")), 1)
--- a/daemon/entry/drain_test.go
+++ b/daemon/entry/drain_test.go
@@ -13,7 +13,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// pacedEngine sends one token each time that the test allows it.
+// pacedEngine sends one token for each value received from pace.
 func pacedEngine(t *testing.T, pace <-chan struct{}) *fakeBackend {
 	return newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
@@ -29,10 +29,10 @@
 	})
 }
 
-// An instance gets SIGTERM with a stream and a booking in progress, and the
-// balancer looks late. What is in progress must end whole and its outcome be
-// stored, what still comes is served for a while and then refused by a typed
-// error, and never by a closed port.
+// An instance drains with a stream and a keyed call in progress, and the load balancer
+// notices late. Requests in progress must complete and their outcomes be stored. New
+// requests must be served during the drain lag and then refused with a typed error,
+// never by a closed port.
 func TestDrainCompletesRequestsInProgress(t *testing.T) {
 	is := is.New(t)
 	pace, release := make(chan struct{}, len(tokens)), make(chan struct{})
@@ -83,8 +83,8 @@
 	is.Equal(f.ledger.state("k1"), lilacv1.ClaimState_CLAIM_STATE_RAN)
 }
 
-// A stream outlasts the time for draining. Its caller must get an explicit
-// error and no "[DONE]", and the instance must end.
+// A stream is still running at the end of the drain time. Its caller must get an
+// explicit error and no "[DONE]", and the drain must end.
 func TestDrainLimitEndsStreamsWithATypedError(t *testing.T) {
 	is := is.New(t)
 	pace := make(chan struct{}, len(tokens))
@@ -106,8 +106,8 @@
 	close(pace)
 }
 
-// The state processes are out of reach when an instance drains with an outcome
-// to store. It must keep trying, and end with the outcome stored.
+// The state processes are unreachable when an instance drains with an outcome to store.
+// The drain must retry until the outcome is stored.
 func TestDrainWaitsForOutcomes(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
--- a/daemon/entry/entry_test.go
+++ b/daemon/entry/entry_test.go
@@ -28,13 +28,14 @@
 
 var testKey = []byte("a key for tests only")
 
-// memoryLedger is a ledger of one process, without a quorum.
+// memoryLedger is an in-memory implementation of State.
 type memoryLedger struct {
 	mu     sync.Mutex
 	claims map[string]*lilacv1.OutcomeRequest
 	digest map[string]string
-	down   bool
-	// proposals are those of Propose.
+	// down makes all calls fail for lack of a quorum.
+	down bool
+	// proposals are the accepted proposals, in order.
 	proposals []*lilacv1.Proposal
 }
 
@@ -96,7 +97,7 @@
 	return l.claims["coop"+"\x00"+key].GetState()
 }
 
-// fixture is an entry with its callers' address.
+// fixture is a running entry and the base URL of its caller interface.
 type fixture struct {
 	*Entry
 	t      testing.TB
@@ -148,7 +149,7 @@
 	})
 }
 
-// engineServer starts a stand-in engine.
+// engineServer starts a simulated engine.
 func engineServer(t *testing.T, name string) *lilacv1.Server {
 	engine := standin.NewEngine(standin.EngineConfig{Models: []string{"redaction"}, Slots: 8, MaxWaiting: 64, CacheBlocks: 64, KVWords: 4096, ResumeWindow: 10 * time.Second, FirstToken: time.Millisecond, PerToken: time.Millisecond})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -187,12 +188,14 @@
 
 func words(n int) string { return strings.TrimSpace(strings.Repeat("appel ", n)) }
 
+// wholeAnswer is the answer of a simulated engine to the prompt.
 func wholeAnswer(content string) string {
 	return strings.Join(standin.Answer("redaction", []standin.Message{{Role: "user", Content: standin.Content(content)}}, 0), "")
 }
 
-// An officer's own program, written for the OpenAI protocol, streams a summary
-// through an entry. It must get each token, the usage and a regular end.
+// An unmodified OpenAI client streams an answer through an entry. It must get each
+// token, the usage and a regular end; non-streaming calls and the model list must work
+// as well.
 func TestUnmodifiedOpenAIClientStreams(t *testing.T) {
 	is := is.New(t)
 	f := start(t, testSettings(), engineServer(t, "r1"))
--- a/daemon/entry/fake_test.go
+++ b/daemon/entry/fake_test.go
@@ -13,7 +13,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// fakeBackend is a scripted backend server that keeps what it received.
+// fakeBackend is a scripted backend server that records the calls it receives.
 type fakeBackend struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -27,10 +27,11 @@
 	body string
 }
 
+// script answers the n-th call, counted from 1 without cancels.
 type script func(w http.ResponseWriter, r *http.Request, n int)
 
-// newFakeBackend starts a server that answers its n-th call (from 1) by the script;
-// reports and cancels are answered here.
+// newFakeBackend starts a server that answers calls by the script, except for load
+// reports, cache events and cancels, which it answers itself.
 func newFakeBackend(t *testing.T, answer script) *fakeBackend {
 	f := &fakeBackend{}
 	f.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -58,7 +59,7 @@
 	return f
 }
 
-// calls returns what came to the path; "" means all but cancels.
+// calls returns the calls to the path; "" means all calls but cancels.
 func (f *fakeBackend) calls(path string) []receivedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,12 +109,13 @@
 
 func abort() { panic(http.ErrAbortHandler) }
 
-// tokens are the whole answer of scripted engines.
+// tokens are the complete answer of scripted engines.
 var tokens = []string{"un", " deux", " trois", " quatre", " \"cinq\"", " six"}
 
 const chatBody = `{"model":"redaction","stream":true,"messages":[{"role":"user","content":"compte"}]}`
 
-// parseStream joins the content of a stream's events; done tells of the regular end.
+// parseStream joins the content of a stream's events and collects their ids. done
+// reports whether the stream ended with "[DONE]"; failure is its error event, if any.
 func parseStream(stream string) (text string, ids map[string]bool, done bool, failure *errorEvent) {
 	ids = make(map[string]bool)
 	for _, line := range strings.Split(stream, "\n") {
--- a/daemon/entry/gateway_test.go
+++ b/daemon/entry/gateway_test.go
@@ -20,8 +20,7 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// numberedPlatform is a platform whose documents are numbers; each has one route more than
-// the one before it.
+// numberedPlatform decodes a document from its version number; version n has n routes.
 type numberedPlatform struct{ gateway.Platform }
 
 func (numberedPlatform) Document(content []byte) (*routing.Document, error) {
@@ -36,8 +35,8 @@
 	return document, err
 }
 
-// A route is added, and its first request comes at the same moment. The policy
-// must know the route by then, or the request is refused for an unknown class.
+// A route is added and its first request arrives at the same moment. The policy must
+// know the route by then, otherwise the request is refused for an unknown class.
 func TestPolicyKnowsARouteBeforeItsFirstRequest(t *testing.T) {
 	is := is.New(t)
 	const documents = 200
@@ -81,15 +80,16 @@
 	is.Equal(unknown.Load(), int64(0))
 }
 
-// Guards against an instance that has just started, knows its document and not yet
-// the list of backend servers: requests would be refused for an unknown class.
+// An instance that has just started has its document but not yet the list of backend
+// servers. It must not publish a routing table before it has both, otherwise requests
+// are refused for an unknown class.
 func TestRequestsWaitForTheListOfServersAfterAStart(t *testing.T) {
 	is := is.New(t)
 	core := scriptedCore(func(policy.Event) []policy.Action { return nil })
 	f := startWith(t, testSettings(), core)
 	g := &gatewayRouter{daemon: &Daemon{entry: f.Entry}, logger: hclog.NewNullLogger(), platform: numberedPlatform{}}
 	g.onView(model.NewView(&lilacv1.Snapshot{Revision: 1, Document: &lilacv1.Document{Version: 1, Content: []byte("1")}}))
-	is.Equal(g.Table(), nil) // requests are held, or told to come back
+	is.Equal(g.Table(), nil) // requests wait or are refused with Retry-After
 	g.onList([]routing.Server{{Name: "desk-1", Identity: "desk-1", Service: "desk", Address: "127.0.0.1:1", DataCenter: "dakar-a", Slots: 1}})
 	is.Equal(g.Table().Document.Version, uint64(1))
 }
--- a/daemon/entry/leaving_test.go
+++ b/daemon/entry/leaving_test.go
@@ -13,19 +13,20 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// longAnswerWords is far more than an engine makes before it is gone.
+// longAnswerWords is far more than an engine generates before it is terminated.
 const longAnswerWords = 600
 
-// word is a part of the long answer.
+// word returns the n-th word of the long answer.
 func word(n int) string { return fmt.Sprintf("w%d ", n) }
 
-// longAnswer streams words until its reader leaves; begun is called after two.
-func longAnswer(w http.ResponseWriter, r *http.Request, begun func()) {
+// longAnswer streams words until its reader disconnects, and calls onStarted after the
+// second word.
+func longAnswer(w http.ResponseWriter, r *http.Request, onStarted func()) {
 	startStream(w)
 	for n := range longAnswerWords {
 		sendChunk(w, requestID(r), word(n), "")
 		if n == 1 {
-			begun()
+			onStarted()
 		}
 		select {
 		case <-r.Context().Done():
@@ -35,9 +36,9 @@
 	}
 }
 
-// The platform takes an engine back in the middle of a long answer to a long
-// prompt, and the engine would be gone seconds later. The policy itself must move
-// the answer in time, with its KV cache, and the caller must get each word once.
+// The platform announces the termination of an engine in the middle of a long answer to
+// a long prompt. The policy must move the answer with its KV cache to another engine in
+// time, and the caller must get each word once.
 func TestPolicyMovesAnAnswerOffALeavingEngine(t *testing.T) {
 	is := is.New(t)
 	const rest = 5
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -13,9 +13,9 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// An answer moves to another engine, but the old one has dropped it meanwhile.
-// The caller must get the whole answer all the same, and the policy must hear
-// that the prompt was computed again.
+// An answer moves to another engine after the old one has dropped its KV cache. The
+// caller must still get the complete answer, and the policy must be told that the prompt
+// was recomputed.
 func TestMoveWithoutCacheContinuesFromTheText(t *testing.T) {
 	is := is.New(t)
 	const after = 2
@@ -60,8 +60,8 @@
 	is.Equal(recomputed.Load(), int32(1))
 }
 
-// A caller leaves in the middle of an answer. Operators must see what the engine
-// was spared, in tokens.
+// A caller disconnects in the middle of an answer. The tokens that the engine did not
+// have to generate must be counted.
 func TestDisconnectedCallerSavesTokens(t *testing.T) {
 	is := is.New(t)
 	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
--- a/daemon/entry/stream_test.go
+++ b/daemon/entry/stream_test.go
@@ -15,12 +15,12 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// held is the id under which the first engine holds the answer.
+// requestID returns the id under which the engine holds the answer.
 func requestID(r *http.Request) string { return r.Header.Get("X-Request-Id") }
 
-// A stream breaks between an entry and its engine after a part of the answer.
-// The caller must get the rest, byte for byte and under one id, whether the
-// engine still holds the answer, has lost it, or has died.
+// A stream breaks between an entry and its engine after part of the answer. The caller
+// must get the rest, byte for byte and under one id, whether the engine still holds the
+// answer, has lost it or has died.
 func TestBrokenStreamIsContinued(t *testing.T) {
 	for _, after := range []int{0, 1, 3, 5, 6} {
 		for _, end := range []string{"holds", "lost", "died"} {
@@ -82,10 +82,9 @@
 	is.Equal(carried, 1)
 }
 
-// An engine answers in ways that must not look like a whole answer, or like this
-// request's: an event of error, a regular end without a reason, a chunk of
-// another request, no JSON. Without another engine the caller must get a typed
-// error and no "[DONE]".
+// An engine's stream is defective: it contains an error event, "[DONE]" without a finish
+// reason or invalid JSON, or it breaks off. With no other engine to continue, the caller
+// must get a typed error and no "[DONE]".
 func TestBadStreamsNeverLookComplete(t *testing.T) {
 	cases := map[string]script{
 		"error event": func(w http.ResponseWriter, r *http.Request, _ int) {
@@ -127,8 +126,8 @@
 	}
 }
 
-// A replaced engine writes the answer of an older request onto a connection that
-// the entry uses again. The caller must never see a byte of it.
+// A restarted engine writes the answer of an older request to a reused connection. The
+// caller must not receive any of it.
 func TestAnotherRequestsAnswerIsDiscarded(t *testing.T) {
 	for name, mark := range map[string]func(http.ResponseWriter){
 		"header": func(w http.ResponseWriter) { w.Header().Set("X-Request-Id", "other-1") },
@@ -159,8 +158,8 @@
 	}
 }
 
-// A caller leaves in the middle of an answer. The engine must be told at once,
-// so that its slot is free for others.
+// A caller disconnects in the middle of an answer. The entry must cancel the request at
+// the engine at once, so that its slot is free for other requests.
 func TestDisconnectedCallerCancelsAtTheEngine(t *testing.T) {
 	is := is.New(t)
 	gone := make(chan struct{})
@@ -185,9 +184,9 @@
 	waitFor(t, func() bool { return f.relay.InFlight() == 0 })
 }
 
-// waitFor polls for what happens after an answer; a hang ends with the test's own timeout.
-func waitFor(t *testing.T, happened func() bool) {
-	for !happened() {
+// waitFor polls until the condition holds; the timeout of the test run ends a hang.
+func waitFor(t *testing.T, condition func() bool) {
+	for !condition() {
 		if t.Context().Err() != nil {
 			return
 		}
