--- a/daemon/state/admin.go
+++ b/daemon/state/admin.go
@@ -13,10 +13,10 @@
 	"github.com/lilacbridge/lilacbridge/process/metrics"
 )
 
-// maxReadyStaleness is how fresh the contact with a leader must be for /readyz.
+// maxReadyStaleness is the highest staleness at which /readyz still succeeds.
 const maxReadyStaleness = 5 * time.Second
 
-// newAdmin returns the server of /metrics, /healthz, /readyz and pprof.
+// newAdmin returns the HTTP server for /metrics, /healthz, /readyz and pprof.
 func newAdmin(address string, s *Service, registry *prometheus.Registry, stopping func() bool) *kratoshttp.Server {
 	server := kratoshttp.NewServer(kratoshttp.Address(address), kratoshttp.Timeout(0), kratoshttp.Endpoint(httpserver.Endpoint(address)))
 	server.Handle("/metrics", metrics.Handler(registry))
@@ -27,7 +27,7 @@
 		case stopping():
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
 		case status.Staleness > maxReadyStaleness:
-			http.Error(w, "no leader with a quorum, or not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
+			http.Error(w, "no leader with a quorum, or this process has not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, "ready")
 		}
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -32,20 +32,21 @@
 // stopTimeout bounds a graceful stop.
 const stopTimeout = 10 * time.Second
 
-// RunningLog is a Log with its life cycle.
+// RunningLog is a Log together with its life cycle.
 type RunningLog interface {
 	Log
-	// SetPeers replaces the processes that are asked for a group.
+	// SetPeers replaces the processes that are contacted to find a group.
 	SetPeers(peers []settings.Peer)
-	// Run drives the log until ctx ends or it fails, as on a broken disk.
+	// Run returns nil when ctx ends, or an error if the log fails, for example because
+	// of a disk error.
 	Run(ctx context.Context) error
-	// Close hands leadership to another process, if this one leads, and closes
+	// Close transfers leadership to another process, if this one leads, and closes
 	// the files.
 	Close() error
 }
 
-// OpenLog opens the replicated log of a state process. It adds its own methods
-// to mux and calls the others through id.
+// OpenLog opens the replicated log of a state process. It registers its methods on
+// mux and calls the other processes as id.
 type OpenLog func(s *settings.State, machine *Machine, mux *link.Mux, id link.Identity, logger hclog.Logger, registry prometheus.Registerer) (RunningLog, error)
 
 // Daemon is a state process.
@@ -58,23 +59,27 @@
 	listener net.Listener
 	links    *link.Server
 	keys     *secret.Reloadable[secret.Keys]
-	// follower keeps the list of backend servers; nil where the settings name none.
+	// follower keeps the list of backend servers up to date; nil if the settings
+	// configure no server list.
 	follower *serverlist.Follower
-	// control serves the gateway's document; nil without a gateway.
+	// control serves the operators' interface for the gateway's document; nil without
+	// a gateway.
 	control  *khttp.Server
 	stopping atomic.Bool
 }
 
-// ControlHandler answers the operators of the gateway's document.
+// ControlHandler returns the HTTP handler through which operators read and write the
+// gateway's document.
 type ControlHandler func(documents gateway.Documents) http.Handler
 
-// Control is the interface for the gateway's document; the zero value is none.
+// Control holds the platform's implementation of the gateway interfaces. Its zero
+// value is for a state process without a gateway.
 type Control struct {
-	// Decode reads a document; its errors tell the operator what is wrong.
+	// Decode decodes a document. Its errors are shown to the operator.
 	Decode func(content []byte) (*routing.Document, error)
-	// Handler makes the HTTP handler.
+	// Handler returns the handler of the operators' interface.
 	Handler ControlHandler
-	// List makes the reader of the platform's list of backend servers.
+	// List returns the client for the platform's list of backend servers.
 	List func(address string, client *http.Client) gateway.ServerList
 }
 
@@ -118,18 +123,19 @@
 	return d, nil
 }
 
-// newFollower reads the platform's list on the leader, and asks the leader elsewhere.
+// newFollower returns a follower that reads the server list from the platform if this
+// process leads or has no recent contact with a leader, otherwise from the leader.
 func (d *Daemon) newFollower(holder *serverlist.Holder, id link.Identity, control Control) *serverlist.Follower {
 	var leader link.Caller
 	address := ""
 	upstream := func() []link.Caller {
 		status := d.log.Status()
-		at := status.Status.GetLeader()
-		if status.IsLeader || at == "" || status.Staleness > maxLeaderStaleness {
+		current := status.Status.GetLeader()
+		if status.IsLeader || current == "" || status.Staleness > maxLeaderStaleness {
 			return nil
 		}
-		if at != address {
-			address, leader = at, link.NewClient(at, id)
+		if current != address {
+			address, leader = current, link.NewClient(current, id)
 		}
 		return []link.Caller{leader}
 	}
@@ -139,10 +145,11 @@
 	})
 }
 
-// maxLeaderStaleness is how old the contact with the leader may be for it to be asked.
+// maxLeaderStaleness is the highest staleness at which the leader is still asked for the
+// server list.
 const maxLeaderStaleness = 2 * time.Second
 
-// openControl opens the listener for the operators of the gateway's document.
+// openControl opens the listener of the operators' interface for the gateway's document.
 func (d *Daemon) openControl(control Control) error {
 	address, err := netip.ParseAddrPort(d.settings.Control.Value)
 	if err != nil {
@@ -158,7 +165,7 @@
 	return nil
 }
 
-// servers are the HTTP servers of the process.
+// servers returns the HTTP servers of the process.
 func (d *Daemon) servers() []transport.Server {
 	servers := []transport.Server{newAdmin(d.settings.Admin.Value, d.service, d.registry, d.stopping.Load)}
 	if d.control != nil {
@@ -167,10 +174,13 @@
 	return servers
 }
 
-// Run serves until SIGTERM, SIGINT or the end of ctx. It then hands leadership
-// over, so that statements and claims wait for no election, and stops.
+// Run serves until SIGTERM, SIGINT or the end of ctx, then transfers leadership, so
+// that statements and claims need not wait for an election, and stops. It also stops,
+// with an error, if the log or the link server fails.
 func (d *Daemon) Run(ctx context.Context) error {
-	running, stop := context.WithCancel(context.Background())
+	// Not derived from ctx: background work must continue until leadership is
+	// transferred.
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group errgroup.Group
 	app := kratos.New(
@@ -183,7 +193,7 @@
 		kratos.StopTimeout(stopTimeout),
 		kratos.BeforeStop(func(context.Context) error { return d.stepDown() }),
 	)
-	// A log that fails, as on a broken disk, ends the whole process.
+	// A failure of the log, for example a disk error, stops the whole process.
 	stopApp := func(err error) error {
 		if err != nil {
 			d.logger.Error("stopping", "error", err)
@@ -191,17 +201,17 @@
 		}
 		return nil
 	}
-	group.Go(func() error { return stopApp(d.log.Run(running)) })
+	group.Go(func() error { return stopApp(d.log.Run(background)) })
 	group.Go(func() error { return stopApp(d.links.Serve(d.listener)) })
-	group.Go(func() error { return d.service.Run(running) })
+	group.Go(func() error { return d.service.Run(background) })
 	if d.follower != nil {
 		group.Go(func() error {
-			d.follower.Run(running)
+			d.follower.Run(background)
 			return nil
 		})
 	}
 	group.Go(func() error {
-		secret.ReloadOnHangUp(running, d.logger, d.links.DropOldKeys, d.keys)
+		secret.ReloadOnHangUp(background, d.logger, d.links.DropOldKeys, d.keys)
 		return nil
 	})
 	d.logger.Info("started", "link", d.listener.Addr().String(), "version", build.Version)
@@ -214,8 +224,8 @@
 	return err
 }
 
-// Reload takes changed settings in: the seeds, which a process asks that belongs
-// to no group or was taken out. Other fields take effect at the next start.
+// Reload applies changed seeds, which this process contacts to find a group if it is a
+// member of none. All other fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.State) error {
 	if err := s.SameProcess(&d.settings.Common); err != nil {
 		return err
@@ -224,7 +234,7 @@
 	return nil
 }
 
-// stepDown lets the others take over while this process still answers.
+// stepDown transfers leadership while this process still answers calls.
 func (d *Daemon) stepDown() error {
 	d.stopping.Store(true)
 	err := d.log.Close()
--- a/daemon/state/documents.go
+++ b/daemon/state/documents.go
@@ -18,21 +18,23 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// documentTimeout bounds one write or read of the document. Operators ask another
-// process after a second without an answer; this one answers before.
+// documentTimeout bounds one write or read of the document. Operators' clients try
+// another process after one second without an answer, so this process has to answer
+// earlier.
 const documentTimeout = 900 * time.Millisecond
 
-// documentWriter is who the audit trail names for documents: the platform's
-// interface knows no operators by name.
+// documentWriter is recorded in the audit trail as the author of documents, because the
+// platform's interface does not identify operators.
 const documentWriter = "gateway-operator"
 
-// documents keeps the gateway's document in the replicated log.
+// documents implements gateway.Documents on the replicated log.
 type documents struct {
 	service *Service
 	decode  func([]byte) (*routing.Document, error)
 	logger  hclog.Logger
 	name    string
-	// control is the own address for operators; all state processes have its port.
+	// control is this process's address for operators; all state processes use the
+	// same port.
 	control netip.AddrPort
 }
 
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// proposal makes the same command id of the same text, so that one that is sent
-// again makes no second revision.
+// proposal derives the command id from the content, so that a repeated document creates
+// no second revision.
 func (d *documents) proposal(version uint64, content []byte) (*lilacv1.Proposal, error) {
 	document, err := packed.Document(version, content)
 	if err != nil {
@@ -86,14 +88,15 @@
 	if err := d.service.log.Barrier(ctx); err != nil {
 		return nil, d.redirectToLeader(err)
 	}
-	held := d.service.machine.Document()
-	if held == nil {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no document was accepted yet; put one")
+	document := d.service.machine.Document()
+	if document == nil {
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no document has been accepted yet; put one first")
 	}
-	return packed.Text(held)
+	return packed.Text(document)
 }
 
-// redirectToLeader names the leader's own address for operators where it is known.
+// redirectToLeader turns a NOT_LEADER error into a redirect to the leader's address for
+// operators if the leader is known; it returns other errors unchanged.
 func (d *documents) redirectToLeader(err error) error {
 	leader, parseErr := netip.ParseAddrPort(fault.LeaderOf(err))
 	if !fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER) || parseErr != nil {
--- a/daemon/state/entries.go
+++ b/daemon/state/entries.go
@@ -9,16 +9,17 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// entryTTL is how long an entry that asks no more is still named: three of
-// the pauses between two questions, so that one lost answer does no harm.
+// entryTTL is how long an entry stays listed after its last request: three times the
+// interval of those requests, so that a lost one does not remove the entry.
 const entryTTL = 6 * time.Second
 
-// entryTable holds the entries that asked this process lately. It is a hint: who
-// is alive the entries find out among themselves.
+// entryTable holds the entries that recently requested the members from this process.
+// It serves discovery only: the entries themselves determine which of them are alive.
 type entryTable struct {
 	now func() time.Time
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// seen maps names to entries. Guarded by mu.
 	seen map[string]seenEntry
 }
 
@@ -37,7 +38,7 @@
 	t.seen[entry.GetName()] = seenEntry{entry, t.now()}
 }
 
-// list returns the entries in order of name, and forgets those that are silent.
+// list returns the entries sorted by name, and removes the expired ones.
 func (t *entryTable) list() []*lilacv1.StateMember {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/state/leaseclock.go
+++ b/daemon/state/leaseclock.go
@@ -6,21 +6,23 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// LeaseClock judges leases on a Machine as a Service does, for runs that have
-// a clock of their own and no Service.
+// LeaseClock determines the expiry of leases on a Machine as a Service does. It is for
+// simulations, which have their own clock and no Service.
 type LeaseClock struct {
 	machine *Machine
 	timer   *leaseTimer
 }
 
-// NewLeaseClock returns the LeaseClock of a Machine that no Service uses.
+// NewLeaseClock returns a LeaseClock for a Machine that no Service uses: it replaces the
+// machine's callback for renewals.
 func NewLeaseClock(machine *Machine, now func() time.Time) *LeaseClock {
 	timer := newLeaseTimer(now)
 	machine.onLease = timer.recordRenewal
 	return &LeaseClock{machine: machine, timer: timer}
 }
 
-// SetExpiredRenewal says in the request whether the lease that it asks for has run out.
+// SetExpiredRenewal sets the request's ExpiredRenewal to the last renewal of the
+// requested lease if that lease has expired, otherwise to 0.
 func (c *LeaseClock) SetExpiredRenewal(r *lilacv1.LeaseRequest) {
 	r.ExpiredRenewal = c.timer.expiredRenewal(c.machine.Lease(r.GetName()))
 }
--- a/daemon/state/liveness.go
+++ b/daemon/state/liveness.go
@@ -9,22 +9,25 @@
 )
 
 const (
-	// livenessTimeout is the silence of a claiming instance after which its open
-	// claims become unknown. Its clients send heartbeats every HeartbeatInterval.
+	// livenessTimeout is the time without a claim or heartbeat of an instance after which
+	// its open claims become unknown.
 	livenessTimeout = 15 * time.Second
-	// HeartbeatInterval is how often an instance that has claimed says that it lives.
+	// HeartbeatInterval is how often an instance that has made claims sends a heartbeat.
 	HeartbeatInterval = 3 * time.Second
-	// livenessInterval is how often the leader looks for silent instances.
+	// livenessInterval is how often the leader checks for timed-out instances.
 	livenessInterval = time.Second
 )
 
-// livenessTracker times the silence of each incarnation by the leader's monotonic clock.
+// livenessTracker records when the leader last heard from each incarnation, by its
+// monotonic clock.
 type livenessTracker struct {
 	now func() time.Time
 
+	// mu guards the fields below.
 	mu        sync.Mutex
 	lastHeard map[string]time.Time
-	// leaderSince is when this process began to lead and listen; zero while it does not.
+	// leaderSince is when this process was first seen to lead in its current period of
+	// leadership; zero while it does not lead.
 	leaderSince time.Time
 }
 
@@ -38,15 +41,16 @@
 	l.lastHeard[incarnation] = l.now()
 }
 
-// timedOut returns which of the incarnations have said nothing for livenessTimeout.
+// timedOut returns those of the incarnations that have not been heard for
+// livenessTimeout; none if this process does not lead.
 //
-// It guards against a new leader that takes everybody for dead because it has
-// heard nobody yet: nobody counts as timedOut for longer than it has led.
-func (l *livenessTracker) timedOut(leads bool, incarnations []string) []string {
+// The silence of an incarnation counts from when this process began to lead, at the
+// earliest. Otherwise a new leader, which has heard from none, would time out all of them.
+func (l *livenessTracker) timedOut(isLeader bool, incarnations []string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	if !leads {
+	if !isLeader {
 		l.leaderSince = time.Time{}
 		clear(l.lastHeard)
 		return nil
@@ -54,24 +58,25 @@
 	if l.leaderSince.IsZero() {
 		l.leaderSince = now
 	}
-	var silent []string
-	kept := make(map[string]time.Time, len(incarnations))
+	var timedOut []string
+	alive := make(map[string]time.Time, len(incarnations))
 	for _, incarnation := range incarnations {
 		last := l.lastHeard[incarnation]
 		if last.Before(l.leaderSince) {
 			last = l.leaderSince
 		}
 		if now.Sub(last) > livenessTimeout {
-			silent = append(silent, incarnation)
+			timedOut = append(timedOut, incarnation)
 			continue
 		}
-		kept[incarnation] = last
+		alive[incarnation] = last
 	}
-	l.lastHeard = kept
-	return silent
+	l.lastHeard = alive
+	return timedOut
 }
 
-// Run ends the claims of silent instances while this process leads, until ctx ends.
+// Run ends the claims of timed-out instances while this process leads. It returns nil
+// when ctx ends.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(livenessInterval)
 	defer ticker.Stop()
@@ -86,13 +91,13 @@
 }
 
 func (s *Service) expireIncarnations(ctx context.Context) {
-	silent := s.liveness.timedOut(s.log.Status().IsLeader, s.machine.Incarnations())
-	if len(silent) == 0 {
+	timedOut := s.liveness.timedOut(s.log.Status().IsLeader, s.machine.Incarnations())
+	if len(timedOut) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, livenessTimeout)
 	defer cancel()
-	gone := &lilacv1.IncarnationsGone{Incarnations: silent, NowUnixMs: s.now().UnixMilli()}
-	// A failure is tried again at the next tick, by whoever leads then.
+	gone := &lilacv1.IncarnationsGone{Incarnations: timedOut, NowUnixMs: s.now().UnixMilli()}
+	// Errors are ignored: whichever process leads at the next tick tries again.
 	_, _ = s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Gone{Gone: gone}})
 }
--- a/daemon/state/log.go
+++ b/daemon/state/log.go
@@ -7,26 +7,28 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Log is the replicated log as a Service needs it.
+// Log is the replicated log as used by a Service.
 type Log interface {
-	// Propose replicates a command, and returns its result once it is committed
-	// and applied here. On any but the leader it fails as NOT_LEADER.
+	// Propose replicates a command and returns its result once it has been committed
+	// and applied by this process. On a process that does not lead it fails with
+	// NOT_LEADER.
 	Propose(ctx context.Context, command []byte) ([]byte, error)
-	// Barrier returns once this process has applied all that was committed when
-	// it was called; only the leader can tell.
+	// Barrier returns once this process has applied everything that was committed when
+	// Barrier was called. On a process that does not lead it fails with NOT_LEADER.
 	Barrier(ctx context.Context) error
-	// Status tells where this process stands.
+	// Status returns the current status of this process.
 	Status() LogStatus
 }
 
-// LogStatus is where one process of the group stands.
+// LogStatus is the status of one process of the group.
 type LogStatus struct {
-	// IsLeader is true on the leader, as far as it knows.
+	// IsLeader is true if this process believes that it leads. It may be outdated.
 	IsLeader bool
-	// Staleness is how long ago all that was committed was surely applied here.
+	// Staleness is the time since this process is known to have applied everything that
+	// was committed.
 	Staleness time.Duration
 	// Members are the processes of the group, learners included.
 	Members []*lilacv1.StateMember
-	// Status is what operators see; Revision and Claims are filled in by the Service.
+	// Status is reported to operators. The Service fills in Revision and Claims.
 	Status *lilacv1.StateStatus
 }
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -1,6 +1,6 @@
-// Package state composes a state process: the replicated log, the state
-// machine above it (configuration, request ledger, leases) and the methods by
-// which entries and operators reach it.
+// Package state assembles a state process: the replicated log, the state machine on top
+// of it (configuration, request ledger, leases) and the methods that entries and
+// operators call.
 package state
 
 import (
@@ -16,9 +16,10 @@
 	"github.com/lilacbridge/lilacbridge/version/config"
 )
 
-// Machine applies the log's commands, in order. Apply is called by the log's
-// goroutine alone; the other methods by any.
+// Machine is the state machine of the replicated log. Apply must be called by the log's
+// goroutine only; all other methods are safe for concurrent use.
 type Machine struct {
+	// mu guards the fields below.
 	mu      sync.Mutex
 	config  *config.Machine
 	ledger  *ledger.Ledger
@@ -26,18 +27,18 @@
 	applied uint64
 	// lastSnapshotSize is the size of the last snapshot, in bytes.
 	lastSnapshotSize int
-	// changed is closed and replaced at each new revision.
+	// changed is closed and replaced at each new revision and by Restore.
 	changed chan struct{}
-	// onLease is told of each grant or renewal as it is applied.
+	// onLease is called for each grant or renewal as it is applied, with mu held.
 	onLease func(*lilacv1.LeaseEntry)
 }
 
-// headroomDivisor is the part of the last snapshot's size by which the next may be
-// larger without a new buffer.
+// headroomDivisor sets the initial buffer of a snapshot: the size of the last one plus
+// 1/headroomDivisor, so that a slightly larger snapshot needs no reallocation.
 const headroomDivisor = 8
 
-// NewMachine returns an empty Machine. All processes of a group must have the
-// same audit retention (in revisions) and limits.
+// NewMachine returns an empty Machine. The audit retention is a number of revisions. It
+// and the limits must be the same in all processes of a group.
 func NewMachine(auditRetention int, limits ledger.Limits) *Machine {
 	return &Machine{
 		config:  config.NewMachine(auditRetention),
@@ -48,14 +49,15 @@
 	}
 }
 
-// Apply applies one command and returns the encoded CommandResult.
+// Apply applies one command and returns the encoded CommandResult, which also carries
+// the error of a refused command.
 func (m *Machine) Apply(index uint64, command []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applied = index
 	c := &lilacv1.Command{}
 	if err := proto.Unmarshal(command, c); err != nil {
-		return encode(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command does not decode; run one version on all instances")))
+		return encode(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "failed to decode command; run the same version on all instances")))
 	}
 	return encode(m.apply(c))
 }
@@ -79,7 +81,7 @@
 	case *lilacv1.Command_Lease:
 		return m.lease(op.Lease)
 	}
-	return failed(fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command of a kind that this version does not know; run one version on all instances"))
+	return failed(fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown kind of command; run the same version on all instances"))
 }
 
 func (m *Machine) propose(p *lilacv1.Proposal) *lilacv1.CommandResult {
@@ -95,8 +97,9 @@
 	return result
 }
 
-// checkForgetKeys has the ledger check a date that is not its configuration's. The
-// caller holds mu.
+// checkForgetKeys returns an error if the ledger can't forget the keys that the proposal
+// names. The configuration, which checks the rest of the proposal, does not know the
+// ledger. The caller holds mu.
 func (m *Machine) checkForgetKeys(p *lilacv1.Proposal) error {
 	for _, before := range forgetCutoffs(p) {
 		if err := m.ledger.CheckForget(before); err != nil {
@@ -112,15 +115,16 @@
 	}
 }
 
-// forgetCutoffs returns the moments before which the proposal has keys forgotten.
+// forgetCutoffs returns the times, in Unix milliseconds, before which the proposal has
+// keys forgotten.
 func forgetCutoffs(p *lilacv1.Proposal) []int64 {
-	var moments []int64
+	var cutoffs []int64
 	for _, change := range p.GetChanges() {
 		if op, ok := change.GetOp().(*lilacv1.Change_ForgetKeysBeforeUnixMs); ok {
-			moments = append(moments, op.ForgetKeysBeforeUnixMs)
+			cutoffs = append(cutoffs, op.ForgetKeysBeforeUnixMs)
 		}
 	}
-	return moments
+	return cutoffs
 }
 
 func (m *Machine) lease(r *lilacv1.LeaseRequest) *lilacv1.CommandResult {
@@ -137,16 +141,16 @@
 	m.changed = make(chan struct{})
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the encoded state.
 func (m *Machine) Snapshot() ([]byte, error) { return m.Capture()() }
 
-// Capture notes the whole state as it is now, and returns a function that
-// encodes it while further commands are applied. Encoded messages that stand one
-// after the other decode as one, merged.
+// Capture captures the current state and returns a function that encodes it. The function
+// may run while further commands are applied; they don't affect its result. The state is
+// encoded as a sequence of protobuf messages, which decodes as one merged message.
 func (m *Machine) Capture() func() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	configured, claimed, leased := m.config.Capture(), m.ledger.Capture(), m.leases.Snapshot()
+	encodeConfig, ledgerParts, leases := m.config.Capture(), m.ledger.Capture(), m.leases.Snapshot()
 	size := m.lastSnapshotSize
 	return func() ([]byte, error) {
 		data := make([]byte, 0, size+size/headroomDivisor)
@@ -154,8 +158,8 @@
 			data, err = proto.MarshalOptions{Deterministic: true}.MarshalAppend(data, part)
 			return err
 		}
-		err := add(&lilacv1.MachineSnapshot{Config: configured(), Leases: leased})
-		for part := range claimed {
+		err := add(&lilacv1.MachineSnapshot{Config: encodeConfig(), Leases: leases})
+		for part := range ledgerParts {
 			err = errors.Join(err, add(&lilacv1.MachineSnapshot{Ledger: part}))
 		}
 		m.mu.Lock()
@@ -165,11 +169,11 @@
 	}
 }
 
-// Restore replaces the whole state.
+// Restore replaces the state by that of an encoded snapshot.
 func (m *Machine) Restore(data []byte) error {
 	s := &lilacv1.MachineSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot does not decode; give this process a new data folder, it then joins anew")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "failed to decode snapshot; give this process an empty data folder, so that it rejoins the group")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,7 +185,7 @@
 	return nil
 }
 
-// Preview tells what a proposal would give, without changing anything.
+// Preview returns the result that a proposal would have now, without changing the state.
 func (m *Machine) Preview(p *lilacv1.Proposal) *lilacv1.CommandResult {
 	preview := proto.CloneOf(p)
 	preview.DryRun = true
@@ -193,49 +197,50 @@
 	return m.config.Apply(preview)
 }
 
-// Revision returns the number of the newest revision applied here.
+// Revision returns the number of the newest revision applied.
 func (m *Machine) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Revision()
 }
 
-// Changed returns a channel that is closed at the next revision.
+// Changed returns a channel that is closed when the next revision is applied or a
+// snapshot is restored.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Since returns revisions after have, as config.Machine.Since does.
+// Since returns up to limit revisions after have; see config.Machine.Since.
 func (m *Machine) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Since(have, limit)
 }
 
-// Config returns the whole configuration.
+// Config returns the complete configuration.
 func (m *Machine) Config() *lilacv1.Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Config()
 }
 
-// Document returns the gateway's document in force, nil before the first.
+// Document returns the gateway's document in force; nil before the first one.
 func (m *Machine) Document() *lilacv1.Document {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Document()
 }
 
-// Audit returns revisions, newest first, as config.Machine.Audit does.
+// Audit returns revisions, newest first; see config.Machine.Audit.
 func (m *Machine) Audit(from uint64, limit int) []*lilacv1.Revision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.config.Audit(from, limit)
 }
 
-// Counts are sizes for metrics and status.
+// Counts are figures for metrics and status.
 type Counts struct {
 	Revision         uint64
 	Applied          uint64
@@ -247,7 +252,7 @@
 	BrokenInvariants uint64
 }
 
-// Counts returns the sizes as of now.
+// Counts returns the current figures.
 func (m *Machine) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -263,28 +268,29 @@
 	}
 }
 
-// FinalReply answers a claim that needs no place in the log, as ledger.FinalReply does.
+// FinalReply returns the reply to a claim that need not be replicated, and whether there
+// is one; see ledger.Ledger.FinalReply.
 func (m *Machine) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.FinalReply(r)
 }
 
-// Incarnations returns those that have claimed and are not known to be gone.
+// Incarnations returns the incarnations that have made claims and are not marked as gone.
 func (m *Machine) Incarnations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.Incarnations()
 }
 
-// Lease returns the named lease, nil if it was never held.
+// Lease returns the named lease; nil if it was never held.
 func (m *Machine) Lease(name string) *lilacv1.LeaseEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.leases.Get(name)
 }
 
-// Leases returns the leases in order of name.
+// Leases returns all leases, sorted by name.
 func (m *Machine) Leases() []*lilacv1.LeaseEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -295,12 +301,12 @@
 	return &lilacv1.CommandResult{Status: fault.ToStatus(err)}
 }
 
-// encode never fails: a CommandResult holds valid UTF-8 only as far as its
-// command did, which was decoded before.
+// encode returns an encoded error if the result does not encode. That does not occur
+// with results of decoded commands, whose strings are valid UTF-8.
 func encode(result *lilacv1.CommandResult) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(result)
 	if err != nil {
-		data, _ = proto.Marshal(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "result does not encode")))
+		data, _ = proto.Marshal(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "failed to encode result")))
 	}
 	return data
 }
--- a/daemon/state/query.go
+++ b/daemon/state/query.go
@@ -10,10 +10,10 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// query answers this process's part of an operator's SHOW leases.
+// query returns this process's part of an operator's SHOW LEASES statement.
 func (s *Service) query(_ context.Context, _ link.Peer, r *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
 	if r.GetSubject() != "leases" {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "state processes know no %q; ask for leases", r.GetSubject())
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown subject %q: state processes answer leases only", r.GetSubject())
 	}
 	reply := &lilacv1.QueryReply{Revision: s.machine.Revision(), Columns: []string{"lease", "holder", "fencing", "left"}}
 	for _, e := range s.machine.Leases() {
@@ -24,18 +24,19 @@
 	return reply, nil
 }
 
-// remaining tells how long the lease still lasts as this process counts it; "-" for
-// one that nobody holds.
+// remaining returns the remaining time of the lease as measured by this process, or "-"
+// if nobody holds it. If this process has not observed the last renewal, it returns the
+// upper bound.
 func (t *leaseTimer) remaining(e *lilacv1.LeaseEntry) string {
 	if e.GetHolder() == "" {
 		return "-"
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	length := time.Duration(e.GetDurationMs()) * time.Millisecond
-	seen, ok := t.renewals[e.GetName()]
-	if !ok || seen.renewal != e.GetRenewal() {
-		return "at most " + length.String()
+	duration := time.Duration(e.GetDurationMs()) * time.Millisecond
+	observed, ok := t.renewals[e.GetName()]
+	if !ok || observed.renewal != e.GetRenewal() {
+		return "at most " + duration.String()
 	}
-	return max(0, length-t.now().Sub(seen.at)).Round(time.Millisecond).String()
+	return max(0, duration-t.now().Sub(observed.at)).Round(time.Millisecond).String()
 }
--- a/daemon/state/recover.go
+++ b/daemon/state/recover.go
@@ -15,69 +15,70 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// DefaultKeyMargin is how far ahead callers' clocks may be: as far as the ledger
-// takes keys that carry a time.
+// DefaultKeyMargin is how far ahead callers' clocks may be. It equals the tolerance of
+// the ledger for idempotency keys that contain a time.
 const DefaultKeyMargin = time.Hour
 
 const (
-	// voterTimeout bounds the question whether a voter taken for lost still runs.
+	// voterTimeout bounds the check whether a voter considered lost is still running.
 	voterTimeout = 2 * time.Second
 	// entryTimeout bounds the transfer of an entry's configuration.
 	entryTimeout = 30 * time.Second
 )
 
-// RecoverOptions say how a data folder becomes the first voter of a new group.
+// RecoverOptions configure Recover.
 type RecoverOptions struct {
-	// Folder is the surviving data folder; no process may run on it.
+	// Folder is the surviving data folder; no process may be using it.
 	Folder wal.Folder
-	// AuditRetention and Limits are those of the group.
+	// AuditRetention and Limits must be those of the group.
 	AuditRetention int
 	Limits         ledger.Limits
-	// KeyMargin is how far the clocks that make timed keys may be ahead.
+	// KeyMargin is how far the clocks of callers that generate timed keys may be ahead.
 	KeyMargin time.Duration
-	// Entries are the link addresses of entries, which are asked for revisions
-	// that only the lost voters had synced. One that does not answer stops the recovery.
+	// Entries are the link addresses of entries, which may hold revisions that only the
+	// lost voters had synced. The recovery fails if one of them does not answer.
 	Entries []string
 	// Dial returns the caller for an address.
 	Dial func(address string) link.Caller
-	// Who stands in the audit trail.
+	// Who is recorded in the audit trail as the author of the recovery.
 	Who string
-	// Confirm makes the change; without it nothing is written.
+	// Confirm applies the recovery; without it nothing is written.
 	Confirm bool
-	// Random draws fresh bits for identity and group; Now is the wall clock.
+	// Random returns random bits for the new identity and group; Now is the wall clock.
 	Random func() uint64
 	Now    func() time.Time
 }
 
-// Recovery tells what a recovery found and did, or would do.
+// Recovery reports what a recovery found and did, or would do without Confirm.
 type Recovery struct {
-	// Identity and Group are those of the folder as it was found.
+	// Identity and Group are those of the folder before the recovery.
 	Identity, Group string
-	// LastIndex and LastTerm are those of the last entry; compare them between survivors.
+	// LastIndex and LastTerm are those of the last log entry. With several survivors,
+	// compare them to find the most recent log.
 	LastIndex, LastTerm uint64
-	// Revision is the newest one of the folder, EntryRevision that of the entries.
+	// Revision is the newest revision in the folder, EntryRevision that of the entries.
 	Revision, EntryRevision uint64
-	// Adopted is true if the entries' configuration takes the place of the folder's.
+	// Adopted is true if the entries' configuration replaces the folder's.
 	Adopted bool
 	// Diverged is true if the folder's newest revisions were never accepted.
 	Diverged bool
 	Keys     int
-	// OpenClaims become unknown.
+	// OpenClaims is how many claims had no outcome; their outcome becomes unknown.
 	OpenClaims int
-	// Lost are the names of the voters that are given up.
+	// Lost are the names of the voters removed as lost.
 	Lost []string
-	// NewGroup and NewRevision come into force.
+	// NewGroup and NewRevision are the group and revision in force after the recovery.
 	NewGroup    string
 	NewRevision uint64
-	// TimedKeysFrom is the earliest time that a key may carry to be taken,
-	// UntimedKeysFrom when keys without a time are taken again.
+	// TimedKeysFrom is the earliest time that an accepted timed key may contain,
+	// UntimedKeysFrom when keys without a time are accepted again.
 	TimedKeysFrom, UntimedKeysFrom time.Time
 	// Done is true once the folder has been changed.
 	Done bool
 }
 
-// Recover turns the folder of a voter that survived the loss of a majority into
-// the first voter of a new group, or tells what that would do.
+// Recover turns the data folder of a voter that survived the loss of a majority into the
+// first voter of a new group, or reports what that would do.
 func Recover(ctx context.Context, o RecoverOptions) (*Recovery, error) {
 	held, err := fetchNewestConfig(ctx, o)
 	if err != nil {
@@ -131,7 +132,7 @@
 	p := &recoveryPlan{machine: NewMachine(o.AuditRetention, o.Limits), report: &Recovery{Identity: state.Hard.GetId(), Group: state.Hard.GetGroup()}}
 	p.setLineage(o, state, members)
 	if len(p.report.Lost) == 0 {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "group "+p.report.Group+" has no other voter, so nothing is lost; start the process on this folder")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "group "+p.report.Group+" has no other voter, so no recovery is needed; start the process on this folder")
 	}
 	if err := p.checkLostVoters(ctx, o.Dial); err != nil {
 		return nil, err
@@ -147,7 +148,8 @@
 	return p, nil
 }
 
-// setLineage gives the new group its number, terms after all old ones and members.
+// setLineage sets the identity and members of the new group, and a term above all old
+// ones. The old group is appended to the former groups.
 func (p *recoveryPlan) setLineage(o RecoverOptions, state *wal.State, members *lilacv1.RaftMembers) {
 	old, r := state.Hard, p.report
 	r.LastIndex, r.LastTerm = state.Snapshot.GetIndex(), state.Snapshot.GetTerm()
@@ -164,7 +166,8 @@
 		case member.GetId() == old.GetId():
 			kept.Id, kept.Voter, kept.Replaces = id, true, ""
 		case member.GetVoter():
-			// Its name stays taken: an empty process under it becomes a voter by itself.
+			// The name stays in the group, so that a process with that name and an empty
+			// folder becomes a voter automatically.
 			kept.Voter, kept.Replaces = false, member.GetId()
 			r.Lost = append(r.Lost, member.GetName())
 		case member.GetReplaces() == "":
@@ -174,28 +177,31 @@
 	}
 }
 
-// checkLostVoters refuses while a process that is to be given up still runs with a log.
+// checkLostVoters returns an error if a process to be removed is running and belongs to a
+// group.
 //
-// It guards against an operator who takes a data centre that is cut off for
-// lost, or recovers a second survivor: two groups would serve one fleet. It
-// holds as far as this process reaches the others; see the note for the rest.
+// Otherwise, an operator who mistakes an unreachable data centre for a lost one, or who
+// recovers a second survivor, would create two groups that serve one fleet. The check
+// covers only processes that are reachable from here.
 func (p *recoveryPlan) checkLostVoters(ctx context.Context, dial func(string) link.Caller) error {
 	for _, member := range p.meta.GetMembers().GetMembers() {
 		if member.GetVoter() {
 			continue
 		}
-		asked, cancel := context.WithTimeout(ctx, voterTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, voterTimeout)
 		status := &lilacv1.StateStatus{}
-		err := dial(member.GetAddress()).Call(asked, "state.status", &lilacv1.StateStatusRequest{}, status)
+		err := dial(member.GetAddress()).Call(callCtx, "state.status", &lilacv1.StateStatusRequest{}, status)
 		cancel()
 		if err == nil && status.GetGroup() != "" {
-			return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "state process %s at %s runs and belongs to group %s; if a majority can be brought back there is nothing to recover, else stop it and move its data folder away",
+			return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "state process %s at %s is running and belongs to group %s; if a majority can be restored, no recovery is needed, otherwise stop it and move its data folder away",
 				member.GetName(), member.GetAddress(), status.GetGroup())
 		}
 	}
 	return nil
 }
 
+// adoptEntryConfig replaces the folder's configuration by the entries' if the entries hold
+// a newer revision or the folder's newest revisions were never accepted.
 func (p *recoveryPlan) adoptEntryConfig(ctx context.Context, held *entryConfig, found *replayResult) error {
 	r := p.report
 	r.Revision, r.EntryRevision = found.revision, held.snapshot.GetRevision()
@@ -218,13 +224,14 @@
 	return nil
 }
 
-// finish brings ledger, leases and audit trail past all that was lost.
-func (p *recoveryPlan) finish(o RecoverOptions, taken uint64) {
+// finish moves ledger, leases and revision numbers beyond everything that may have been
+// lost. lastRevision is the highest revision number in use.
+func (p *recoveryPlan) finish(o RecoverOptions, lastRevision uint64) {
 	r, now := p.report, o.Now()
 	counts := p.machine.Counts()
 	r.Keys, r.OpenClaims = counts.Claims, counts.OpenClaims
 	statement := fmt.Sprintf("RECOVER group %s as %s from index %d of term %d; lost voters %v", r.Group, r.NewGroup, r.LastIndex, r.LastTerm, r.Lost)
-	r.NewRevision = p.machine.config.Recover(taken, o.Who, statement, "recovery-"+r.NewGroup, now.UnixMilli()).GetNumber()
+	r.NewRevision = p.machine.config.Recover(lastRevision, o.Who, statement, "recovery-"+r.NewGroup, now.UnixMilli()).GetNumber()
 	p.machine.leases.Recover()
 	timed, untimed := p.machine.ledger.Recover(now.UnixMilli(), o.KeyMargin)
 	r.TimedKeysFrom, r.UntimedKeysFrom = time.UnixMilli(timed).UTC(), time.UnixMilli(untimed).UTC()
--- a/daemon/state/replica.go
+++ b/daemon/state/replica.go
@@ -14,7 +14,7 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// replicaLog is the replicated log as the Service sees it.
+// replicaLog implements RunningLog on a replica node.
 type replicaLog struct {
 	node      *replica.Node
 	transport *replicalink.Transport
@@ -22,7 +22,7 @@
 	dc        string
 }
 
-// OpenReplica opens the replicated log in the data folder of the settings.
+// OpenReplica is an OpenLog that opens the log in the data folder of the settings.
 func OpenReplica(s *settings.State, machine *Machine, mux *link.Mux, id link.Identity, logger hclog.Logger, registry prometheus.Registerer) (RunningLog, error) {
 	folder, err := wal.OSFolder(s.Data)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return &replicaLog{node: node, transport: transport, name: s.Name, dc: s.DataCenter}, nil
 }
 
-// otherVoters are the addresses of the voters but the own one.
+// otherVoters returns the addresses of all voters except own.
 func otherVoters(members []*lilacv1.RaftMember, own string) []string {
 	var addresses []string
 	for _, member := range members {
@@ -57,12 +57,12 @@
 	return addresses
 }
 
-// Propose replicates a command.
+// Propose implements Log.
 func (l *replicaLog) Propose(ctx context.Context, command []byte) ([]byte, error) {
 	return l.node.Propose(ctx, command)
 }
 
-// SetPeers replaces the processes that are asked for a group.
+// SetPeers implements RunningLog.
 func (l *replicaLog) SetPeers(peers []settings.Peer) { l.node.SetPeers(replicaPeers(peers)) }
 
 func replicaPeers(list []settings.Peer) []replica.Peer {
@@ -73,10 +73,10 @@
 	return peers
 }
 
-// Barrier waits for a linearizable read point.
+// Barrier implements Log. Reads after it are linearizable.
 func (l *replicaLog) Barrier(ctx context.Context) error { return l.node.Barrier(ctx) }
 
-// Status tells where this process stands.
+// Status implements Log.
 func (l *replicaLog) Status() LogStatus {
 	s := l.node.Status()
 	return LogStatus{
@@ -92,7 +92,7 @@
 	}
 }
 
-// Run waits until ctx ends or the log fails.
+// Run implements RunningLog. The node runs since it was opened; Run only waits for it.
 func (l *replicaLog) Run(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -102,14 +102,14 @@
 	}
 }
 
-// Close hands leadership over, stops the log and closes its files.
+// Close implements RunningLog.
 func (l *replicaLog) Close() error {
 	err := l.node.Close()
 	l.transport.Close()
 	return err
 }
 
-// stateMembers lists the members as entries need them.
+// stateMembers converts the members for entries.
 func stateMembers(members []*lilacv1.RaftMember) []*lilacv1.StateMember {
 	list := make([]*lilacv1.StateMember, 0, len(members))
 	for _, member := range members {
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -14,10 +14,10 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// maxAudit is the most revisions that one audit call returns.
+// maxAudit bounds the revisions that one audit call returns.
 const maxAudit = 500
 
-// Service answers the methods of a state process.
+// Service implements the methods of a state process. It is safe for concurrent use.
 type Service struct {
 	machine     *Machine
 	log         Log
@@ -28,8 +28,9 @@
 	now         func() time.Time
 }
 
-// NewService joins a machine and the log that drives it. The logger gets a line
-// for each snapshot of the configuration that is given.
+// NewService returns a service for a machine and the log that applies commands to it. It
+// replaces the machine's callback for renewals. The logger logs each configuration
+// snapshot that is sent to a watcher.
 func NewService(machine *Machine, log Log, logger hclog.Logger) *Service {
 	s := &Service{machine: machine, log: log, now: time.Now}
 	s.leaseTimer = newLeaseTimer(s.now)
@@ -42,7 +43,7 @@
 	return s
 }
 
-// Register adds the methods to mux.
+// Register registers the methods on mux.
 func (s *Service) Register(mux *link.Mux) {
 	mux.Handle("state.propose", link.Unary(s.propose))
 	mux.Handle("state.claim", link.Unary(s.claim))
@@ -56,25 +57,27 @@
 	s.watchServer.Register(mux, "state")
 }
 
-// Close ends the streams of watchers, so that they go to another process.
+// Close ends the streams of watchers, which then switch to another process.
 func (s *Service) Close() { s.watchServer.Close() }
 
-// watchSource lets watchers follow the machine.
+// watchSource provides watchers with the revisions of a machine.
 type watchSource struct {
 	*Machine
 	log Log
 }
 
-// Known returns the newest revision and how long ago it was surely the newest.
+// Known returns the newest revision applied and the time since it is known to have been
+// the newest committed one.
 func (s watchSource) Known() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Staleness
 }
 
-// replicate replicates a command and decodes its result.
+// replicate appends a command to the log, waits until it has been applied and returns its
+// result. If the command was refused, it returns both the result and the error.
 func (s *Service) replicate(ctx context.Context, c *lilacv1.Command) (*lilacv1.CommandResult, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command does not encode")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "failed to encode command")
 	}
 	answer, err := s.log.Propose(ctx, data)
 	if err != nil {
@@ -82,13 +85,13 @@
 	}
 	result := &lilacv1.CommandResult{}
 	if err := proto.Unmarshal(answer, result); err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "result does not decode; run one version on all instances")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "failed to decode result; run the same version on all instances")
 	}
 	return result, fault.FromStatus(result.GetStatus())
 }
 
-// propose answers a conflict as a reply that carries the winner; the client
-// makes an error of it.
+// propose answers a conflict by a reply that names the winning revision; the client turns
+// it into an error.
 func (s *Service) propose(ctx context.Context, _ link.Peer, p *lilacv1.Proposal) (*lilacv1.ProposeReply, error) {
 	if p.GetDryRun() {
 		return s.preview(ctx, p)
@@ -111,8 +114,8 @@
 	return result.GetPropose(), nil
 }
 
-// claim is stamped with the leader's clock: a caller instance whose clock is
-// wrong must not end the retention of others' keys.
+// claim sets the time of the claim by the leader's clock, so that an instance with a wrong
+// clock can't end the retention of keys. Processes that do not lead fail to replicate it.
 func (s *Service) claim(ctx context.Context, _ link.Peer, r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error) {
 	if reply, final := s.machine.FinalReply(r); final {
 		return reply, nil
@@ -143,7 +146,7 @@
 	return &lilacv1.AuditReply{Revisions: s.machine.Audit(r.GetFromRevision(), limit)}, nil
 }
 
-// Status returns what operators see of this process.
+// Status returns the status that this process reports to operators.
 func (s *Service) Status() *lilacv1.StateStatus {
 	status := proto.CloneOf(s.log.Status().Status)
 	if status == nil {
@@ -159,8 +162,8 @@
 	return s.Status(), nil
 }
 
-// members lists the group and the entries, so that an entry need be told of one
-// state process only.
+// members returns the members of the group and the known entries, so that an entry needs
+// the address of only one state process in its settings.
 func (s *Service) members(_ context.Context, _ link.Peer, r *lilacv1.StateMembersRequest) (*lilacv1.StateMembers, error) {
 	if entry := r.GetEntry(); entry != nil {
 		s.entries.record(entry)
@@ -172,18 +175,19 @@
 	return reply, nil
 }
 
-// membersVersion gives equal lists equal versions, never 0.
+// membersVersion returns a hash of the lists; never 0.
 func membersVersion(members *lilacv1.StateMembers) uint64 {
-	// Messages of our own types always marshal.
+	// Marshaling does not fail: names and addresses are valid UTF-8.
 	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(members)
 	return max(xxhash.Sum64(data), 1)
 }
 
-// heartbeat is answered by the leader only, since it alone judges who lives.
+// heartbeat is answered by the leader only, since only the leader tracks which instances
+// are alive.
 func (s *Service) heartbeat(_ context.Context, _ link.Peer, r *lilacv1.HeartbeatRequest) (*lilacv1.HeartbeatReply, error) {
 	status := s.log.Status()
 	if !status.IsLeader {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "this state process does not lead; ask the leader",
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "this state process is not the leader; ask the leader",
 			fault.WithLeader(status.Status.GetLeader()), fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
 	s.liveness.record(r.GetIncarnation())
@@ -195,7 +199,7 @@
 	r.ExpiredRenewal = s.leaseTimer.expiredRenewal(held)
 	other := held.GetHolder() != "" && held.GetIncarnation() != r.GetIncarnation()
 	if other && r.GetExpiredRenewal() == 0 && s.log.Status().IsLeader {
-		// Many ask, one holds: those that get nothing need no place in the log.
+		// Refused without the log: many instances request the lease, and only one holds it.
 		return &lilacv1.LeaseReply{Holder: held.GetHolder(), Incarnation: held.GetIncarnation(), Fencing: held.GetFencing(), DurationMs: held.GetDurationMs()}, nil
 	}
 	result, err := s.replicate(ctx, &lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: r}})
