--- a/daemon/state/capture_test.go
+++ b/daemon/state/capture_test.go
@@ -12,8 +12,9 @@
 	"github.com/lilacbridge/lilacbridge/process/ledger"
 )
 
-// commandsForRound returns commands of round n that change every part of the state:
-// teams, refusals, claims, answers, retentions that end, restarts and leases.
+// commandsForRound returns the commands of round n. Over several rounds they change every
+// part of the state: teams, refused commands, claims, answers, retention, incarnations and
+// leases.
 func commandsForRound(n int) []*lilacv1.Command {
 	now := int64(n) * time.Minute.Milliseconds()
 	incarnation := fmt.Sprint("e/", n/7)
@@ -21,7 +22,8 @@
 	for i := range 3 {
 		key, attempt := fmt.Sprint("key-", n, "-", i), fmt.Sprint("attempt-", n, "-", i)
 		all = append(all, &lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: &lilacv1.ClaimRequest{Team: "coop", Key: key, Digest: digest(1), Instance: "e", Incarnation: incarnation, Attempt: attempt, NowUnixMs: now}}})
-		// The second of three stays open; the third belongs to the round before.
+		// The second of three claims stays open; the third outcome is that of the
+		// previous round.
 		if i == 1 {
 			continue
 		}
@@ -33,7 +35,7 @@
 		}
 		all = append(all, &lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: outcome}})
 	}
-	// The second claim of a key that did not run opens it again.
+	// Claims a key that did not run again, which reopens it.
 	all = append(all, &lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: &lilacv1.ClaimRequest{Team: "coop", Key: fmt.Sprint("key-", n-1, "-0"), Digest: digest(1), Instance: "e", Incarnation: incarnation, Attempt: fmt.Sprint("again-", n), NowUnixMs: now}}})
 	change := &lilacv1.Change{Op: &lilacv1.Change_SetTeam{SetTeam: &lilacv1.Team{Name: fmt.Sprint("team-", n%5), Weight: uint32(n + 1)}}}
 	all = append(all, &lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: &lilacv1.Proposal{CommandId: fmt.Sprint("c-", n), Who: "awa", Statement: "SET TEAM", Changes: []*lilacv1.Change{change}, ProposedUnixMs: now}}})
@@ -41,10 +43,10 @@
 	return append(all, &lilacv1.Command{Op: &lilacv1.Command_Lease{Lease: &lilacv1.LeaseRequest{Name: "orders", Holder: "e", Incarnation: "e/1", DurationMs: 1000}}})
 }
 
-// A state process takes a snapshot, and while it is encoded further claims end,
-// are opened again and expire. If the file held one of them, a process that
-// starts from it would run the command a second time and differ from the others
-// from then on, without any error. The capture must be what it was at its index.
+// While a captured snapshot is encoded, further commands end, reopen and expire claims. If
+// the snapshot contained their effect, a process that starts from it would apply these
+// commands twice and silently diverge from the others. The encoded snapshot must contain
+// exactly the state at its index.
 func TestCaptureIsUnaffectedByLaterCommands(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(20, ledger.Limits{Retention: 10 * time.Minute, Entries: 30, TotalAnswerBytes: 500})
--- a/daemon/state/cluster_test.go
+++ b/daemon/state/cluster_test.go
@@ -21,15 +21,15 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// cluster is a set of state processes with real logs and folders, which tests
-// stop, empty, recover and start again on the same addresses.
+// cluster is a set of state processes with real logs and folders. Tests can stop, empty,
+// recover and restart them on the same addresses.
 type cluster struct {
 	t       testing.TB
 	is      *is.I
 	folder  string
 	peers   []settings.Peer
 	running map[string]*stateProcess
-	// random gives the bits of recoveries; the same in each run.
+	// random generates the identities of recoveries; deterministic.
 	random atomic.Uint64
 }
 
@@ -38,7 +38,7 @@
 	process
 	running  RunningLog
 	listener net.Listener
-	// done gets the log's error when it ends.
+	// done receives the error of the log's Run.
 	done chan error
 }
 
@@ -69,7 +69,7 @@
 	return slices.IndexFunc(c.peers, func(p settings.Peer) bool { return p.Name == name })
 }
 
-// start starts the process on the folder as it is; an error is of the start itself.
+// start starts the process on its current folder and returns the error of opening the log.
 func (c *cluster) start(name string) error {
 	listener, err := net.Listen("tcp", c.peers[c.peerIndex(name)].Address.Value)
 	c.is.NoErr(err)
@@ -124,9 +124,9 @@
 	return all
 }
 
-// waitUntil polls until it holds; the test's own deadline ends one that never does.
-func waitUntil(holds func() bool) {
-	for !holds() {
+// waitUntil polls until the condition holds; the timeout of the test run ends a hang.
+func waitUntil(condition func() bool) {
+	for !condition() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -26,7 +26,7 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// immediateLog applies at once, or fails as the test says.
+// immediateLog applies commands at once, or fails with err if set.
 type immediateLog struct {
 	machine *Machine
 	index   uint64
@@ -43,8 +43,7 @@
 func (l *immediateLog) Barrier(context.Context) error { return l.err }
 func (l *immediateLog) Status() LogStatus             { return LogStatus{IsLeader: l.err == nil} }
 
-// decodeText reads "VERSION text"; a text that says "invalid" has a route
-// without a timeout.
+// decodeText decodes "VERSION text"; the text "invalid" yields a route without a timeout.
 func decodeText(content []byte) (*routing.Document, error) {
 	number, text, _ := strings.Cut(string(content), " ")
 	version, err := strconv.ParseUint(number, 10, 64)
@@ -67,8 +66,8 @@
 	}, log
 }
 
-// Operators send versions out of order, again, and other texts under a version
-// that is held. The highest version must stay, as it was first accepted.
+// Operators send versions out of order, repeatedly, and with different content under an
+// accepted version. The highest version must be kept as it was first accepted.
 func TestHighestDocumentVersionIsKept(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
@@ -96,8 +95,8 @@
 	is.Equal(d.service.machine.Document(), nil)
 }
 
-// A process that does not lead sends the operator to the one that does, on that
-// machine's own port for operators; without a leader nothing is promised.
+// A process that does not lead must redirect operators to the leader's address with the
+// port for operators. Without a known leader it must not redirect.
 func TestOperatorsAreRedirectedToTheLeader(t *testing.T) {
 	is := is.New(t)
 	d, log := newDocuments(t)
@@ -111,7 +110,8 @@
 	is.True(!errors.As(d.Put(t.Context(), []byte("4 first")), &moved))
 }
 
-// Hundreds of large documents come in a day. The trail must not hold them all.
+// Hundreds of large documents may be accepted in a day. The audit trail must not keep all
+// of them.
 func TestAuditTrailBoundsLargeDocuments(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
@@ -127,8 +127,8 @@
 	is.Equal(d.service.machine.Document().GetVersion(), uint64(100))
 }
 
-// An entry asks for the members of the group and so is named to the others; one
-// that asks no more is forgotten.
+// An entry that requests the members must be listed to the other entries, and removed some
+// time after its last request.
 func TestEntriesDiscoverEachOtherThroughStateProcesses(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -143,9 +143,9 @@
 	is.Equal(list[0].GetName(), "e1")
 }
 
-// Guards against a loss of power after which every entry holds the newest revision
-// without the document: more documents came than the trail holds, so entries that
-// start take a snapshot.
+// More documents have been accepted than the audit trail holds, so entries that start get a
+// snapshot. It must include the document; otherwise all entries would lack it after a power
+// failure.
 func TestEntryStartedAfterManyDocumentsGetsTheNewest(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
@@ -156,18 +156,18 @@
 	}
 }
 
-// putDocuments has the process accept versions 1 to n, of which the trail holds
-// the newest only.
+// putDocuments puts versions 1 to n of a large document, of which the audit trail holds
+// only the newest.
 func putDocuments(t *testing.T, p *process, n int) {
 	d := &documents{service: p.service, decode: decodeText, logger: hclog.NewNullLogger(), name: "s1", control: netip.MustParseAddrPort("10.0.0.1:8229")}
 	for version := range n {
 		is.New(t).NoErr(d.Put(t.Context(), []byte(strconv.Itoa(version+1)+" "+randomText(200<<10))))
 	}
 	_, held := p.service.machine.Since(0, 1)
-	is.New(t).True(!held) // entries must need a snapshot
+	is.New(t).True(!held) // entries need a snapshot
 }
 
-// randomText is text that does not compress, the same each time.
+// randomText returns incompressible text of n bytes; deterministic.
 func randomText(n int) string {
 	text := make([]byte, n)
 	source := rand.New(rand.NewPCG(1, uint64(n)))
@@ -177,8 +177,8 @@
 	return string(text)
 }
 
-// Guards against a valid document that is refused for its size, or slow to spread:
-// 1,400 routes may be added at once, again and again.
+// A valid document must not be refused because of its size, and must be compressed for
+// distribution: operators may repeatedly add 1,400 routes at once.
 func TestDocumentOfManyRoutesIsAcceptedAndPacked(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
@@ -191,7 +191,7 @@
 	is.True(len(d.service.machine.Document().GetContent()) < len(text)/5)
 }
 
-// manyRoutes is the text of n routes with names as random as operators' are.
+// manyRoutes returns the text of n routes with random names, like those of operators.
 func manyRoutes(n int) string {
 	var text strings.Builder
 	source := rand.New(rand.NewPCG(2, 3))
@@ -225,8 +225,8 @@
 	return err
 }
 
-// Guards against an entry that starts, or was cut off, and is sent every large
-// document since, of which it needs the last alone.
+// An entry starts or reconnects after several large documents have been accepted. Only the
+// newest must be sent to it.
 func TestOnlyTheNewestOfManyLargeDocumentsIsSent(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
@@ -236,7 +236,7 @@
 		is.NoErr(d.Put(t.Context(), []byte(strconv.Itoa(version+1)+" "+randomText(size))))
 	}
 	_, held := all[0].service.machine.Since(0, 1)
-	is.True(held) // the trail holds them all
+	is.True(held) // the audit trail holds all of them
 	caller := dialer(t)(all[0].peer.Address.Value)
 	var sent atomic.Int64
 	w := spreadlink.NewWatcher(spreadlink.Options{
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -20,8 +20,8 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// sharedLog stands in for the replicated log of a whole group: one order of
-// commands, applied to every machine at once.
+// sharedLog simulates the replicated log of a group: it applies each command to all
+// machines at once.
 type sharedLog struct {
 	mu       sync.Mutex
 	index    uint64
@@ -40,8 +40,9 @@
 	return result
 }
 
-// memberLog is one process's view of the sharedLog; before is called ahead of
-// each command and may fail or hang it, after may lose its answer.
+// memberLog is one process's view of a sharedLog. before is called ahead of each command
+// and may fail or block it. after is called once the command is applied; its error
+// simulates a lost answer.
 type memberLog struct {
 	group   *sharedLog
 	address string
@@ -92,7 +93,7 @@
 	return LogStatus{IsLeader: l.leads(), Status: &lilacv1.StateStatus{Leader: l.group.leader, Process: l.address}}
 }
 
-// process is a state process over the real link.
+// process is a state process that serves the real link protocol.
 type process struct {
 	peer    settings.Peer
 	log     *memberLog
@@ -100,10 +101,10 @@
 	server  *link.Server
 }
 
-// group starts n state processes, the first of which leads.
+// group starts n state processes with a sharedLog, the first of which leads.
 func group(t testing.TB, n int) (*sharedLog, []*process) { return groupWithRetention(t, n, 0) }
 
-// groupWithRetention is group with so many revisions in the audit trail.
+// groupWithRetention is group with the given audit retention, in revisions.
 func groupWithRetention(t testing.TB, n, retention int) (*sharedLog, []*process) {
 	shared := &sharedLog{}
 	var all []*process
@@ -138,7 +139,8 @@
 	return newClientWithRecoveries(t, all, name, nil)
 }
 
-// newClientWithRecoveries is newClient of an instance that knows of so many recoveries.
+// newClientWithRecoveries is newClient for an instance that knows the given number of
+// recoveries.
 func newClientWithRecoveries(t testing.TB, all []*process, name string, recoveries func() uint32) *stateclient.Client {
 	dialed := dialer(t)
 	var peers []settings.Peer
@@ -168,8 +170,8 @@
 	return &lilacv1.Proposal{CommandId: id, Who: "awa", Statement: "SET CLASS " + name, Changes: []*lilacv1.Change{change}, ProposedUnixMs: time.Now().UnixMilli()}
 }
 
-// serveEntry lets others follow the watcher, and returns the address, what ends
-// it as a crash would, and the traffic of those who follow.
+// serveEntry serves the watcher's revisions to others. It returns the address, a function
+// that simulates a crash and the traffic of the followers.
 func serveEntry(t testing.TB, w *spreadlink.Watcher) (address string, kill func(), traffic *link.Traffic) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -36,9 +36,9 @@
 	return list
 }
 
-// The leader stops while operators and callers are at work. What was accepted
-// must still be there, a claim that was granted must not be granted again, and
-// the entries must find the new leader by themselves.
+// The leader stops while operators and callers are active. Accepted changes must be kept, a
+// granted claim must not be granted again, and entries must find the new leader by
+// themselves.
 func TestCommittedStateSurvivesLossOfTheLeader(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
@@ -67,9 +67,9 @@
 	}
 }
 
-// Two of three data centres are cut off. The third must refuse new claims with
-// "not run", at once after the first time, and still give the first answer of a
-// request that it has seen end, the audit trail and the configuration.
+// Two of three data centres are unreachable. The third must refuse new claims with not_run,
+// at once after the first refusal, and still serve stored answers, the audit trail and the
+// configuration.
 func TestMinorityRefusesClaimsAndServesReads(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
@@ -135,8 +135,8 @@
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 }
 
-// BenchmarkClaims compares claims (synced on a quorum of three processes with
-// real files) with calls that replicate nothing, over the same links.
+// BenchmarkClaims compares claims, which are synced by a quorum of three processes with
+// real files, with calls over the same links that replicate nothing.
 func BenchmarkClaims(b *testing.B) {
 	all := replicatedGroup(b)
 	c := newClient(b, processes(all), "entry-1")
@@ -162,8 +162,8 @@
 	}
 }
 
-// measure runs b.N calls by so many workers and reports the rate and the
-// percentiles of their time.
+// measure runs b.N calls with the given number of workers and reports their rate and
+// latency percentiles.
 func measure(b *testing.B, workers int, call func(i int) error) {
 	times := make([]time.Duration, b.N)
 	next := make(chan int, workers)
--- a/daemon/state/lease_test.go
+++ b/daemon/state/lease_test.go
@@ -14,10 +14,9 @@
 	return &lilacv1.LeaseRequest{Name: "orders", DurationMs: ms}
 }
 
-// The holder of a lease is cut off. Another may take over only when the leader
-// has counted the whole lease and a little more, and at a leader that has only
-// just come to office counting begins anew: the old holder may have renewed
-// there a moment ago for all that it knows.
+// The holder of a lease is unreachable. Another instance may take over only after the leader
+// has measured the full duration and the allowance for clock drift. A new leader must measure
+// the full duration itself, because it can't know when the lease was last renewed.
 func TestLeaseIsTakenOverOnlyAfterItExpired(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -29,32 +29,32 @@
 const (
 	testLease        = 600 * time.Millisecond
 	testOrderTimeout = 2400 * time.Millisecond
-	// slowOrderDelay is how long a slow order travels; it stays below the timeout.
+	// slowOrderDelay is the network delay of a slow order; below the timeout.
 	slowOrderDelay = testOrderTimeout * 9 / 10
 )
 
-// delayedEngine is a stand-in engine behind a network that can be slow.
+// delayedEngine is a simulated engine behind a network that can be slow.
 type delayedEngine struct {
 	ignoresFencing bool
 	handler        http.Handler
 	address        string
-	// slow orders land slowOrderDelay after they were sent, whatever becomes of
-	// their sender.
+	// slow delays orders by slowOrderDelay, even if their sender dies meanwhile.
 	slow atomic.Bool
-	// sent gets the number of each order whose body came in whole.
+	// sent receives the fencing number of each order that has been received completely.
 	sent chan uint64
-	// delivered gets the number of each order that the engine took or refused.
+	// delivered receives the fencing number of each order that the engine has accepted or
+	// refused.
 	delivered chan uint64
 
 	mu sync.Mutex
-	// effects are the numbers of the orders that the engine carried out.
+	// effects are the fencing numbers of the orders carried out, in order. Guarded by mu.
 	effects []uint64
 }
 
-func newDelayedEngine(t *testing.T, ignores bool) *delayedEngine {
+func newDelayedEngine(t *testing.T, ignoresFencing bool) *delayedEngine {
 	server := khttp.NewServer()
-	standin.NewEngine(standin.EngineConfig{IgnoreFencing: ignores}).Routes(server)
-	b := &delayedEngine{ignoresFencing: ignores, handler: server, sent: make(chan uint64, 100), delivered: make(chan uint64, 100)}
+	standin.NewEngine(standin.EngineConfig{IgnoreFencing: ignoresFencing}).Routes(server)
+	b := &delayedEngine{ignoresFencing: ignoresFencing, handler: server, sent: make(chan uint64, 100), delivered: make(chan uint64, 100)}
 	front := httptest.NewServer(b)
 	t.Cleanup(front.Close)
 	b.address = strings.TrimPrefix(front.URL, "http://")
@@ -88,14 +88,14 @@
 	w.WriteHeader(recorder.Code)
 }
 
-// waitForFencingAbove returns when an order with a greater number is told of.
+// waitForFencingAbove returns once an order with a greater fencing number is received.
 func waitForFencingAbove(numbers chan uint64, fencing uint64) {
 	for <-numbers <= fencing {
 	}
 }
 
-// holderFreezer stops a holder between the decision on an order, which it logs, and
-// the sending, and keeps its renewals back meanwhile.
+// holderFreezer blocks a holder between logging the decision on an order and sending the
+// order, and blocks its renewals meanwhile.
 type holderFreezer struct {
 	hclog.Logger
 	armed     bool
@@ -117,7 +117,7 @@
 	}
 }
 
-// holder runs an order giver over the real link to the state processes.
+// holder runs an order giver that is connected to the state processes by the real link.
 type holder struct {
 	*holderFreezer
 	giver  *orders.Giver
@@ -125,10 +125,10 @@
 	stop   func()
 }
 
-func runHolder(t *testing.T, all []*process, name, wish string, engine *delayedEngine, f *holderFreezer) *holder {
+func runHolder(t *testing.T, all []*process, name, modelName string, engine *delayedEngine, f *holderFreezer) *holder {
 	view, client := model.NewView(&lilacv1.Snapshot{
 		Servers: []*lilacv1.Server{{Name: "r0", Address: engine.address, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, ChecksFencing: !engine.ignoresFencing}},
-		Orders:  []*lilacv1.ModelOrder{{Server: "r0", Model: wish, Loaded: true}},
+		Orders:  []*lilacv1.ModelOrder{{Server: "r0", Model: modelName, Loaded: true}},
 	}), newClient(t, all, name)
 	h := &holder{holderFreezer: f}
 	h.giver = orders.New(orders.Options{
@@ -160,38 +160,38 @@
 	return h
 }
 
-// kill ends the holder without a word to the state processes.
+// kill stops the holder without any further call to the state processes.
 func (h *holder) kill() {
 	h.killed.Store(true)
 	h.stop()
 }
 
-// checkEffects wants the orders carried out in order of their numbers, and the
-// last one to be from after the holding with the number.
+// checkEffects fails the test unless the orders were carried out in order of their fencing
+// numbers and the last one has a number greater than fencing.
 func checkEffects(t *testing.T, b *delayedEngine, fencing uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !slices.IsSorted(b.effects) || len(b.effects) == 0 || b.effects[len(b.effects)-1] <= fencing {
-		t.Errorf("the engine carried out orders of the holdings %v; none of an older may follow one of a newer", b.effects)
+		t.Errorf("engine carried out orders with fencing numbers %v; want ascending order, ending above the number of the old holder", b.effects)
 	}
 }
 
-// forEachFencingMode runs the test with an engine that checks numbers and with one that
-// ignores them.
+// forEachFencingMode runs the test with an engine that checks fencing numbers and with one
+// that ignores them.
 func forEachFencingMode(t *testing.T, test func(t *testing.T, all []*process, engine *delayedEngine)) {
 	t.Parallel()
-	for _, ignores := range []bool{false, true} {
-		t.Run(fmt.Sprint("ignores ", ignores), func(t *testing.T) {
+	for _, ignoresFencing := range []bool{false, true} {
+		t.Run(fmt.Sprint("ignores ", ignoresFencing), func(t *testing.T) {
 			t.Parallel()
 			_, all := group(t, 3)
-			test(t, all, newDelayedEngine(t, ignores))
+			test(t, all, newDelayedEngine(t, ignoresFencing))
 		})
 	}
 }
 
-// The holder decides on an order and freezes before it sends it. Its lease runs
-// out, another takes over and orders something else. When the first wakes, its
-// order must not take effect any more: the engine would end with the old wish.
+// The holder freezes between deciding on an order and sending it. Its lease expires, another
+// instance takes over and sends a different order. When the first holder resumes, its order
+// must not take effect, otherwise the engine would end up with the outdated one.
 func TestFrozenHolderResumesAfterTakeover(t *testing.T) {
 	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		is := is.New(t)
@@ -204,7 +204,7 @@
 		looked := old.viewCalls.Load()
 		old.frozen.Store(false)
 		close(old.resume)
-		// The order that it had decided on goes out before it looks twice again.
+		// The pending order is sent before the holder reads the view again twice.
 		for old.viewCalls.Load() < looked+3 {
 			time.Sleep(time.Millisecond)
 		}
@@ -214,10 +214,10 @@
 	})
 }
 
-// The holder is killed when its order is on the way, and the network carries it
-// slowly: another takes over and orders something else before it lands. An
-// engine that checks numbers refuses the late order; for one that ignores them
-// the new holder must wait until the old order has landed.
+// The holder is killed while its order is in transit on a slow network. Another instance takes
+// over and sends a different order before the first one arrives. An engine that checks fencing
+// numbers refuses the late order; with one that ignores them, the new holder must wait until
+// the old order has arrived.
 func TestHolderIsKilledWithAnOrderInTransit(t *testing.T) {
 	forEachFencingMode(t, func(t *testing.T, all []*process, engine *delayedEngine) {
 		engine.slow.Store(true)
--- a/daemon/state/recover.go
+++ b/daemon/state/recover.go
@@ -80,7 +80,7 @@
 // Recover turns the data folder of a voter that survived the loss of a majority into the
 // first voter of a new group, or reports what that would do.
 func Recover(ctx context.Context, o RecoverOptions) (*Recovery, error) {
-	held, err := fetchNewestConfig(ctx, o)
+	fromEntries, err := fetchNewestConfig(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plan, err := newRecoveryPlan(ctx, o, state, held)
+		plan, err := newRecoveryPlan(ctx, o, state, fromEntries)
 		if err != nil {
 			return nil, err
 		}
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	defer store.Close()
-	plan, err := newRecoveryPlan(ctx, o, state, held)
+	plan, err := newRecoveryPlan(ctx, o, state, fromEntries)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	report  *Recovery
 }
 
-func newRecoveryPlan(ctx context.Context, o RecoverOptions, state *wal.State, held *entryConfig) (*recoveryPlan, error) {
+func newRecoveryPlan(ctx context.Context, o RecoverOptions, state *wal.State, fromEntries *entryConfig) (*recoveryPlan, error) {
 	members, err := folderMembers(o.Folder, state)
 	if err != nil {
 		return nil, err
@@ -137,14 +137,14 @@
 	if err := p.checkLostVoters(ctx, o.Dial); err != nil {
 		return nil, err
 	}
-	found, err := p.machine.replay(state, held.snapshot)
+	replayed, err := p.machine.replay(state, fromEntries.snapshot)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.adoptEntryConfig(ctx, held, found); err != nil {
+	if err := p.adoptEntryConfig(ctx, fromEntries, replayed); err != nil {
 		return nil, err
 	}
-	p.finish(o, max(found.revision, held.snapshot.GetRevision()))
+	p.finish(o, max(replayed.revision, fromEntries.snapshot.GetRevision()))
 	return p, nil
 }
 
@@ -202,25 +202,25 @@
 
 // adoptEntryConfig replaces the folder's configuration by the entries' if the entries hold
 // a newer revision or the folder's newest revisions were never accepted.
-func (p *recoveryPlan) adoptEntryConfig(ctx context.Context, held *entryConfig, found *replayResult) error {
+func (p *recoveryPlan) adoptEntryConfig(ctx context.Context, fromEntries *entryConfig, replayed *replayResult) error {
 	r := p.report
-	r.Revision, r.EntryRevision = found.revision, held.snapshot.GetRevision()
+	r.Revision, r.EntryRevision = replayed.revision, fromEntries.snapshot.GetRevision()
 	switch {
-	case held.snapshot.GetRecoveries() > p.machine.Recoveries():
+	case fromEntries.snapshot.GetRecoveries() > p.machine.Recoveries():
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "the entries already follow a group that was recovered from this folder's; move the folder away and start with an empty one")
-	case held.snapshot.GetRecoveries() < p.machine.Recoveries():
+	case fromEntries.snapshot.GetRecoveries() < p.machine.Recoveries():
 		return nil
 	}
-	r.Diverged = found.diverged
-	r.Adopted = found.diverged || r.EntryRevision > r.Revision
+	r.Diverged = replayed.diverged
+	r.Adopted = replayed.diverged || r.EntryRevision > r.Revision
 	if !r.Adopted {
 		return nil
 	}
-	keep := found.revision
-	if found.diverged {
-		keep = found.committed
+	keep := replayed.revision
+	if replayed.diverged {
+		keep = replayed.committed
 	}
-	p.machine.config.Adopt(held.snapshot, keep, held.revisionsAfter(ctx, keep))
+	p.machine.config.Adopt(fromEntries.snapshot, keep, fromEntries.revisionsAfter(ctx, keep))
 	return nil
 }
 
--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -17,9 +17,9 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// majorityLoss drives a majority's machine with operators, callers and holders of a
-// lease, loses it, recovers from a survivor that is behind and may have written
-// an end of its own, and goes on.
+// majorityLoss simulates a random history: operators, callers and lease holders change a
+// majority's machine, the majority is lost, the state is recovered from a survivor that is
+// behind and may have uncommitted entries of its own, and the history continues.
 type majorityLoss struct {
 	is      *is.I
 	random  *rand.Rand
@@ -29,7 +29,7 @@
 	number  int
 	// log holds all commands that the majority accepted.
 	log [][]byte
-	// classes are those of accepted changes; contents what each revision stands for.
+	// classes are the classes set by accepted changes; contents maps revisions to them.
 	classes  []string
 	contents map[uint64]string
 	// staleConfig is what an entry holds that is cut off since some revision.
@@ -37,7 +37,7 @@
 	keys        []string
 	runs        map[string]int
 	fencing     uint64
-	// Promises that were broken.
+	// Counts of violated guarantees.
 	duplicateRuns, lostChanges, wrongFencing, reusedRevisions int
 }
 
@@ -72,7 +72,7 @@
 	if h.random.IntN(2) == 0 {
 		return fmt.Sprint("plain-", h.number)
 	}
-	// The caller's clock is up to a minute off.
+	// The caller's clock deviates by up to a minute.
 	return timedKey(time.UnixMilli(h.nowMs+h.random.Int64N(120_000)-60_000), h.number)
 }
 
@@ -91,7 +91,8 @@
 	h.classes = append(h.classes, class)
 }
 
-// claim runs the request if it is granted, unless it is given up unsent.
+// claim claims the key. If the claim is granted, it runs the request or, in one of four
+// cases, abandons it unsent; the outcome is stored in two of three cases.
 func (h *majorityLoss) claim(key string) {
 	h.number++
 	attempt := fmt.Sprint("attempt-", h.number)
@@ -112,7 +113,7 @@
 	}
 }
 
-// lease lets another holder take over once the last renewal has run out.
+// lease requests the lease for a random holder, in half of the cases as expired.
 func (h *majorityLoss) lease() {
 	holder := fmt.Sprint("h-", h.random.IntN(3))
 	held := h.machine.Lease("orders")
@@ -151,8 +152,8 @@
 	return state
 }
 
-// recover asks an entry that is up to date, or only one that is behind: changes
-// that nobody who answers holds are then lost.
+// recover recovers the survivor with the configuration of an up-to-date entry, or of a stale
+// one. In the latter case, changes that neither of them holds are lost.
 func (h *majorityLoss) recover(upToDate bool) {
 	held := &entryConfig{snapshot: h.machine.Config()}
 	if !upToDate {
@@ -192,11 +193,11 @@
 	}
 }
 
-// A majority is lost at any moment; the survivor lacks any part of what was
-// accepted and may hold an end that never was; the entries that are asked hold all
-// revisions, or in every third history only some.
-// Callers send all their keys again. No accepted change may be lost, no number
-// of a revision stand for two contents, no key run twice, no fencing number fall.
+// A majority is lost at a random point. The survivor lacks a random part of the accepted
+// commands and may hold entries that were never accepted. The entries that are asked hold all
+// revisions or, in every third history, only some. Callers then send all their keys again. No
+// accepted change that an asked entry holds may be lost, no revision number may stand for two
+// contents, no key may run twice and no fencing number may decrease.
 func TestRecoveryKeepsGuaranteesInRandomHistories(t *testing.T) {
 	const seeds, steps = 300, 60
 	changes, runs, granted := 0, 0, 0
@@ -214,14 +215,14 @@
 		for range steps {
 			h.step()
 		}
-		// Past the margin, and past the retention of keys without a time.
+		// Moves past the key margin and the retention of keys without a time.
 		h.nowMs += (2 * time.Hour).Milliseconds()
 		for range steps {
 			h.step()
 		}
 		h.checkChanges()
 		if h.duplicateRuns+h.lostChanges+h.wrongFencing+h.reusedRevisions > 0 {
-			t.Fatalf("seed %d: %d double runs, %d changes lost, %d wrong fencing numbers, %d numbers of revisions reused", seed, h.duplicateRuns, h.lostChanges, h.wrongFencing, h.reusedRevisions)
+			t.Fatalf("seed %d: %d duplicate runs, %d accepted changes lost, %d wrong fencing numbers, %d revision numbers reused", seed, h.duplicateRuns, h.lostChanges, h.wrongFencing, h.reusedRevisions)
 		}
 		changes, runs, granted = changes+len(h.classes), runs+len(h.runs), granted+len(h.runs)-before
 		h.is.Equal(h.machine.Counts().BrokenInvariants, uint64(0))
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// majority returns the names of a leader and one more voter, and the third voter.
+// majority returns the names of the leader and another voter, and that of the third voter.
 func (c *cluster) majority() (two []string, third string) {
 	var leader string
 	waitUntil(func() bool {
@@ -55,11 +55,11 @@
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
 
-// Two of three data centres lose their disks for good. Just before, an operator's
-// change, a claim and a lease were accepted by these two alone; only an entry
-// still holds the change. The third one's folder is recovered. Nothing accepted
-// may be lost, no key run twice, no fencing number come twice; and lost voters
-// whose old disks turn up must be refused, although they are a quorum of the old group.
+// Two of three data centres lose their disks permanently. Just before, only these two accepted
+// an operator's change, a claim and a lease; of these, only an entry still holds the change.
+// After the third one's folder is recovered, the change must not be lost, no key run twice and
+// no fencing number be reused. Lost voters that return with their old disks must be refused,
+// although they form a quorum of the old group.
 func TestRecoveryFromALostMajority(t *testing.T) {
 	c := newCluster(t, 3)
 	is := c.is
@@ -69,7 +69,8 @@
 	entries := startWatchers(t, c.processes(), 1)
 	waitForRevision(entries[0], 1)
 	entryAddress, _, _ := serveEntry(t, entries[0].Watcher)
-	// The entry keeps what it sent here, as it does when another entry starts.
+	// The entry caches the configuration that it sends here, as it does when another entry
+	// starts.
 	early, err := spreadlink.FetchConfig(t.Context(), dialer(t)(entryAddress))
 	is.NoErr(err)
 	is.Equal(early.GetRevision(), uint64(1))
@@ -89,7 +90,7 @@
 	is.True(leased.GetGranted())
 	waitForRevision(entries[0], 2)
 
-	// While they run, there is nothing to recover.
+	// A recovery is refused while the other voters are running.
 	_, err = Recover(t.Context(), c.options(survivor, entryAddress))
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
 	for _, name := range lost {
@@ -136,7 +137,7 @@
 	})
 	is.Equal(status.GetRecoveries(), uint32(1))
 
-	// Both old disks come back, a quorum of the old group.
+	// Both lost voters return with their old disks and form a quorum of the old group.
 	for _, name := range lost {
 		c.stop(name)
 		is.NoErr(os.RemoveAll(c.data(name)))
@@ -153,9 +154,9 @@
 	}
 }
 
-// Both lost voters come back with their old disks where the recovered group does
-// not reach them. They lead the old group; an entry that has heard of the new
-// one reaches both sides. It must get no claim, lease or change from the old one.
+// Both lost voters return with their old disks, unreachable from the recovered group, and
+// continue the old group. An entry that knows the recovered group reaches both. The old group
+// must refuse its claims, lease requests and changes.
 func TestEntryThatKnowsTheRecoveredGroupRefusesTheOldOne(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
@@ -177,9 +178,9 @@
 	is.True(err != nil)
 }
 
-// The survivor led once, lost its quorum and wrote a change that was never
-// accepted, under the number that the others then gave to another one. Both the
-// survivor's folder and an entry hold that number: the entry's is the truth.
+// The survivor was a leader that lost its quorum and wrote a change that was never accepted.
+// The others then used the same revision number for another change. If both the survivor's
+// folder and an entry hold that number, the entry's content must be used.
 func TestEntryConfigOverridesUncommittedRevisions(t *testing.T) {
 	is := is.New(t)
 	accepted, own := NewMachine(0, ledger.Limits{}), NewMachine(0, ledger.Limits{})
--- a/daemon/state/replay.go
+++ b/daemon/state/replay.go
@@ -26,27 +26,27 @@
 // replay applies the folder's snapshot and all its log entries. That includes entries not
 // known to be committed, because a caller may have been told of their result.
 //
-// Entry instances hold accepted revisions only. If held has different content under a
+// Entry instances hold accepted revisions only. If accepted, their configuration, has different content under a
 // revision number that the folder has too, the last entries of the folder were written by
 // a leader without a quorum and were never accepted.
-func (m *Machine) replay(state *wal.State, held *lilacv1.Snapshot) (*replayResult, error) {
+func (m *Machine) replay(state *wal.State, accepted *lilacv1.Snapshot) (*replayResult, error) {
 	if state.Snapshot.GetSize() > 0 {
 		if err := m.Restore(state.SnapshotData); err != nil {
 			return nil, err
 		}
 	}
-	found := &replayResult{committed: m.Revision()}
+	result := &replayResult{committed: m.Revision()}
 	for _, entry := range state.Entries {
 		before := m.Revision()
 		if entry.GetKind() == lilacv1.RaftEntryKind_RAFT_ENTRY_KIND_COMMAND {
 			m.Apply(entry.GetIndex(), entry.GetData())
 		}
-		if m.Revision() != before && m.Revision() == held.GetRevision() {
-			found.diverged = !proto.Equal(m.Config(), held)
+		if m.Revision() != before && m.Revision() == accepted.GetRevision() {
+			result.diverged = !proto.Equal(m.Config(), accepted)
 		}
 	}
-	found.revision = m.Revision()
-	return found, nil
+	result.revision = m.Revision()
+	return result, nil
 }
 
 // folderMembers returns the newest members in the folder, or an error if the folder is
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -35,6 +35,7 @@
 	return &lilacv1.ClaimRequest{Team: "coop", Key: key, Digest: digest(1)}
 }
 
+// All methods of the client must work in a group in which only one process leads.
 func TestClientCalls(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
@@ -83,8 +84,8 @@
 	}
 }
 
-// What the client makes of each way in which a call can fail, and what it says
-// of the command: refused and surely not in the log, or perhaps in it.
+// For each way in which a call can fail, the client must return the right kind of error and
+// report whether the command is certainly not in the log (not_run) or may be in it.
 func TestCallFaultsAndNotRun(t *testing.T) {
 	noLeader := func(s *sharedLog, _ []*process) { s.leader = "" }
 	for _, c := range []struct {
@@ -140,10 +141,9 @@
 	}
 }
 
-// A data centre is cut off. The answer to a claim is lost, so the entry can't
-// know whether it stands; it does not send the request and tells its caller "not
-// run". When the link heals, the claim must be given up by itself, so that the
-// caller's resend runs.
+// The reply to a claim is lost, so the entry can't know whether it was granted. It does not
+// send the request and reports not_run to its caller. Once the connection is restored, the
+// client must release the claim by itself, so that the caller's retry runs.
 func TestClaimWithLostReplyIsReleased(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
@@ -167,9 +167,9 @@
 	is.True(granted.GetGranted())
 }
 
-// An entry is silent for longer than claims may wait, so the leader takes it for
-// dead and its claim becomes unknown. The entry was only cut off: when it comes
-// back it must be able to claim again without a restart.
+// An entry sends nothing for longer than livenessTimeout, so the leader considers it dead and
+// the outcome of its claim becomes unknown. If the entry was only unreachable, it must be able
+// to claim again without a restart.
 func TestTimedOutEntryLosesItsClaimsAndClaimsAgain(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
@@ -220,7 +220,7 @@
 	is.True(restored.Restore([]byte("no snapshot")) != nil)
 }
 
-// follower is an entry that does nothing but follow revisions.
+// follower is an entry that only follows revisions.
 type follower struct {
 	*spreadlink.Watcher
 	name    string
@@ -228,7 +228,7 @@
 	traffic *link.Traffic
 }
 
-// startWatchers starts n entries of one data centre.
+// startWatchers starts n entries in one data centre.
 func startWatchers(t testing.TB, all []*process, n int) []*follower {
 	var state []settings.Peer
 	for _, p := range all {
@@ -259,7 +259,7 @@
 	return started
 }
 
-// revisionWatcher is an entry that follows revisions.
+// revisionWatcher is the part of an entry that waitForRevision needs.
 type revisionWatcher interface {
 	Changed() <-chan struct{}
 	Current() *model.View
@@ -293,8 +293,8 @@
 	}
 }
 
-// The relay of a data centre dies. The entries below it must go on with the next
-// in rank, and that one with a state process, without an operator.
+// The relay of a data centre dies. Without an operator's help, the other entries must follow
+// the next one in rank, and that one must follow a state process.
 func TestEntriesFailOverWhenTheirRelayDies(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
@@ -311,9 +311,9 @@
 	}
 }
 
-// An entry starts after more changes than the audit trail holds. Neither the
-// state processes nor the relay can give them one by one, so it must take a
-// snapshot, and then each later change in order.
+// An entry starts after more changes than the audit trail holds. Neither the state processes
+// nor the relay can send them one by one, so the entry must receive a snapshot, and then each
+// later change in order.
 func TestEntryBeyondTheAuditTrailGetsASnapshot(t *testing.T) {
 	is := is.New(t)
 	_, all := groupWithRetention(t, 1, 5)
@@ -335,8 +335,8 @@
 	}
 }
 
-// An entry that holds what this process would answer is told so, and nothing else, until
-// another entry comes.
+// An entry that already has the current members must receive only their version, until another
+// entry appears.
 func TestMembersAreSentOnlyWhenChanged(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
--- a/daemon/state/signs_bench_test.go
+++ b/daemon/state/signs_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/lilacbridge/lilacbridge/connection/packets"
 )
 
-// BenchmarkSigns gives the bytes a second on the wire, headers included, of the
-// signs of life that a relay gives to those who follow it, 8 at most. Who began
-// at a state process comes to the relay within 10 s.
+// BenchmarkSigns measures the network traffic of the signs of life that a relay sends to its
+// followers, at most 8, in bytes per second including packet headers. It first waits until
+// followers that started at a state process have switched to the relay, which takes up to 10 s.
 func BenchmarkSigns(b *testing.B) {
 	const settle, seconds = 12 * time.Second, 10
 	for _, following := range []int{2, 4, 6, 8} {
--- a/daemon/state/size_bench_test.go
+++ b/daemon/state/size_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/process/ledger"
 )
 
-// filledMachine returns a machine with so many teams, revisions of the audit trail and
-// ended keys, in equal parts of all that it holds.
+// filledMachine returns a machine with the given numbers of teams, each set by a revision of
+// its own, and of ended keys, half of which are tombstones.
 func filledMachine(b *testing.B, teams, keys int) *Machine {
 	m := NewMachine(0, ledger.Limits{Entries: max(1, keys/2), Tombstones: max(1, keys)})
 	index := uint64(0)
@@ -37,8 +37,8 @@
 	return m
 }
 
-// BenchmarkSize gives what a state process's machine weighs: memory, the bytes
-// of a snapshot, how long Capture holds up the log, and the encoding beside it.
+// BenchmarkSize measures the memory of a state process's machine, the size of its snapshot, how
+// long Capture blocks the log and how long the encoding takes.
 func BenchmarkSize(b *testing.B) {
 	for _, c := range []struct{ teams, keys int }{{45000, 10000}, {45000, 50000}, {45000, 100000}, {45000, 200000}} {
 		b.Run(fmt.Sprintf("teams=%d/keys=%d", c.teams, c.keys), func(b *testing.B) {
@@ -50,9 +50,9 @@
 			runtime.ReadMemStats(&after)
 			size, longest := 0, time.Duration(0)
 			for b.Loop() {
-				begun := time.Now()
+				start := time.Now()
 				encode := m.Capture()
-				longest = max(longest, time.Since(begun))
+				longest = max(longest, time.Since(start))
 				data, err := encode()
 				if err != nil {
 					b.Fatal(err)
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -20,12 +20,13 @@
 
 const (
 	benchDataCenters = 5
-	// nearDelay and farDelay are one way, inside a data centre and between two.
+	// nearDelay and farDelay are the one-way delays within and between data centres.
 	nearDelay = time.Millisecond
 	farDelay  = 30 * time.Millisecond
 )
 
-// trafficMeter counts the messages that pass and delays each as the network would.
+// trafficMeter counts the bytes of messages within and between data centres, and of those sent
+// by the state process.
 type trafficMeter struct{ near, far, fromState atomic.Int64 }
 
 type meteredCaller struct {
@@ -34,6 +35,7 @@
 	far, state bool
 }
 
+// meteredStream counts the received messages and delays each of them like the network.
 type meteredStream struct {
 	link.Stream
 	caller *meteredCaller
@@ -60,8 +62,8 @@
 	return err
 }
 
-// startEntries starts n watchers in five data centres below one state process. Flat
-// ones know of no other entry, so that each follows the state process.
+// startEntries starts n watchers in five data centres and one state process. With flat, they
+// know of no other entry, so that each follows the state process.
 func startEntries(b *testing.B, service *Service, w *trafficMeter, n int, flat bool) []*spreadlink.Watcher {
 	muxes := make(map[string]*link.Mux)
 	centers := map[string]string{"state": "dc-0"}
@@ -97,10 +99,10 @@
 	return all
 }
 
-// BenchmarkSpread compares the tree with a flat fan-out from the state process:
-// bytes for each revision between and inside data centres and out of the state
-// process (answers only, with the signs of life of the same time), and the time
-// until a revision is in force at the last entry.
+// BenchmarkSpread compares distribution by a tree with a flat fan-out from the state process.
+// It measures, per revision, the bytes sent between and within data centres and by the state
+// process (replies only, including signs of life sent meanwhile), and the time until the
+// revision is in force at the last entry.
 func BenchmarkSpread(b *testing.B) {
 	for _, n := range []int{8, 64, 256, 1100} {
 		for name, flat := range map[string]bool{"tree": false, "flat": true} {
--- a/daemon/state/stall_bench_test.go
+++ b/daemon/state/stall_bench_test.go
@@ -12,13 +12,13 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// noPeers is the network of a group of one.
+// noPeers is the transport of a group with one member.
 type noPeers struct{}
 
 func (noPeers) Send(string, []*lilacv1.RaftMessage) {}
 
-// BenchmarkStall gives how long a snapshot of a large machine holds up the log:
-// the longest wait of a proposal while several snapshots are taken.
+// BenchmarkStall measures how long a snapshot of a large machine blocks the log: the longest
+// latency of a proposal while several snapshots are taken.
 func BenchmarkStall(b *testing.B) {
 	const proposals, every = 4000, 1000
 	m := filledMachine(b, 45000, 200000)
@@ -43,11 +43,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			begun := time.Now()
+			start := time.Now()
 			if _, err := node.Propose(b.Context(), data); err != nil {
 				b.Fatal(err)
 			}
-			wait := time.Since(begun)
+			wait := time.Since(start)
 			longest, sum = max(longest, wait), sum+wait
 		}
 		b.ReportMetric(float64(longest.Microseconds())/1000, "longest-ms")
