--- a/request/policy/candidate.go
+++ b/request/policy/candidate.go
@@ -58,7 +58,7 @@
 	c.PrefillTime = r.pool.prefillTime(source.cost())
 	c.DuplicatePrefill = source.duplicate >= minDuplicatePrefill
 	c.AffinityPenalty = s.lanePenalty(r, h, source.prefill)
-	c.Interferes = s.intrudes(now, r, source.prefill)
+	c.Interferes = s.interferes(now, r, source.prefill)
 	if r.Pinned {
 		c.FailurePenalty = time.Duration(s.failureRate * float64(r.firstTokenTarget()))
 	}
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -28,19 +28,20 @@
 	// free while loads come from the load board: many instances start requests between two
 	// updates.
 	staleLoadReserve = 1
-	// crowdWeight is the weight of the longer gaps that a request causes for others.
-	crowdWeight = 0.5
-	// workWeight keeps requests with the engine that has their shared prompt until it is about to
+	// contentionWeight is the weight of the longer gaps that a request causes for others.
+	contentionWeight = 0.5
+	// prefillWeight keeps requests with the engine that has their shared prompt until it is about to
 	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
-	workWeight = 6
-	// paceWeight is the weight of the gap between tokens of a pinned answer.
-	paceWeight = 0.2
-	// nearFirst, nearSecond and nearShare are how much more than the cheapest server another one
-	// may cost and still be chosen so that copies of a request meet on it: the first and second
-	// by rendezvous hash, and others; see docs/notes/crashing-requests.md.
-	nearFirst  = 1.0
-	nearSecond = 0.5
-	nearShare  = 0.1
+	prefillWeight = 6
+	// decodeWeight is the weight of the gap between tokens of a pinned answer.
+	decodeWeight = 0.2
+	// nearFirstMargin, nearSecondMargin and nearMargin are by what fraction a server may cost
+	// more than the cheapest one and still be chosen, so that copies of a request meet on the
+	// same server: the first and second by rendezvous hash, and others; see
+	// docs/notes/crashing-requests.md.
+	nearFirstMargin  = 1.0
+	nearSecondMargin = 0.5
+	nearMargin       = 0.1
 )
 
 // tierReserves returns the slots that each tier leaves free on each server. Free slots keep first
@@ -63,8 +64,8 @@
 	onTime choose.Chooser
 	late   choose.Chooser
 	// pinned and pinnedLate are the same for pinned requests, which have homes instead of the
-	// rendezvous rank. pinnedOnce allows a late first token but no duplicate prefill.
-	pinned, pinnedLate, pinnedOnce choose.Chooser
+	// rendezvous rank. pinnedNoDuplicate allows a late first token but no duplicate prefill.
+	pinned, pinnedLate, pinnedNoDuplicate choose.Chooser
 	// displacing is for urgent requests that displace bulk, displacingLate for those that cannot
 	// be in time.
 	displacing, displacingLate choose.Chooser
@@ -73,23 +74,23 @@
 }
 
 func newChooser(weights settings.Policy) chooser {
-	scorers := []choose.Scorer{choose.CompletionTime{}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.Contention{Weight: crowdWeight}, choose.FailurePenalty{}}
-	pinnedScorers := []choose.Scorer{choose.PrefillTime{Weight: workWeight}, choose.LatenessRisk{}, choose.DecodeTime{Weight: paceWeight}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.AffinityPenalty{}, choose.FailurePenalty{}}
+	scorers := []choose.Scorer{choose.CompletionTime{}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.Contention{Weight: contentionWeight}, choose.FailurePenalty{}}
+	pinnedScorers := []choose.Scorer{choose.PrefillTime{Weight: prefillWeight}, choose.LatenessRisk{}, choose.DecodeTime{Weight: decodeWeight}, choose.Remote{Cost: weights.RemoteCost.Duration}, choose.AffinityPenalty{}, choose.FailurePenalty{}}
 	late := []choose.Filter{choose.Available{}, choose.WithinCapacity{}, choose.Quarantine{}}
 	onTime := append(slices.Clone(late), choose.OnTime{})
-	unintruded := append(slices.Clone(late), choose.NoInterference{})
-	noDuplicate := append(slices.Clone(unintruded), choose.NoDuplicatePrefill{})
+	noInterference := append(slices.Clone(late), choose.NoInterference{})
+	noDuplicate := append(slices.Clone(noInterference), choose.NoDuplicatePrefill{})
 	firstOnTime := append(slices.Clone(noDuplicate), choose.FirstTokenOnTime{})
-	picker := choose.NearLowestCost{FirstMargin: nearFirst, SecondMargin: nearSecond, Margin: nearShare}
+	picker := choose.NearLowestCost{FirstMargin: nearFirstMargin, SecondMargin: nearSecondMargin, Margin: nearMargin}
 	return chooser{
-		reserves:       tierReserves(weights),
-		onTime:         choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
-		late:           choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
-		pinned:         choose.Chooser{Filters: firstOnTime, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
-		pinnedLate:     choose.Chooser{Filters: unintruded, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
-		pinnedOnce:     choose.Chooser{Filters: noDuplicate, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
-		displacingLate: choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
-		displacing:     choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
+		reserves:          tierReserves(weights),
+		onTime:            choose.Chooser{Filters: onTime, Scorers: scorers, Picker: picker},
+		late:              choose.Chooser{Filters: late, Scorers: scorers, Picker: picker},
+		pinned:            choose.Chooser{Filters: firstOnTime, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		pinnedLate:        choose.Chooser{Filters: noInterference, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		pinnedNoDuplicate: choose.Chooser{Filters: noDuplicate, Scorers: pinnedScorers, Picker: choose.LowestCost{}},
+		displacingLate:    choose.Chooser{Filters: noDuplicate, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
+		displacing:        choose.Chooser{Filters: firstOnTime, Scorers: []choose.Scorer{choose.DisplacementOrder{}}, Picker: choose.LowestCost{}},
 	}
 }
 
@@ -147,9 +148,13 @@
 
 // chooseOptions are constraints on the choice of a server.
 type chooseOptions struct {
-	reserve, over float64
-	late          bool
-	alone         bool
+	// reserve is the number of slots of each server to leave free, overcommit the number of
+	// requests that may run above a server's limit.
+	reserve, overcommit float64
+	// late drops the requirement that the targets be met.
+	late bool
+	// suspect excludes servers with another suspect.
+	suspect bool
 }
 
 // choose returns the server for the request, or nil if none has a free slot. Where the engines
@@ -212,7 +217,7 @@
 	s := c.pickWith(selector, now, r, opts)
 	if s == nil && selector == &c.choice.pinned {
 		// No engine is in time: prefer the wait at an engine that has the prompt.
-		s = c.pickWith(&c.choice.pinnedOnce, now, r, opts)
+		s = c.pickWith(&c.choice.pinnedNoDuplicate, now, r, opts)
 		r.expectedLate = s != nil
 	}
 	return s
@@ -222,7 +227,7 @@
 func (c *core) pickWith(selector *choose.Chooser, now time.Time, r *request, opts chooseOptions) *server {
 	req := choose.Request{
 		FirstTokenBudget: r.slack(now), FirstTokenTarget: r.firstTokenTarget(), TokenGapTarget: r.tokenGapTarget(), Avoid: r.failedOn,
-		RemainingTokens: r.tokensLeft(c), ReservedSlots: opts.reserve, Overcommit: opts.over, Suspect: opts.alone,
+		RemainingTokens: r.tokensLeft(c), ReservedSlots: opts.reserve, Overcommit: opts.overcommit, Suspect: opts.suspect,
 	}
 	if len(r.pool.servers) == 1 {
 		req.Avoid = ""
--- a/request/policy/displace.go
+++ b/request/policy/displace.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxPreemptibleShare is the fraction of an engine's slots that one instance may displace its
-	// own bulk from, regardless of other instances.
+	// own bulk from, in addition to what other instances displace.
 	maxPreemptibleShare = 0.125
 	// minPreemptibleSlots is the number of slots below which none is displaced: many instances
 	// share a small engine, and all would displace one at the same moment.
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -28,17 +28,17 @@
 // they are, and requests waited while engines were idle.
 func TestSpeedIsLearnedForAllEngineTypes(t *testing.T) {
 	for _, slots := range []int{64, 12} {
-		for _, times := range []float64{0.5, 1, 4} {
-			t.Run(fmt.Sprintf("%d slots, %.1f times as slow", slots, times), func(t *testing.T) {
+		for _, slowdown := range []float64{0.5, 1, 4} {
+			t.Run(fmt.Sprintf("%d slots, %.1f times as slow", slots, slowdown), func(t *testing.T) {
 				is := is.New(t)
-				r := scaledReplay(slots, times)
+				r := scaledReplay(slots, slowdown)
 				// The longer time has as many requests.
-				r.run(time.Duration(12*max(times, 1))*time.Second, steady)
-				truth := times * workshopSpeed.prefill.Seconds()
+				r.run(time.Duration(12*max(slowdown, 1))*time.Second, steady)
+				actual := slowdown * workshopSpeed.prefill.Seconds()
 				for _, c := range r.cores {
 					learned := c.pools["llm"].engine.prefill
-					is.True(learned > truth/2)
-					is.True(learned < truth*2)
+					is.True(learned > actual/2)
+					is.True(learned < actual*2)
 				}
 			})
 		}
@@ -97,11 +97,11 @@
 		is := is.New(t)
 		r := scaledReplay(slots, 4)
 		r.run(48*time.Second, steady)
-		truth := 4 * workshopSpeed.prefill.Seconds()
+		actual := 4 * workshopSpeed.prefill.Seconds()
 		for _, c := range r.cores {
 			learned := c.pools["llm"].engine.prefill
-			is.True(learned > truth/1.6)
-			is.True(learned < truth*1.6)
+			is.True(learned > actual/1.6)
+			is.True(learned < actual*1.6)
 		}
 	}
 }
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -15,9 +15,9 @@
 
 const (
 	// lengthSampleWeight is the weight of one request in the mean answer length of its class,
-	// paceSampleWeight that of one token event in the class's mean gap.
+	// gapSampleWeight that of one token event in the class's mean gap.
 	lengthSampleWeight = 0.05
-	paceSampleWeight   = 0.02
+	gapSampleWeight    = 0.02
 	// holdSlowdown is how much longer than now answers are expected to hold their slots: until
 	// slots are scarce, batches fill up and prompts queue for prefill.
 	holdSlowdown = 2.0
@@ -32,9 +32,9 @@
 
 // classTraffic describes the requests of a class at this instance.
 type classTraffic struct {
-	// rate is the arrivals a second, tokens the mean answer length, pace the mean gap between
+	// rate is the arrivals a second, tokens the mean answer length, tokenGap the mean gap between
 	// tokens in seconds.
-	rate, tokens, pace float64
+	rate, tokens, tokenGap float64
 }
 
 // observeArrival records a request with the expected answer length.
@@ -48,10 +48,10 @@
 
 // observeGap records a gap between tokens, in seconds.
 func (t *classTraffic) observeGap(gap float64) {
-	if t.pace == 0 {
-		t.pace = gap
+	if t.tokenGap == 0 {
+		t.tokenGap = gap
 	}
-	t.pace += paceSampleWeight * (gap - t.pace)
+	t.tokenGap += gapSampleWeight * (gap - t.tokenGap)
 }
 
 // decayRate applies one slowTick of exponential decay to the arrival rate.
@@ -60,7 +60,9 @@
 }
 
 // answerTime returns the duration of a mean answer in seconds, with gaps of at least minStep.
-func (t *classTraffic) answerTime(minStep float64) float64 { return t.tokens * max(t.pace, minStep) }
+func (t *classTraffic) answerTime(minStep float64) float64 {
+	return t.tokens * max(t.tokenGap, minStep)
+}
 
 // slotHoldTime returns for how long an answer is expected to hold its slot, in seconds, with gaps
 // of at least minStep.
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -69,7 +69,7 @@
 // updateHolders updates the engines that hold, or were sent, the most of the request's shared
 // parts.
 func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
-	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.limitReached(now) && !s.intrudes(now, r, s.uncachedTokens(r)) {
+	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.limitReached(now) && !s.interferes(now, r, s.uncachedTokens(r)) {
 		h.assigned, h.assignedTokens = s, assignedTokens
 	}
 	heldTokens := float64(s.cache.readyTokens(now, r.Prefix[:lastShared+1]))
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -11,7 +11,7 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// enableFetch lets the core's engines fetch KV cache at a typical network speed.
+// enableFetch lets the core's engines fetch KV cache at the speed of a network link.
 func enableFetch(c *core) *core {
 	for _, s := range c.ordered {
 		if !s.service {
--- a/request/policy/fleet_replay_test.go
+++ b/request/policy/fleet_replay_test.go
@@ -23,9 +23,9 @@
 			}
 		}
 		kinds = append(kinds,
-			requestKind{class: class("query", 0, 400, 25), perSecond: 31 * share, shared: 200, own: 630, subjects: 330, answer: 290, deadline: 10 * time.Second},
-			requestKind{class: class("scan", 1, 600, 40), perSecond: 110 * share, shared: 570, own: 1800, subjects: 1100, answer: 22, deadline: 3 * time.Second},
-			requestKind{class: class("note", 2, 2000, 100), perSecond: 72 * share, shared: 5400, own: 6600, subjects: 260, answer: 380, deadline: 12 * time.Second},
+			requestKind{class: class("query", 0, 400, 25), perSecond: 31 * share, sharedTokens: 200, ownTokens: 630, sharedPrompts: 330, answerTokens: 290, deadline: 10 * time.Second},
+			requestKind{class: class("scan", 1, 600, 40), perSecond: 110 * share, sharedTokens: 570, ownTokens: 1800, sharedPrompts: 1100, answerTokens: 22, deadline: 3 * time.Second},
+			requestKind{class: class("note", 2, 2000, 100), perSecond: 72 * share, sharedTokens: 5400, ownTokens: 6600, sharedPrompts: 260, answerTokens: 380, deadline: 12 * time.Second},
 		)
 	}
 	return kinds
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -328,19 +328,19 @@
 	shortPromptPenalty = 700 * time.Millisecond
 )
 
-// maxIntrusionGaps is how long an engine of the tight lane may prefill prompts of other lanes, in
+// maxInterferenceGaps is how long an engine of the tight lane may prefill prompts of other lanes, in
 // multiples of the strictest target between tokens: token events carry several tokens and absorb
 // that.
-const maxIntrusionGaps = 2
+const maxInterferenceGaps = 2
 
-// intrudes reports whether the engine excludes long prompts and the request, which is not tight,
+// interferes reports whether the engine excludes long prompts and the request, which is not tight,
 // would delay its tight answers, given the backlog there.
-func (s *server) intrudes(now time.Time, r *request, prefillTokens float64) bool {
+func (s *server) interferes(now time.Time, r *request, prefillTokens float64) bool {
 	if !s.excludesLongPrompts(now) || !r.Pinned || r.pool.isTight(r.class) {
 		return false
 	}
 	prefillSeconds := s.prefill * (prefillTokens + s.backlogBefore(engineLevels-1))
-	return prefillSeconds > maxIntrusionGaps*r.pool.minTokenGapTarget.Seconds()
+	return prefillSeconds > maxInterferenceGaps*r.pool.minTokenGapTarget.Seconds()
 }
 
 // lanePenalty returns the cost of running the request outside its lane or homes, where
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -150,11 +150,11 @@
 	is := is.New(t)
 	c := coreWithEngines("e1", 2, "a")
 	c.Step(epoch, draft(1))
-	lane, other := c.servers["a-0"], c.servers["a-1"]
-	lane.lane, other.lane = laneTight, laneLong
+	tight, other := c.servers["a-0"], c.servers["a-1"]
+	tight.lane, other.lane = laneTight, laneLong
 	c.pools["llm"].hasLane[laneTight] = true
-	lane.cache.add(7, 13300, epoch.Add(time.Minute))
-	lane.ownBacklog.add(0, 50000)
+	tight.cache.add(7, 13300, epoch.Add(time.Minute))
+	tight.ownBacklog.add(0, 50000)
 	is.Equal(only[Start](t, c.Step(epoch, digest(2, 7))).Server, other.name)
 }
 
@@ -240,16 +240,16 @@
 	setOtherWork(c, now, 500000, 0, 100000)
 	now = now.Add(slowTick)
 	c.Step(now, Tick{})
-	left := func(s *server) bool { return before[s.name] == laneTight && s.lane != laneTight }
-	is.True(slices.ContainsFunc(c.ordered, left))
-	read := func(at time.Time, id ID) (onLeft int) {
+	leftTightLane := func(s *server) bool { return before[s.name] == laneTight && s.lane != laneTight }
+	is.True(slices.ContainsFunc(c.ordered, leftTightLane))
+	startDigests := func(at time.Time, id ID) (onFormer int) {
 		for i := range ID(30) {
-			if start, ok := c.Step(at, digest(id+i, uint64(id+i)))[0].(Start); ok && left(c.servers[start.Server]) {
-				onLeft++
+			if start, ok := c.Step(at, digest(id+i, uint64(id+i)))[0].(Start); ok && leftTightLane(c.servers[start.Server]) {
+				onFormer++
 			}
 		}
-		return onLeft
+		return onFormer
 	}
-	is.Equal(read(now, 100), 0)
-	is.True(read(now.Add(c.pools["llm"].tightAnswerTime()), 200) > 0)
+	is.Equal(startDigests(now, 100), 0)
+	is.True(startDigests(now.Add(c.pools["llm"].tightAnswerTime()), 200) > 0)
 }
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -15,9 +15,9 @@
 // engines, which do it with half of their time.
 func workshop() []requestKind {
 	return []requestKind{
-		{class: &lilacv1.Class{Name: "query", Tier: 1, Rank: 0, FirstTokenMs: 500, BetweenTokensMs: 41, MaxAttempts: 1, Late: withRoom}, perSecond: 16, shared: 200, own: 630, subjects: 150, answer: 290, deadline: 12 * time.Second},
-		{class: &lilacv1.Class{Name: "scan", Tier: 1, Rank: 1, FirstTokenMs: 600, BetweenTokensMs: 66, MaxAttempts: 1, Late: withRoom}, perSecond: 32, shared: 570, own: 1800, subjects: 300, answer: 23, deadline: 3 * time.Second},
-		{class: &lilacv1.Class{Name: "note", Tier: 1, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 166, MaxAttempts: 1, Late: withRoom}, perSecond: 19, shared: 5400, own: 6600, subjects: 80, answer: 380, deadline: 15 * time.Second},
+		{class: &lilacv1.Class{Name: "query", Tier: 1, Rank: 0, FirstTokenMs: 500, BetweenTokensMs: 41, MaxAttempts: 1, Late: withRoom}, perSecond: 16, sharedTokens: 200, ownTokens: 630, sharedPrompts: 150, answerTokens: 290, deadline: 12 * time.Second},
+		{class: &lilacv1.Class{Name: "scan", Tier: 1, Rank: 1, FirstTokenMs: 600, BetweenTokensMs: 66, MaxAttempts: 1, Late: withRoom}, perSecond: 32, sharedTokens: 570, ownTokens: 1800, sharedPrompts: 300, answerTokens: 23, deadline: 3 * time.Second},
+		{class: &lilacv1.Class{Name: "note", Tier: 1, Rank: 2, FirstTokenMs: 2500, BetweenTokensMs: 166, MaxAttempts: 1, Late: withRoom}, perSecond: 19, sharedTokens: 5400, ownTokens: 6600, sharedPrompts: 80, answerTokens: 380, deadline: 15 * time.Second},
 	}
 }
 
@@ -116,7 +116,7 @@
 		s.slots = slots
 		c.Step(epoch, digest(1, 1))
 		flow := &c.pools["llm"].usageByClass["digest"].traffic
-		flow.tokens, flow.pace = 300, 0.03
+		flow.tokens, flow.tokenGap = 300, 0.03
 		c.Step(epoch, draft(2))
 		is.Equal(s.preemptibleSlots(c.requests[2], float64(slots)), want)
 	}
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -14,9 +14,9 @@
 type replayAttempt struct {
 	core  *core
 	start Start
-	// prompt is the length of the prompt, unread the part still to be prefilled.
+	// prompt is the length of the prompt, toPrefill the number of tokens still to prefill.
 	prompt    int
-	unread    int
+	toPrefill int
 	left      int
 	generated int
 	// rank is the rank of the request's class.
@@ -33,7 +33,7 @@
 	waiting []*replayAttempt
 	// prefilling is the prompt in progress.
 	prefilling *replayAttempt
-	held       map[uint64]bool
+	cached     map[uint64]bool
 	freeAt     time.Time
 	// preempted counts preempted requests, priorityInversions those of them that were preempted
 	// while one of a less urgent rank kept running.
@@ -59,10 +59,10 @@
 	if len(e.running) == 0 {
 		return
 	}
-	read := e.prefillStep()
-	e.freeAt = r.now.Add(e.speed.step + time.Duration(len(e.running))*e.speed.perRequest + time.Duration(read)*e.speed.prefill)
+	prefilled := e.prefillStep()
+	e.freeAt = r.now.Add(e.speed.step + time.Duration(len(e.running))*e.speed.perRequest + time.Duration(prefilled)*e.speed.prefill)
 	for _, j := range slices.Clone(e.running) {
-		if j.unread == 0 && !r.now.Before(j.readyAt) {
+		if j.toPrefill == 0 && !r.now.Before(j.readyAt) {
 			e.token(r, j)
 		}
 	}
@@ -98,7 +98,7 @@
 	if slices.ContainsFunc(e.running, func(j *replayAttempt) bool { return j.rank > victim.rank }) {
 		e.priorityInversions++
 	}
-	victim.unread = victim.prompt + victim.generated
+	victim.toPrefill = victim.prompt + victim.generated
 	e.waiting = append(e.waiting, victim)
 	e.preempted++
 	return true
@@ -107,14 +107,14 @@
 func (e *replayEngine) prefillStep() int {
 	left := replayChunk
 	for left > 0 {
-		if e.prefilling == nil || e.prefilling.unread == 0 {
+		if e.prefilling == nil || e.prefilling.toPrefill == 0 {
 			e.prefilling = e.nextPrompt()
 		}
 		if e.prefilling == nil {
 			break
 		}
-		take := min(e.prefilling.unread, left)
-		e.prefilling.unread -= take
+		take := min(e.prefilling.toPrefill, left)
+		e.prefilling.toPrefill -= take
 		left -= take
 	}
 	return replayChunk - left
@@ -124,7 +124,7 @@
 func (e *replayEngine) nextPrompt() *replayAttempt {
 	var next *replayAttempt
 	for _, j := range e.running {
-		if j.unread > 0 && (next == nil || j.start.Level < next.start.Level) {
+		if j.toPrefill > 0 && (next == nil || j.start.Level < next.start.Level) {
 			next = j
 		}
 	}
@@ -134,7 +134,7 @@
 func (e *replayEngine) token(r *replay, j *replayAttempt) {
 	j.generated++
 	j.left--
-	if j.generated != 1 && j.generated%replayStride != 0 && j.left > 0 {
+	if j.generated != 1 && j.generated%replayEventTokens != 0 && j.left > 0 {
 		return
 	}
 	outcome := r.outcomes[j.start.ID]
@@ -144,10 +144,10 @@
 	if outcome.firstTokenAt.IsZero() {
 		outcome.firstTokenAt = r.now
 	} else {
-		outcome.maxPause = max(outcome.maxPause, r.now.Sub(outcome.lastTokenAt))
+		outcome.maxGap = max(outcome.maxGap, r.now.Sub(outcome.lastTokenAt))
 	}
 	outcome.lastTokenAt = r.now
-	count := replayStride
+	count := replayEventTokens
 	if j.generated == 1 {
 		count = 1
 	}
--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -16,20 +16,20 @@
 // simulated time.
 
 const (
-	replayStep     = time.Millisecond
-	replayStride   = 6 // tokens in an event
-	replayChunk    = 2048
-	digestInterval = 300 * time.Millisecond
+	replayStep        = time.Millisecond
+	replayEventTokens = 6 // tokens in an event
+	replayChunk       = 2048
+	digestInterval    = 300 * time.Millisecond
 )
 
 // requestKind is a kind of request with its rate, prompt and answer.
 type requestKind struct {
-	class       *lilacv1.Class
-	perSecond   float64
-	shared, own int
-	subjects    uint64
-	answer      int
-	deadline    time.Duration
+	class                   *lilacv1.Class
+	perSecond               float64
+	sharedTokens, ownTokens int
+	sharedPrompts           uint64
+	answerTokens            int
+	deadline                time.Duration
 }
 
 // replayOutcome is the result of a request.
@@ -38,7 +38,7 @@
 	arrivedAt, startedAt, firstTokenAt time.Time
 	endedAt                            time.Time
 	refused, finished                  bool
-	maxPause                           time.Duration
+	maxGap                             time.Duration
 	lastTokenAt                        time.Time
 	retried                            bool
 }
@@ -82,7 +82,7 @@
 				Name: name, DataCenter: dataCenter, Serves: []string{"llm"}, Slots: uint32(slots), CacheTokens: 600000,
 				CacheTokenNs: 300, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE,
 			})
-			r.engines[name] = &replayEngine{speed: speed, slots: slots, held: make(map[uint64]bool)}
+			r.engines[name] = &replayEngine{speed: speed, slots: slots, cached: make(map[uint64]bool)}
 		}
 	}
 	for i := range instances {
@@ -152,10 +152,10 @@
 		id := r.lastID
 		a := Arrival{
 			ID: id, Class: k.class.GetName(), Team: "a", Target: "llm", Digest: fmt.Sprint(id), Pinned: true,
-			PromptTokens: k.shared + k.own, Deadline: r.now.Add(k.deadline), Hint: k.answer,
+			PromptTokens: k.sharedTokens + k.ownTokens, Deadline: r.now.Add(k.deadline), Hint: k.answerTokens,
 			Prefix: []Block{
-				{Hash: uint64(kind+1)<<40 + r.random.Uint64N(k.subjects), End: k.shared},
-				{Hash: 1<<50 + uint64(id), End: k.shared + k.own},
+				{Hash: uint64(kind+1)<<40 + r.random.Uint64N(k.sharedPrompts), End: k.sharedTokens},
+				{Hash: 1<<50 + uint64(id), End: k.sharedTokens + k.ownTokens},
 			},
 		}
 		r.outcomes[id] = &replayOutcome{kind: kind, arrivedAt: r.now}
@@ -183,13 +183,13 @@
 	if outcome.startedAt.IsZero() {
 		outcome.startedAt = r.now
 	}
-	unread := a.PromptTokens
-	if e.held[a.Prefix[0].Hash] || start.FetchFrom != "" {
-		unread -= a.Prefix[0].End
+	toPrefill := a.PromptTokens
+	if e.cached[a.Prefix[0].Hash] || start.FetchFrom != "" {
+		toPrefill -= a.Prefix[0].End
 	}
-	e.held[a.Prefix[0].Hash] = true
-	job := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, unread: unread, left: r.kinds[outcome.kind].answer, rank: r.kinds[outcome.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
-	e.waiting = append(e.waiting, job)
+	e.cached[a.Prefix[0].Hash] = true
+	attempt := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, toPrefill: toPrefill, left: r.kinds[outcome.kind].answerTokens, rank: r.kinds[outcome.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
+	e.waiting = append(e.waiting, attempt)
 	e.limiter.got(r.now, c)
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
 }
@@ -209,11 +209,11 @@
 			t.started++
 		}
 		target := time.Duration(k.class.GetFirstTokenMs()) * ms
-		between := time.Duration(k.class.GetBetweenTokensMs()) * ms * replayStride
+		gapTarget := time.Duration(k.class.GetBetweenTokensMs()) * ms * replayEventTokens
 		switch {
 		case outcome.firstTokenAt.IsZero():
 			t.unanswered++
-		case outcome.firstTokenAt.Sub(outcome.arrivedAt) <= target && outcome.maxPause <= between:
+		case outcome.firstTokenAt.Sub(outcome.arrivedAt) <= target && outcome.maxGap <= gapTarget:
 			t.inTime++
 		}
 	}
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -142,7 +142,7 @@
 	// see herd.go.
 	skipped bool
 	// startBudget is how many requests, net of those that end, this instance may still start
-	// until the next load update; displaceBudget is how many of them may displace bulk.
+	// until the next load update; displaceBudget is how many it may start by displacing bulk.
 	startBudget, displaceBudget float64
 	// fullUntil is until when the server counts as full after a late first token.
 	fullUntil time.Time
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -203,7 +203,7 @@
 	c := coreWithSmallEngines(4)
 	for id, name := range []string{"draft", "review", "digest"} {
 		c.pools["llm"].recordUse(c.view.Classes[name], epoch)
-		c.pools["llm"].usageByClass[name].traffic.tokens, c.pools["llm"].usageByClass[name].traffic.pace = 300, 0.05
+		c.pools["llm"].usageByClass[name].traffic.tokens, c.pools["llm"].usageByClass[name].traffic.tokenGap = 300, 0.05
 		a := digest(ID(id+1), uint64(id+1))
 		a.Class = name
 		c.Step(epoch, a)
