--- a/request/policy/replay_test.go
+++ b/request/policy/replay_test.go
@@ -190,7 +190,7 @@
 	e.cached[a.Prefix[0].Hash] = true
 	attempt := &replayAttempt{core: c, start: start, prompt: a.PromptTokens, toPrefill: toPrefill, left: r.kinds[outcome.kind].answerTokens, rank: r.kinds[outcome.kind].class.GetRank(), readyAt: r.now.Add(e.speed.fixed)}
 	e.waiting = append(e.waiting, attempt)
-	e.limiter.got(r.now, c)
+	e.limiter.recordArrival(r.now, c)
 	r.apply(c, c.Step(r.now, Sent{ID: start.ID, Attempt: start.Attempt}))
 }
 
