--- a/request/policy/copies_test.go
+++ b/request/policy/copies_test.go
@@ -40,7 +40,7 @@
 // suspect. On different servers, each copy would crash one.
 func TestCopiesAtOneInstanceShareAServer(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	first := sendCopy(c, 1)[0].Server
 	is.Equal(sendCopy(c, 2)[0].Server, first)
 	is.Equal(sendCopy(c, 3)[0].Server, first)
@@ -71,7 +71,7 @@
 // while other servers are idle.
 func TestCopiesRunAnywhereOnceOnePassed(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	first := sendCopy(c, 1)[0].Server
 	room := 1
 	for ; len(sendCopy(c, ID(room+1))) > 0; room++ {
@@ -97,7 +97,7 @@
 // second copy must not be bound to the hanging server.
 func TestCopyDoesNotJoinAHangingServer(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	sendCopy(c, 1)
 	a := arrival(2, "alerts")
 	a.Digest = "same"
@@ -111,7 +111,7 @@
 // lost.
 func TestStoppedCopiesAreSuspectedForPendingCrashes(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	server := sendCopy(c, 1)[0].Server
 	stop := only[Stop](t, c.Step(epoch, suspectDigest("e9", 1, "", "r9")))
 	is.Equal(stop.Server, server)
@@ -126,7 +126,7 @@
 // that crash.
 func TestStoppedCopyIsNotSuspectedForLaterCrashes(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	server := sendCopy(c, 1)[0].Server
 	c.Step(epoch, suspectDigest("e9", 1, "", "r9"))
 	ejected := &lilacv1.Digest{Instance: "e9", Sequence: 2, Ejected: []string{server}}
@@ -140,7 +140,7 @@
 	for _, other := range []string{"e0", "e2"} {
 		t.Run(other, func(t *testing.T) {
 			is := is.New(t)
-			c := poolOf(4)
+			c := coreWithPool(4)
 			server := sendCopy(c, 1)[0].Server
 			c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
 			is.Equal(c.suspects.Get("same").Trial, server) // announced as a claim
@@ -158,7 +158,7 @@
 // A claim waits while a peer's copy is running, whatever the names of the instances.
 func TestClaimYieldsToATrial(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	server := sendCopy(c, 1)[0].Server
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
 	c.Step(epoch, suspectDigest("e9", 1, "r8", server))
@@ -171,7 +171,7 @@
 // tried before the third crash, it would convict some of them.
 func TestNoTrialWhileServersKeepCrashing(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	sendCopy(c, 1)
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
 	at := epoch.Add(ownCrashDelay - slowTick)
@@ -192,7 +192,7 @@
 // or it would end a later trial of another copy.
 func TestClaimEndsWithTheSuspicion(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	sendCopy(c, 1)
 	c.Step(epoch, Failed{ID: 1, Attempt: 1, Sent: true, Crashed: true})
 	is.True(c.requests[1].claimsTrial)
@@ -207,7 +207,7 @@
 // another server.
 func TestConvictionByTheLogEndsWaitingCopies(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(4)
+	c := coreWithPool(4)
 	c.Step(epoch, suspectDigest("e9", 1, "", "r9"))
 	is.Equal(len(sendCopy(c, 1)), 0)
 	view := *c.view
--- a/request/policy/decision_test.go
+++ b/request/policy/decision_test.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-func poolOf(size int) *core {
+func coreWithPool(size int) *core {
 	snapshot := &lilacv1.Snapshot{
 		Revision: 1,
 		Classes: []*lilacv1.Class{
@@ -33,7 +33,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{13, 500, 5900} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := poolOf(size)
+			c := coreWithPool(size)
 			a := Arrival{Class: "alerts", Team: "a", Target: "redaction", PromptTokens: 320, Idempotent: true}
 			for i := range 20 {
 				a.Prefix = append(a.Prefix, Block{Hash: uint64(i + 1), End: 16 * (i + 1)})
@@ -57,7 +57,7 @@
 
 // BenchmarkDecisionToken measures one token of an answer.
 func BenchmarkDecisionToken(b *testing.B) {
-	c := poolOf(13)
+	c := coreWithPool(13)
 	a := arrival(1, "alerts")
 	c.Step(epoch, a)
 	b.ReportAllocs()
@@ -71,7 +71,7 @@
 // BenchmarkDecisionFullQueue measures an arrival while 2,000 requests wait and no server has a
 // free slot.
 func BenchmarkDecisionFullQueue(b *testing.B) {
-	c := poolOf(13)
+	c := coreWithPool(13)
 	for i := range 2000 {
 		a := arrival(ID(i+1), "alerts")
 		a.Digest = fmt.Sprint(i)
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -39,7 +39,7 @@
 // wait for seconds until they end.
 func TestLowerTiersDoNotBlockUrgentRequests(t *testing.T) {
 	is := is.New(t)
-	c := poolOf(1)
+	c := coreWithPool(1)
 	for id := range ID(3) {
 		c.Step(epoch, arrival(id+1, "batch"))
 	}
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -15,7 +15,7 @@
 	stragglerFactor = 1.8
 	// maxMovesPerRound bounds the moves per pool at each slowTick.
 	maxMovesPerRound = 4
-	// overdueFactor and overdueFloor give the time for a first token, overdueFactor times the
+	// overdueFactor and overdueMargin give the time for a first token, overdueFactor times the
 	// expected time plus overdueMargin, after which it is overdue.
 	overdueFactor = 2
 	overdueMargin = 50 * time.Millisecond
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -42,7 +42,7 @@
 }
 
 func (e *replayEngine) stop(c *core, id ID) {
-	matches := func(j *replayAttempt) bool { return j.core == c && j.start.ID == id }
+	matches := func(a *replayAttempt) bool { return a.core == c && a.start.ID == id }
 	e.running = slices.DeleteFunc(e.running, matches)
 	e.waiting = slices.DeleteFunc(e.waiting, matches)
 	if e.prefilling != nil && matches(e.prefilling) {
@@ -61,9 +61,9 @@
 	}
 	prefilled := e.prefillStep()
 	e.freeAt = r.now.Add(e.speed.step + time.Duration(len(e.running))*e.speed.perRequest + time.Duration(prefilled)*e.speed.prefill)
-	for _, j := range slices.Clone(e.running) {
-		if j.toPrefill == 0 && !r.now.Before(j.readyAt) {
-			e.token(r, j)
+	for _, a := range slices.Clone(e.running) {
+		if a.toPrefill == 0 && !r.now.Before(a.readyAt) {
+			e.token(r, a)
 		}
 	}
 }
@@ -83,19 +83,19 @@
 // prompt is prefilled again.
 func (e *replayEngine) preempt(level int) bool {
 	var victim *replayAttempt
-	for _, j := range e.running {
-		if victim == nil || j.start.Level >= victim.start.Level {
-			victim = j
+	for _, a := range e.running {
+		if victim == nil || a.start.Level >= victim.start.Level {
+			victim = a
 		}
 	}
 	if victim.start.Level <= level {
 		return false
 	}
-	e.running = slices.DeleteFunc(e.running, func(j *replayAttempt) bool { return j == victim })
+	e.running = slices.DeleteFunc(e.running, func(a *replayAttempt) bool { return a == victim })
 	if e.prefilling == victim {
 		e.prefilling = nil
 	}
-	if slices.ContainsFunc(e.running, func(j *replayAttempt) bool { return j.rank > victim.rank }) {
+	if slices.ContainsFunc(e.running, func(a *replayAttempt) bool { return a.rank > victim.rank }) {
 		e.priorityInversions++
 	}
 	victim.toPrefill = victim.prompt + victim.generated
@@ -123,23 +123,23 @@
 // nextPrompt returns the most urgent unfinished prompt, the oldest of several; nil for none.
 func (e *replayEngine) nextPrompt() *replayAttempt {
 	var next *replayAttempt
-	for _, j := range e.running {
-		if j.toPrefill > 0 && (next == nil || j.start.Level < next.start.Level) {
-			next = j
+	for _, a := range e.running {
+		if a.toPrefill > 0 && (next == nil || a.start.Level < next.start.Level) {
+			next = a
 		}
 	}
 	return next
 }
 
-func (e *replayEngine) token(r *replay, j *replayAttempt) {
-	j.generated++
-	j.left--
-	if j.generated != 1 && j.generated%replayEventTokens != 0 && j.left > 0 {
+func (e *replayEngine) token(r *replay, a *replayAttempt) {
+	a.generated++
+	a.left--
+	if a.generated != 1 && a.generated%replayEventTokens != 0 && a.left > 0 {
 		return
 	}
-	outcome := r.outcomes[j.start.ID]
-	if j.generated == 1 {
-		e.limiter.sendReport(r, j)
+	outcome := r.outcomes[a.start.ID]
+	if a.generated == 1 {
+		e.limiter.sendReport(r, a)
 	}
 	if outcome.firstTokenAt.IsZero() {
 		outcome.firstTokenAt = r.now
@@ -148,13 +148,13 @@
 	}
 	outcome.lastTokenAt = r.now
 	count := replayEventTokens
-	if j.generated == 1 {
+	if a.generated == 1 {
 		count = 1
 	}
-	r.apply(j.core, j.core.Step(r.now, Tokens{ID: j.start.ID, Attempt: j.start.Attempt, Count: count}))
-	if j.left <= 0 {
-		e.stop(j.core, j.start.ID)
+	r.apply(a.core, a.core.Step(r.now, Tokens{ID: a.start.ID, Attempt: a.start.Attempt, Count: count}))
+	if a.left <= 0 {
+		e.stop(a.core, a.start.ID)
 		outcome.finished, outcome.endedAt = true, r.now
-		r.apply(j.core, j.core.Step(r.now, Finished{ID: j.start.ID, Attempt: j.start.Attempt}))
+		r.apply(a.core, a.core.Step(r.now, Finished{ID: a.start.ID, Attempt: a.start.Attempt}))
 	}
 }
