--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -169,8 +169,8 @@
 	Attempt int
 	// Priority is the tier, for engines that honor priorities; 0 is the most urgent.
 	Priority int
-	// Level is the priority by tier and rank, from 0 (most urgent) to 9. Requests that
-	// start after their target was missed have the last level.
+	// Level is the engine priority by rank and tier, from 0 (most urgent) to 9. Late
+	// requests of the least urgent classes have the last one.
 	Level int
 	// ResumeFrom names the server that holds the KV cache of an interrupted answer, if
 	// it can be reused; else it is empty. The tokens so far, which the shell keeps, are
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -48,8 +48,8 @@
 }
 
 // addEncoded adds a peer's encoded backlog, multiplied by sign.
-func (b *backlog) addEncoded(told []uint32, sign float64) {
-	for level, tokens := range told {
+func (b *backlog) addEncoded(encoded []uint32, sign float64) {
+	for level, tokens := range encoded {
 		if level < engineLevels {
 			b.add(level, sign*float64(tokens))
 		}
@@ -81,8 +81,8 @@
 }
 
 // engineLevelOf returns the engine priority of the class's requests that can still
-// meet their target. Engines preempt running requests by it: long answers of any
-// tier before short urgent ones.
+// meet their target. Engines preempt running requests by it, so that long answers of
+// any tier are preempted before short urgent ones.
 func engineLevelOf(class *lilacv1.Class) int {
 	return min(placeOf(class), lateEngineLevel-1)
 }
--- a/request/policy/configure.go
+++ b/request/policy/configure.go
@@ -104,9 +104,9 @@
 
 // applyEngineModel updates the server's estimates from the current engine model.
 func (s *server) applyEngineModel() {
-	base := s.engine.stepOffset()
-	s.gapPerRequest *= (s.load() + s.stepOffset) / (s.load() + base)
-	s.stepOffset = base
+	offset := s.engine.stepOffset()
+	s.gapPerRequest *= (s.load() + s.stepOffset) / (s.load() + offset)
+	s.stepOffset = offset
 	s.prefill = s.engine.prefill * s.prefillRatio
 }
 
@@ -159,8 +159,9 @@
 	})
 }
 
-// updateClasses applies the current class settings to waiting and running requests.
-// Requests of a removed class keep its last settings.
+// updateClasses applies the current class settings to the classes in use in the pool.
+// A removed class keeps its last settings, and a request keeps those with which it
+// arrived.
 func (c *core) updateClasses(now time.Time, p *pool) {
 	for _, u := range p.usages {
 		if class := c.view.Classes[u.class.GetName()]; class != nil {
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -108,9 +108,9 @@
 	return true
 }
 
-// reserveTier returns the tier whose reserve of slots the request leaves free. Long
-// answers leave that of the least urgent tier in use, since they must not take a
-// slot reserved for short requests of any tier.
+// reserveTier returns the tier whose reserve of slots the request leaves free. Requests
+// of all ranks but the first leave that of the least urgent tier in use: bulk must not
+// take a slot that short requests of any tier have to leave free.
 func (p *pool) reserveTier(r *request) int {
 	tier := r.tier()
 	if r.class.GetRank() == 0 || p.service {
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -148,10 +148,10 @@
 	c, peer := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	peer.Step(epoch, Tick{})
 	start := only[Start](t, peer.Step(epoch, digest(1, 7)))
-	word := peer.Digest(epoch)
-	word.Instance, word.Incarnation = "e2", "1"
-	is.Equal(len(word.GetReadings()), 1)
-	c.Step(epoch, PeerDigest{Digest: word, At: epoch})
+	d := peer.Digest(epoch)
+	d.Instance, d.Incarnation = "e2", "1"
+	is.Equal(len(d.GetReadings()), 1)
+	c.Step(epoch, PeerDigest{Digest: d, At: epoch})
 	s := c.servers[start.Server]
 	is.Equal(s.backlogBefore(engineLevels-1), 17000.0)
 	mine := &request{Arrival: digest(2, 7)}
--- a/request/policy/leaving.go
+++ b/request/policy/leaving.go
@@ -96,8 +96,8 @@
 // before its server goes.
 func (c *core) aboutToBeLost(now time.Time, r *request, to *server) bool {
 	s := r.server
-	goes := s.leavingNoticeAt.Add(c.noticePeriod)
+	goneBy := s.leavingNoticeAt.Add(c.noticePeriod)
 	move := c.kv.rate(s, to).expect(now, r.tokensHeld())
 	rest := time.Duration(r.tokensLeft(c) * float64(s.gapAt(s.load())))
-	return now.Add(moveWindow+move).After(goes) && now.Add(rest).After(goes)
+	return now.Add(moveWindow+move).After(goneBy) && now.Add(rest).After(goneBy)
 }
--- a/request/policy/limit_replay_test.go
+++ b/request/policy/limit_replay_test.go
@@ -36,8 +36,8 @@
 // recordArrival records a request of an instance.
 func (n *limitedEngine) recordArrival(now time.Time, from *core) {
 	n.arrivals = append(n.arrivals, now)
-	told, known := n.toldAt[from]
-	if known && n.statesLimit(now) && now.Sub(told) >= limitReactionTime && now.Sub(n.firstStatedAt) >= limitSettleTime {
+	limitAt, known := n.toldAt[from]
+	if known && n.statesLimit(now) && now.Sub(limitAt) >= limitReactionTime && now.Sub(n.firstStatedAt) >= limitSettleTime {
 		n.counted = append(n.counted, now)
 	}
 }
--- a/request/policy/partition.go
+++ b/request/policy/partition.go
@@ -24,10 +24,10 @@
 		if dataCenter == c.options.DataCenter {
 			continue
 		}
-		cut := now.Sub(heard) > peerSilenceTimeout || c.answersStopped(now, dataCenter)
+		unreachable := now.Sub(heard) > peerSilenceTimeout || c.answersStopped(now, dataCenter)
 		for _, s := range c.ordered {
 			if s.dataCenter == dataCenter {
-				s.unreachable = cut
+				s.unreachable = unreachable
 			}
 		}
 	}
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -35,8 +35,8 @@
 	is := is.New(t)
 	here, there := coreWithEngines("e1", 3, "a"), coreWithEngines("e2", 3, "a")
 	here.Step(epoch, namedLimit("a-1", 1.8))
-	word := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
-	there.Step(epoch.Add(200*ms), PeerLoads{Report: loadboard.DecodeReport(epoch.Add(200*ms), word)})
+	report := here.Loads(epoch.Add(100*ms)).Encode(epoch.Add(100*ms), "a")
+	there.Step(epoch.Add(200*ms), PeerLoads{Report: loadboard.DecodeReport(epoch.Add(200*ms), report)})
 	is.Equal(there.Stats().Limited, map[string]float64{"a-1": 1.8})
 }
 
--- a/request/policy/suspects.go
+++ b/request/policy/suspects.go
@@ -159,8 +159,8 @@
 // After a crash at this instance, the first trial runs here; a suspect reported by a
 // peer is tried only while no peer tries it.
 func (c *core) mustDelayTrial(now time.Time, r *request, e *suspect.Entry) bool {
-	holds := r.claimsTrial || r.trialReservation != nil
-	if !holds && (e.Trial != "" || now.Sub(e.PeerTrialAt) < peerTrialTTL) {
+	holdsTrial := r.claimsTrial || r.trialReservation != nil
+	if !holdsTrial && (e.Trial != "" || now.Sub(e.PeerTrialAt) < peerTrialTTL) {
 		return true
 	}
 	if r.failedOn != "" && slices.Contains(e.Servers, r.failedOn) {
