--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -51,18 +51,18 @@
 	limits       *limits.Table
 	choice       chooser
 	// identical tracks running requests that copies must join.
-	identical identicalRequests
-	draining  bool
-	running   int
-	sequence  uint64
-	slowAt    time.Time
-	expireAt  time.Time
-	giveUpAt  time.Time
-	stats     Stats
-	actions   []Action
-	announced bool
-	// readings are the recent prefills of shared blocks that digests report.
-	readings []prefillRecord
+	identical       identicalRequests
+	draining        bool
+	running         int
+	sequence        uint64
+	nextHousekeepAt time.Time
+	nextExpireAt    time.Time
+	nextGiveUpAt    time.Time
+	stats           Stats
+	actions         []Action
+	announced       bool
+	// prefills are the recent prefills of shared blocks that digests report.
+	prefills []prefillRecord
 	// unconfirmed holds the digests with two crashes whose conviction is pending.
 	// lastNewCrash is when the last new crash was reported.
 	unconfirmed  []string
@@ -171,10 +171,10 @@
 			c.dispatch(now, p)
 		}
 	}
-	if now.Before(c.slowAt) {
+	if now.Before(c.nextHousekeepAt) {
 		return
 	}
-	c.slowAt = now.Add(slowTick)
+	c.nextHousekeepAt = now.Add(slowTick)
 	c.housekeep(now)
 }
 
@@ -201,8 +201,8 @@
 		c.moveStragglers(now, p)
 		c.dispatch(now, p)
 	}
-	if now.After(c.expireAt) {
-		c.expireAt = now.Add(expireInterval)
+	if now.After(c.nextExpireAt) {
+		c.nextExpireAt = now.Add(expireInterval)
 		c.suspects.Expire(now)
 		c.limits.Expire(now)
 	}
--- a/request/policy/giveup.go
+++ b/request/policy/giveup.go
@@ -27,10 +27,10 @@
 
 // giveUp ends the waiting requests that no server is expected to accept.
 func (c *core) giveUp(now time.Time) {
-	if now.Before(c.giveUpAt) {
+	if now.Before(c.nextGiveUpAt) {
 		return
 	}
-	c.giveUpAt = now.Add(giveUpInterval)
+	c.nextGiveUpAt = now.Add(giveUpInterval)
 	for _, p := range c.poolOrder {
 		if p.hasOpenServer(now) {
 			p.openAt = now
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -36,7 +36,7 @@
 	InvariantBudget Invariant = "retry_budget"
 	// InvariantIdempotent: a non-idempotent request is not restarted once sent.
 	InvariantIdempotent Invariant = "at_most_once"
-	// InvariantLimit: no start on a server beyond this instance's part of its limit.
+	// InvariantLimit: no start on a server beyond this instance's share of its limit.
 	InvariantLimit Invariant = "server_limit"
 	// InvariantDeadline: no start after the deadline.
 	InvariantDeadline Invariant = "deadline"
--- a/request/policy/prefills.go
+++ b/request/policy/prefills.go
@@ -39,8 +39,8 @@
 	start := 0
 	for i := range len(r.Prefix) - 1 {
 		block := r.Prefix[i]
-		if s.cache.blocks[block.Hash] == nil && len(c.readings) < maxPrefillRecords {
-			c.readings = append(c.readings, prefillRecord{server: s.name, block: block, tokens: block.End - start, at: now})
+		if s.cache.blocks[block.Hash] == nil && len(c.prefills) < maxPrefillRecords {
+			c.prefills = append(c.prefills, prefillRecord{server: s.name, block: block, tokens: block.End - start, at: now})
 		}
 		start = block.End
 	}
@@ -48,8 +48,8 @@
 
 // recentPrefills returns the records to report, and deletes older ones.
 func (c *core) recentPrefills(now time.Time) []prefillRecord {
-	c.readings = slices.DeleteFunc(c.readings, func(r prefillRecord) bool { return now.Sub(r.at) > prefillRecordTTL })
-	return c.readings
+	c.prefills = slices.DeleteFunc(c.prefills, func(r prefillRecord) bool { return now.Sub(r.at) > prefillRecordTTL })
+	return c.prefills
 }
 
 // advertisedPrefills returns the records for the digest.
