--- a/request/policy/copies_test.go
+++ b/request/policy/copies_test.go
@@ -32,8 +32,8 @@
 
 // suspectDigest returns a peer's digest that lists the request as a suspect.
 func suspectDigest(peer string, sequence uint64, trial string, servers ...string) PeerDigest {
-	told := &lilacv1.Suspect{Digest: "same", Team: "a", Servers: servers, Trial: trial}
-	return PeerDigest{Digest: &lilacv1.Digest{Instance: peer, Sequence: sequence, Suspects: []*lilacv1.Suspect{told}}}
+	suspect := &lilacv1.Suspect{Digest: "same", Team: "a", Servers: servers, Trial: trial}
+	return PeerDigest{Digest: &lilacv1.Digest{Instance: peer, Sequence: sequence, Suspects: []*lilacv1.Suspect{suspect}}}
 }
 
 // A caller sends a crashing request three times to one instance before it is a
--- a/request/policy/core_test.go
+++ b/request/policy/core_test.go
@@ -73,7 +73,7 @@
 }
 
 // A booking is sent, then its server crashes. A second attempt could book twice, so
-// the caller must be told that the outcome is unknown.
+// the caller must learn that the outcome is unknown.
 func TestNonIdempotentIsNotSentTwice(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -207,7 +207,7 @@
 }
 
 // A route allows one server per request and the server refuses it for load. The caller
-// must be told that the request did not run, and no second server is tried.
+// must learn that the request did not run, and no second server is tried.
 func TestRequestIsSentToNoMoreServersThanAllowed(t *testing.T) {
 	is := is.New(t)
 	c := coreWithEngines("e1", 3, "a")
