--- a/process/replica/lineage.go
+++ b/process/replica/lineage.go
@@ -36,7 +36,7 @@
 // old group, and accept changes and claims beside the recovered group. Announcements
 // are sent four times per minimum election timeout, so that (unless messages are lost)
 // one arrives before such a voter's first candidacy, and a member of a replaced group
-// stops for good.
+// stops permanently.
 func (c *Core) announce() {
 	follows := c.role != Leader && c.hasRecentLeader()
 	if len(c.lineage.former) == 0 || follows || c.now < c.lineage.nextAnnounceAt {
--- a/process/replica/members.go
+++ b/process/replica/members.go
@@ -219,7 +219,7 @@
 }
 
 // caughtUp reports whether the member replied recently and has synced all but the last
-// promoteLag entries of the log.
+// promoteLag entries of the log, including the first entry of the current term.
 func (c *Core) caughtUp(id string) bool {
 	p := c.leaderState.progress[id]
 	return p != nil && p.snapshotTransfer == nil && c.now-p.lastHeard <= c.cfg.Election && p.match+promoteLag >= c.log.last() && p.match >= c.leaderState.firstIndex
@@ -232,7 +232,7 @@
 		return
 	}
 	if !c.canChangeMembers() {
-		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "another membership change is in progress; retry shortly"})
+		c.emit(Refused{RequestID: e.RequestID, Reason: InvalidChange, Detail: "membership can't be changed now: another change or a leadership transfer is in progress, no entry of this term is committed yet, the disk is full, or a rival group is active; retry shortly"})
 		return
 	}
 	index, detail := c.applyMemberChange(e)
