--- a/request/policy/herd_test.go
+++ b/request/policy/herd_test.go
@@ -10,8 +10,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// mostlyFullFleet is n instances before 40 engines, of which all but a few run as much as they
-// can, by what all are told.
+// mostlyFullFleet returns n instances with 40 engines that are full by the load board, except for
+// the idle ones.
 func mostlyFullFleet(n int, idle ...string) []*core {
 	var fleet []*core
 	for i := range n {
@@ -30,14 +30,14 @@
 		for l := range c.pools["llm"].laneStartRates {
 			c.pools["llm"].laneStartRates[l] = 10
 		}
-		c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: loads, Instances: n - 1}})
+		c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loads, Instances: n - 1}})
 		fleet = append(fleet, c)
 	}
 	return fleet
 }
 
-// Seventy-five instances heard in the same moment that two engines had room, and sent each
-// forty requests before the next word.
+// 75 instances learned at the same moment that two engines had free slots, and each sent them
+// forty requests before the next load update.
 func TestFewInstancesUseAnEngineWithFreeSlots(t *testing.T) {
 	is := is.New(t)
 	users := 0
@@ -49,7 +49,7 @@
 	is.True(users > 0 && users < 75/4)
 }
 
-// Where most engines have room nobody is kept from any.
+// While most engines have free slots, every instance may use all of them.
 func TestEnginesWithFreeSlotsAreOpenToAllInstances(t *testing.T) {
 	is := is.New(t)
 	var all []string
@@ -63,8 +63,8 @@
 	}
 }
 
-// One instance had one of two engines with room open, and sent it all requests that came
-// until the next word.
+// Of two engines with free slots one was open to the instance, which sent it all requests that
+// arrived before the next load update.
 func TestInstanceStartsOnlyItsPartBetweenUpdates(t *testing.T) {
 	is := is.New(t)
 	c := mostlyFullFleet(4)[0]
@@ -75,11 +75,11 @@
 			full[other.key] = loadboard.Load{InFlight: uint32(other.slots)}
 		}
 	}
-	c.Step(epoch, PeerLoads{Word: loadboard.Report{Loads: full, Instances: 3}})
+	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: full, Instances: 3}})
 	s.skipped = false
 	for id := range ID(60) {
 		c.Step(epoch, draft(id+1))
 	}
 	is.True(len(s.running) > 0)
-	is.True(len(s.running) <= s.slots/2) // a quarter is its part
+	is.True(len(s.running) <= s.slots/2) // its part is a quarter
 }
