--- a/process/replica/freshness.go
+++ b/process/replica/freshness.go
@@ -15,8 +15,8 @@
 type freshness struct {
 	// freshAt is that moment.
 	freshAt time.Duration
-	// commit is the commit index that the leader sent at commitSentAt; it is to be applied
-	// while pending is set.
+	// commit is the commit index that the leader sent at or after commitSentAt; it is to be
+	// applied while pending is set.
 	commit       uint64
 	commitSentAt time.Duration
 	pending      bool
--- a/process/replica/runner.go
+++ b/process/replica/runner.go
@@ -91,7 +91,8 @@
 // Reply receives an outcome. It must not block.
 type Reply func(Outcome)
 
-// Request is an event and the optional callback for its outcome.
+// Request is an event and the callback for its outcome. Reply is required for Propose,
+// Read and ChangeMembers, and unused for other events.
 type Request struct {
 	Event Event
 	Reply Reply
