--- a/request/relay/body.go
+++ b/request/relay/body.go
@@ -23,8 +23,9 @@
 	Content string `json:"content"`
 }
 
-// engineBody makes the body for an engine: always streamed, and where a part
-// of the answer is held already, with that part as prefix.
+// engineBody returns the request body for an engine. It always requests a stream. If part of
+// the answer was already received, prefix is that part and tokens its length; the engine is
+// asked to continue it.
 func engineBody(q *caller.Chat, prefix string, tokens int) ([]byte, error) {
 	if q.Stream && prefix == "" {
 		return q.Body, nil
@@ -56,7 +57,7 @@
 	}
 	last := len(messages) - 1
 	if q.ContinueFinal {
-		// The caller's own last message is the beginning of the answer.
+		// The caller's last message is itself the beginning of the answer.
 		prefix = string(q.Messages[last].Content) + prefix
 		messages = messages[:last]
 	}
@@ -73,11 +74,11 @@
 	if err := f.set("add_generation_prompt", false); err != nil {
 		return err
 	}
-	return f.lessTokens(q, tokens)
+	return f.reduceTokenLimits(q, tokens)
 }
 
-// lessTokens takes the tokens so far off the caller's bounds.
-func (f fields) lessTokens(q *caller.Chat, tokens int) error {
+// reduceTokenLimits subtracts the tokens generated so far from the caller's limits.
+func (f fields) reduceTokenLimits(q *caller.Chat, tokens int) error {
 	if q.MaxTokens > 0 {
 		if err := f.set("max_tokens", max(q.MaxTokens-tokens, 1)); err != nil {
 			return err
--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -10,87 +10,88 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// open starts or carries on the answer at the attempt's engine.
-func (j *chatJob) open(ctx context.Context, t *try) (*engine.Stream, error) {
+// open starts or continues the answer at the attempt's engine.
+func (j *chatJob) open(ctx context.Context, att *upstreamAttempt) (*engine.Stream, error) {
 	call := engine.Call{
-		Address: t.server.GetAddress(), RequestID: t.upstreamID, Priority: t.start.Priority, Attempt: t.attempt,
+		Address: att.server.GetAddress(), RequestID: att.upstreamID, Priority: att.start.Priority, Attempt: att.state,
 	}
-	if !j.begun() && !j.got.plain {
-		// The caller has nothing yet, and a prefix can't carry it on: from the start.
-		j.got = newCompletion(j.q.RequestID, j.got.promptTokens)
+	if !j.begun() && !j.completion.plain {
+		// The answer can't be continued from a prefix, but nothing was sent to the
+		// caller yet: start over.
+		j.completion = newCompletion(j.q.RequestID, j.completion.promptTokens)
 	}
-	before := j.flight.held
-	if before.id != "" && before.server == t.start.ResumeFrom && j.got.tokens > 0 {
-		stream, err := j.resume(ctx, call, t, before)
-		if err == nil || t.attempt.Written() && upstream.Crashed(err) {
+	before := j.request.held
+	if before.id != "" && before.server == att.start.ResumeFrom && j.completion.tokens > 0 {
+		stream, err := j.resume(ctx, call, att, before)
+		if err == nil || att.state.Written() && upstream.Crashed(err) {
 			return stream, err
 		}
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		j.relay.Post(policy.Recomputed{ID: j.flight.id, Attempt: t.start.Attempt})
+		j.relay.Post(policy.Recomputed{ID: j.request.id, Attempt: att.start.Attempt})
 	}
-	if !j.got.plain {
-		return nil, fmt.Errorf("the engine no longer holds an answer with tool calls: %w", errFinal)
+	if !j.completion.plain {
+		return nil, fmt.Errorf("answer with tool calls is no longer held by the engine: %w", errFinal)
 	}
 	j.relay.release(before)
-	j.flight.held = held{server: t.start.Server, address: call.Address, id: t.upstreamID}
-	body, err := engineBody(j.q, j.got.text.String(), j.got.tokens)
+	j.request.held = heldAnswer{server: att.start.Server, address: call.Address, id: att.upstreamID}
+	body, err := engineBody(j.q, j.completion.text.String(), j.completion.tokens)
 	if err != nil {
 		return nil, err
 	}
-	j.got.base, j.heldFrom = j.got.tokens, j.got.tokens
-	j.relay.Counter.Saved(j.got.tokens)
+	j.completion.base, j.resumeBase = j.completion.tokens, j.completion.tokens
+	j.relay.Counter.Saved(j.completion.tokens)
 	return j.relay.Engines.Chat(ctx, call, body)
 }
 
-// resume takes the answer up at the engine that holds it, or moves its KV cache
-// to the attempt's engine first.
-func (j *chatJob) resume(ctx context.Context, call engine.Call, t *try, before held) (*engine.Stream, error) {
-	if before.server != t.start.Server {
-		cache, err := j.relay.Engines.ExportKV(ctx, before.address, before.id, t.upstreamID)
+// resume resumes the answer at the engine that holds it; if that is not the attempt's engine,
+// it first moves the KV cache there.
+func (j *chatJob) resume(ctx context.Context, call engine.Call, att *upstreamAttempt, before heldAnswer) (*engine.Stream, error) {
+	if before.server != att.start.Server {
+		cache, err := j.relay.Engines.ExportKV(ctx, before.address, before.id, att.upstreamID)
 		if err != nil {
 			return nil, err
 		}
-		if err := j.relay.Engines.ImportKV(ctx, call.Address, t.upstreamID, cache); err != nil {
+		if err := j.relay.Engines.ImportKV(ctx, call.Address, att.upstreamID, cache); err != nil {
 			return nil, err
 		}
 	}
-	stream, err := j.relay.Engines.Resume(ctx, call, before.id, j.got.tokens-j.heldFrom)
+	stream, err := j.relay.Engines.Resume(ctx, call, before.id, j.completion.tokens-j.resumeBase)
 	if err != nil {
 		return nil, err
 	}
-	j.relay.Counter.Saved(j.got.tokens)
-	if before.server != t.start.Server {
+	j.relay.Counter.Saved(j.completion.tokens)
+	if before.server != att.start.Server {
 		j.relay.release(before)
 	}
-	j.flight.held = held{server: t.start.Server, address: call.Address, id: before.id}
+	j.request.held = heldAnswer{server: att.start.Server, address: call.Address, id: before.id}
 	return stream, nil
 }
 
-// forgetRefused drops the note of an answer that the engine does not hold.
-func (j *chatJob) forgetRefused(err error, t *try) {
+// forgetHeld clears the held answer if the engine refused the request or never received it.
+func (j *chatJob) forgetHeld(err error, att *upstreamAttempt) {
 	var status *upstream.StatusError
-	if errors.As(err, &status) || !t.attempt.Written() {
-		j.flight.held = held{}
+	if errors.As(err, &status) || !att.state.Written() {
+		j.request.held = heldAnswer{}
 	}
 }
 
-// resumeHere takes a broken stream up at the engine that made it. It also tells
-// a broken connection from a crashed engine, which refuses the next one; only
-// the latter makes the request a suspect.
-func (j *chatJob) resumeHere(ctx context.Context, t *try) (*engine.Stream, error) {
+// resumeSameEngine resumes a broken stream at the engine that generated it. It also
+// distinguishes a broken connection from a crashed engine, which refuses the next connection;
+// only a crash makes the request a suspect.
+func (j *chatJob) resumeSameEngine(ctx context.Context, att *upstreamAttempt) (*engine.Stream, error) {
 	call := engine.Call{
-		Address: t.server.GetAddress(), RequestID: t.upstreamID, Priority: t.start.Priority, Attempt: t.attempt,
+		Address: att.server.GetAddress(), RequestID: att.upstreamID, Priority: att.start.Priority, Attempt: att.state,
 	}
-	stream, err := j.relay.Engines.Resume(ctx, call, j.flight.held.id, j.got.tokens-j.heldFrom)
+	stream, err := j.relay.Engines.Resume(ctx, call, j.request.held.id, j.completion.tokens-j.resumeBase)
 	var status *upstream.StatusError
 	switch {
 	case err == nil:
-		j.relay.Counter.Saved(j.got.tokens)
+		j.relay.Counter.Saved(j.completion.tokens)
 		return stream, nil
 	case errors.As(err, &status):
-		return nil, errLost
+		return nil, errAnswerLost
 	}
 	return nil, err
 }
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -7,71 +7,73 @@
 	"github.com/lilacbridge/lilacbridge/connection/engine"
 )
 
-// pass writes an event to a streaming caller.
-func (j *chatJob) pass(t *try, chunk *engine.Chunk, data []byte) error {
+// forward sends an engine event to a streaming caller.
+func (j *chatJob) forward(att *upstreamAttempt, chunk *engine.Chunk, data []byte) error {
 	j.finishSent = j.finishSent || chunk.FinishReason() != ""
-	continued := j.answer.Begun() && t.start.Attempt > 1 && j.got.tokens > 0
+	continued := j.answer.Begun() && att.start.Attempt > 1 && j.completion.tokens > 0
 	switch {
 	case chunk.Usage != nil && len(chunk.Choices) == 0:
-		// Written at the end, corrected over all attempts.
+		// Usage is sent at the end, corrected over all attempts.
 		return nil
 	case continued && chunk.Empty():
 		return nil
 	case continued && len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Role != "" && chunk.Plain():
-		data = j.got.textChunk(chunk.Choices[0].Delta.Content, chunk.FinishReason())
-		return j.event(t, data, false)
+		data = j.completion.textChunk(chunk.Choices[0].Delta.Content, chunk.FinishReason())
+		return j.writeEvent(att, data, false)
 	}
-	return j.event(t, data, true)
+	return j.writeEvent(att, data, true)
 }
 
-// event writes one event in one piece; foreign data gets the request's own id.
-func (j *chatJob) event(t *try, data []byte, foreign bool) error {
+// writeEvent sends one event in a single write. In data from an engine (foreign), the id and
+// creation time are replaced by those of the completion.
+func (j *chatJob) writeEvent(att *upstreamAttempt, data []byte, foreign bool) error {
 	j.frame = append(j.frame[:0], dataField...)
 	if foreign {
-		j.frame = splice(j.frame, data, j.got.id, j.got.created)
+		j.frame = splice(j.frame, data, j.completion.id, j.completion.created)
 	} else {
 		j.frame = append(j.frame, data...)
 	}
 	j.frame = append(j.frame, endEvent...)
-	return j.send(t, j.frame)
+	return j.write(att, j.frame)
 }
 
-func (j *chatJob) send(t *try, frame []byte) error {
-	j.answer.BeginStream(t.start.Server)
-	j.copied.write(frame)
-	if err := j.answer.Event(frame); err != nil && !j.flight.claimed {
+func (j *chatJob) write(att *upstreamAttempt, frame []byte) error {
+	j.answer.BeginStream(att.start.Server)
+	j.answerRecorder.write(frame)
+	if err := j.answer.Event(frame); err != nil && !j.request.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
 }
 
-// finish ends a whole answer.
-func (j *chatJob) finish(t *try) error {
+// finish sends what is missing after the complete text: the whole answer to a caller without
+// streaming, else the final events.
+func (j *chatJob) finish(att *upstreamAttempt) error {
 	if !j.q.Stream {
-		return j.finishWhole(t)
+		return j.finishBuffered(att)
 	}
 	if !j.finishSent {
-		if err := j.event(t, j.got.textChunk("", j.got.finish), false); err != nil {
+		if err := j.writeEvent(att, j.completion.textChunk("", j.completion.finish), false); err != nil {
 			return err
 		}
 	}
 	if j.q.StreamOptions.IncludeUsage {
-		if err := j.event(t, j.got.usageChunk(), false); err != nil {
+		if err := j.writeEvent(att, j.completion.usageChunk(), false); err != nil {
 			return err
 		}
 	}
-	return j.send(t, []byte(doneEvent))
+	return j.write(att, []byte(doneEvent))
 }
 
-func (j *chatJob) finishWhole(t *try) error {
-	body, err := j.got.whole()
+func (j *chatJob) finishBuffered(att *upstreamAttempt) error {
+	body, err := j.completion.response()
 	if err != nil {
 		return err
 	}
-	j.copied.begin(http.StatusOK, contentJSON)
-	j.copied.write(body)
-	j.answer.Begin(http.StatusOK, contentJSON, t.start.Server)
-	if _, err := j.answer.Write(body); err != nil && !j.flight.claimed {
+	j.answerRecorder.begin(http.StatusOK, contentJSON)
+	j.answerRecorder.write(body)
+	j.answer.Begin(http.StatusOK, contentJSON, att.start.Server)
+	if _, err := j.answer.Write(body); err != nil && !j.request.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
--- a/request/relay/classify.go
+++ b/request/relay/classify.go
@@ -8,10 +8,10 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// errFinal marks a failure that another server would repeat.
-var errFinal = errors.New("no other server would do better")
+// errFinal marks a failure that would occur on any other server as well.
+var errFinal = errors.New("another server would fail in the same way")
 
-// classify says how an attempt failed, for the core and as a counter's label.
+// classify describes a failed attempt for the core, and as a label for Counter.Attempt.
 func classify(err error, unsent bool) (policy.Failed, string) {
 	failed := policy.Failed{Sent: !unsent}
 	var status *upstream.StatusError
@@ -24,7 +24,7 @@
 	case errors.Is(err, errServerFailed):
 		failed.ServerError = true
 		return failed, "server_failed"
-	case errors.Is(err, errCutLive):
+	case errors.Is(err, errConnectionBroken):
 		failed.ServerError = true
 		return failed, "cut"
 	case errors.Is(err, errStalled):
@@ -46,7 +46,8 @@
 		failed.Refused = true
 		return failed, "refused"
 	case status.Status == http.StatusNotFound, status.Status == http.StatusGone, status.Status == http.StatusRequestTimeout:
-		// The engine has not loaded the model, or lost the request: others may do better.
+		// The engine has not loaded the model or has lost the request; other servers
+		// may succeed.
 		return failed, "failed"
 	case status.Status < http.StatusInternalServerError:
 		failed.Permanent = true
--- a/request/relay/completion.go
+++ b/request/relay/completion.go
@@ -12,24 +12,27 @@
 	reasonLength = "length"
 )
 
-// completion gathers one answer over all its attempts.
+// completion accumulates one answer over all its attempts.
 type completion struct {
 	id      string
 	created int64
 	model   string
 	text    strings.Builder
-	// tokens is the number of chunks that carried a token.
+	// tokens is the number of chunks with a token.
 	tokens int
-	// base is the number of tokens that the present attempt holds as prompt.
+	// base is the number of answer tokens that the current attempt has as part of its
+	// prompt.
 	base int
-	// plain is false once the answer holds what a prefix can't carry on.
+	// plain is false once the answer has content, such as tool calls, that can't be
+	// continued from a text prefix.
 	plain     bool
 	reasoning strings.Builder
 	refusal   strings.Builder
 	calls     []toolCall
 	finish    string
 	usage     *engine.Usage
-	// promptTokens is the engine's count, or else the entry's own.
+	// promptTokens is this instance's estimate, for answers without usage from the
+	// engine.
 	promptTokens int
 }
 
@@ -47,7 +50,7 @@
 	} `json:"function"`
 }
 
-// add takes a chunk in.
+// add appends a chunk.
 func (c *completion) add(chunk *engine.Chunk) error {
 	if c.created == 0 {
 		c.created, c.model = chunk.Created, chunk.Model
@@ -75,7 +78,8 @@
 	return c.addCalls(delta.ToolCalls)
 }
 
-// addUsage corrects the count of an attempt that held a part of the answer as prompt.
+// addUsage records the usage of an attempt. Answer tokens that it had as part of its prompt
+// are counted as completion tokens.
 func (c *completion) addUsage(usage engine.Usage) {
 	usage.PromptTokens -= c.base
 	usage.CompletionTokens += c.base
@@ -91,7 +95,7 @@
 		return err
 	}
 	for _, part := range parts {
-		call := c.call(part.Index)
+		call := c.toolCallAt(part.Index)
 		call.ID += part.ID
 		if part.Type != "" {
 			call.Type = part.Type
@@ -102,7 +106,7 @@
 	return nil
 }
 
-func (c *completion) call(index int) *toolCall {
+func (c *completion) toolCallAt(index int) *toolCall {
 	for i := range c.calls {
 		if c.calls[i].Index == index {
 			return &c.calls[i]
@@ -112,7 +116,7 @@
 	return &c.calls[len(c.calls)-1]
 }
 
-// finalUsage returns the engine's usage, or one made from the tokens seen.
+// finalUsage returns the engine's usage, or one derived from the tokens received.
 func (c *completion) finalUsage() *engine.Usage {
 	if c.usage != nil {
 		return c.usage
@@ -120,7 +124,7 @@
 	return &engine.Usage{PromptTokens: c.promptTokens, CompletionTokens: c.tokens, TotalTokens: c.promptTokens + c.tokens}
 }
 
-type wholeMessage struct {
+type responseMessage struct {
 	Role      string     `json:"role"`
 	Content   *string    `json:"content"`
 	Reasoning string     `json:"reasoning_content,omitempty"`
@@ -128,34 +132,34 @@
 	ToolCalls []toolCall `json:"tool_calls,omitempty"`
 }
 
-type wholeChoice struct {
-	Index        int          `json:"index"`
-	Message      wholeMessage `json:"message"`
-	FinishReason string       `json:"finish_reason"`
-	LogProbs     *struct{}    `json:"logprobs"`
+type responseChoice struct {
+	Index        int             `json:"index"`
+	Message      responseMessage `json:"message"`
+	FinishReason string          `json:"finish_reason"`
+	LogProbs     *struct{}       `json:"logprobs"`
 }
 
-type whole struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   *engine.Usage `json:"usage"`
+type completionResponse struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []responseChoice `json:"choices"`
+	Usage   *engine.Usage    `json:"usage"`
 }
 
-// whole returns the answer as one JSON object.
-func (c *completion) whole() ([]byte, error) {
-	message := wholeMessage{Role: "assistant", Reasoning: c.reasoning.String(), ToolCalls: c.calls}
+// response returns the complete answer as one JSON object.
+func (c *completion) response() ([]byte, error) {
+	message := responseMessage{Role: "assistant", Reasoning: c.reasoning.String(), ToolCalls: c.calls}
 	if text := c.text.String(); text != "" || len(c.calls) == 0 {
 		message.Content = &text
 	}
 	if refusal := c.refusal.String(); refusal != "" {
 		message.Refusal = &refusal
 	}
-	return json.Marshal(whole{
+	return json.Marshal(completionResponse{
 		ID: c.id, Object: "chat.completion", Created: c.created, Model: c.model, Usage: c.finalUsage(),
-		Choices: []wholeChoice{{Message: message, FinishReason: c.finish}},
+		Choices: []responseChoice{{Message: message, FinishReason: c.finish}},
 	})
 }
 
@@ -169,7 +173,7 @@
 	FinishReason *string    `json:"finish_reason"`
 }
 
-type ownChunk struct {
+type completionChunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
 	Created int64         `json:"created"`
@@ -178,21 +182,21 @@
 	Usage   *engine.Usage `json:"usage,omitempty"`
 }
 
-func (c *completion) own(choices []chunkChoice, usage *engine.Usage) []byte {
-	data, _ := json.Marshal(ownChunk{
+func (c *completion) chunkJSON(choices []chunkChoice, usage *engine.Usage) []byte {
+	data, _ := json.Marshal(completionChunk{
 		ID: c.id, Object: "chat.completion.chunk", Created: c.created, Model: c.model, Choices: choices, Usage: usage,
 	})
 	return data
 }
 
-// textChunk makes the event's data of a chunk without its role, which the
-// caller has got from an earlier attempt.
+// textChunk returns the event data of a chunk without the role, which the caller already
+// received from an earlier attempt.
 func (c *completion) textChunk(content, finish string) []byte {
 	choice := chunkChoice{Delta: chunkDelta{Content: content}}
 	if finish != "" {
 		choice.FinishReason = &finish
 	}
-	return c.own([]chunkChoice{choice}, nil)
+	return c.chunkJSON([]chunkChoice{choice}, nil)
 }
 
-func (c *completion) usageChunk() []byte { return c.own([]chunkChoice{}, c.finalUsage()) }
+func (c *completion) usageChunk() []byte { return c.chunkJSON([]chunkChoice{}, c.finalUsage()) }
--- a/request/relay/events.go
+++ b/request/relay/events.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// eventBufferBytes is the read buffer of a stream; events have some hundred bytes.
+	// eventBufferBytes is the size of the read buffer; events typically have a few hundred
+	// bytes.
 	eventBufferBytes = 4 << 10
 	// maxEventBytes bounds one event.
 	maxEventBytes = 1 << 20
 )
 
-var errEventTooLarge = errors.New("an event of the stream is larger than the gateway holds")
+var errEventTooLarge = errors.New("stream event exceeds the size limit of 1 MiB")
 
-// eventReader splits a stream into its events, byte for byte.
+// eventReader splits a stream into its events without changing a byte.
 //
-// It guards against a server that stops in the middle of an event: a caller that
-// resumes would get the beginning of that event twice. It holds because only
-// whole events are given out, but for the last bytes of a stream that ended well.
+// It returns only complete events, except for the last bytes of a stream that ended
+// normally. Otherwise, if a server stopped in the middle of an event, a caller that resumes
+// would get the beginning of that event twice.
 type eventReader struct {
 	from  *bufio.Reader
 	event []byte
@@ -30,8 +31,8 @@
 	e.from = bufio.NewReaderSize(from, eventBufferBytes)
 }
 
-// next returns the next event with the empty line that ends it; valid until the
-// next call. With io.EOF come the bytes after the last event.
+// next returns the next event, including the empty line that ends it. The slice is valid
+// until the next call. With io.EOF it returns the bytes after the last event.
 func (e *eventReader) next() ([]byte, error) {
 	e.event = e.event[:0]
 	for {
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -20,29 +20,30 @@
 )
 
 const (
-	// wholeAnswerBytes is the largest answer that is read whole before its first
-	// byte goes out, so that a broken one can be tried again.
-	wholeAnswerBytes = 8 << 20
-	// eventStreamType is the content type of a series of events.
+	// maxForwardBuffer is the size of the largest answer, in bytes. Answers that are not
+	// event streams are read completely before the first byte is sent, so that an
+	// interrupted one can be retried.
+	maxForwardBuffer = 8 << 20
+	// eventStreamType is the content type of server-sent events.
 	eventStreamType = "text/event-stream"
 )
 
-// forwardJob is a request of the gateway on its way.
+// forwardJob handles a request of the gateway.
 type forwardJob struct {
-	relay  *Relay
-	flight *flight
-	q      *gateway.Request
-	answer *gateway.Answer
-	// lastEvent is the id of the last whole event that the caller holds.
+	relay   *Relay
+	request *request
+	q       *gateway.Request
+	answer  *gateway.Answer
+	// lastEvent is the id of the last complete event sent to the caller.
 	lastEvent string
-	// failure is the last answer of a server that failed; the caller gets it as
-	// it is where no further attempt follows.
-	failure *wholeAnswer
-	seen    bool
+	// failedAnswer is the last 5xx answer of a server; it is sent to the caller unchanged
+	// if no further attempt follows.
+	failedAnswer   *bufferedAnswer
+	firstTokenSeen bool
 }
 
-// wholeAnswer is a backend server's answer, read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is a backend server's complete answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -50,43 +51,43 @@
 
 var _ job = (*forwardJob)(nil)
 
-// errServerFailed is the error of a server that ran the request and says that it
-// failed.
+// errServerFailed is returned if a server ran the request and answered with a 5xx status.
 var errServerFailed = errors.New("backend server ran the request and answered with a failure")
 
-// errAnswerTooLarge is the error of an answer above wholeAnswerBytes.
-var errAnswerTooLarge = errors.New("answer is larger than the gateway holds")
+// errAnswerTooLarge is returned for an answer above maxForwardBuffer.
+var errAnswerTooLarge = errors.New("answer exceeds the size limit of 8 MiB")
 
-// Forward answers a request of the gateway.
+// Forward handles a request of the gateway. It returns a typed error if the request could not
+// be answered.
 func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
 	team := routing.NoTeam
 	if q.Team != nil {
 		team = q.Team.Name
 	}
 	priority := routing.Priority(q.Route, q.Team)
-	f := &flight{
+	req := &request{
 		requestID: q.AttemptID, class: routing.ClassName(q.Route, priority), team: team,
 		target: q.Route.Pick(rand.Float64()), arrived: time.Now(), deadline: q.Deadline,
 		actions: make(chan policy.Action, actionSlots),
 	}
-	j := &forwardJob{relay: r, flight: f, q: q, answer: answer}
+	j := &forwardJob{relay: r, request: req, q: q, answer: answer}
 	arrival := policy.Arrival{
-		Class: f.class, Team: team, Target: f.target, Digest: Digest(team, q.URI, q.Body),
+		Class: req.class, Team: team, Target: req.target, Digest: Digest(team, q.URI, q.Body),
 		PromptTokens: max(q.PromptTokens, 1), MaxTokens: q.MaxTokens, Hint: q.LengthHint, Prefix: prefixOf(q.Parts),
 		Deadline: q.Deadline, Idempotent: q.Route.Repeatable(), Pinned: true,
 	}
-	if err := r.enter(f); err != nil {
+	if err := r.register(req); err != nil {
 		return err
 	}
-	defer r.leave(f)
-	err := r.run(ctx, f, arrival, j)
-	if err != nil && j.failure != nil && !answer.Begun() && ctx.Err() == nil {
-		return j.give(j.failure)
+	defer r.unregister(req)
+	err := r.run(ctx, req, arrival, j)
+	if err != nil && j.failedAnswer != nil && !answer.Begun() && ctx.Err() == nil {
+		return j.writeBuffered(j.failedAnswer)
 	}
 	return err
 }
 
-// prefixOf gives each part the hash of itself and all parts before it.
+// prefixOf returns a block for each part, with the hash of that part and all parts before it.
 func prefixOf(parts []gateway.Part) []policy.Block {
 	if len(parts) == 0 {
 		return nil
@@ -107,140 +108,141 @@
 
 func (j *forwardJob) begun() bool { return j.answer.Begun() }
 
-// continuable holds where the server's own events say from where to go on.
+// continuable reports whether the route's events carry ids from which another server can
+// resume.
 func (j *forwardJob) continuable() bool { return j.q.Route.Resumable }
 
-func (j *forwardJob) try(ctx context.Context, t *try) error {
-	if err := j.send(ctx, t); err != nil {
-		return probed(ctx, t, err)
+func (j *forwardJob) attempt(ctx context.Context, att *upstreamAttempt) error {
+	if err := j.send(ctx, att); err != nil {
+		return probeServer(ctx, att, err)
 	}
 	return nil
 }
 
 // send makes one attempt.
-func (j *forwardJob) send(ctx context.Context, t *try) error {
+func (j *forwardJob) send(ctx context.Context, att *upstreamAttempt) error {
 	send := &gateway.Send{
-		Server: t.server.GetIdentity(), Priority: t.start.Level, Resumable: j.q.Route.Resumable, LastEvent: j.lastEvent,
+		Server: att.server.GetIdentity(), Priority: att.start.Level, Resumable: j.q.Route.Resumable, LastEvent: j.lastEvent,
 	}
 	if j.q.Team != nil {
 		send.Team = j.q.Team.Name
 	}
-	if holder := j.relay.server(t.start.FetchFrom); holder != nil {
+	if holder := j.relay.server(att.start.FetchFrom); holder != nil {
 		send.FetchFrom = holder.GetAddress()
 	}
 	if !j.q.Waits.IsZero() {
 		send.Left = time.Until(j.q.Waits)
 	}
 	resp, err := j.relay.Gateway.Do(ctx, gateway.Call{
-		Address: t.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Host: j.q.Host,
-		Header: j.q.Header, Body: j.q.Body, Send: send, Attempt: t.attempt, Once: !j.q.Route.Repeatable(),
+		Address: att.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Host: j.q.Host,
+		Header: j.q.Header, Body: j.q.Body, Send: send, Attempt: att.state, Once: !j.q.Route.Repeatable(),
 	})
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	j.noteLoad(t, resp.Reply)
-	j.noteLimit(t, resp)
+	j.reportLoad(att, resp.Reply)
+	j.reportLimit(att, resp)
 	if resp.Reply.NotRun {
 		return &upstream.StatusError{Status: http.StatusServiceUnavailable, NotRun: true, RetryAfter: resp.Reply.RetryAfter}
 	}
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
-		return j.passEvents(ctx, resp)
+		return j.forwardEvents(ctx, resp)
 	}
-	return j.passWhole(resp)
+	return j.forwardBuffered(resp)
 }
 
-// noteLoad tells the core what the server says of its load.
-func (j *forwardJob) noteLoad(t *try, reply gateway.Reply) {
+// reportLoad reports the load stated in the server's reply to the core.
+func (j *forwardJob) reportLoad(att *upstreamAttempt, reply gateway.Reply) {
 	if load := reply.Load; load != nil {
-		j.relay.Post(policy.LoadReport{Server: t.start.Server, Running: load.Running, Waiting: load.Waiting})
+		j.relay.Post(policy.LoadReport{Server: att.start.Server, Running: load.Running, Waiting: load.Waiting})
 	}
 }
 
-// noteLimit tells the core of a limit that the server names, or names no longer. Another
-// server's word at the same address says nothing of this one.
-func (j *forwardJob) noteLimit(t *try, resp *gateway.Response) {
+// reportLimit reports to the core the limit that the server states, or that it states none.
+// A reply with status 421 comes from another server at the same address and is ignored.
+func (j *forwardJob) reportLimit(att *upstreamAttempt, resp *gateway.Response) {
 	limit := resp.Reply.Limit
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
 	if limit.Unreadable != "" {
-		j.relay.logBadLimit(j.flight, t.start, limit.Unreadable)
+		j.relay.logBadLimit(j.request, att.start, limit.Unreadable)
 		return
 	}
-	j.relay.Post(policy.LimitReport{Server: t.start.Server, Named: limit.Named, PerSecond: limit.PerSecond})
+	j.relay.Post(policy.LimitReport{Server: att.start.Server, Named: limit.Named, PerSecond: limit.PerSecond})
 }
 
-// passWhole reads the answer to its end before its first byte goes out.
-func (j *forwardJob) passWhole(resp *gateway.Response) error {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, wholeAnswerBytes+1))
+// forwardBuffered reads the complete answer before it sends the first byte.
+func (j *forwardJob) forwardBuffered(resp *gateway.Response) error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxForwardBuffer+1))
 	if err != nil {
 		return err
 	}
-	if len(body) > wholeAnswerBytes {
+	if len(body) > maxForwardBuffer {
 		return errAnswerTooLarge
 	}
-	whole := &wholeAnswer{status: resp.StatusCode, header: resp.Header, body: body}
+	buffered := &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.Begun() {
-		j.failure = whole
+		j.failedAnswer = buffered
 		return errServerFailed
 	}
 	if j.answer.Begun() {
-		// A resumed stream went on as something that is no stream.
-		return errors.New("backend server answered " + strconv.Itoa(resp.StatusCode) + " where a stream was to go on")
+		// A resumed stream was answered with something other than a stream.
+		return errors.New("backend server answered " + strconv.Itoa(resp.StatusCode) + " instead of a resumed stream")
 	}
-	return j.give(whole)
+	return j.writeBuffered(buffered)
 }
 
-// give hands a whole answer to the caller as it is.
-func (j *forwardJob) give(whole *wholeAnswer) error {
-	j.flight.record.Answered()
-	j.progress(1)
-	j.relay.Protocol.Incoming(j.answer.Header(), whole.header)
-	j.answer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
-	j.answer.Begin(whole.status)
+// writeBuffered sends a buffered answer to the caller unchanged.
+func (j *forwardJob) writeBuffered(buffered *bufferedAnswer) error {
+	j.request.record.Answered()
+	j.reportTokens(1)
+	j.relay.Protocol.Incoming(j.answer.Header(), buffered.header)
+	j.answer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
+	j.answer.Begin(buffered.status)
 	if j.q.Method == http.MethodHead {
 		return nil
 	}
-	if _, err := j.answer.Write(whole.body); err != nil {
+	if _, err := j.answer.Write(buffered.body); err != nil {
 		return errCallerGone
 	}
 	return nil
 }
 
-// progress tells the core of tokens that came.
-func (j *forwardJob) progress(tokens int) {
-	j.flight.growBy(j.relay.box, tokens)
+// reportTokens counts received tokens and reports them to the core.
+func (j *forwardJob) reportTokens(tokens int) {
+	j.request.addTokens(j.relay.mailbox, tokens)
 	j.relay.Counter.Tokens(tokens)
-	if !j.seen {
-		j.seen = true
-		j.relay.Counter.FirstToken(j.q.Route.Name, time.Since(j.flight.arrived))
+	if !j.firstTokenSeen {
+		j.firstTokenSeen = true
+		j.relay.Counter.FirstToken(j.q.Route.Name, time.Since(j.request.arrived))
 	}
 }
 
-// eventTokens is how many tokens an event of the stream holds.
+// eventTokens returns the number of tokens per event of the stream.
 func (j *forwardJob) eventTokens() int {
-	service := j.q.Table.Service(j.flight.target)
+	service := j.q.Table.Service(j.request.target)
 	if service == nil || service.Engine == nil {
 		return 1
 	}
 	return max(service.Engine.EventTokens, 1)
 }
 
-// passEvents passes a stream on, event by event.
-func (j *forwardJob) passEvents(ctx context.Context, resp *gateway.Response) error {
+// forwardEvents forwards a stream event by event.
+func (j *forwardJob) forwardEvents(ctx context.Context, resp *gateway.Response) error {
 	tokens := j.eventTokens()
 	var events eventReader
 	events.reset(resp.Body)
 	for {
 		event, err := events.next()
 		if len(event) > 0 && (err == nil || err == io.EOF) {
-			if passed := j.passEvent(ctx, resp, event, tokens); passed != nil {
-				return passed
+			if forwardErr := j.forwardEvent(ctx, resp, event, tokens); forwardErr != nil {
+				return forwardErr
 			}
 		}
 		if err == io.EOF {
-			return j.ended(resp)
+			return j.endStream(resp)
 		}
 		if err != nil {
 			return err
@@ -248,8 +250,8 @@
 	}
 }
 
-// ended gives a stream without any event its header at least.
-func (j *forwardJob) ended(resp *gateway.Response) error {
+// endStream sends the header of a stream that had no events.
+func (j *forwardJob) endStream(resp *gateway.Response) error {
 	if !j.answer.Begun() {
 		j.begin(resp)
 	}
@@ -264,18 +266,18 @@
 	j.answer.Begin(resp.StatusCode)
 }
 
-func (j *forwardJob) passEvent(ctx context.Context, resp *gateway.Response, event []byte, tokens int) error {
+func (j *forwardJob) forwardEvent(ctx context.Context, resp *gateway.Response, event []byte, tokens int) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if j.flight.late() {
+	if j.request.pastDeadline() {
 		return context.DeadlineExceeded
 	}
 	if !j.answer.Begun() {
 		j.begin(resp)
 	}
-	j.flight.record.Answered()
-	j.progress(tokens)
+	j.request.record.Answered()
+	j.reportTokens(tokens)
 	if _, err := j.answer.Write(event); err != nil {
 		return errCallerGone
 	}
@@ -288,7 +290,7 @@
 	return nil
 }
 
-// eventID returns the id that a whole event carries.
+// eventID returns the id of a complete event.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/request/relay/log.go
+++ b/request/relay/log.go
@@ -8,41 +8,41 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// The lines of a request, in the order in which they come: one "sent" for each
-// attempt with what decided the server, then "finished", "attempt failed" or
-// "refused". docs/OPERATIONS.md lists their fields.
+// Log lines of a request in chronological order: "sent" for each attempt, with the reasons for
+// the choice of server, followed by "finished", "attempt failed" or "refused".
+// docs/OPERATIONS.md lists the fields.
 
-func (r *Relay) logSent(f *flight, start policy.Start) {
+func (r *Relay) logSent(req *request, start policy.Start) {
 	why := start.Decision
-	r.Log.Line(logs.Success, "sent", "request", f.requestID, "class", f.class, "team", f.team, "target", f.target,
+	r.Log.Line(logs.Success, "sent", "request", req.requestID, "class", req.class, "team", req.team, "target", req.target,
 		"server", start.Server, "attempt", start.Attempt, "level", start.Level, "waited_ms", why.Waited.Milliseconds(),
 		"own", why.Own, "load", int(why.Load), "report_age_ms", why.ReportAge.Milliseconds(),
 		"uncached", int(why.Uncached), "fetched", int(why.Fetched), "from", start.FetchFrom, "ahead", int(why.Ahead), "expected_ms", why.Expected.Milliseconds(), "remote", why.Remote, "lane", why.Lane, "home", why.Home,
 		"displaces", why.Displaces, "bulk", why.Bulk)
 }
 
-func (r *Relay) logFinished(f *flight, start policy.Start) {
-	r.Log.Line(logs.Success, "finished", "request", f.requestID, "server", start.Server, "attempt", start.Attempt,
-		"first_ms", f.firstAfter().Milliseconds(), "took_ms", time.Since(f.arrived).Milliseconds(), "pause_ms", f.longestPause().Milliseconds(), "tokens", f.tokens.Load())
+func (r *Relay) logFinished(req *request, start policy.Start) {
+	r.Log.Line(logs.Success, "finished", "request", req.requestID, "server", start.Server, "attempt", start.Attempt,
+		"first_ms", req.firstTokenAfter().Milliseconds(), "took_ms", time.Since(req.arrived).Milliseconds(), "pause_ms", req.longestPause().Milliseconds(), "tokens", req.tokens.Load())
 }
 
-func (r *Relay) logFailed(f *flight, start policy.Start, err error, unsent bool) {
-	r.Log.Line(logs.Failure, "attempt failed", "request", f.requestID, "class", f.class, "server", start.Server, "attempt", start.Attempt,
-		"unsent", unsent, "after_ms", time.Since(f.arrived).Milliseconds(), "tokens", f.tokens.Load(), "error", err)
+func (r *Relay) logFailed(req *request, start policy.Start, err error, unsent bool) {
+	r.Log.Line(logs.Failure, "attempt failed", "request", req.requestID, "class", req.class, "server", start.Server, "attempt", start.Attempt,
+		"unsent", unsent, "after_ms", time.Since(req.arrived).Milliseconds(), "tokens", req.tokens.Load(), "error", err)
 }
 
-func (r *Relay) logRefused(f *flight, a policy.Refuse) {
-	r.Log.Line(logs.Failure, "refused", "request", f.requestID, "class", f.class, "team", f.team, "target", f.target,
+func (r *Relay) logRefused(req *request, a policy.Refuse) {
+	r.Log.Line(logs.Failure, "refused", "request", req.requestID, "class", req.class, "team", req.team, "target", req.target,
 		"kind", fault.Name(a.Kind), "not_run", a.NotRun.String(), "retry_after_ms", a.RetryAfter.Milliseconds(),
-		"after_ms", time.Since(f.arrived).Milliseconds(), "level", a.Queue.Level, "before", a.Queue.Before,
+		"after_ms", time.Since(req.arrived).Milliseconds(), "level", a.Queue.Level, "before", a.Queue.Before,
 		"running", a.Queue.Running, "slots", a.Queue.Slots, "blocked", string(a.Queue.Blocked))
 }
 
-func (r *Relay) logBadLimit(f *flight, start policy.Start, text string) {
-	r.Log.Line(logs.Failure, "limit not readable, the last one stands", "request", f.requestID, "server", start.Server, "value", text)
+func (r *Relay) logBadLimit(req *request, start policy.Start, text string) {
+	r.Log.Line(logs.Failure, "cannot parse server limit; keeping the previous one", "request", req.requestID, "server", start.Server, "value", text)
 }
 
-// logLimit tells of a limit that a server names, or names no longer.
+// logLimit logs that a server started, changed or stopped stating a limit.
 func (r *Relay) logLimit(a policy.LimitChanged) {
 	r.Log.Line(logs.Belief, "server limit", "server", a.Server, "named", a.Named, "per_second", a.PerSecond,
 		"source", string(a.Source), "age_ms", a.Age.Milliseconds(), "share", a.Share)
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -1,12 +1,11 @@
-// Package relay is the shell around the policy core: it carries requests to
-// backend servers and their answers back, as the core decides.
+// Package relay does the I/O for the policy core: it sends requests to backend servers and
+// returns their answers, as the core decides.
 //
-// One goroutine owns the core. A request lives in the goroutine of its HTTP
-// handler; it posts events to the core's mailbox and gets actions by a channel
-// of its own.
+// One goroutine owns the core. Each request is handled in the goroutine of its HTTP handler,
+// which posts events to the core's mailbox and receives actions on a channel of its own.
 //
-// Locks: Relay.mu (the table of requests) before flight.mu; the mailbox's lock
-// is taken last and held for an append only.
+// Lock order: Relay.mu (the table of requests) before request.mu; the mailbox's lock is
+// acquired last and held only to append to or swap its slices.
 package relay
 
 import (
@@ -27,68 +26,70 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Counter counts what the relay does; labels are bounded.
+// Counter records metrics of the relay; label values are bounded. Its methods are called
+// concurrently.
 type Counter interface {
-	// Attempt counts an attempt's end, such as "finished" or "crashed".
+	// Attempt counts an ended attempt by result, such as "finished" or "crashed".
 	Attempt(end string)
 	// FirstToken observes the time from arrival to the first token, by class.
 	FirstToken(class string, wait time.Duration)
-	// Tokens counts tokens passed on.
+	// Tokens counts tokens forwarded to callers.
 	Tokens(n int)
-	// Saved counts tokens of broken answers that were not made again.
+	// Saved counts tokens of interrupted answers that were not generated again.
 	Saved(n int)
-	// Broken counts a broken invariant, by its name.
+	// Broken counts a violated invariant by name.
 	Broken(invariant string)
 }
 
-// Options are the parts that a Relay works with.
+// Options are the dependencies and settings of a Relay.
 type Options struct {
 	Core     policy.Core
 	Engines  *engine.Client
 	Services *service.Client
 	Claims   *outcome.Claims
-	// Gateway and Protocol carry the gateway's requests; nil without one.
+	// Gateway and Protocol are used for the gateway's requests; nil without a gateway.
 	Gateway  *gateway.Client
 	Protocol gateway.Protocol
 	Counter  Counter
-	// OnConvict is told of a request that crashes servers; it must not block.
+	// OnConvict is called for a request that crashes servers; it must not block.
 	OnConvict func(policy.Convict)
-	// OnAnnounce is told that the digest should go out at once; it must not block.
+	// OnAnnounce is called when the digest should be sent at once; it must not block.
 	OnAnnounce func()
-	// Log tells what becomes of requests; nil writes nothing.
+	// Log receives one line per event of a request; nil disables it.
 	Log *logs.Log
-	// StallTimeout is how long a stream that began may stay silent. Default 30s.
+	// StallTimeout is how long a started stream may stall. The default is 30 s.
 	StallTimeout time.Duration
 }
 
 const (
-	defaultStall = 30 * time.Second
-	// drainRetry tells refused callers to come back, which the balancer then
-	// sends elsewhere.
-	drainRetry = time.Second
+	defaultStallTimeout = 30 * time.Second
+	// drainRetryAfter is the Retry-After during a drain; by then the load balancer sends
+	// the caller to another instance.
+	drainRetryAfter = time.Second
 )
 
-// Relay carries requests; see the package.
+// Relay handles requests. It is safe for concurrent use.
 type Relay struct {
 	Options
-	box  *mailbox
-	view atomic.Pointer[model.View]
-	next atomic.Uint64
+	mailbox *mailbox
+	view    atomic.Pointer[model.View]
+	nextID  atomic.Uint64
 
+	// mu guards the fields below.
 	mu       sync.Mutex
-	flights  map[policy.ID]*flight
+	requests map[policy.ID]*request
 	limits   map[string]limitRow
 	draining bool
-	// idle is closed when draining and no request is left.
+	// idle is closed when the relay is draining and no request is left.
 	idle chan struct{}
-	// cut is closed when the time for draining is over.
-	cut chan struct{}
+	// aborted is closed when the drain time has expired.
+	aborted chan struct{}
 }
 
-// New returns a Relay; Run must be called for it to work.
+// New returns a Relay. Requests are processed only while Run is running.
 func New(options Options) *Relay {
 	if options.StallTimeout == 0 {
-		options.StallTimeout = defaultStall
+		options.StallTimeout = defaultStallTimeout
 	}
 	if options.OnConvict == nil {
 		options.OnConvict = func(policy.Convict) {}
@@ -96,48 +97,49 @@
 	if options.OnAnnounce == nil {
 		options.OnAnnounce = func() {}
 	}
-	return &Relay{Options: options, box: newMailbox(), flights: make(map[policy.ID]*flight), idle: make(chan struct{}), cut: make(chan struct{})}
+	return &Relay{Options: options, mailbox: newMailbox(), requests: make(map[policy.ID]*request), idle: make(chan struct{}), aborted: make(chan struct{})}
 }
 
-// View returns the configuration in force; nil while none is known.
+// View returns the current configuration, or nil before the first Configure.
 func (r *Relay) View() *model.View { return r.view.Load() }
 
-// Configure brings a newer configuration into force.
+// Configure applies a configuration. A revision older than the current one is ignored and
+// counted as a violated invariant.
 func (r *Relay) Configure(view *model.View) {
 	if old := r.view.Load(); old != nil && old.Revision > view.Revision {
 		r.Counter.Broken("revision_went_back")
 		return
 	}
 	r.view.Store(view)
-	r.forgetLimits(view)
+	r.pruneLimits(view)
 	r.Post(policy.Configured{View: view})
 }
 
-// Post hands an event from outside of requests to the core.
-func (r *Relay) Post(event policy.Event) { r.box.post(event) }
+// Post queues an event for the core. It does not block.
+func (r *Relay) Post(event policy.Event) { r.mailbox.post(event) }
 
-// enter lets a new request in, or refuses it while the instance drains. The
-// test and the entry in the table are one step, so that a drain misses none.
-func (r *Relay) enter(f *flight) error {
+// register adds a request to the table, or refuses it while the instance drains. Both happen
+// under one lock, so that a drain misses no request.
+func (r *Relay) register(req *request) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.draining {
-		return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request to another one", fault.WithRetryAfter(drainRetry))
+		return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance is shutting down; send the request to another one", fault.WithRetryAfter(drainRetryAfter))
 	}
-	f.id = policy.ID(r.next.Add(1))
-	r.flights[f.id] = f
+	req.id = policy.ID(r.nextID.Add(1))
+	r.requests[req.id] = req
 	return nil
 }
 
-func (r *Relay) leave(f *flight) {
+func (r *Relay) unregister(req *request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.flights, f.id)
+	delete(r.requests, req.id)
 	r.closeIdle()
 }
 
 func (r *Relay) closeIdle() {
-	if !r.draining || len(r.flights) > 0 {
+	if !r.draining || len(r.requests) > 0 {
 		return
 	}
 	select {
@@ -147,8 +149,8 @@
 	}
 }
 
-// Drain refuses new requests from now on; Idle is closed when the last one in
-// progress has ended.
+// Drain refuses new requests from now on. Idle is closed when the last request in progress
+// has ended.
 func (r *Relay) Drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,44 +167,46 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case <-r.cut:
+	case <-r.aborted:
 		return
 	default:
 	}
-	close(r.cut)
-	for _, f := range r.flights {
-		f.abort(errCut)
+	close(r.aborted)
+	for _, req := range r.requests {
+		req.abort(errDrainExpired)
 	}
 }
 
-// Idle is closed once the relay drains and no request is in progress.
+// Idle returns a channel that is closed once the relay is draining and no request is in
+// progress.
 func (r *Relay) Idle() <-chan struct{} { return r.idle }
 
 // InFlight returns the number of requests in progress.
 func (r *Relay) InFlight() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.flights)
+	return len(r.requests)
 }
 
-// Digest asks the core what other instances must know.
+// Digest returns the core's digest for other instances. It waits for Run.
 func (r *Relay) Digest(ctx context.Context) (*lilacv1.Digest, error) {
-	return askCore(ctx, r.box, func(core policy.Core, now time.Time) *lilacv1.Digest { return core.Digest(now) })
+	return queryCore(ctx, r.mailbox, func(core policy.Core, now time.Time) *lilacv1.Digest { return core.Digest(now) })
 }
 
-// Loads asks the core for what this instance runs on each server and sent there.
+// Loads returns what this instance runs on each server and has sent to it. It waits for Run.
 func (r *Relay) Loads(ctx context.Context) (loadboard.Report, error) {
-	return askCore(ctx, r.box, func(core policy.Core, now time.Time) loadboard.Report { return core.Loads(now) })
+	return queryCore(ctx, r.mailbox, func(core policy.Core, now time.Time) loadboard.Report { return core.Loads(now) })
 }
 
-// Stats asks the core for its counters.
+// Stats returns the core's counters. It waits for Run.
 func (r *Relay) Stats(ctx context.Context) (policy.Stats, error) {
-	return askCore(ctx, r.box, func(core policy.Core, _ time.Time) policy.Stats { return core.Stats() })
+	return queryCore(ctx, r.mailbox, func(core policy.Core, _ time.Time) policy.Stats { return core.Stats() })
 }
 
-func askCore[T any](ctx context.Context, box *mailbox, ask func(policy.Core, time.Time) T) (T, error) {
+// queryCore runs ask on the goroutine that owns the core and returns its result.
+func queryCore[T any](ctx context.Context, mb *mailbox, ask func(policy.Core, time.Time) T) (T, error) {
 	reply := make(chan T, 1)
-	box.ask(func(core policy.Core, now time.Time) { reply <- ask(core, now) })
+	mb.ask(func(core policy.Core, now time.Time) { reply <- ask(core, now) })
 	select {
 	case value := <-reply:
 		return value, nil
--- a/request/relay/relay_test.go
+++ b/request/relay/relay_test.go
@@ -13,15 +13,15 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// An entry is frozen with a decision in hand and woken after the deadline; the
-// timer of the request's context has not fired yet. The decision must not be
-// acted on, and the request is proved not to have run.
+// A process is frozen with a pending decision and resumed after the deadline, before the timer
+// of the request's context fires. The decision must not be executed, and the request provably
+// did not run.
 func TestDecisionOlderThanTheDeadlineIsDropped(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{})
-	f := newFlight(&caller.Meta{Deadline: time.Now().Add(-time.Second)})
-	f.actions <- policy.Start{Attempt: 1}
-	_, err := r.wait(context.Background(), f)
+	req := newRequest(&caller.Meta{Deadline: time.Now().Add(-time.Second)})
+	req.actions <- policy.Start{Attempt: 1}
+	_, err := r.wait(context.Background(), req)
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT))
 	is.Equal(fault.NotRunOf(err), lilacv1.NotRun_NOT_RUN_TRUE)
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestEngineBodyCarriesThePartThatCame(t *testing.T) {
+func TestEngineBodyContinuesAPartialAnswer(t *testing.T) {
 	is := is.New(t)
 	q := &caller.Chat{ChatFields: caller.ChatFields{
 		Stream: true, MaxTokens: 10, ContinueFinal: true,
--- a/request/relay/rows.go
+++ b/request/relay/rows.go
@@ -16,12 +16,12 @@
 	serverColumns  = []string{"server", "target", "data_center", "in_flight", "draining", "limit", "share", "limit_source", "limit_since"}
 )
 
-// limitRow is a server's limit and this instance's part of it, in requests a second, as they
-// are shown to operators; all empty where it names none.
+// limitRow holds a server's limit and this instance's share of it, in requests a second, as
+// shown to operators; all fields are empty if the server states no limit.
 type limitRow struct{ limit, share, source, since string }
 
-// noteLimit remembers what the core believes of a server's limit.
-func (r *Relay) noteLimit(now time.Time, a policy.LimitChanged) {
+// recordLimit records the core's current knowledge of a server's limit.
+func (r *Relay) recordLimit(now time.Time, a policy.LimitChanged) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !a.Named {
@@ -35,41 +35,42 @@
 	r.limits[a.Server] = limitRow{number(a.PerSecond), number(a.Share), string(a.Source), now.Add(-a.Age).UTC().Format(time.RFC3339)}
 }
 
-// forgetLimits drops the limits of servers that are gone.
-func (r *Relay) forgetLimits(view *model.View) {
+// pruneLimits drops the limits of servers that are not in the view.
+func (r *Relay) pruneLimits(view *model.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.limits, func(server string, _ limitRow) bool { return view.Servers[server] == nil })
 }
 
-// Requests returns the columns and rows of the requests in progress here.
+// Requests returns the column names and a row for each request in progress at this instance,
+// in order of arrival.
 func (r *Relay) Requests() ([]string, []*lilacv1.QueryRow) {
 	r.mu.Lock()
-	flights := make([]*flight, 0, len(r.flights))
-	for _, f := range r.flights {
-		flights = append(flights, f)
+	requests := make([]*request, 0, len(r.requests))
+	for _, req := range r.requests {
+		requests = append(requests, req)
 	}
 	r.mu.Unlock()
-	sort.Slice(flights, func(i, j int) bool { return flights[i].id < flights[j].id })
-	rows := make([]*lilacv1.QueryRow, 0, len(flights))
-	for _, f := range flights {
-		now := f.row()
-		age := time.Since(f.arrived).Round(time.Millisecond)
+	sort.Slice(requests, func(i, j int) bool { return requests[i].id < requests[j].id })
+	rows := make([]*lilacv1.QueryRow, 0, len(requests))
+	for _, req := range requests {
+		now := req.row()
+		age := time.Since(req.arrived).Round(time.Millisecond)
 		rows = append(rows, &lilacv1.QueryRow{Values: []string{
-			f.requestID, f.class, f.team, f.target, now.server, now.state, age.String(), strconv.FormatInt(now.tokens, 10),
+			req.requestID, req.class, req.team, req.target, now.server, now.state, age.String(), strconv.FormatInt(now.tokens, 10),
 		}})
 	}
 	return requestColumns, rows
 }
 
-// Servers returns the columns and rows of the backend servers, with what this
-// instance itself has in flight at each.
+// Servers returns the column names and a row for each backend server, sorted by name.
+// in_flight counts only the requests of this instance.
 func (r *Relay) Servers() ([]string, []*lilacv1.QueryRow) {
 	inFlight := make(map[string]int)
 	r.mu.Lock()
 	limits := maps.Clone(r.limits)
-	for _, f := range r.flights {
-		if server := f.row().server; server != "" {
+	for _, req := range r.requests {
+		if server := req.row().server; server != "" {
 			inFlight[server]++
 		}
 	}
--- a/request/relay/rows_test.go
+++ b/request/relay/rows_test.go
@@ -11,8 +11,7 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// An operator could not see which backend servers are in need, nor what this instance may send
-// there.
+// Operators must see which backend servers state a limit, and this instance's share of it.
 func TestServersAreShownWithTheirLimits(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{})
@@ -25,15 +24,15 @@
 	}
 	r.Configure(view(1, "a", "b"))
 	at := time.Unix(1_800_000_000, 0)
-	r.noteLimit(at, policy.LimitChanged{Server: "b", Named: true, PerSecond: 1.8, Share: 0.6, Source: policy.LimitFromPeer, Age: time.Second})
+	r.recordLimit(at, policy.LimitChanged{Server: "b", Named: true, PerSecond: 1.8, Share: 0.6, Source: policy.LimitFromPeer, Age: time.Second})
 	columns, rows := r.Servers()
 	is.Equal(columns[5:], []string{"limit", "share", "limit_source", "limit_since"})
 	is.Equal(rows[0].GetValues()[5:], []string{"", "", "", ""})
 	is.Equal(rows[1].GetValues()[5:], []string{"1.8", "0.6", "instance", "2027-01-15T07:59:59Z"})
-	r.noteLimit(at, policy.LimitChanged{Server: "b"})
+	r.recordLimit(at, policy.LimitChanged{Server: "b"})
 	_, rows = r.Servers()
 	is.Equal(rows[1].GetValues()[5], "")
-	r.noteLimit(at, policy.LimitChanged{Server: "b", Named: true})
+	r.recordLimit(at, policy.LimitChanged{Server: "b", Named: true})
 	r.Configure(view(2, "a"))
 	is.Equal(len(r.limits), 0)
 }
--- a/request/relay/run.go
+++ b/request/relay/run.go
@@ -12,45 +12,47 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// errCallerGone is the error of a write that the caller did not take.
-var errCallerGone = errors.New("caller has gone")
+// errCallerGone is returned for a failed write to the caller.
+var errCallerGone = errors.New("caller disconnected")
 
-// job is what a kind of request does with one attempt.
+// job implements the attempts of one kind of request.
 type job interface {
-	// try runs an attempt; nil once the whole answer was passed on.
-	try(ctx context.Context, t *try) error
-	// begun tells whether the caller holds a part of the answer.
+	// attempt runs an attempt; it returns nil once the complete answer was forwarded.
+	attempt(ctx context.Context, att *upstreamAttempt) error
+	// begun reports whether part of the answer was sent to the caller.
 	begun() bool
-	// continuable tells whether an answer that has begun can be carried on.
+	// continuable reports whether an answer that has begun can be continued by another
+	// attempt.
 	continuable() bool
 }
 
-// try is one attempt of a request.
-type try struct {
-	start   policy.Start
-	server  *lilacv1.Server
-	attempt *upstream.Attempt
-	// upstreamID is the request's id and the attempt's number.
+// upstreamAttempt is one attempt of a request at one server.
+type upstreamAttempt struct {
+	start  policy.Start
+	server *lilacv1.Server
+	state  *upstream.Attempt
+	// upstreamID is the request id with the attempt number appended.
 	upstreamID string
 }
 
-// run carries the request until its answer, its refusal or its caller's end.
-func (r *Relay) run(ctx context.Context, f *flight, arrival policy.Arrival, j job) error {
-	defer func() { r.release(f.held) }()
-	arrival.ID = f.id
+// run executes the core's actions for the request until it is answered or refused, or its
+// caller disconnects.
+func (r *Relay) run(ctx context.Context, req *request, arrival policy.Arrival, j job) error {
+	defer func() { r.release(req.held) }()
+	arrival.ID = req.id
 	r.Post(arrival)
 	for {
-		action, err := r.wait(ctx, f)
+		action, err := r.wait(ctx, req)
 		if err != nil {
 			return err
 		}
 		switch a := action.(type) {
 		case policy.Refuse:
-			return r.refuse(f, a)
+			return r.refuse(req, a)
 		case policy.Broken:
-			return f.record.Error(a.Kind, a.Message, fault.WithRetryAfter(a.RetryAfter))
+			return req.record.Error(a.Kind, a.Message, fault.WithRetryAfter(a.RetryAfter))
 		case policy.Start:
-			done, err := r.attempt(ctx, f, a, j)
+			done, err := r.runAttempt(ctx, req, a, j)
 			if done || err != nil {
 				return err
 			}
@@ -58,106 +60,106 @@
 	}
 }
 
-// wait returns the core's next action. The end of the context goes first: an
-// entry that was frozen past a deadline must not act on what was decided before.
-func (r *Relay) wait(ctx context.Context, f *flight) (policy.Action, error) {
+// wait returns the core's next action. An ended context or a passed deadline takes
+// precedence: a process that was frozen past a deadline must not act on earlier decisions.
+func (r *Relay) wait(ctx context.Context, req *request) (policy.Action, error) {
 	select {
-	case action := <-f.actions:
-		if ctx.Err() != nil || f.late() {
-			return nil, r.gone(ctx, f)
+	case action := <-req.actions:
+		if ctx.Err() != nil || req.pastDeadline() {
+			return nil, r.abandon(ctx, req)
 		}
 		return action, nil
 	case <-ctx.Done():
-		return nil, r.gone(ctx, f)
-	case <-r.cut:
-		return nil, r.cutOff(f)
+		return nil, r.abandon(ctx, req)
+	case <-r.aborted:
+		return nil, r.drainExpired(req)
 	}
 }
 
-// cutOff ends a request that outlasted the time for draining.
-func (r *Relay) cutOff(f *flight) error {
-	r.Post(policy.Canceled{ID: f.id})
-	return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance had to end before the answer did; send the request again", fault.WithRetryAfter(drainRetry))
+// drainExpired ends a request that did not finish within the drain time.
+func (r *Relay) drainExpired(req *request) error {
+	r.Post(policy.Canceled{ID: req.id})
+	return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_DRAINING, "this instance shut down before the answer was complete; send the request again", fault.WithRetryAfter(drainRetryAfter))
 }
 
-// gone tells the core that nobody waits for the answer any more.
-func (r *Relay) gone(ctx context.Context, f *flight) error {
-	r.Post(policy.Canceled{ID: f.id})
-	if f.late() || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the caller's deadline has passed; state a later one or a more urgent class")
+// abandon informs the core that the caller no longer waits for the answer.
+func (r *Relay) abandon(ctx context.Context, req *request) error {
+	r.Post(policy.Canceled{ID: req.id})
+	if req.pastDeadline() || errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the caller's deadline has passed; set a later deadline or a more urgent class")
 	}
-	return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the caller closed its connection")
+	return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "the caller closed its connection")
 }
 
-func (r *Relay) refuse(f *flight, a policy.Refuse) error {
-	r.logRefused(f, a)
-	err := f.record.Error(a.Kind, a.Message, fault.WithRetryAfter(a.RetryAfter))
+func (r *Relay) refuse(req *request, a policy.Refuse) error {
+	r.logRefused(req, a)
+	err := req.record.Error(a.Kind, a.Message, fault.WithRetryAfter(a.RetryAfter))
 	if a.NotRun == lilacv1.NotRun_NOT_RUN_TRUE && fault.NotRunOf(err) != a.NotRun {
 		r.Counter.Broken("refused_as_not_run_without_proof")
 	}
 	return err
 }
 
-// attempt runs one attempt. done means that the request has ended.
-func (r *Relay) attempt(ctx context.Context, f *flight, start policy.Start, j job) (done bool, err error) {
+// runAttempt runs one attempt; done reports whether the request has ended.
+func (r *Relay) runAttempt(ctx context.Context, req *request, start policy.Start, j job) (done bool, err error) {
 	server := r.server(start.Server)
 	if server == nil {
-		r.Post(policy.Failed{ID: f.id, Attempt: start.Attempt})
+		r.Post(policy.Failed{ID: req.id, Attempt: start.Attempt})
 		return false, nil
 	}
-	life, endLife := f.lifeOf(ctx)
-	defer endLife()
-	attemptCtx, cancel := context.WithCancelCause(life)
+	base, cancelBase := req.baseContext(ctx)
+	defer cancelBase()
+	attemptCtx, cancel := context.WithCancelCause(base)
 	defer cancel(nil)
-	if !f.begin(start, cancel) {
+	if !req.begin(start, cancel) {
 		return false, nil
 	}
-	t := &try{start: start, server: server, upstreamID: f.requestID + "-" + strconv.Itoa(start.Attempt)}
-	r.logSent(f, start)
-	t.attempt = f.record.Add(func() { r.Post(policy.Sent{ID: f.id, Attempt: start.Attempt}) })
-	err = j.try(attemptCtx, t)
+	att := &upstreamAttempt{start: start, server: server, upstreamID: req.requestID + "-" + strconv.Itoa(start.Attempt)}
+	r.logSent(req, start)
+	att.state = req.record.Add(func() { r.Post(policy.Sent{ID: req.id, Attempt: start.Attempt}) })
+	err = j.attempt(attemptCtx, att)
 	cause := context.Cause(attemptCtx)
-	stopped, keep := f.end()
-	if tokens, ok := f.takeTokens(); ok {
+	stopped, moving := req.end()
+	if tokens, ok := req.takeTokens(); ok {
 		r.Post(tokens)
 	}
 	if err == nil {
 		r.Counter.Attempt("finished")
-		r.Post(policy.Finished{ID: f.id, Attempt: start.Attempt})
-		r.logFinished(f, start)
-		f.held = held{}
+		r.Post(policy.Finished{ID: req.id, Attempt: start.Attempt})
+		r.logFinished(req, start)
+		req.held = heldAnswer{}
 		return true, nil
 	}
-	unsent := t.attempt.Seal()
-	r.logFailed(f, start, err, unsent)
+	unsent := att.state.Seal()
+	r.logFailed(req, start, err, unsent)
 	switch {
-	case !f.claimed && (ctx.Err() != nil || f.late() || errors.Is(err, errCallerGone)):
+	case !req.claimed && (ctx.Err() != nil || req.pastDeadline() || errors.Is(err, errCallerGone)):
 		r.Counter.Attempt("canceled")
-		return true, r.gone(ctx, f)
-	case errors.Is(cause, errCut):
+		return true, r.abandon(ctx, req)
+	case errors.Is(cause, errDrainExpired):
 		r.Counter.Attempt("cut")
-		return true, r.cutOff(f)
+		return true, r.drainExpired(req)
 	case stopped:
 		r.Counter.Attempt("stopped")
-		if !keep {
-			r.release(f.held)
-			f.held = held{}
+		if !moving {
+			r.release(req.held)
+			req.held = heldAnswer{}
 		}
 		return false, nil
 	}
 	if errors.Is(cause, errStalled) {
 		err = errStalled
 	}
-	return r.failed(f, t, j, err, unsent)
+	return r.failed(req, att, j, err, unsent)
 }
 
-// failed tells the core how an attempt ended. Ends that no other server can
-// mend are answered at once.
-func (r *Relay) failed(f *flight, t *try, j job, err error, unsent bool) (done bool, answer error) {
+// failed reports a failed attempt to the core. Failures that a retry on another server
+// can't resolve end the request at once.
+func (r *Relay) failed(req *request, att *upstreamAttempt, j job, err error, unsent bool) (done bool, answer error) {
 	failed, end := classify(err, unsent)
-	failed.ID, failed.Attempt = f.id, t.start.Attempt
+	failed.ID, failed.Attempt = req.id, att.start.Attempt
 	if failed.Refused {
-		f.record.Refused()
+		req.record.Refused()
 	}
 	if errors.Is(err, upstream.ErrNotBound) {
 		r.Counter.Broken("answer_of_another_request")
@@ -170,20 +172,21 @@
 	if !failed.Permanent {
 		return false, nil
 	}
-	return true, r.finalError(f, j, err)
+	return true, r.finalError(req, j, err)
 }
 
-func (r *Relay) finalError(f *flight, j job, err error) error {
+func (r *Relay) finalError(req *request, j job, err error) error {
 	if j.begun() {
-		return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "the answer broke off and can't be continued; what came is not the whole")
+		return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "the answer was interrupted and can't be continued; it is incomplete")
 	}
 	var status *upstream.StatusError
 	if errors.As(err, &status) && status.Status < 500 {
-		return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "backend server refuses the request: "+status.Message())
+		return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "backend server rejected the request: "+status.Message())
 	}
-	return f.record.Error(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "backend server failed: "+err.Error())
+	return req.record.Error(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "backend server failed: "+err.Error())
 }
 
+// server returns the named server of the current configuration, or nil.
 func (r *Relay) server(name string) *lilacv1.Server {
 	if view := r.view.Load(); view != nil {
 		return view.Servers[name]
@@ -191,11 +194,12 @@
 	return nil
 }
 
-// releaseTimeout bounds the call that frees an engine's slot.
+// releaseTimeout bounds the call that releases an answer held by an engine.
 const releaseTimeout = 2 * time.Second
 
-// release frees what an engine still holds of an answer that nobody wants.
-func (r *Relay) release(h held) {
+// release asks the engine, in the background, to free an answer that is no longer needed. An
+// error is ignored.
+func (r *Relay) release(h heldAnswer) {
 	if h.id == "" {
 		return
 	}
--- /dev/null
+++ b/request/relay/serve.go
@@ -0,0 +1,74 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+
+	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
+	"github.com/lilacbridge/lilacbridge/connection/caller"
+	"github.com/lilacbridge/lilacbridge/request/outcome"
+)
+
+// answerRecorder records an answer for the ledger, up to the size that it stores. A nil
+// answerRecorder records nothing.
+type answerRecorder struct {
+	status      int
+	contentType string
+	body        []byte
+}
+
+func (c *answerRecorder) begin(status int, contentType string) {
+	if c == nil {
+		return
+	}
+	c.status, c.contentType = status, contentType
+}
+
+// write records one byte more than the ledger stores, which marks the answer as too large.
+func (c *answerRecorder) write(b []byte) {
+	if c == nil {
+		return
+	}
+	room := outcome.MaxStoredBytes + 1 - len(c.body)
+	c.body = append(c.body, b[:min(room, len(b))]...)
+}
+
+// serve runs a validated request, under a claim if it has an Idempotency-Key. The request
+// counts as in progress until its outcome was passed to Claims, so that a drain waits for
+// both.
+func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, answer *caller.Answer, run func(*answerRecorder) error) error {
+	if err := r.register(req); err != nil {
+		return err
+	}
+	defer r.unregister(req)
+	if meta.Key == "" {
+		return run(nil)
+	}
+	claim, stored, err := r.Claims.Begin(ctx, &req.record, meta.Team, meta.Key, meta.RequestID, outcome.Digest(meta.Path, meta.Body))
+	if err != nil {
+		return err
+	}
+	if stored != nil {
+		return replay(stored, answer)
+	}
+	recorder := &answerRecorder{status: http.StatusOK, contentType: "text/event-stream"}
+	err = run(recorder)
+	if err == nil {
+		claim.Ran(recorder.status, recorder.contentType, recorder.body)
+		return nil
+	}
+	proof, _ := req.record.Proof()
+	claim.NotRun(proof)
+	return err
+}
+
+// replay sends the stored answer of an earlier request with the same key.
+func replay(stored *lilacv1.StoredAnswer, answer *caller.Answer) error {
+	answer.Header().Set("X-Lilac-Replayed", "true")
+	answer.Begin(int(stored.GetStatus()), stored.GetContentType(), "")
+	_, err := answer.Write(stored.GetBody())
+	if err != nil {
+		return nil
+	}
+	return answer.Flush()
+}
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -15,33 +15,34 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// wholeBytes is the largest answer of a service that is read whole before its
-// first byte goes to the caller, so that a broken one can be tried again.
-const wholeBytes = 256 << 10
+// maxServiceBuffer is the number of bytes of a service's answer that are read before the first
+// one is sent to the caller, so that an answer interrupted before that can be retried.
+const maxServiceBuffer = 256 << 10
 
-// serviceJob is a request for a plain service on its way.
+// serviceJob handles a request for a plain service.
 type serviceJob struct {
-	relay  *Relay
-	flight *flight
-	q      *caller.Service
-	answer *caller.Answer
-	copied *copied
+	relay          *Relay
+	request        *request
+	q              *caller.Service
+	answer         *caller.Answer
+	answerRecorder *answerRecorder
 }
 
 var _ job = (*serviceJob)(nil)
 
-// Service answers a request for a plain service.
+// Service handles a request for a plain service. It returns a typed error if it could not be
+// answered.
 func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.Answer) error {
-	f := newFlight(&q.Meta)
-	j := &serviceJob{relay: r, flight: f, q: q, answer: answer}
+	req := newRequest(&q.Meta)
+	j := &serviceJob{relay: r, request: req, q: q, answer: answer}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
 		PromptTokens: 1, Deadline: q.Deadline,
 		Idempotent: j.idempotent(),
 	}
-	return r.carry(ctx, f, &q.Meta, answer, func(keep *copied) error {
-		j.copied = keep
-		return r.run(ctx, f, arrival, j)
+	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
+		j.answerRecorder = recorder
+		return r.run(ctx, req, arrival, j)
 	})
 }
 
@@ -52,63 +53,68 @@
 func (j *serviceJob) begun() bool       { return j.answer.Begun() }
 func (j *serviceJob) continuable() bool { return false }
 
-func (j *serviceJob) try(ctx context.Context, t *try) error {
+func (j *serviceJob) attempt(ctx context.Context, att *upstreamAttempt) error {
 	resp, err := j.relay.Services.Do(ctx, service.Call{
-		Address: t.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Header: j.q.Header, Body: j.q.Body,
-		RequestID: t.upstreamID, Attempt: t.attempt, Once: !j.idempotent(),
+		Address: att.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Header: j.q.Header, Body: j.q.Body,
+		RequestID: att.upstreamID, Attempt: att.state, Once: !j.idempotent(),
 	})
 	if err != nil {
-		return j.probed(ctx, t, err)
+		return j.probeServer(ctx, att, err)
 	}
 	defer resp.Body.Close()
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
-		return j.passOn(t, resp, nil)
+		return j.forwardResponse(att, resp, nil)
 	}
-	head, err := io.ReadAll(io.LimitReader(resp.Body, wholeBytes))
+	head, err := io.ReadAll(io.LimitReader(resp.Body, maxServiceBuffer))
 	if err != nil {
-		return j.probed(ctx, t, err)
+		return j.probeServer(ctx, att, err)
 	}
 	if status := upstream.NewStatus(resp.StatusCode, resp.Header, head); status.NotRun {
 		return status
 	}
-	return j.passOn(t, resp, head)
+	return j.forwardResponse(att, resp, head)
 }
 
-// errCutLive is the error of a connection that broke while its server lives.
-var errCutLive = errors.New("the connection broke, but the service still accepts others")
+// errConnectionBroken is returned for a connection that broke while its server is alive.
+var errConnectionBroken = errors.New("connection broke, but the service still accepts connections")
 
-// probed tells a crashed service from a broken connection, so that a request is
-// suspected of a crash only where there was one.
-func (j *serviceJob) probed(ctx context.Context, t *try, err error) error { return probed(ctx, t, err) }
+// probeServer distinguishes a crashed service from a broken connection, so that a request
+// becomes a suspect only after an actual crash.
+func (j *serviceJob) probeServer(ctx context.Context, att *upstreamAttempt, err error) error {
+	return probeServer(ctx, att, err)
+}
 
-func probed(ctx context.Context, t *try, err error) error {
-	if upstream.Crashed(err) && t.attempt.Written() && upstream.Alive(ctx, t.server.GetAddress()) {
-		return errCutLive
+// probeServer returns errConnectionBroken if err looks like a crash but the server still
+// accepts connections, else err.
+func probeServer(ctx context.Context, att *upstreamAttempt, err error) error {
+	if upstream.Crashed(err) && att.state.Written() && upstream.Alive(ctx, att.server.GetAddress()) {
+		return errConnectionBroken
 	}
 	return err
 }
 
-// passOn writes the head that was read and the rest.
-func (j *serviceJob) passOn(t *try, resp *http.Response, head []byte) error {
-	if j.flight.late() {
+// forwardResponse writes the response: the head that was already read, then the rest of the
+// body.
+func (j *serviceJob) forwardResponse(att *upstreamAttempt, resp *http.Response, head []byte) error {
+	if j.request.pastDeadline() {
 		return context.DeadlineExceeded
 	}
-	j.flight.record.Answered()
-	j.flight.grow(j.relay.box)
-	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.flight.arrived))
+	j.request.record.Answered()
+	j.request.addToken(j.relay.mailbox)
+	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.request.arrived))
 	j.copyHeader(resp.Header)
-	j.copied.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	j.answer.Begin(resp.StatusCode, "", t.start.Server)
+	j.answerRecorder.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	j.answer.Begin(resp.StatusCode, "", att.start.Server)
 	if err := j.write(head); err != nil {
 		return err
 	}
-	if len(head) > 0 && len(head) < wholeBytes {
+	if len(head) > 0 && len(head) < maxServiceBuffer {
 		return nil
 	}
 	return j.copyRest(resp.Body)
 }
 
-// copyHeader keeps lilacbridge's own headers, whatever the service sends.
+// copyHeader copies the service's headers, except those that lilacbridge sets itself.
 func (j *serviceJob) copyHeader(from http.Header) {
 	to := j.answer.Header()
 	kept := make(http.Header)
@@ -129,7 +135,7 @@
 			if err := j.write(buffer[:n]); err != nil {
 				return err
 			}
-			if err := j.answer.Flush(); err != nil && !j.flight.claimed {
+			if err := j.answer.Flush(); err != nil && !j.request.claimed {
 				return fmt.Errorf("%w: %w", errCallerGone, err)
 			}
 		}
@@ -146,8 +152,8 @@
 	if len(b) == 0 {
 		return nil
 	}
-	j.copied.write(b)
-	if _, err := j.answer.Write(b); err != nil && !j.flight.claimed {
+	j.answerRecorder.write(b)
+	if _, err := j.answer.Write(b); err != nil && !j.request.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
--- a/request/relay/splice.go
+++ b/request/relay/splice.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// splice copies an event's data with the values of "id" and "created" at its
-// top level replaced, all other bytes as they came.
+// splice appends an event's data to to, with the values of the top-level keys "id" and
+// "created" replaced and all other bytes unchanged.
 func splice(to, data []byte, id string, created int64) []byte {
 	depth := 0
-	copied := 0
+	answerRecorder := 0
 	for i := 0; i < len(data); {
 		switch data[i] {
 		case '{', '[':
@@ -20,9 +20,9 @@
 			end := stringEnd(data, i)
 			if depth == 1 {
 				if from, until, value := replacement(data, i, end, id, created); value != "" {
-					to = append(to, data[copied:from]...)
+					to = append(to, data[answerRecorder:from]...)
 					to = append(to, value...)
-					copied, end = until, until
+					answerRecorder, end = until, until
 				}
 			}
 			i = end
@@ -30,10 +30,10 @@
 		}
 		i++
 	}
-	return append(to, data[copied:]...)
+	return append(to, data[answerRecorder:]...)
 }
 
-// stringEnd returns the index after the string that begins at start.
+// stringEnd returns the index after the JSON string that begins at start.
 func stringEnd(data []byte, start int) int {
 	for i := start + 1; i < len(data); i++ {
 		switch data[i] {
@@ -51,8 +51,8 @@
 	createdKey = []byte(`"created"`)
 )
 
-// replacement looks whether the string in data[start:end] is a key whose value
-// is to be replaced, and where that value stands.
+// replacement returns the new value, and the range of the old one, if the string in
+// data[start:end] is a key whose value is replaced; otherwise value is empty.
 func replacement(data []byte, start, end int, id string, created int64) (from, until int, value string) {
 	key := data[start:end]
 	isID := bytes.Equal(key, idKey)
