--- a/request/relay/chat.go
+++ b/request/relay/chat.go
@@ -34,14 +34,14 @@
 // chatJob handles a chat completions request.
 type chatJob struct {
 	relay      *Relay
-	request    *request
+	req        *request
 	q          *caller.Chat
 	answer     *caller.Answer
 	completion *completion
 	frame      []byte
-	// answerRecorder records what was sent to the caller, for the ledger; nil without a
+	// recorder records what was sent to the caller, for the ledger; nil without a
 	// claim.
-	answerRecorder *answerRecorder
+	recorder       *answerRecorder
 	firstTokenSeen bool
 	// finishSent is set once the caller received a finish reason. It stays unset if the
 	// stream broke after the caller's token limit was reached.
@@ -64,14 +64,14 @@
 	req := newRequest(&q.Meta)
 	texts := q.Texts()
 	words := prefix.Words(texts...)
-	j := &chatJob{relay: r, request: req, q: q, answer: answer, completion: newCompletion(q.RequestID, words)}
+	j := &chatJob{relay: r, req: req, q: q, answer: answer, completion: newCompletion(q.RequestID, words)}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
 		PromptTokens: words, MaxTokens: q.Bound(), Prefix: blocksOf(prefix.Blocks(texts...)),
 		Deadline: q.Deadline, Idempotent: q.Key == "",
 	}
 	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
-		j.answerRecorder = recorder
+		j.recorder = recorder
 		return r.run(ctx, req, arrival, j)
 	})
 }
@@ -155,7 +155,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if j.request.pastDeadline() {
+	if j.req.pastDeadline() {
 		return context.DeadlineExceeded
 	}
 	if err := j.completion.add(chunk); err != nil {
@@ -171,11 +171,11 @@
 }
 
 func (j *chatJob) countToken() {
-	j.request.record.Answered()
-	j.request.addToken(j.relay.mailbox)
+	j.req.record.Answered()
+	j.req.addToken(j.relay.mailbox)
 	j.relay.Counter.Tokens(1)
 	if !j.firstTokenSeen {
 		j.firstTokenSeen = true
-		j.relay.Counter.FirstToken(j.q.Class, time.Since(j.request.arrived))
+		j.relay.Counter.FirstToken(j.q.Class, time.Since(j.req.arrived))
 	}
 }
--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -20,7 +20,7 @@
 		// caller yet: start over.
 		j.completion = newCompletion(j.q.RequestID, j.completion.promptTokens)
 	}
-	before := j.request.held
+	before := j.req.held
 	if before.id != "" && before.server == att.start.ResumeFrom && j.completion.tokens > 0 {
 		stream, err := j.resume(ctx, call, att, before)
 		if err == nil || att.state.Written() && upstream.Crashed(err) {
@@ -29,13 +29,13 @@
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		j.relay.Post(policy.Recomputed{ID: j.request.id, Attempt: att.start.Attempt})
+		j.relay.Post(policy.Recomputed{ID: j.req.id, Attempt: att.start.Attempt})
 	}
 	if !j.completion.plain {
 		return nil, fmt.Errorf("answer with tool calls is no longer held by the engine: %w", errFinal)
 	}
 	j.relay.release(before)
-	j.request.held = heldAnswer{server: att.start.Server, address: call.Address, id: att.upstreamID}
+	j.req.held = heldAnswer{server: att.start.Server, address: call.Address, id: att.upstreamID}
 	body, err := engineBody(j.q, j.completion.text.String(), j.completion.tokens)
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	if before.server != att.start.Server {
 		j.relay.release(before)
 	}
-	j.request.held = heldAnswer{server: att.start.Server, address: call.Address, id: before.id}
+	j.req.held = heldAnswer{server: att.start.Server, address: call.Address, id: before.id}
 	return stream, nil
 }
 
@@ -73,7 +73,7 @@
 func (j *chatJob) forgetHeld(err error, att *upstreamAttempt) {
 	var status *upstream.StatusError
 	if errors.As(err, &status) || !att.state.Written() {
-		j.request.held = heldAnswer{}
+		j.req.held = heldAnswer{}
 	}
 }
 
@@ -84,7 +84,7 @@
 	call := engine.Call{
 		Address: att.server.GetAddress(), RequestID: att.upstreamID, Priority: att.start.Priority, Attempt: att.state,
 	}
-	stream, err := j.relay.Engines.Resume(ctx, call, j.request.held.id, j.completion.tokens-j.resumeBase)
+	stream, err := j.relay.Engines.Resume(ctx, call, j.req.held.id, j.completion.tokens-j.resumeBase)
 	var status *upstream.StatusError
 	switch {
 	case err == nil:
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -39,8 +39,8 @@
 
 func (j *chatJob) write(att *upstreamAttempt, frame []byte) error {
 	j.answer.BeginStream(att.start.Server)
-	j.answerRecorder.write(frame)
-	if err := j.answer.Event(frame); err != nil && !j.request.claimed {
+	j.recorder.write(frame)
+	if err := j.answer.Event(frame); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
@@ -70,10 +70,10 @@
 	if err != nil {
 		return err
 	}
-	j.answerRecorder.begin(http.StatusOK, contentJSON)
-	j.answerRecorder.write(body)
+	j.recorder.begin(http.StatusOK, contentJSON)
+	j.recorder.write(body)
 	j.answer.Begin(http.StatusOK, contentJSON, att.start.Server)
-	if _, err := j.answer.Write(body); err != nil && !j.request.claimed {
+	if _, err := j.answer.Write(body); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -30,10 +30,10 @@
 
 // forwardJob handles a request of the gateway.
 type forwardJob struct {
-	relay   *Relay
-	request *request
-	q       *gateway.Request
-	answer  *gateway.Answer
+	relay  *Relay
+	req    *request
+	q      *gateway.Request
+	answer *gateway.Answer
 	// lastEvent is the id of the last complete event sent to the caller.
 	lastEvent string
 	// failedAnswer is the last 5xx answer of a server; it is sent to the caller unchanged
@@ -70,7 +70,7 @@
 		target: q.Route.Pick(rand.Float64()), arrived: time.Now(), deadline: q.Deadline,
 		actions: make(chan policy.Action, actionSlots),
 	}
-	j := &forwardJob{relay: r, request: req, q: q, answer: answer}
+	j := &forwardJob{relay: r, req: req, q: q, answer: answer}
 	arrival := policy.Arrival{
 		Class: req.class, Team: team, Target: req.target, Digest: Digest(team, q.URI, q.Body),
 		PromptTokens: max(q.PromptTokens, 1), MaxTokens: q.MaxTokens, Hint: q.LengthHint, Prefix: prefixOf(q.Parts),
@@ -167,7 +167,7 @@
 		return
 	}
 	if limit.Unreadable != "" {
-		j.relay.logBadLimit(j.request, att.start, limit.Unreadable)
+		j.relay.logBadLimit(j.req, att.start, limit.Unreadable)
 		return
 	}
 	j.relay.Post(policy.LimitReport{Server: att.start.Server, Named: limit.Named, PerSecond: limit.PerSecond})
@@ -196,7 +196,7 @@
 
 // writeBuffered sends a buffered answer to the caller unchanged.
 func (j *forwardJob) writeBuffered(buffered *bufferedAnswer) error {
-	j.request.record.Answered()
+	j.req.record.Answered()
 	j.reportTokens(1)
 	j.relay.Protocol.Incoming(j.answer.Header(), buffered.header)
 	j.answer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
@@ -212,17 +212,17 @@
 
 // reportTokens counts received tokens and reports them to the core.
 func (j *forwardJob) reportTokens(tokens int) {
-	j.request.addTokens(j.relay.mailbox, tokens)
+	j.req.addTokens(j.relay.mailbox, tokens)
 	j.relay.Counter.Tokens(tokens)
 	if !j.firstTokenSeen {
 		j.firstTokenSeen = true
-		j.relay.Counter.FirstToken(j.q.Route.Name, time.Since(j.request.arrived))
+		j.relay.Counter.FirstToken(j.q.Route.Name, time.Since(j.req.arrived))
 	}
 }
 
 // eventTokens returns the number of tokens per event of the stream.
 func (j *forwardJob) eventTokens() int {
-	service := j.q.Table.Service(j.request.target)
+	service := j.q.Table.Service(j.req.target)
 	if service == nil || service.Engine == nil {
 		return 1
 	}
@@ -270,13 +270,13 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if j.request.pastDeadline() {
+	if j.req.pastDeadline() {
 		return context.DeadlineExceeded
 	}
 	if !j.answer.Begun() {
 		j.begin(resp)
 	}
-	j.request.record.Answered()
+	j.req.record.Answered()
 	j.reportTokens(tokens)
 	if _, err := j.answer.Write(event); err != nil {
 		return errCallerGone
--- a/request/relay/mailbox.go
+++ b/request/relay/loop.go
@@ -59,9 +59,9 @@
 func (b *mailbox) take(events []policy.Event, queries []query) ([]policy.Event, []query) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	taken, asked := b.events, b.queries
+	taken, queued := b.events, b.queries
 	b.events, b.queries = events[:0], queries[:0]
-	return taken, asked
+	return taken, queued
 }
 
 func (b *mailbox) takeProgressed(spare []*request) []*request {
--- a/request/relay/request.go
+++ b/request/relay/request.go
@@ -15,7 +15,7 @@
 // actionSlots exceeds the number of actions that the core ever has pending for one request.
 const actionSlots = 8
 
-// claimedLimit bounds the attempts of a claimed request, which outlive its caller.
+// claimedLimit bounds each attempt of a claimed request, which may outlive its caller.
 const claimedLimit = 10 * time.Minute
 
 var (
@@ -42,8 +42,8 @@
 	arrived   time.Time
 	// deadline is set by the caller; zero means none.
 	deadline time.Time
-	// claimed requests run to completion even if the caller disconnects, so that a
-	// repeated request gets the answer.
+	// claimed is set for requests under a claim. Their attempts run to completion even if
+	// the caller disconnects, so that a repeated request gets the answer.
 	claimed bool
 	// record and held are used only by the request's goroutine.
 	record  outcome.Record
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -21,11 +21,11 @@
 
 // serviceJob handles a request for a plain service.
 type serviceJob struct {
-	relay          *Relay
-	request        *request
-	q              *caller.Service
-	answer         *caller.Answer
-	answerRecorder *answerRecorder
+	relay    *Relay
+	req      *request
+	q        *caller.Service
+	answer   *caller.Answer
+	recorder *answerRecorder
 }
 
 var _ job = (*serviceJob)(nil)
@@ -34,14 +34,14 @@
 // answered.
 func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.Answer) error {
 	req := newRequest(&q.Meta)
-	j := &serviceJob{relay: r, request: req, q: q, answer: answer}
+	j := &serviceJob{relay: r, req: req, q: q, answer: answer}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
 		PromptTokens: 1, Deadline: q.Deadline,
 		Idempotent: j.idempotent(),
 	}
 	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
-		j.answerRecorder = recorder
+		j.recorder = recorder
 		return r.run(ctx, req, arrival, j)
 	})
 }
@@ -96,14 +96,14 @@
 // forwardResponse writes the response: the head that was already read, then the rest of the
 // body.
 func (j *serviceJob) forwardResponse(att *upstreamAttempt, resp *http.Response, head []byte) error {
-	if j.request.pastDeadline() {
+	if j.req.pastDeadline() {
 		return context.DeadlineExceeded
 	}
-	j.request.record.Answered()
-	j.request.addToken(j.relay.mailbox)
-	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.request.arrived))
+	j.req.record.Answered()
+	j.req.addToken(j.relay.mailbox)
+	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.req.arrived))
 	j.copyHeader(resp.Header)
-	j.answerRecorder.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
+	j.recorder.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
 	j.answer.Begin(resp.StatusCode, "", att.start.Server)
 	if err := j.write(head); err != nil {
 		return err
@@ -135,7 +135,7 @@
 			if err := j.write(buffer[:n]); err != nil {
 				return err
 			}
-			if err := j.answer.Flush(); err != nil && !j.request.claimed {
+			if err := j.answer.Flush(); err != nil && !j.req.claimed {
 				return fmt.Errorf("%w: %w", errCallerGone, err)
 			}
 		}
@@ -152,8 +152,8 @@
 	if len(b) == 0 {
 		return nil
 	}
-	j.answerRecorder.write(b)
-	if _, err := j.answer.Write(b); err != nil && !j.request.claimed {
+	j.recorder.write(b)
+	if _, err := j.answer.Write(b); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
