--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -32,7 +32,7 @@
 		j.relay.Post(policy.Recomputed{ID: j.req.id, Attempt: att.start.Attempt})
 	}
 	if !j.completion.plain {
-		return nil, fmt.Errorf("answer with tool calls is no longer held by the engine: %w", errFinal)
+		return nil, fmt.Errorf("answer with tool calls is no longer held by the engine: %w", errPermanent)
 	}
 	j.relay.release(before)
 	j.req.held = heldAnswer{server: att.start.Server, address: call.Address, id: att.upstreamID}
--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -17,20 +17,20 @@
 	body        []byte
 }
 
-func (c *answerRecorder) begin(status int, contentType string) {
-	if c == nil {
+func (rec *answerRecorder) begin(status int, contentType string) {
+	if rec == nil {
 		return
 	}
-	c.status, c.contentType = status, contentType
+	rec.status, rec.contentType = status, contentType
 }
 
 // write records one byte more than the ledger stores, which marks the answer as too large.
-func (c *answerRecorder) write(b []byte) {
-	if c == nil {
+func (rec *answerRecorder) write(b []byte) {
+	if rec == nil {
 		return
 	}
-	room := outcome.MaxStoredBytes + 1 - len(c.body)
-	c.body = append(c.body, b[:min(room, len(b))]...)
+	room := outcome.MaxStoredBytes + 1 - len(rec.body)
+	rec.body = append(rec.body, b[:min(room, len(b))]...)
 }
 
 // serve runs a validated request, under a claim if it has an Idempotency-Key. The request
--- a/request/relay/classify.go
+++ b/request/relay/classify.go
@@ -8,15 +8,15 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// errFinal marks a failure that would occur on any other server as well.
-var errFinal = errors.New("another server would fail in the same way")
+// errPermanent marks a failure that would occur on any other server as well.
+var errPermanent = errors.New("another server would fail in the same way")
 
 // classify describes a failed attempt for the core, and as a label for Counter.Attempt.
 func classify(err error, unsent bool) (policy.Failed, string) {
 	failed := policy.Failed{Sent: !unsent}
 	var status *upstream.StatusError
 	switch {
-	case errors.Is(err, errFinal):
+	case errors.Is(err, errPermanent):
 		failed.Permanent = true
 		return failed, "final"
 	case errors.As(err, &status):
--- a/request/relay/rows.go
+++ b/request/relay/rows.go
@@ -54,10 +54,10 @@
 	sort.Slice(requests, func(i, j int) bool { return requests[i].id < requests[j].id })
 	rows := make([]*lilacv1.QueryRow, 0, len(requests))
 	for _, req := range requests {
-		now := req.row()
+		current := req.row()
 		age := time.Since(req.arrived).Round(time.Millisecond)
 		rows = append(rows, &lilacv1.QueryRow{Values: []string{
-			req.requestID, req.class, req.team, req.target, now.server, now.state, age.String(), strconv.FormatInt(now.tokens, 10),
+			req.requestID, req.class, req.team, req.target, current.server, current.state, age.String(), strconv.FormatInt(current.tokens, 10),
 		}})
 	}
 	return requestColumns, rows
--- a/request/relay/splice.go
+++ b/request/relay/splice.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// splice appends an event's data to to, with the values of the top-level keys "id" and
+// splice appends an event's data to dst, with the values of the top-level keys "id" and
 // "created" replaced and all other bytes unchanged.
-func splice(to, data []byte, id string, created int64) []byte {
+func splice(dst, data []byte, id string, created int64) []byte {
 	depth := 0
-	answerRecorder := 0
+	copied := 0
 	for i := 0; i < len(data); {
 		switch data[i] {
 		case '{', '[':
@@ -20,9 +20,9 @@
 			end := stringEnd(data, i)
 			if depth == 1 {
 				if from, until, value := replacement(data, i, end, id, created); value != "" {
-					to = append(to, data[answerRecorder:from]...)
-					to = append(to, value...)
-					answerRecorder, end = until, until
+					dst = append(dst, data[copied:from]...)
+					dst = append(dst, value...)
+					copied, end = until, until
 				}
 			}
 			i = end
@@ -30,7 +30,7 @@
 		}
 		i++
 	}
-	return append(to, data[answerRecorder:]...)
+	return append(dst, data[copied:]...)
 }
 
 // stringEnd returns the index after the JSON string that begins at start.
