--- a/process/member/core.go
+++ b/process/member/core.go
@@ -76,17 +76,21 @@
 	// meshInterval is the exchange interval in a full mesh.
 	meshInterval time.Duration
 	// peers are the candidate peers, without this instance.
-	peers            map[string]Peer
+	peers map[string]Peer
+	// listedLeaving are the servers, leavingInstances the instances that the
+	// platform lists as leaving.
 	listedLeaving    map[string]bool
 	leavingInstances map[string]bool
 	received         map[string]receivedDigest
 	lastExchange     map[string]time.Time
 	avoidedUntil     map[string]time.Time
 	// failures counts consecutive failed exchanges by peer.
-	failures        map[string]int
-	delivered       map[string]bool
-	own             *lilacv1.Digest
-	ownRequestedAt  time.Time
+	failures map[string]int
+	// delivered are the instances whose digest the policy holds.
+	delivered      map[string]bool
+	own            *lilacv1.Digest
+	ownRequestedAt time.Time
+	// fromParent is the digest of Others last received from the parent.
 	fromParent      receivedDigest
 	lastLive        []Peer
 	reportedLeaving map[string]bool
@@ -212,7 +216,7 @@
 		}
 	}
 	for name := range c.peers {
-		if len(entries) > 0 && !entries[name] && !c.fresh(now, name) {
+		if len(entries) > 0 && !entries[name] && !c.isFresh(now, name) {
 			delete(c.peers, name)
 		}
 	}
@@ -230,9 +234,9 @@
 	}
 }
 
-func (c *Core) fresh(now time.Time, name string) bool {
-	h, ok := c.received[name]
-	return ok && now.Sub(h.receivedAt) <= c.lifetime()
+func (c *Core) isFresh(now time.Time, name string) bool {
+	r, ok := c.received[name]
+	return ok && now.Sub(r.receivedAt) <= c.lifetime()
 }
 
 // receive handles a digest. In a tree, the digest of Others is accepted from the
@@ -337,7 +341,7 @@
 func (c *Core) expire(now time.Time) []Action {
 	var actions []Action
 	for _, name := range slices.Sorted(maps.Keys(c.received)) {
-		if c.fresh(now, name) {
+		if c.isFresh(now, name) {
 			continue
 		}
 		c.noteMissing(now, name)
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -170,7 +170,7 @@
 		j.relay.logBadLimit(j.req, att.start, limit.Unreadable)
 		return
 	}
-	j.relay.Post(policy.LimitReport{Server: att.start.Server, Named: limit.Named, PerSecond: limit.PerSecond})
+	j.relay.Post(policy.LimitReport{Server: att.start.Server, Advertised: limit.Named, PerSecond: limit.PerSecond})
 }
 
 // forwardBuffered reads the complete answer before it sends the first byte.
