--- a/request/queue/class.go
+++ b/request/queue/class.go
@@ -26,7 +26,7 @@
 	if c == nil {
 		c = &classQueue{}
 		q.classes[name] = c
-		q.names = append(q.names, name)
+		q.classNames = append(q.classNames, name)
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 // to every other class with waiting requests, in proportion to its share and to the
 // wait of its oldest request. Classes without waiting requests lose their credit.
 func (q *Queue) AccrueCredit(class string, tokens float64, now time.Time) {
-	for _, name := range q.names {
+	for _, name := range q.classNames {
 		c := q.classes[name]
 		if name == class {
 			continue
@@ -83,7 +83,7 @@
 func (q *Queue) NextByCredit(now time.Time) *Item {
 	var best *Item
 	mostLeft := 0.0
-	for _, name := range q.names {
+	for _, name := range q.classNames {
 		c := q.classes[name]
 		if c.waiting == 0 || c.credit <= 0 {
 			continue
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -113,9 +113,9 @@
 }
 
 // level holds the queues of one level. active lists the teams with waiting items,
-// in order of arrival; all also holds idle teams, for their virtual times.
+// in order of arrival; teams also holds idle ones, for their virtual times.
 type level struct {
-	all    map[string]*teamQueue
+	teams  map[string]*teamQueue
 	active []*teamQueue
 	// floor is the lowest virtual time at which a team becomes active, so that idle
 	// teams don't accumulate an advantage.
@@ -130,11 +130,11 @@
 
 // Queue holds the waiting requests of one pool.
 type Queue struct {
-	levels  [model.Levels]level
-	classes map[string]*classQueue
-	names   []string
-	count   int
-	cost    float64
+	levels     [model.Levels]level
+	classes    map[string]*classQueue
+	classNames []string
+	count      int
+	cost       float64
 	// skipped are the items that Skip took out of their heaps.
 	skipped []*Item
 }
@@ -143,7 +143,7 @@
 func New() *Queue {
 	q := &Queue{classes: make(map[string]*classQueue)}
 	for i := range q.levels {
-		q.levels[i].all = make(map[string]*teamQueue)
+		q.levels[i].teams = make(map[string]*teamQueue)
 	}
 	return q
 }
@@ -197,11 +197,11 @@
 // Push adds the item, which must not be waiting in any queue.
 func (q *Queue) Push(item *Item) {
 	l := &q.levels[item.level()]
-	tq := l.all[item.Team]
+	tq := l.teams[item.Team]
 	if tq == nil {
 		l.pruneIdle()
 		tq = &teamQueue{name: item.Team}
-		l.all[item.Team] = tq
+		l.teams[item.Team] = tq
 	}
 	if len(tq.onTime)+len(tq.late) == 0 {
 		tq.virtual = max(tq.virtual, l.floor)
@@ -215,12 +215,12 @@
 
 // pruneIdle drops idle teams once maxIdleTeams are known; they restart at the floor.
 func (l *level) pruneIdle() {
-	if len(l.all) < maxIdleTeams {
+	if len(l.teams) < maxIdleTeams {
 		return
 	}
-	for name, tq := range l.all {
+	for name, tq := range l.teams {
 		if len(tq.onTime)+len(tq.late) == 0 {
-			delete(l.all, name)
+			delete(l.teams, name)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		return
 	}
 	l := &q.levels[item.level()]
-	tq := l.all[item.Team]
+	tq := l.teams[item.Team]
 	if item.skipped {
 		q.unskip(item)
 	} else {
@@ -303,7 +303,7 @@
 func (q *Queue) Started(item *Item) {
 	q.Remove(item)
 	l := &q.levels[item.level()]
-	tq := l.all[item.Team]
+	tq := l.teams[item.Team]
 	l.floor = max(l.floor, tq.virtual-Window)
 	tq.virtual += item.Cost / max(item.Weight, 1)
 }
@@ -311,7 +311,7 @@
 // Charge adds tokens, the difference between the actual and the expected cost of
 // the item, to its team's virtual time. tokens may be negative.
 func (q *Queue) Charge(item *Item, tokens float64) {
-	if tq := q.levels[item.level()].all[item.Team]; tq != nil {
+	if tq := q.levels[item.level()].teams[item.Team]; tq != nil {
 		tq.virtual += tokens / max(item.Weight, 1)
 	}
 }
@@ -380,15 +380,15 @@
 	var best *Item
 	highest := 0.0
 	for _, tq := range l.active {
-		if item := tq.heap(late).newest(); item != nil && (best == nil || tq.virtual > highest) {
+		if item := tq.heap(late).lastSheddable(); item != nil && (best == nil || tq.virtual > highest) {
 			best, highest = item, tq.virtual
 		}
 	}
 	return best
 }
 
-// newest returns the last item in heap order that may be shed, or nil.
-func (h items) newest() *Item {
+// lastSheddable returns the last item in heap order that may be shed, or nil.
+func (h items) lastSheddable() *Item {
 	for i := len(h) - 1; i >= 0; i-- {
 		if !h[i].exempt() {
 			return h[i]
--- a/request/queue/skip.go
+++ b/request/queue/skip.go
@@ -8,7 +8,7 @@
 // Skip hides the item from Peek until RestoreSkipped, so that items behind it can
 // start while it can't. The item still counts as waiting.
 func (q *Queue) Skip(item *Item) {
-	heap.Remove(q.levels[item.level()].all[item.Team].heap(item.Late), item.index)
+	heap.Remove(q.levels[item.level()].teams[item.Team].heap(item.Late), item.index)
 	item.skipped = true
 	q.skipped = append(q.skipped, item)
 }
@@ -18,7 +18,7 @@
 	for _, item := range q.skipped {
 		item.skipped = false
 		l := &q.levels[item.level()]
-		tq := l.all[item.Team]
+		tq := l.teams[item.Team]
 		heap.Push(tq.heap(item.Late), item)
 		if !slices.Contains(l.active, tq) {
 			l.active = append(l.active, tq)
