--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -9,59 +9,60 @@
 	"github.com/lilacbridge/lilacbridge/request/outcome"
 )
 
-// copied keeps an answer for the ledger, up to the size that it stores.
-type copied struct {
+// answerRecorder records an answer for the ledger, up to the size that it stores. A nil
+// answerRecorder records nothing.
+type answerRecorder struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-func (c *copied) begin(status int, contentType string) {
-	if c == nil {
+func (rec *answerRecorder) begin(status int, contentType string) {
+	if rec == nil {
 		return
 	}
-	c.status, c.contentType = status, contentType
+	rec.status, rec.contentType = status, contentType
 }
 
-// write keeps one byte more than is stored, which tells that it was too large.
-func (c *copied) write(b []byte) {
-	if c == nil {
+// write records one byte more than the ledger stores, which marks the answer as too large.
+func (rec *answerRecorder) write(b []byte) {
+	if rec == nil {
 		return
 	}
-	room := outcome.MaxStoredBytes + 1 - len(c.body)
-	c.body = append(c.body, b[:min(room, len(b))]...)
+	room := outcome.MaxStoredBytes + 1 - len(rec.body)
+	rec.body = append(rec.body, b[:min(room, len(b))]...)
 }
 
-// carry runs a request that has been checked, under a claim where it carries an
-// Idempotency-Key. The request counts as in progress until its outcome is in
-// the hands of Claims, so that a drain waits for both.
-func (r *Relay) carry(ctx context.Context, f *flight, meta *caller.Meta, answer *caller.Answer, run func(*copied) error) error {
-	if err := r.enter(f); err != nil {
+// serve runs a validated request, under a claim if it has an Idempotency-Key. The request
+// counts as in progress until its outcome was passed to Claims, so that a drain waits for
+// both.
+func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, answer *caller.Answer, run func(*answerRecorder) error) error {
+	if err := r.register(req); err != nil {
 		return err
 	}
-	defer r.leave(f)
+	defer r.unregister(req)
 	if meta.Key == "" {
 		return run(nil)
 	}
-	claim, stored, err := r.Claims.Begin(ctx, &f.record, meta.Team, meta.Key, meta.RequestID, outcome.Digest(meta.Path, meta.Body))
+	claim, stored, err := r.Claims.Begin(ctx, &req.record, meta.Team, meta.Key, meta.RequestID, outcome.Digest(meta.Path, meta.Body))
 	if err != nil {
 		return err
 	}
 	if stored != nil {
 		return replay(stored, answer)
 	}
-	keep := &copied{status: http.StatusOK, contentType: "text/event-stream"}
-	err = run(keep)
+	recorder := &answerRecorder{status: http.StatusOK, contentType: "text/event-stream"}
+	err = run(recorder)
 	if err == nil {
-		claim.Ran(keep.status, keep.contentType, keep.body)
+		claim.Ran(recorder.status, recorder.contentType, recorder.body)
 		return nil
 	}
-	proof, _ := f.record.Proof()
+	proof, _ := req.record.Proof()
 	claim.NotRun(proof)
 	return err
 }
 
-// replay gives the first answer again.
+// replay sends the stored answer of an earlier request with the same key.
 func replay(stored *lilacv1.StoredAnswer, answer *caller.Answer) error {
 	answer.Header().Set("X-Lilac-Replayed", "true")
 	answer.Begin(int(stored.GetStatus()), stored.GetContentType(), "")
--- a/request/relay/loop.go
+++ b/request/relay/loop.go
@@ -8,19 +8,20 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-type question func(policy.Core, time.Time)
+// query runs on the goroutine that owns the core.
+type query func(policy.Core, time.Time)
 
-// mailbox keeps events until the goroutine that owns the core takes them.
+// mailbox queues events and queries for the goroutine that owns the core.
 type mailbox struct {
 	mu     sync.Mutex
 	events []policy.Event
-	// grown are flights with new tokens, told to the core at the next tick.
-	grown     []*flight
-	questions []question
-	wake      chan struct{}
-	// lastScan is the second of the last look for stalled streams; only the
-	// core's goroutine uses it.
-	lastScan int64
+	// progressed are requests whose new tokens are reported to the core at the next tick.
+	progressed []*request
+	queries    []query
+	wake       chan struct{}
+	// lastStallScan is the second of the last scan for stalled streams; used only by the
+	// core's goroutine.
+	lastStallScan int64
 }
 
 func newMailbox() *mailbox { return &mailbox{wake: make(chan struct{}, 1)} }
@@ -29,83 +30,86 @@
 	b.mu.Lock()
 	b.events = append(b.events, event)
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-func (b *mailbox) ask(q question) {
+func (b *mailbox) ask(q query) {
 	b.mu.Lock()
-	b.questions = append(b.questions, q)
+	b.queries = append(b.queries, q)
 	b.mu.Unlock()
-	b.ring()
+	b.signal()
 }
 
-// postLater lets the flight's tokens wait for the next tick.
-func (b *mailbox) postLater(f *flight) {
+// deferTokens schedules the request's unreported tokens for the next tick.
+func (b *mailbox) deferTokens(req *request) {
 	b.mu.Lock()
-	b.grown = append(b.grown, f)
+	b.progressed = append(b.progressed, req)
 	b.mu.Unlock()
 }
 
-func (b *mailbox) ring() {
+func (b *mailbox) signal() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (b *mailbox) take(events []policy.Event, questions []question) ([]policy.Event, []question) {
+// take returns the queued events and queries and queues new ones in the given slices, which
+// are reused.
+func (b *mailbox) take(events []policy.Event, queries []query) ([]policy.Event, []query) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	taken, asked := b.events, b.questions
-	b.events, b.questions = events[:0], questions[:0]
-	return taken, asked
+	taken, queued := b.events, b.queries
+	b.events, b.queries = events[:0], queries[:0]
+	return taken, queued
 }
 
-func (b *mailbox) takeGrown(spare []*flight) []*flight {
+func (b *mailbox) takeProgressed(spare []*request) []*request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	taken := b.grown
-	b.grown = spare[:0]
+	taken := b.progressed
+	b.progressed = spare[:0]
 	return taken
 }
 
-// idleInterval is the time between two ticks while no request is here. It
-// spares an idle instance nine of ten wake-ups.
+// idleInterval is the tick interval without requests in progress. It saves an idle instance
+// nine out of ten wake-ups.
 const idleInterval = 100 * time.Millisecond
 
-// Run owns the core until ctx ends.
+// Run processes events with exclusive access to the core until ctx ends. It must be called
+// once.
 func (r *Relay) Run(ctx context.Context) {
 	timer := time.NewTimer(policy.TickInterval)
 	defer timer.Stop()
 	idle := false
 	var events []policy.Event
-	var questions []question
-	var grown []*flight
+	var queries []query
+	var progressed []*request
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.box.wake:
-			events, questions = r.box.take(events, questions)
+		case <-r.mailbox.wake:
+			events, queries = r.mailbox.take(events, queries)
 			for i, event := range events {
 				r.step(event)
 				events[i] = nil
 			}
-			for i, q := range questions {
+			for i, q := range queries {
 				q(r.Core, time.Now())
-				questions[i] = nil
+				queries[i] = nil
 			}
 			if idle && !r.empty() {
 				idle = false
 				timer.Reset(policy.TickInterval)
 			}
 		case now := <-timer.C:
-			grown = r.box.takeGrown(grown)
-			for i, f := range grown {
-				if event, ok := f.takeTokens(); ok {
+			progressed = r.mailbox.takeProgressed(progressed)
+			for i, req := range progressed {
+				if event, ok := req.takeTokens(); ok {
 					r.step(event)
 				}
-				grown[i] = nil
+				progressed[i] = nil
 			}
 			r.step(policy.Tick{})
 			r.stopStalled(now)
@@ -122,11 +126,11 @@
 	return policy.TickInterval
 }
 
-// empty tells whether no request is here.
+// empty reports whether no request is in progress.
 func (r *Relay) empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.flights) == 0
+	return len(r.requests) == 0
 }
 
 func (r *Relay) step(event policy.Event) {
@@ -136,7 +140,7 @@
 	}
 }
 
-// dispatch hands one action to its request; rest are those that follow it.
+// dispatch delivers one action to its request; rest are the actions after it.
 func (r *Relay) dispatch(action policy.Action, rest []policy.Action) {
 	switch a := action.(type) {
 	case policy.Start:
@@ -146,22 +150,22 @@
 	case policy.Broken:
 		r.deliver(a.ID, a)
 	case policy.Stop:
-		if f := r.flight(a.ID); f != nil {
-			f.stop(a.Attempt, movesOn(a, rest))
+		if req := r.request(a.ID); req != nil {
+			req.stop(a.Attempt, movesElsewhere(a, rest))
 		}
 	case policy.Convict:
 		r.OnConvict(a)
 	case policy.LimitChanged:
 		r.logLimit(a)
-		r.noteLimit(time.Now(), a)
+		r.recordLimit(time.Now(), a)
 	case policy.Announce:
 		r.OnAnnounce()
 	}
 }
 
-// movesOn tells whether the stopped attempt is taken over elsewhere at once, so
-// that its engine must keep it for the export.
-func movesOn(stop policy.Stop, rest []policy.Action) bool {
+// movesElsewhere reports whether the stopped attempt is resumed elsewhere at once, so that
+// its engine must keep the answer for the export.
+func movesElsewhere(stop policy.Stop, rest []policy.Action) bool {
 	for _, action := range rest {
 		if start, ok := action.(policy.Start); ok && start.ID == stop.ID {
 			return start.ResumeFrom != ""
@@ -170,38 +174,38 @@
 	return false
 }
 
-func (r *Relay) flight(id policy.ID) *flight {
+func (r *Relay) request(id policy.ID) *request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.flights[id]
+	return r.requests[id]
 }
 
 func (r *Relay) deliver(id policy.ID, action policy.Action) {
-	f := r.flight(id)
-	if f == nil {
-		// The caller left while the core decided; the core hears of it next.
+	req := r.request(id)
+	if req == nil {
+		// The caller disconnected while the core decided; the core is informed next.
 		return
 	}
 	select {
-	case f.actions <- action:
+	case req.actions <- action:
 	default:
 		r.Counter.Broken("actions_pile_up")
 	}
 }
 
-// stopStalled ends attempts whose stream began and then fell silent.
+// stopStalled aborts attempts whose stream has started and then stalled.
 //
-// It guards against an engine that hangs while its connection stays open. It
-// shows as a stream that never ends. It holds because the silence is measured
-// here, with the local clock, whatever the engine reports.
+// It guards against an engine that hangs while its connection stays open, which would leave
+// the caller with a stream that never ends. The stall is measured here with the local clock,
+// whatever the engine reports.
 func (r *Relay) stopStalled(now time.Time) {
-	if now.UnixMilli()/time.Second.Milliseconds() == r.box.lastScan {
+	if now.UnixMilli()/time.Second.Milliseconds() == r.mailbox.lastStallScan {
 		return
 	}
-	r.box.lastScan = now.UnixMilli() / time.Second.Milliseconds()
+	r.mailbox.lastStallScan = now.UnixMilli() / time.Second.Milliseconds()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, f := range r.flights {
-		f.stopIfStalled(now.Add(-r.StallTimeout))
+	for _, req := range r.requests {
+		req.stopIfStalled(now.Add(-r.StallTimeout))
 	}
 }
