--- a/cmd/lilacbridge-state/main.go
+++ b/cmd/lilacbridge-state/main.go
@@ -16,9 +16,9 @@
 
 func main() {
 	control := state.Control{
-		Decode:  platform.Protocol{}.Document,
+		Decode:  platform.Protocol{}.ParseDocument,
 		List:    (&platform.Platform{}).ServerList,
-		Handler: func(documents gateway.Documents) http.Handler { return &platform.Control{Documents: documents} },
+		Handler: func(documents gateway.DocumentStore) http.Handler { return &platform.Control{Documents: documents} },
 	}
 	open := func(s *settings.State, logger hclog.Logger) (program.Daemon, error) {
 		return state.NewDaemon(s, logger, state.OpenReplica, control)
--- a/cmd/lilacctl/print.go
+++ b/cmd/lilacctl/print.go
@@ -55,8 +55,8 @@
 			return err
 		}
 	}
-	if reply.LeftOut > 0 {
-		fmt.Fprintf(w, "%d more rows match; narrow the query by WHERE, or by a smaller LIMIT\n", reply.LeftOut)
+	if reply.Omitted > 0 {
+		fmt.Fprintf(w, "%d more rows match; narrow the query by WHERE, or by a smaller LIMIT\n", reply.Omitted)
 	}
 	for _, missing := range reply.Missing {
 		fmt.Fprintf(w, "no answer from %s (%s): %s\n", missing.Instance, missing.DataCenter, missing.Reason)
--- a/connection/caller/chat.go
+++ b/connection/caller/chat.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// Bound returns the caller's bound on the answer's tokens; 0 means none.
-func (f *ChatFields) Bound() int { return max(f.MaxTokens, f.MaxCompletionTokens) }
+// TokenLimit returns the caller's bound on the answer's tokens; 0 means none.
+func (f *ChatFields) TokenLimit() int { return max(f.MaxTokens, f.MaxCompletionTokens) }
 
 // Texts returns the text of each message, in order.
 func (f *ChatFields) Texts() []string {
--- a/connection/caller/handler.go
+++ b/connection/caller/handler.go
@@ -52,10 +52,10 @@
 	return hex.EncodeToString(id[:])
 }
 
-// Leave asks callers and balancers, from now on, to close their connections
+// DisableKeepAlives asks callers and balancers, from now on, to close their connections
 // after each answer. No connection is closed from this side, so that no request
 // already on its way meets a closed one.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+func (h *Handler) DisableKeepAlives() { h.leaving.Store(true) }
 
 // ServeHTTP answers one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/connection/engine/client.go
+++ b/connection/engine/client.go
@@ -25,10 +25,10 @@
 	maxReport = 4 << 20
 )
 
-// ErrNoEcho is the error of an engine that sends the request's id back neither
+// ErrMissingID is the error of an engine that sends the request's id back neither
 // as X-Request-Id nor in its chunks' id, so that its answer can't be told from
 // another's.
-var ErrNoEcho = errors.New("engine's answer names no request; switch its request id headers on")
+var ErrMissingID = errors.New("engine's answer names no request; switch its request id headers on")
 
 // Client calls engines by address (host:port).
 type Client struct{ up *upstream.Client }
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, upstream.ReadStatus(resp)
+		return nil, upstream.ReadStatusError(resp)
 	}
 	if kind := resp.Header.Get("Content-Type"); !strings.HasPrefix(kind, eventStream) {
 		resp.Body.Close()
@@ -160,7 +160,7 @@
 
 func readAll(resp *http.Response, limit int64) ([]byte, error) {
 	if resp.StatusCode/100 != 2 {
-		return nil, upstream.ReadStatus(resp)
+		return nil, upstream.ReadStatusError(resp)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
--- a/connection/engine/poller.go
+++ b/connection/engine/poller.go
@@ -22,8 +22,8 @@
 	pollWorkers = 8
 )
 
-// Reports gets what the poller reads; its calls come from several goroutines.
-type Reports interface {
+// ReportHandler gets what the poller reads; its calls come from several goroutines.
+type ReportHandler interface {
 	OnLoad(server string, load *Load)
 	OnCacheEvents(server string, events []CacheEvent)
 }
@@ -31,7 +31,7 @@
 // Poller reads load reports and cache events of a set of servers in turn.
 type Poller struct {
 	client  *Client
-	reports Reports
+	reports ReportHandler
 
 	mu      sync.Mutex
 	servers []*lilacv1.Server
@@ -50,7 +50,7 @@
 }
 
 // NewPoller returns a Poller that tells reports.
-func NewPoller(client *Client, reports Reports) *Poller {
+func NewPoller(client *Client, reports ReportHandler) *Poller {
 	p := &Poller{client: client, reports: reports, after: make(map[string]uint64), asked: make(map[string]bool)}
 	p.SetBudget(SmallFleetBytes)
 	return p
--- a/connection/engine/stream.go
+++ b/connection/engine/stream.go
@@ -24,8 +24,8 @@
 	readers    = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBuffer) }}
 )
 
-// ErrCut is the error of a stream that ended without its closing event.
-var ErrCut = fmt.Errorf("engine's stream ended in the middle: %w", io.ErrUnexpectedEOF)
+// ErrTruncated is the error of a stream that ended without its closing event.
+var ErrTruncated = fmt.Errorf("engine's stream ended in the middle: %w", io.ErrUnexpectedEOF)
 
 var errTooLong = fmt.Errorf("engine sent an event of more than %d bytes", maxEvent)
 
@@ -45,21 +45,21 @@
 	return &Stream{body: resp.Body, reader: reader}
 }
 
-// Check tells whether the chunk belongs to the stream's request. The first
+// CheckID tells whether the chunk belongs to the stream's request. The first
 // chunk settles it where the answer's header did not.
-func (s *Stream) Check(chunk *Chunk) error {
+func (s *Stream) CheckID(chunk *Chunk) error {
 	if s.bound {
 		return nil
 	}
 	if !strings.Contains(chunk.ID, s.id) {
-		return ErrNoEcho
+		return ErrMissingID
 	}
 	s.bound = true
 	return nil
 }
 
 // Next returns the data of the next event, valid until the next call: io.EOF
-// after the closing event, ErrCut where the stream ended without one.
+// after the closing event, ErrTruncated where the stream ended without one.
 func (s *Stream) Next() ([]byte, error) {
 	for {
 		line, err := s.line()
@@ -92,7 +92,7 @@
 		s.long = append(s.long, line...)
 	}
 	if err == io.EOF {
-		return nil, ErrCut
+		return nil, ErrTruncated
 	}
 	return s.long, err
 }
@@ -142,11 +142,11 @@
 
 // Empty tells whether the chunk adds nothing to the text and does not end it.
 func (c *Chunk) Empty() bool {
-	return !c.Token() && c.FinishReason() == "" && c.Usage == nil
+	return !c.HasToken() && c.FinishReason() == "" && c.Usage == nil
 }
 
-// Token tells whether the chunk carries a token of the answer.
-func (c *Chunk) Token() bool {
+// HasToken tells whether the chunk carries a token of the answer.
+func (c *Chunk) HasToken() bool {
 	if len(c.Choices) == 0 {
 		return false
 	}
@@ -158,8 +158,8 @@
 	return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) && !bytes.Equal(raw, []byte("[]"))
 }
 
-// Plain tells whether the chunk holds nothing but text, which a prefix can carry on.
-func (c *Chunk) Plain() bool {
+// TextOnly tells whether the chunk holds nothing but text, which a prefix can carry on.
+func (c *Chunk) TextOnly() bool {
 	if len(c.Choices) == 0 {
 		return true
 	}
--- a/connection/gateway/client.go
+++ b/connection/gateway/client.go
@@ -31,16 +31,16 @@
 	Host    string
 	Header  http.Header
 	Body    []byte
-	Send    *Send
+	Info    *ForwardInfo
 	Attempt *upstream.Attempt
-	// Once calls must not be repeated: they have a connection that is known to live.
-	Once bool
+	// NonIdempotent calls must not be repeated: they have a connection that is known to live.
+	NonIdempotent bool
 }
 
 // Response is a backend server's answer.
 type Response struct {
 	*http.Response
-	Reply Reply
+	Info ResponseInfo
 }
 
 // targetOf makes the URL that gives the server path and query byte for byte.
@@ -72,19 +72,19 @@
 	}
 	req := (&http.Request{
 		Method: call.Method, URL: target, Host: call.Host, Body: body, ContentLength: int64(len(call.Body)),
-		Header: c.protocol.Outgoing(call.Header, call.Send), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		Header: c.protocol.RequestHeader(call.Header, call.Info), Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}).WithContext(ctx)
 	if req.Header.Get("User-Agent") == "" {
 		// Keeps net/http from adding its own.
 		req.Header.Set("User-Agent", "")
 	}
 	do := c.up.Do
-	if call.Once {
-		do = c.up.DoRecent
+	if call.NonIdempotent {
+		do = c.up.DoRecentConn
 	}
 	resp, err := do(req, call.Attempt)
 	if err != nil {
 		return nil, err
 	}
-	return &Response{Response: resp, Reply: c.protocol.Reply(resp.Header, resp.StatusCode)}, nil
+	return &Response{Response: resp, Info: c.protocol.ParseResponse(resp.Header, resp.StatusCode)}, nil
 }
--- a/connection/gateway/documents.go
+++ b/connection/gateway/documents.go
@@ -7,8 +7,8 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// Documents keeps the one document that operators write.
-type Documents interface {
+// DocumentStore keeps the one document that operators write.
+type DocumentStore interface {
 	// Put checks the document and has a quorum sync it. Once it returns nil, this
 	// document or one of a higher version stays in force.
 	Put(ctx context.Context, content []byte) error
@@ -17,10 +17,10 @@
 	Get(ctx context.Context) ([]byte, error)
 }
 
-// MovedError sends the caller to the process that can answer.
-type MovedError struct{ Address string }
+// NotLeaderError sends the caller to the process that can answer.
+type NotLeaderError struct{ Address string }
 
-func (e *MovedError) Error() string { return "ask " + e.Address + ", which leads" }
+func (e *NotLeaderError) Error() string { return "ask " + e.Address + ", which leads" }
 
 // Platform makes what speaks with the platform around the gateway.
 type Platform interface {
--- a/connection/gateway/handler.go
+++ b/connection/gateway/handler.go
@@ -41,7 +41,7 @@
 
 // Request is one that passed all checks.
 type Request struct {
-	Head
+	RequestInfo
 	// Table is the document that the request was checked by.
 	Table *routing.Table
 	Route *routing.Route
@@ -55,8 +55,8 @@
 	Body   []byte
 	// Deadline is when the caller or the route's timeout ends the wait.
 	Deadline time.Time
-	// Waits is when the caller itself stops waiting; zero if it never said.
-	Waits time.Time
+	// CallerDeadline is when the caller itself stops waiting; zero if it never said.
+	CallerDeadline time.Time
 }
 
 // Router carries requests that passed the checks.
@@ -65,9 +65,9 @@
 	Table() *routing.Table
 	// KeysFresh tells whether the keys are known recently enough to go by.
 	KeysFresh() bool
-	// MayDeny tells whether the document in force was surely the newest recently
+	// DocumentFresh tells whether the document in force was surely the newest recently
 	// enough to call a route or key unknown.
-	MayDeny() bool
+	DocumentFresh() bool
 	// Forward answers the request; the error becomes the caller's.
 	Forward(ctx context.Context, q *Request, answer *Answer) error
 }
@@ -103,8 +103,8 @@
 	return &Handler{protocol: protocol, router: router, counter: counter, log: log, started: time.Now()}
 }
 
-// Leave asks callers, from now on, to close their connections after each answer.
-func (h *Handler) Leave() { h.leaving.Store(true) }
+// DisableKeepAlives asks callers, from now on, to close their connections after each answer.
+func (h *Handler) DisableKeepAlives() { h.leaving.Store(true) }
 
 // ServeHTTP answers one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -153,11 +153,11 @@
 // check reads the request whole and finds its route and team.
 func (h *Handler) check(w http.ResponseWriter, r *http.Request) (*Request, error) {
 	arrived := time.Now()
-	head, err := h.protocol.Head(r.Header)
+	head, err := h.protocol.ParseRequest(r.Header)
 	if err != nil {
 		return nil, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, err.Error())
 	}
-	q := &Request{Head: head, Table: h.router.Table(), Host: r.Host, Method: r.Method, URI: r.RequestURI, Header: r.Header}
+	q := &Request{RequestInfo: head, Table: h.router.Table(), Host: r.Host, Method: r.Method, URI: r.RequestURI, Header: r.Header}
 	read := false
 	if q.Table == nil {
 		// Callers take a request whose body nobody reads for lost.
@@ -165,7 +165,7 @@
 			return nil, err
 		}
 		read = true
-		if q.Table = h.awaitTable(r.Context(), head.Wait); q.Table == nil {
+		if q.Table = h.awaitTable(r.Context(), head.Timeout); q.Table == nil {
 			return nil, refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance has no configuration yet; come back after Retry-After", fault.WithRetryAfter(starting(time.Since(h.started))))
 		}
 	}
@@ -184,10 +184,10 @@
 		return nil, errBodyTooLarge()
 	}
 	q.Deadline = arrived.Add(q.Route.Timeout)
-	if q.Wait > 0 {
-		q.Waits = arrived.Add(q.Wait)
-		if q.Waits.Before(q.Deadline) {
-			q.Deadline = q.Waits
+	if q.Timeout > 0 {
+		q.CallerDeadline = arrived.Add(q.Timeout)
+		if q.CallerDeadline.Before(q.Deadline) {
+			q.Deadline = q.CallerDeadline
 		}
 	}
 	return q, nil
@@ -197,7 +197,7 @@
 func (h *Handler) route(q *Request, table *routing.Table) error {
 	path, _, _ := strings.Cut(q.URI, "?")
 	q.Route = table.Match(hostOf(q.Host), path)
-	if q.Route == nil && !h.router.MayDeny() {
+	if q.Route == nil && !h.router.DocumentFresh() {
 		return errMayBeBehind()
 	}
 	if q.Route == nil {
@@ -210,7 +210,7 @@
 		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance is cut off from the state processes and can't check keys; try again, another instance may", later())
 	}
 	q.Team = table.Holder(q.Key)
-	if q.Team == nil && !h.router.MayDeny() {
+	if q.Team == nil && !h.router.DocumentFresh() {
 		return errMayBeBehind()
 	}
 	if q.Team == nil {
--- a/connection/gateway/protocol.go
+++ b/connection/gateway/protocol.go
@@ -14,50 +14,50 @@
 
 // Protocol translates between the wire and this package. It decides nothing.
 type Protocol interface {
-	// Head reads what a caller's header says of its request. The error names the
+	// ParseRequest reads what a caller's header says of its request. The error names the
 	// header that can't be read.
-	Head(header http.Header) (Head, error)
-	// Outgoing returns the header to send to a backend server: the caller's, less
+	ParseRequest(header http.Header) (RequestInfo, error)
+	// RequestHeader returns the header to send to a backend server: the caller's, less
 	// what is the system's own to set, and what send says.
-	Outgoing(header http.Header, send *Send) http.Header
-	// Reply reads what a backend server's header says of its answer.
-	Reply(header http.Header, status int) Reply
-	// Incoming copies the header of a backend server's answer for the caller.
-	Incoming(to, from http.Header)
+	RequestHeader(header http.Header, send *ForwardInfo) http.Header
+	// ParseResponse reads what a backend server's header says of its answer.
+	ParseResponse(header http.Header, status int) ResponseInfo
+	// CopyResponseHeader copies the header of a backend server's answer for the caller.
+	CopyResponseHeader(to, from http.Header)
 	// IDHeader names the header that carries the attempt's id there and back.
 	IDHeader() string
-	// Document decodes an operator's text; the error names what is wrong.
-	Document(content []byte) (*routing.Document, error)
+	// ParseDocument decodes an operator's text; the error names what is wrong.
+	ParseDocument(content []byte) (*routing.Document, error)
 }
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a piece of a prompt that other requests may share.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// Head is what a caller says of its request beside method, path and body.
-type Head struct {
+// RequestInfo is what a caller says of its request beside method, path and body.
+type RequestInfo struct {
 	// AttemptID is fresh for each attempt of the caller.
 	AttemptID string
 	// Key proves the caller's team; empty if none was sent.
 	Key string
-	// Wait is how long the caller waits; 0 if it doesn't say.
-	Wait time.Duration
+	// Timeout is how long the caller waits; 0 if it doesn't say.
+	Timeout time.Duration
 	// PromptTokens and MaxTokens size the request; 0 if it doesn't say.
 	PromptTokens, MaxTokens int
 	// LengthHint is the caller's guess of the answer's tokens; 0 if it gives none.
 	LengthHint int
 	// Parts make up the prompt, in order; the last is the request's own.
-	Parts []Part
+	Parts []PromptPart
 	// LastEvent is the id of the last event that the caller holds of a stream.
 	LastEvent string
 }
 
-// Send is what the system itself tells a backend server of a request.
-type Send struct {
-	// Left is how long the caller still waits; 0 if it never said.
-	Left time.Duration
+// ForwardInfo is what the system itself tells a backend server of a request.
+type ForwardInfo struct {
+	// Remaining is how long the caller still waits; 0 if it never said.
+	Remaining time.Duration
 	// Server is the identity of the one that shall run it.
 	Server string
 	// Team holds the caller's key; empty for none.
@@ -73,8 +73,8 @@
 	FetchFrom string
 }
 
-// Reply is what a backend server's header says.
-type Reply struct {
+// ResponseInfo is what a backend server's header says.
+type ResponseInfo struct {
 	// AttemptID is the one of the request that is answered.
 	AttemptID string
 	// NotRun is true where the server states that it did not run the request.
--- a/connection/operator/narrow.go
+++ b/connection/operator/filter.go
@@ -27,10 +27,10 @@
 // shareOf returns how many rows one of so many instances may send.
 func shareOf(instances int) int { return max(leastShare, maxGathered/max(1, instances)) }
 
-// Narrow brings an instance's own part of a query down to what the request asks
+// FilterReply brings an instance's own part of a query down to what the request asks
 // for, before it is sent: the rows that match, in order, up to the limit, or
 // their counts.
-func Narrow(request *lilacv1.QueryRequest, instance string, reply *lilacv1.QueryReply) error {
+func FilterReply(request *lilacv1.QueryRequest, instance string, reply *lilacv1.QueryReply) error {
 	show, err := showOf(request.GetStatement())
 	if err != nil {
 		return err
--- a/connection/operator/narrow_test.go
+++ b/connection/operator/filter_test.go
@@ -28,7 +28,7 @@
 				fmt.Sprint("redaction-", i%10), fmt.Sprint(i, "ms"), strconv.Itoa(i),
 			}})
 		}
-		err := Narrow(request, instance, reply)
+		err := FilterReply(request, instance, reply)
 		sent.Add(int64(proto.Size(reply)))
 		return reply, err
 	}
@@ -65,17 +65,17 @@
 	h := fleetOf(instances, requests, new(atomic.Int64))
 	reply := show(t, h, "SHOW requests")
 	is.Equal(len(reply.Table.Rows), maxGathered)
-	is.Equal(reply.LeftOut, instances*requests-maxGathered)
+	is.Equal(reply.Omitted, instances*requests-maxGathered)
 	is.Equal(reply.Parts[0].Matched, requests)
 
 	reply = show(t, h, "SHOW requests ORDER BY tokens DESC LIMIT 5")
 	is.Equal(len(reply.Table.Rows), 5)
 	is.Equal(reply.Table.Rows[4][6], strconv.Itoa(requests-1))
-	is.Equal(reply.LeftOut, 0) // the first five of all are there for sure
+	is.Equal(reply.Omitted, 0) // the first five of all are there for sure
 
 	reply = show(t, h, "SHOW requests WHERE instance = e7 AND tokens < 10")
 	is.Equal(len(reply.Table.Rows), 10)
-	is.Equal(reply.LeftOut, 0)
+	is.Equal(reply.Omitted, 0)
 }
 
 // A dry run counts what a change concerns, and counts all of it even where the
@@ -96,7 +96,7 @@
 	for name, text := range map[string]string{"syntax": "SHOW requests WHERE", "a change": "DROP TEAM x", "unknown column": "SHOW requests WHERE colour = red"} {
 		t.Run(name, func(t *testing.T) {
 			reply := &lilacv1.QueryReply{Columns: []string{"id"}}
-			is.New(t).True(Narrow(&lilacv1.QueryRequest{Statement: text}, "e1", reply) != nil)
+			is.New(t).True(FilterReply(&lilacv1.QueryRequest{Statement: text}, "e1", reply) != nil)
 		})
 	}
 }
--- a/connection/operator/operator_test.go
+++ b/connection/operator/operator_test.go
@@ -84,13 +84,13 @@
 		Instance: "e1", DataCenter: "dakar-a", Newest: func() (uint64, time.Duration) { return 41, time.Second }, View: viewOf(state, view), State: state, Operators: func() *secret.Operators { return operators }, Now: time.Now,
 		Local: func(_ context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
 			reply := rows("e1")
-			return reply, Narrow(request, "e1", reply)
+			return reply, FilterReply(request, "e1", reply)
 		},
 		Peers: func() []Peer {
 			return []Peer{
 				peer("e2", link.Unary(func(_ context.Context, _ link.Peer, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
 					reply := rows("e2")
-					return reply, Narrow(request, "e2", reply)
+					return reply, FilterReply(request, "e2", reply)
 				})),
 				peer("e3", func(context.Context, *link.Exchange) error {
 					return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "cut off")
--- a/connection/operator/query.go
+++ b/connection/operator/query.go
@@ -61,7 +61,7 @@
 		return reply, err
 	}
 	for _, part := range reply.Parts {
-		reply.LeftOut += part.Matched - part.Rows
+		reply.Omitted += part.Matched - part.Rows
 	}
 	return reply, nil
 }
--- a/connection/operator/reply.go
+++ b/connection/operator/reply.go
@@ -40,9 +40,9 @@
 	Parts []Part `json:"parts,omitempty"`
 	// Missing names the instances that did not answer, and why.
 	Missing []Missing `json:"missing,omitempty"`
-	// LeftOut counts rows that matched and were not gathered, since there are too
+	// Omitted counts rows that matched and were not gathered, since there are too
 	// many; with a LIMIT, the rows shown may then not be the first ones.
-	LeftOut int `json:"left_out,omitempty"`
+	Omitted int `json:"left_out,omitempty"`
 }
 
 // Change tells what became of a change.
--- a/connection/serverlist/serverlist_test.go
+++ b/connection/serverlist/serverlist_test.go
@@ -47,18 +47,18 @@
 
 // node follows the list from others or from the platform.
 type node struct {
-	holder *Holder
+	holder *Store
 	caller link.Caller
 	mu     sync.Mutex
 	names  []string
 }
 
 func newNode(ctx context.Context, p *platform, upstream ...*node) *node {
-	n := &node{holder: NewHolder()}
+	n := &node{holder: NewStore()}
 	mux := link.NewMux()
 	n.holder.Register(mux)
 	n.caller = &link.Local{Mux: mux, Self: link.Peer{Process: "test", DataCenter: "a"}}
-	follower := NewFollower(n.holder, Options{
+	follower := NewUpdater(n.holder, Options{
 		Upstream: func() []link.Caller {
 			var callers []link.Caller
 			for _, other := range upstream {
--- a/connection/serverlist/holder.go
+++ b/connection/serverlist/store.go
@@ -30,8 +30,8 @@
 	staleAfter = 3 * time.Second
 )
 
-// Holder holds the newest list that was read or heard.
-type Holder struct {
+// Store holds the newest list that was read or heard.
+type Store struct {
 	mu      sync.Mutex
 	reply   *lilacv1.ServersReply
 	servers []routing.Server
@@ -40,15 +40,15 @@
 	now     func() time.Time
 }
 
-// NewHolder returns a Holder without a list.
-func NewHolder() *Holder { return &Holder{changed: make(chan struct{}), now: time.Now} }
+// NewStore returns a Store without a list.
+func NewStore() *Store { return &Store{changed: make(chan struct{}), now: time.Now} }
 
 // Register adds the method to mux.
-func (h *Holder) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(h.answer)) }
+func (h *Store) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(h.answer)) }
 
 // Set takes a list in and tells whether it differs from the one held. A list in
 // another order is the same.
-func (h *Holder) Set(servers []routing.Server) bool {
+func (h *Store) Set(servers []routing.Server) bool {
 	servers = slices.Clone(servers)
 	slices.SortFunc(servers, func(a, b routing.Server) int { return cmp.Compare(a.Name, b.Name) })
 	reply := encode(servers)
@@ -65,21 +65,21 @@
 }
 
 // Confirm notes that the list held is still the platform's.
-func (h *Holder) Confirm() {
+func (h *Store) Confirm() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.at = h.now()
 }
 
 // Version is that of the list held; 0 for none.
-func (h *Holder) Version() uint64 {
+func (h *Store) Version() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reply.GetVersion()
 }
 
 // answer waits for a list other than the caller's.
-func (h *Holder) answer(ctx context.Context, _ link.Peer, r *lilacv1.ServersRequest) (*lilacv1.ServersReply, error) {
+func (h *Store) answer(ctx context.Context, _ link.Peer, r *lilacv1.ServersRequest) (*lilacv1.ServersReply, error) {
 	timer := time.NewTimer(holdFor)
 	defer timer.Stop()
 	for {
@@ -100,7 +100,7 @@
 }
 
 // unchanged tells the caller that what it holds stands, or that nobody knows.
-func (h *Holder) unchanged(reply *lilacv1.ServersReply, age time.Duration) (*lilacv1.ServersReply, error) {
+func (h *Store) unchanged(reply *lilacv1.ServersReply, age time.Duration) (*lilacv1.ServersReply, error) {
 	if reply == nil || age > staleAfter {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "the list of backend servers is not known here; ask another state process or the platform")
 	}
--- a/connection/serverlist/follow.go
+++ b/connection/serverlist/updater.go
@@ -35,23 +35,23 @@
 	Logger hclog.Logger
 }
 
-// Follower keeps a Holder up to date.
-type Follower struct {
+// Updater keeps a Store up to date.
+type Updater struct {
 	Options
-	holder *Holder
+	holder *Store
 	lost   bool
 }
 
-// NewFollower returns a Follower of the holder; Run must be called.
-func NewFollower(holder *Holder, o Options) *Follower {
+// NewUpdater returns a Follower of the holder; Run must be called.
+func NewUpdater(holder *Store, o Options) *Updater {
 	if o.OnList == nil {
 		o.OnList = func([]routing.Server) {}
 	}
-	return &Follower{Options: o, holder: holder}
+	return &Updater{Options: o, holder: holder}
 }
 
 // Run follows the list until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Updater) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if f.ask(ctx) {
 			continue
@@ -70,7 +70,7 @@
 }
 
 // ask puts the question to the processes in turn, and tells whether one answered.
-func (f *Follower) ask(ctx context.Context) bool {
+func (f *Updater) ask(ctx context.Context) bool {
 	for _, caller := range f.Upstream() {
 		asked, cancel := context.WithTimeout(ctx, askTimeout)
 		reply := &lilacv1.ServersReply{}
@@ -90,7 +90,7 @@
 	return false
 }
 
-func (f *Follower) read(ctx context.Context) error {
+func (f *Updater) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	servers, skipped, err := f.List.Fetch(ctx)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (f *Follower) take(servers []routing.Server) {
+func (f *Updater) take(servers []routing.Server) {
 	if f.holder.Set(servers) {
 		f.Logger.Info("list of backend servers changed", "servers", len(servers))
 		f.OnList(servers)
@@ -112,7 +112,7 @@
 }
 
 // note writes a line when the list is lost or regained.
-func (f *Follower) note(ctx context.Context, err error) {
+func (f *Updater) note(ctx context.Context, err error) {
 	if ctx.Err() != nil || f.lost == (err != nil) {
 		return
 	}
--- a/connection/service/service.go
+++ b/connection/service/service.go
@@ -29,8 +29,8 @@
 	// RequestID is the request's id and the attempt's number.
 	RequestID string
 	Attempt   *upstream.Attempt
-	// Once is set for calls that must not be repeated.
-	Once bool
+	// NonIdempotent is set for calls that must not be repeated.
+	NonIdempotent bool
 }
 
 // perConnection are the headers that are meant for one connection only.
@@ -80,8 +80,8 @@
 		// Keeps net/http from adding its own.
 		req.Header.Set("User-Agent", "")
 	}
-	if call.Once {
-		return c.up.DoFresh(req, call.Attempt)
+	if call.NonIdempotent {
+		return c.up.DoNewConn(req, call.Attempt)
 	}
 	return c.up.Do(req, call.Attempt)
 }
--- a/connection/service/service_test.go
+++ b/connection/service/service_test.go
@@ -41,7 +41,7 @@
 			is := is.New(t)
 			resp, err := NewClient(up).Do(t.Context(), Call{
 				Address: strings.TrimPrefix(server.URL, "http://"), Method: c.method, URI: c.uri, Header: header,
-				Body: []byte(c.body), RequestID: "q-1", Attempt: &upstream.Attempt{}, Once: c.once,
+				Body: []byte(c.body), RequestID: "q-1", Attempt: &upstream.Attempt{}, NonIdempotent: c.once,
 			})
 			is.NoErr(err)
 			defer resp.Body.Close()
--- a/connection/upstream/attempt.go
+++ b/connection/upstream/attempt.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// ErrSealed is the error of a write that came after its attempt was sealed.
-var ErrSealed = errors.New("attempt was given up before its first byte")
+// ErrAbandoned is the error of a write that came after its attempt was sealed.
+var ErrAbandoned = errors.New("attempt was given up before its first byte")
 
 const (
 	fresh int32 = iota
@@ -22,14 +22,14 @@
 	state   atomic.Int32
 }
 
-// Seal gives the attempt up and reports whether none of its bytes was written.
+// Abandon gives the attempt up and reports whether none of its bytes was written.
 //
 // It guards against a refusal that says "not run" while the HTTP library's own
 // goroutine is still about to write: the library reports an ended context
 // before its writer has looked. It shows as a request that ran although its
 // caller was told otherwise. It holds because the writer must first move the
 // same word from fresh to written, and a sealed attempt fails that.
-func (a *Attempt) Seal() bool {
+func (a *Attempt) Abandon() bool {
 	return a.state.CompareAndSwap(fresh, sealed) || a.state.Load() == sealed
 }
 
--- a/connection/upstream/failure.go
+++ b/connection/upstream/failure.go
@@ -31,15 +31,15 @@
 	return "backend server answered " + strconv.Itoa(e.Status)
 }
 
-// ReadStatus makes a StatusError of an answer and closes its body.
-func ReadStatus(resp *http.Response) *StatusError {
+// ReadStatusError makes a StatusError of an answer and closes its body.
+func ReadStatusError(resp *http.Response) *StatusError {
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
-	return NewStatus(resp.StatusCode, resp.Header, body)
+	return NewStatusError(resp.StatusCode, resp.Header, body)
 }
 
-// NewStatus makes a StatusError of an answer that was read already.
-func NewStatus(status int, header http.Header, body []byte) *StatusError {
+// NewStatusError makes a StatusError of an answer that was read already.
+func NewStatusError(status int, header http.Header, body []byte) *StatusError {
 	e := &StatusError{Status: status, Body: body}
 	if seconds, err := strconv.Atoi(header.Get("Retry-After")); err == nil && seconds >= 0 {
 		e.RetryAfter = time.Duration(seconds) * time.Second
@@ -66,9 +66,9 @@
 	return ok && notRun
 }
 
-// Crashed tells whether the error means that the server itself went away:
+// IsConnectionError tells whether the error means that the server itself went away:
 // refused, reset, or closed in the middle of an answer.
-func Crashed(err error) bool {
+func IsConnectionError(err error) bool {
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
 	}
@@ -103,8 +103,8 @@
 // counts as dead.
 const aliveTimeout = 500 * time.Millisecond
 
-// Alive tells whether a server accepts connections.
-func Alive(ctx context.Context, address string) bool {
+// Reachable tells whether a server accepts connections.
+func Reachable(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: aliveTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/connection/upstream/pool.go
+++ b/connection/upstream/pool.go
@@ -152,7 +152,7 @@
 
 func (c *trackedConn) Write(b []byte) (int, error) {
 	if a := c.attempt.Load(); a != nil && !a.mayWrite() {
-		return 0, ErrSealed
+		return 0, ErrAbandoned
 	}
 	n, err := c.Conn.Write(b)
 	c.pool.sent.Add(uint64(n))
--- a/connection/upstream/recent_test.go
+++ b/connection/upstream/pool_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	req.Header.Set(RequestIDHeader, id)
-	resp, err := client.DoRecent(req, &Attempt{})
+	resp, err := client.DoRecentConn(req, &Attempt{})
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 		is.NoErr(book(t, client, url, id))
 	}
 	wrong.Store(true)
-	is.True(errors.Is(book(t, client, url, "3"), ErrNotBound))
+	is.True(errors.Is(book(t, client, url, "3"), ErrIDMismatch))
 	wrong.Store(false)
 	before := connections.Load()
 	for _, id := range []string{"4", "5"} {
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -23,11 +23,11 @@
 }
 
 // NewClient returns a Client of its own connections.
-func NewClient() *Client { return NewClientFor(RequestIDHeader) }
+func NewClient() *Client { return NewClientWithIDHeader(RequestIDHeader) }
 
-// NewClientFor is NewClient for servers that echo the id of a request in the
+// NewClientWithIDHeader is NewClient for servers that echo the id of a request in the
 // given header.
-func NewClientFor(idHeader string) *Client {
+func NewClientWithIDHeader(idHeader string) *Client {
 	return &Client{requests: newPool(idHeader), control: newPool(RequestIDHeader)}
 }
 
@@ -70,29 +70,29 @@
 
 // Do sends the request as the attempt, which may be nil for calls that no
 // caller waits for, over a kept connection where the server is known to echo
-// request ids. See ErrNotBound and ErrUnnamed for answers that are discarded.
+// request ids. See ErrIDMismatch and ErrMissingID for answers that are discarded.
 func (c *Client) Do(req *http.Request, attempt *Attempt) (*http.Response, error) {
 	address := req.URL.Host
 	return c.requests.do(c.requests.clientFor(address), req, attempt)
 }
 
-// DoFresh is Do over a connection of its own.
+// DoNewConn is Do over a connection of its own.
 //
 // It guards against a request that must not be repeated and meets a kept
 // connection at the moment at which the server closes it: nobody can tell then
 // whether it ran. It shows as an unknown outcome while the server is well. It
 // holds because a connection that was just opened is not idle.
-func (c *Client) DoFresh(req *http.Request, attempt *Attempt) (*http.Response, error) {
+func (c *Client) DoNewConn(req *http.Request, attempt *Attempt) (*http.Response, error) {
 	return c.requests.do(c.requests.fresh, req, attempt)
 }
 
-// DoRecent is Do for a request that must not be repeated, over a connection that was in
+// DoRecentConn is Do for a request that must not be repeated, over a connection that was in
 // use just now, or a new one.
 //
-// It guards against the same as DoFresh, without a new connection each time: one that
+// It guards against the same as DoNewConn, without a new connection each time: one that
 // was used within recentIdle is not about to be closed for being idle. A server that
 // gave an answer to another request gets new connections for a while.
-func (c *Client) DoRecent(req *http.Request, attempt *Attempt) (*http.Response, error) {
+func (c *Client) DoRecentConn(req *http.Request, attempt *Attempt) (*http.Response, error) {
 	return c.requests.do(c.requests.recentFor(req.URL.Host), req, attempt)
 }
 
@@ -125,13 +125,13 @@
 	return resp, nil
 }
 
-// ErrNotBound is the error of an answer that belongs to another request.
-var ErrNotBound = errors.New("answer carries another request's X-Request-Id; it was discarded")
+// ErrIDMismatch is the error of an answer that belongs to another request.
+var ErrIDMismatch = errors.New("answer carries another request's X-Request-Id; it was discarded")
 
-// ErrUnnamed is the error of an answer on a kept connection that names no
+// ErrMissingID is the error of an answer on a kept connection that names no
 // request, from a server that named them before. The next call to that server
 // has a connection of its own.
-var ErrUnnamed = errors.New("answer on a kept connection carries no X-Request-Id and may be another's; it was discarded")
+var ErrMissingID = errors.New("answer on a kept connection carries no X-Request-Id and may be another's; it was discarded")
 
 // bind checks that an answer belongs to its request.
 //
@@ -148,12 +148,12 @@
 	got := resp.Header.Get(p.idHeader)
 	if got != "" && want != "" && got != want {
 		p.distrust(req.URL.Host)
-		return ErrNotBound
+		return ErrIDMismatch
 	}
 	echoed := want != "" && got == want
 	p.learn(req.URL.Host, echoed)
 	if reused && !echoed {
-		return ErrUnnamed
+		return ErrMissingID
 	}
 	return nil
 }
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -43,7 +43,7 @@
 		if err == nil {
 			resp.Body.Close()
 		}
-		if attempt.Seal() {
+		if attempt.Abandon() {
 			sealed = append(sealed, path)
 			is.True(err != nil)
 		}
@@ -65,7 +65,7 @@
 			attempt := &Attempt{}
 			var wrote, proved atomic.Bool
 			go func() { wrote.Store(attempt.mayWrite()) }()
-			go func() { proved.Store(attempt.Seal()) }()
+			go func() { proved.Store(attempt.Abandon()) }()
 			synctest.Wait()
 			is.True(wrote.Load() != proved.Load())
 			is.Equal(attempt.Written(), wrote.Load())
@@ -169,9 +169,9 @@
 		{"echoes", []string{"=", "=", "=", "="}, []error{nil, nil, nil, nil}, 2},
 		{"never echoes", []string{"", "", ""}, []error{nil, nil, nil}, 3},
 		{"echoes later", []string{"", "=", "="}, []error{nil, nil, nil}, 3},
-		{"ends to echo", []string{"=", "=", "", "", ""}, []error{nil, nil, ErrUnnamed, nil, nil}, 4},
-		{"another's answer at first", []string{other, "="}, []error{ErrNotBound, nil}, 2},
-		{"another's answer later", []string{"=", "=", other, "="}, []error{nil, nil, ErrNotBound, nil}, 3},
+		{"ends to echo", []string{"=", "=", "", "", ""}, []error{nil, nil, ErrMissingID, nil, nil}, 4},
+		{"another's answer at first", []string{other, "="}, []error{ErrIDMismatch, nil}, 2},
+		{"another's answer later", []string{"=", "=", other, "="}, []error{nil, nil, ErrIDMismatch, nil}, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -24,7 +24,7 @@
 // the last request has ended and its outcome is stored.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
-	e.callers.Leave()
+	e.callers.DisableKeepAlives()
 	if e.onLeave != nil {
 		e.onLeave()
 	}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -104,7 +104,7 @@
 	if protocol == nil {
 		return nil
 	}
-	e.routed = upstream.NewClientFor(protocol.IDHeader())
+	e.routed = upstream.NewClientWithIDHeader(protocol.IDHeader())
 	return gateway.NewClient(e.routed, protocol)
 }
 
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -71,7 +71,7 @@
 	g := &routed{daemon: d, logger: d.logger, platform: platform}
 	g.list = platform.ServerList(d.settings.Gateway.ServerList.Value, serverlist.NewClient())
 	g.handler = gateway.NewHandler(platform, g, d.entry.counters, requestLog{d.entry.log})
-	d.entry.onLeave = g.handler.Leave
+	d.entry.onLeave = g.handler.DisableKeepAlives
 	g.setBounds(d.settings.Gateway)
 	g.seeds.Store(&d.settings.State)
 	return g
@@ -94,11 +94,11 @@
 	return g.confirmedWithin(&g.revocation, keysTrusted)
 }
 
-// MayDeny implements gateway.Router.
+// DocumentFresh implements gateway.Router.
 //
 // An instance that a document has not reached yet can't tell a route or key that was
 // added from one that never was.
-func (g *routed) MayDeny() bool { return g.confirmedWithin(&g.applied, denialTrusted) }
+func (g *routed) DocumentFresh() bool { return g.confirmedWithin(&g.applied, denialTrusted) }
 
 // confirmedWithin tells whether what is in force was surely the newest within a
 // share of the bound.
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return g.platform.Document(text)
+	return g.platform.ParseDocument(text)
 }
 
 // configure gives the policy the document and the servers, and only then lets
@@ -163,7 +163,7 @@
 // followList takes the list from the state processes, the nearest first, and from
 // the platform itself where none of them knows it.
 func (g *routed) followList(ctx context.Context) {
-	serverlist.NewFollower(serverlist.NewHolder(), serverlist.Options{
+	serverlist.NewUpdater(serverlist.NewStore(), serverlist.Options{
 		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
 		OnList: g.onList, Logger: g.logger,
 	}).Run(ctx)
--- a/daemon/entry/gateway_test.go
+++ b/daemon/entry/gateway_test.go
@@ -24,7 +24,7 @@
 // the one before it.
 type numbered struct{ gateway.Platform }
 
-func (numbered) Document(content []byte) (*routing.Document, error) {
+func (numbered) ParseDocument(content []byte) (*routing.Document, error) {
 	version, err := strconv.ParseUint(string(content), 10, 64)
 	document := &routing.Document{Version: version, Services: []routing.Service{{Name: "desk"}}}
 	for number := range version {
@@ -67,7 +67,7 @@
 				continue
 			}
 			seen = table.Document.Version
-			q := &gateway.Request{Head: gateway.Head{AttemptID: "a"}, Method: http.MethodGet, URI: "/", Host: "h", Route: &table.Document.Routes[seen-1], Table: table, Deadline: time.Now().Add(time.Second)}
+			q := &gateway.Request{RequestInfo: gateway.RequestInfo{AttemptID: "a"}, Method: http.MethodGet, URI: "/", Host: "h", Route: &table.Document.Routes[seen-1], Table: table, Deadline: time.Now().Add(time.Second)}
 			_ = f.relay.Forward(context.Background(), q, &gateway.Answer{})
 		}
 	})
--- a/daemon/entry/links.go
+++ b/daemon/entry/links.go
@@ -67,5 +67,5 @@
 	default:
 		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "instances know no %q; ask for requests, servers or instances", request.GetSubject())
 	}
-	return reply, operator.Narrow(request, d.settings.Name, reply)
+	return reply, operator.FilterReply(request, d.settings.Name, reply)
 }
--- a/daemon/entry/reports.go
+++ b/daemon/entry/reports.go
@@ -21,7 +21,7 @@
 // reports gives engines' reports to the core.
 type reports struct{ relay *relay.Relay }
 
-var _ engine.Reports = reports{}
+var _ engine.ReportHandler = reports{}
 
 // OnLoad passes a load report on with its age.
 func (r reports) OnLoad(server string, load *engine.Load) {
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -59,14 +59,14 @@
 	links    *link.Server
 	keys     *secret.Reloadable[secret.Keys]
 	// follower keeps the list of backend servers; nil where the settings name none.
-	follower *serverlist.Follower
+	follower *serverlist.Updater
 	// control serves the gateway's document; nil without a gateway.
 	control  *khttp.Server
 	stopping atomic.Bool
 }
 
 // ControlHandler answers the operators of the gateway's document.
-type ControlHandler func(documents gateway.Documents) http.Handler
+type ControlHandler func(documents gateway.DocumentStore) http.Handler
 
 // Control is the interface for the gateway's document; the zero value is none.
 type Control struct {
@@ -94,7 +94,7 @@
 	}
 	service := NewService(machine, log, logger)
 	service.Register(mux)
-	servers := serverlist.NewHolder()
+	servers := serverlist.NewStore()
 	servers.Register(mux)
 	register(registry, service)
 	metrics.RegisterTraffic(registry, metrics.LinkBytes, metrics.LinkBytesHelp, id.Traffic.Bytes)
@@ -119,7 +119,7 @@
 }
 
 // newFollower reads the platform's list on the leader, and asks the leader elsewhere.
-func (d *Daemon) newFollower(holder *serverlist.Holder, id link.Identity, control Control) *serverlist.Follower {
+func (d *Daemon) newFollower(holder *serverlist.Store, id link.Identity, control Control) *serverlist.Updater {
 	var leader link.Caller
 	address := ""
 	upstream := func() []link.Caller {
@@ -133,7 +133,7 @@
 		}
 		return []link.Caller{leader}
 	}
-	return serverlist.NewFollower(holder, serverlist.Options{
+	return serverlist.NewUpdater(holder, serverlist.Options{
 		Upstream: upstream, List: control.List(d.settings.ServerList.Value, serverlist.NewClient()),
 		Every: d.settings.ListEvery.Duration, Logger: d.logger,
 	})
--- a/daemon/state/documents.go
+++ b/daemon/state/documents.go
@@ -36,7 +36,7 @@
 	control netip.AddrPort
 }
 
-var _ gateway.Documents = (*documents)(nil)
+var _ gateway.DocumentStore = (*documents)(nil)
 
 // Put implements gateway.Documents.
 func (d *documents) Put(ctx context.Context, content []byte) error {
@@ -99,5 +99,5 @@
 	if !fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER) || parseErr != nil {
 		return err
 	}
-	return &gateway.MovedError{Address: netip.AddrPortFrom(leader.Addr(), d.control.Port()).String()}
+	return &gateway.NotLeaderError{Address: netip.AddrPortFrom(leader.Addr(), d.control.Port()).String()}
 }
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	d, log := newDocuments(t)
 	log.err = fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another leads", fault.WithLeader("10.0.0.4:7340"))
-	var moved *gateway.MovedError
+	var moved *gateway.NotLeaderError
 	is.True(errors.As(d.Put(t.Context(), []byte("4 first")), &moved))
 	is.Equal(moved.Address, "10.0.0.4:8229")
 	_, err := d.Get(t.Context())
--- a/request/outcome/record.go
+++ b/request/outcome/record.go
@@ -48,12 +48,12 @@
 func (r *Record) Answered() { r.answered = true }
 
 // Proof seals all attempts and reports whether the request provably did not run: for each
-// attempt, no byte was written, or the server stated that it did not run it. A sealed
+// attempt, no byte was written, or the server stated that it did not run it. An abandoned
 // attempt can no longer write.
 func (r *Record) Proof() (Proof, bool) {
 	proved := !r.answered
 	for _, a := range r.attempts {
-		if !a.attempt.Seal() && !a.refused {
+		if !a.attempt.Abandon() && !a.refused {
 			proved = false
 		}
 	}
--- a/request/relay/chat.go
+++ b/request/relay/chat.go
@@ -65,7 +65,7 @@
 	j := &chatJob{relay: r, flight: f, q: q, answer: answer, got: newCompletion(q.RequestID, words)}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
-		PromptTokens: words, MaxTokens: q.Bound(), Prefix: blocksOf(prefix.Blocks(texts...)),
+		PromptTokens: words, MaxTokens: q.TokenLimit(), Prefix: blocksOf(prefix.Blocks(texts...)),
 		Deadline: q.Deadline, Idempotent: q.Key == "",
 	}
 	return r.carry(ctx, f, &q.Meta, answer, func(keep *copied) error {
@@ -94,7 +94,7 @@
 		return j.finish(t)
 	}
 	stream, err := j.open(ctx, t)
-	if err != nil && t.attempt.Written() && upstream.Crashed(err) && ctx.Err() == nil {
+	if err != nil && t.attempt.Written() && upstream.IsConnectionError(err) && ctx.Err() == nil {
 		stream, err = j.resumeHere(ctx, t)
 	}
 	if err != nil {
@@ -104,7 +104,7 @@
 	for resumes := 0; ; resumes++ {
 		err = j.read(ctx, t, stream)
 		stream.Close()
-		if err == nil || resumes == maxResumes || ctx.Err() != nil || !upstream.Crashed(err) {
+		if err == nil || resumes == maxResumes || ctx.Err() != nil || !upstream.IsConnectionError(err) {
 			return err
 		}
 		if stream, err = j.resumeHere(ctx, t); err != nil {
@@ -122,7 +122,7 @@
 			return j.finish(t)
 		}
 		if err == io.EOF {
-			return engine.ErrCut
+			return engine.ErrTruncated
 		}
 		if err != nil {
 			return err
@@ -135,7 +135,7 @@
 
 // complete tells whether an earlier attempt brought the whole text already.
 func (j *chatJob) complete() bool {
-	if bound := j.q.Bound(); j.got.finish == "" && j.got.plain && bound > 0 && j.got.tokens >= bound {
+	if bound := j.q.TokenLimit(); j.got.finish == "" && j.got.plain && bound > 0 && j.got.tokens >= bound {
 		j.got.finish = reasonLength
 	}
 	return j.got.finish != ""
@@ -147,8 +147,8 @@
 	if err != nil {
 		return err
 	}
-	if err := stream.Check(chunk); err != nil {
-		return fmt.Errorf("%w: %w", err, upstream.ErrNotBound)
+	if err := stream.CheckID(chunk); err != nil {
+		return fmt.Errorf("%w: %w", err, upstream.ErrIDMismatch)
 	}
 	if err := ctx.Err(); err != nil {
 		return err
@@ -159,7 +159,7 @@
 	if err := j.got.add(chunk); err != nil {
 		return err
 	}
-	if chunk.Token() {
+	if chunk.HasToken() {
 		j.token()
 	}
 	if !j.q.Stream {
--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -22,7 +22,7 @@
 	before := j.flight.held
 	if before.id != "" && before.server == t.start.ResumeFrom && j.got.tokens > 0 {
 		stream, err := j.resume(ctx, call, t, before)
-		if err == nil || t.attempt.Written() && upstream.Crashed(err) {
+		if err == nil || t.attempt.Written() && upstream.IsConnectionError(err) {
 			return stream, err
 		}
 		if ctx.Err() != nil {
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -17,7 +17,7 @@
 		return nil
 	case continued && chunk.Empty():
 		return nil
-	case continued && len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Role != "" && chunk.Plain():
+	case continued && len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Role != "" && chunk.TextOnly():
 		data = j.got.textChunk(chunk.Choices[0].Delta.Content, chunk.FinishReason())
 		return j.event(t, data, false)
 	}
--- a/request/relay/classify.go
+++ b/request/relay/classify.go
@@ -29,10 +29,10 @@
 		return failed, "cut"
 	case errors.Is(err, errStalled):
 		return failed, "stalled"
-	case errors.Is(err, upstream.ErrNotBound), errors.Is(err, upstream.ErrUnnamed):
+	case errors.Is(err, upstream.ErrIDMismatch), errors.Is(err, upstream.ErrMissingID):
 		failed.ServerError = true
 		return failed, "not_bound"
-	case upstream.Crashed(err):
+	case upstream.IsConnectionError(err):
 		failed.Crashed = true
 		return failed, "crashed"
 	}
--- a/request/relay/completion.go
+++ b/request/relay/completion.go
@@ -58,7 +58,7 @@
 	if len(chunk.Choices) == 0 {
 		return nil
 	}
-	if chunk.Token() {
+	if chunk.HasToken() {
 		c.tokens++
 	}
 	if reason := chunk.FinishReason(); reason != "" {
@@ -66,7 +66,7 @@
 	}
 	delta := &chunk.Choices[0].Delta
 	c.text.WriteString(delta.Content)
-	if chunk.Plain() {
+	if chunk.TextOnly() {
 		return nil
 	}
 	c.plain = false
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -87,7 +87,7 @@
 }
 
 // prefixOf gives each part the hash of itself and all parts before it.
-func prefixOf(parts []gateway.Part) []policy.Block {
+func prefixOf(parts []gateway.PromptPart) []policy.Block {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -119,7 +119,7 @@
 
 // send makes one attempt.
 func (j *forwardJob) send(ctx context.Context, t *try) error {
-	send := &gateway.Send{
+	send := &gateway.ForwardInfo{
 		Server: t.server.GetIdentity(), Priority: t.start.Level, Resumable: j.q.Route.Resumable, LastEvent: j.lastEvent,
 	}
 	if j.q.Team != nil {
@@ -128,21 +128,21 @@
 	if holder := j.relay.server(t.start.FetchFrom); holder != nil {
 		send.FetchFrom = holder.GetAddress()
 	}
-	if !j.q.Waits.IsZero() {
-		send.Left = time.Until(j.q.Waits)
+	if !j.q.CallerDeadline.IsZero() {
+		send.Remaining = time.Until(j.q.CallerDeadline)
 	}
 	resp, err := j.relay.Gateway.Do(ctx, gateway.Call{
 		Address: t.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Host: j.q.Host,
-		Header: j.q.Header, Body: j.q.Body, Send: send, Attempt: t.attempt, Once: !j.q.Route.Repeatable(),
+		Header: j.q.Header, Body: j.q.Body, Info: send, Attempt: t.attempt, NonIdempotent: !j.q.Route.Repeatable(),
 	})
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	j.noteLoad(t, resp.Reply)
+	j.noteLoad(t, resp.Info)
 	j.noteLimit(t, resp)
-	if resp.Reply.NotRun {
-		return &upstream.StatusError{Status: http.StatusServiceUnavailable, NotRun: true, RetryAfter: resp.Reply.RetryAfter}
+	if resp.Info.NotRun {
+		return &upstream.StatusError{Status: http.StatusServiceUnavailable, NotRun: true, RetryAfter: resp.Info.RetryAfter}
 	}
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
 		return j.passEvents(ctx, resp)
@@ -151,7 +151,7 @@
 }
 
 // noteLoad tells the core what the server says of its load.
-func (j *forwardJob) noteLoad(t *try, reply gateway.Reply) {
+func (j *forwardJob) noteLoad(t *try, reply gateway.ResponseInfo) {
 	if load := reply.Load; load != nil {
 		j.relay.Post(policy.LoadReport{Server: t.start.Server, Running: load.Running, Waiting: load.Waiting})
 	}
@@ -160,15 +160,15 @@
 // noteLimit tells the core of a limit that the server names, or names no longer. Another
 // server's word at the same address says nothing of this one.
 func (j *forwardJob) noteLimit(t *try, resp *gateway.Response) {
-	limit := resp.Reply.Limit
+	limit := resp.Info.Limit
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	if limit.Unreadable != "" {
-		j.relay.logBadLimit(j.flight, t.start, limit.Unreadable)
+	if limit.Invalid != "" {
+		j.relay.logBadLimit(j.flight, t.start, limit.Invalid)
 		return
 	}
-	j.relay.Post(policy.LimitReport{Server: t.start.Server, Advertised: limit.Named, PerSecond: limit.PerSecond})
+	j.relay.Post(policy.LimitReport{Server: t.start.Server, Advertised: limit.Advertised, PerSecond: limit.PerSecond})
 }
 
 // passWhole reads the answer to its end before its first byte goes out.
@@ -196,7 +196,7 @@
 func (j *forwardJob) give(whole *wholeAnswer) error {
 	j.flight.record.Answered()
 	j.progress(1)
-	j.relay.Protocol.Incoming(j.answer.Header(), whole.header)
+	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), whole.header)
 	j.answer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
 	j.answer.Begin(whole.status)
 	if j.q.Method == http.MethodHead {
@@ -257,7 +257,7 @@
 }
 
 func (j *forwardJob) begin(resp *gateway.Response) {
-	j.relay.Protocol.Incoming(j.answer.Header(), resp.Header)
+	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), resp.Header)
 	if resp.ContentLength >= 0 && !j.q.Route.Resumable {
 		j.answer.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
--- a/request/relay/run.go
+++ b/request/relay/run.go
@@ -128,7 +128,7 @@
 		f.held = held{}
 		return true, nil
 	}
-	unsent := t.attempt.Seal()
+	unsent := t.attempt.Abandon()
 	r.logFailed(f, start, err, unsent)
 	switch {
 	case !f.claimed && (ctx.Err() != nil || f.late() || errors.Is(err, errCallerGone)):
@@ -159,7 +159,7 @@
 	if failed.Refused {
 		f.record.Refused()
 	}
-	if errors.Is(err, upstream.ErrNotBound) {
+	if errors.Is(err, upstream.ErrIDMismatch) {
 		r.Counter.Broken("answer_of_another_request")
 	}
 	if j.begun() && !j.continuable() {
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -55,7 +55,7 @@
 func (j *serviceJob) try(ctx context.Context, t *try) error {
 	resp, err := j.relay.Services.Do(ctx, service.Call{
 		Address: t.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Header: j.q.Header, Body: j.q.Body,
-		RequestID: t.upstreamID, Attempt: t.attempt, Once: !j.idempotent(),
+		RequestID: t.upstreamID, Attempt: t.attempt, NonIdempotent: !j.idempotent(),
 	})
 	if err != nil {
 		return j.probed(ctx, t, err)
@@ -68,7 +68,7 @@
 	if err != nil {
 		return j.probed(ctx, t, err)
 	}
-	if status := upstream.NewStatus(resp.StatusCode, resp.Header, head); status.NotRun {
+	if status := upstream.NewStatusError(resp.StatusCode, resp.Header, head); status.NotRun {
 		return status
 	}
 	return j.passOn(t, resp, head)
@@ -82,7 +82,7 @@
 func (j *serviceJob) probed(ctx context.Context, t *try, err error) error { return probed(ctx, t, err) }
 
 func probed(ctx context.Context, t *try, err error) error {
-	if upstream.Crashed(err) && t.attempt.Written() && upstream.Alive(ctx, t.server.GetAddress()) {
+	if upstream.IsConnectionError(err) && t.attempt.Written() && upstream.Reachable(ctx, t.server.GetAddress()) {
 		return errCutLive
 	}
 	return err
