--- a/connection/caller/handler.go
+++ b/connection/caller/handler.go
@@ -63,7 +63,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	headerCame(r.Context())
-	answer := newAnswer(w, newRequestID(), h.instance)
+	answer := newResponseWriter(w, newRequestID(), h.instance)
 	err := h.serve(w, r, answer)
 	if err == nil {
 		return
@@ -72,7 +72,7 @@
 	answer.Fail(err)
 }
 
-func (h *Handler) serve(w http.ResponseWriter, r *http.Request, answer *Answer) error {
+func (h *Handler) serve(w http.ResponseWriter, r *http.Request, answer *ResponseWriter) error {
 	if err := h.checkHeader(r); err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "nothing at "+r.Method+" "+strconv.Quote(r.URL.Path)+"; see docs/INTERFACES.md")
 }
 
-func (h *Handler) chat(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *Answer) error {
+func (h *Handler) chat(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
 	body, err := h.readBody(w, r)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return h.router.Chat(ctx, &Chat{Meta: meta, ChatFields: fields}, answer)
 }
 
-func (h *Handler) service(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *Answer) error {
+func (h *Handler) service(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicePrefix), "/")
 	if !serves(view, name, lilacv1.ServerKind_SERVER_KIND_SERVICE) {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "service "+strconv.Quote(name)+" is served by no server; check the path")
@@ -164,7 +164,7 @@
 	Data   []modelEntry `json:"data"`
 }
 
-func (h *Handler) models(view *model.View, answer *Answer) error {
+func (h *Handler) models(view *model.View, answer *ResponseWriter) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for name := range view.Pools {
 		if serves(view, name, lilacv1.ServerKind_SERVER_KIND_ENGINE) {
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	answer.Begin(http.StatusOK, "application/json", "")
+	answer.WriteHeader(http.StatusOK, "application/json", "")
 	_, err = answer.Write(body)
 	return err
 }
--- a/connection/caller/request.go
+++ b/connection/caller/request.go
@@ -45,8 +45,8 @@
 type Router interface {
 	// View returns the configuration in force; nil while none is known.
 	View() *model.View
-	Chat(ctx context.Context, q *Chat, answer *Answer) error
-	Service(ctx context.Context, q *Service, answer *Answer) error
+	Chat(ctx context.Context, q *Chat, answer *ResponseWriter) error
+	Service(ctx context.Context, q *Service, answer *ResponseWriter) error
 }
 
 // Counter counts what happened to callers' requests; labels are bounded.
--- a/connection/caller/answer.go
+++ b/connection/caller/response.go
@@ -20,36 +20,36 @@
 	deadlineStep = 5 * time.Second
 )
 
-// Answer writes one answer to a caller. It is used by one goroutine.
-type Answer struct {
+// ResponseWriter writes one answer to a caller. It is used by one goroutine.
+type ResponseWriter struct {
 	// RequestID is the request's id towards the caller.
 	RequestID string
 
 	w        http.ResponseWriter
 	control  *http.ResponseController
-	begun    bool
+	headerWritten    bool
 	stream   bool
-	deadline time.Time
+	writeDeadline time.Time
 }
 
-func newAnswer(w http.ResponseWriter, requestID, instance string) *Answer {
+func newResponseWriter(w http.ResponseWriter, requestID, instance string) *ResponseWriter {
 	w.Header().Set(requestIDHeader, requestID)
 	w.Header().Set(instanceHeader, instance)
-	return &Answer{RequestID: requestID, w: w, control: http.NewResponseController(w)}
+	return &ResponseWriter{RequestID: requestID, w: w, control: http.NewResponseController(w)}
 }
 
 // Header returns the headers, to be changed before Begin.
-func (a *Answer) Header() http.Header { return a.w.Header() }
+func (a *ResponseWriter) Header() http.Header { return a.w.Header() }
 
-// Begun tells whether the status has gone out.
-func (a *Answer) Begun() bool { return a.begun }
+// HeaderWritten tells whether the status has gone out.
+func (a *ResponseWriter) HeaderWritten() bool { return a.headerWritten }
 
-// Begin sends the status and headers; a second call does nothing.
-func (a *Answer) Begin(status int, contentType, server string) {
-	if a.begun {
+// WriteHeader sends the status and headers; a second call does nothing.
+func (a *ResponseWriter) WriteHeader(status int, contentType, server string) {
+	if a.headerWritten {
 		return
 	}
-	a.begun = true
+	a.headerWritten = true
 	a.stream = contentType == eventStream
 	header := a.w.Header()
 	if contentType != "" {
@@ -64,23 +64,23 @@
 	a.w.WriteHeader(status)
 }
 
-// BeginStream is Begin for server-sent events.
-func (a *Answer) BeginStream(server string) { a.Begin(http.StatusOK, eventStream, server) }
+// WriteStreamHeader is Begin for server-sent events.
+func (a *ResponseWriter) WriteStreamHeader(server string) { a.WriteHeader(http.StatusOK, eventStream, server) }
 
 // Write sends a part. A caller that accepts nothing for writeTimeout is cut.
-func (a *Answer) Write(b []byte) (int, error) {
-	if now := time.Now(); a.deadline.Sub(now) < writeTimeout-deadlineStep {
-		a.deadline = now.Add(writeTimeout)
-		_ = a.control.SetWriteDeadline(a.deadline)
+func (a *ResponseWriter) Write(b []byte) (int, error) {
+	if now := time.Now(); a.writeDeadline.Sub(now) < writeTimeout-deadlineStep {
+		a.writeDeadline = now.Add(writeTimeout)
+		_ = a.control.SetWriteDeadline(a.writeDeadline)
 	}
 	return a.w.Write(b)
 }
 
 // Flush hands what was written to the network.
-func (a *Answer) Flush() error { return a.control.Flush() }
+func (a *ResponseWriter) Flush() error { return a.control.Flush() }
 
-// Event writes one server-sent event and flushes it.
-func (a *Answer) Event(frame []byte) error {
+// WriteEvent writes one server-sent event and flushes it.
+func (a *ResponseWriter) WriteEvent(frame []byte) error {
 	if _, err := a.Write(frame); err != nil {
 		return err
 	}
@@ -90,25 +90,25 @@
 // Fail ends the answer with a typed error: as JSON where nothing went out yet,
 // as an event and without "[DONE]" in a stream, else by cutting the connection,
 // so that a part never looks like the whole.
-func (a *Answer) Fail(err error) {
+func (a *ResponseWriter) Fail(err error) {
 	body := encodeError(err, a.RequestID)
-	if !a.begun {
+	if !a.headerWritten {
 		a.failWhole(err, body)
 		return
 	}
 	if !a.stream {
 		panic(http.ErrAbortHandler)
 	}
-	_ = a.Event(append(append([]byte("data: "), body...), '\n', '\n'))
+	_ = a.WriteEvent(append(append([]byte("data: "), body...), '\n', '\n'))
 }
 
-func (a *Answer) failWhole(err error, body []byte) {
+func (a *ResponseWriter) failWhole(err error, body []byte) {
 	if after := fault.RetryAfterOf(err); after > 0 {
 		a.w.Header().Set("Retry-After", retryAfterSeconds(after))
 	}
 	if fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER) || fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE) {
 		a.w.Header().Set("Connection", "close")
 	}
-	a.Begin(StatusOf(err), "application/json", "")
+	a.WriteHeader(StatusOf(err), "application/json", "")
 	_, _ = a.Write(body)
 }
--- a/connection/gateway/handler.go
+++ b/connection/gateway/handler.go
@@ -69,7 +69,7 @@
 	// enough to call a route or key unknown.
 	DocumentFresh() bool
 	// Forward answers the request; the error becomes the caller's.
-	Forward(ctx context.Context, q *Request, answer *Answer) error
+	Forward(ctx context.Context, q *Request, answer *ResponseWriter) error
 }
 
 // Counter counts what is refused before it is a request of any class.
@@ -111,7 +111,7 @@
 	if h.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	answer := newAnswer(w)
+	answer := newResponseWriter(w)
 	q, err := h.check(w, r)
 	if err != nil {
 		h.refuse(r, answer, err)
@@ -127,7 +127,7 @@
 	}
 }
 
-func (h *Handler) refuse(r *http.Request, answer *Answer, err error) {
+func (h *Handler) refuse(r *http.Request, answer *ResponseWriter, err error) {
 	h.counter.Refused(fault.Name(fault.KindOf(err)))
 	h.log.Refused(r.Header.Get(h.protocol.IDHeader()), r.Host, r.URL.Path, err)
 	answer.Fail(err)
--- a/connection/gateway/answer.go
+++ b/connection/gateway/response.go
@@ -18,31 +18,31 @@
 	deadlineStep = 5 * time.Second
 )
 
-// Answer writes one answer to a caller. It is used by one goroutine.
-type Answer struct {
+// ResponseWriter writes one answer to a caller. It is used by one goroutine.
+type ResponseWriter struct {
 	w        http.ResponseWriter
 	control  *http.ResponseController
-	begun    bool
+	headerWritten    bool
 	status   int
-	deadline time.Time
+	writeDeadline time.Time
 }
 
-func newAnswer(w http.ResponseWriter) *Answer {
-	return &Answer{w: w, control: http.NewResponseController(w)}
+func newResponseWriter(w http.ResponseWriter) *ResponseWriter {
+	return &ResponseWriter{w: w, control: http.NewResponseController(w)}
 }
 
 // Header returns the headers, to be changed before Begin.
-func (a *Answer) Header() http.Header { return a.w.Header() }
+func (a *ResponseWriter) Header() http.Header { return a.w.Header() }
 
-// Begun tells whether the status has gone out.
-func (a *Answer) Begun() bool { return a.begun }
+// HeaderWritten tells whether the status has gone out.
+func (a *ResponseWriter) HeaderWritten() bool { return a.headerWritten }
 
 // Status is what was sent; 0 before Begin.
-func (a *Answer) Status() int { return a.status }
+func (a *ResponseWriter) Status() int { return a.status }
 
-// Begin sends the status and the headers.
-func (a *Answer) Begin(status int) {
-	a.begun, a.status = true, status
+// WriteHeader sends the status and the headers.
+func (a *ResponseWriter) WriteHeader(status int) {
+	a.headerWritten, a.status = true, status
 	header := a.w.Header()
 	// Keeps the library from adding what the backend server didn't send.
 	if _, has := header["Content-Type"]; !has {
@@ -52,28 +52,28 @@
 }
 
 // Write sends a part. A caller that accepts nothing for writeTimeout is cut.
-func (a *Answer) Write(b []byte) (int, error) {
-	if now := time.Now(); a.deadline.Sub(now) < writeTimeout-deadlineStep {
-		a.deadline = now.Add(writeTimeout)
-		_ = a.control.SetWriteDeadline(a.deadline)
+func (a *ResponseWriter) Write(b []byte) (int, error) {
+	if now := time.Now(); a.writeDeadline.Sub(now) < writeTimeout-deadlineStep {
+		a.writeDeadline = now.Add(writeTimeout)
+		_ = a.control.SetWriteDeadline(a.writeDeadline)
 	}
 	return a.w.Write(b)
 }
 
 // Flush hands what was written to the network.
-func (a *Answer) Flush() error { return a.control.Flush() }
+func (a *ResponseWriter) Flush() error { return a.control.Flush() }
 
 // Fail ends the answer with an error: as a status where nothing went out yet,
 // else by cutting the connection, so that a part never looks like the whole.
-func (a *Answer) Fail(err error) {
-	if a.begun {
+func (a *ResponseWriter) Fail(err error) {
+	if a.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 	if after := fault.RetryAfterOf(err); after > 0 {
 		a.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
 	a.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	a.Begin(statusOf(err))
+	a.WriteHeader(statusOf(err))
 	_, _ = a.Write([]byte(err.Error() + "\n"))
 }
 
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -108,7 +108,7 @@
 }
 
 // Forward implements gateway.Router.
-func (g *routed) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
+func (g *routed) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
 	return g.daemon.entry.relay.Forward(ctx, q, answer)
 }
 
--- a/daemon/entry/gateway_test.go
+++ b/daemon/entry/gateway_test.go
@@ -68,7 +68,7 @@
 			}
 			seen = table.Document.Version
 			q := &gateway.Request{RequestInfo: gateway.RequestInfo{AttemptID: "a"}, Method: http.MethodGet, URI: "/", Host: "h", Route: &table.Document.Routes[seen-1], Table: table, Deadline: time.Now().Add(time.Second)}
-			_ = f.relay.Forward(context.Background(), q, &gateway.Answer{})
+			_ = f.relay.Forward(context.Background(), q, &gateway.ResponseWriter{})
 		}
 	})
 	for version := uint64(1); version <= documents; version++ {
--- a/request/outcome/record.go
+++ b/request/outcome/record.go
@@ -47,7 +47,7 @@
 // Answered records that part of an answer arrived, so the request did run.
 func (r *Record) Answered() { r.answered = true }
 
-// Proof seals all attempts and reports whether the request provably did not run: for each
+// Proof abandons all attempts and reports whether the request provably did not run: for each
 // attempt, no byte was written, or the server stated that it did not run it. An abandoned
 // attempt can no longer write.
 func (r *Record) Proof() (Proof, bool) {
--- a/request/relay/chat.go
+++ b/request/relay/chat.go
@@ -36,7 +36,7 @@
 	relay  *Relay
 	flight *flight
 	q      *caller.Chat
-	answer *caller.Answer
+	answer *caller.ResponseWriter
 	got    *completion
 	frame  []byte
 	// copied keeps what a streaming caller got, for the ledger; nil without a claim.
@@ -58,7 +58,7 @@
 var _ job = (*chatJob)(nil)
 
 // Chat answers a chat completions request.
-func (r *Relay) Chat(ctx context.Context, q *caller.Chat, answer *caller.Answer) error {
+func (r *Relay) Chat(ctx context.Context, q *caller.Chat, answer *caller.ResponseWriter) error {
 	f := newFlight(&q.Meta)
 	texts := q.Texts()
 	words := prefix.Words(texts...)
@@ -83,7 +83,7 @@
 	return blocks
 }
 
-func (j *chatJob) begun() bool { return j.answer.Begun() }
+func (j *chatJob) begun() bool { return j.answer.HeaderWritten() }
 
 // continuable holds for every answer of plain text; what came of a tool call
 // can't be given to another engine as prefix.
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -10,7 +10,7 @@
 // pass writes an event to a streaming caller.
 func (j *chatJob) pass(t *try, chunk *engine.Chunk, data []byte) error {
 	j.finishSent = j.finishSent || chunk.FinishReason() != ""
-	continued := j.answer.Begun() && t.start.Attempt > 1 && j.got.tokens > 0
+	continued := j.answer.HeaderWritten() && t.start.Attempt > 1 && j.got.tokens > 0
 	switch {
 	case chunk.Usage != nil && len(chunk.Choices) == 0:
 		// Written at the end, corrected over all attempts.
@@ -37,9 +37,9 @@
 }
 
 func (j *chatJob) send(t *try, frame []byte) error {
-	j.answer.BeginStream(t.start.Server)
+	j.answer.WriteStreamHeader(t.start.Server)
 	j.copied.write(frame)
-	if err := j.answer.Event(frame); err != nil && !j.flight.claimed {
+	if err := j.answer.WriteEvent(frame); err != nil && !j.flight.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
@@ -70,7 +70,7 @@
 	}
 	j.copied.begin(http.StatusOK, contentJSON)
 	j.copied.write(body)
-	j.answer.Begin(http.StatusOK, contentJSON, t.start.Server)
+	j.answer.WriteHeader(http.StatusOK, contentJSON, t.start.Server)
 	if _, err := j.answer.Write(body); err != nil && !j.flight.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -35,7 +35,7 @@
 // carry runs a request that has been checked, under a claim where it carries an
 // Idempotency-Key. The request counts as in progress until its outcome is in
 // the hands of Claims, so that a drain waits for both.
-func (r *Relay) carry(ctx context.Context, f *flight, meta *caller.Meta, answer *caller.Answer, run func(*copied) error) error {
+func (r *Relay) carry(ctx context.Context, f *flight, meta *caller.Meta, answer *caller.ResponseWriter, run func(*copied) error) error {
 	if err := r.enter(f); err != nil {
 		return err
 	}
@@ -62,9 +62,9 @@
 }
 
 // replay gives the first answer again.
-func replay(stored *lilacv1.StoredAnswer, answer *caller.Answer) error {
+func replay(stored *lilacv1.StoredAnswer, answer *caller.ResponseWriter) error {
 	answer.Header().Set("X-Lilac-Replayed", "true")
-	answer.Begin(int(stored.GetStatus()), stored.GetContentType(), "")
+	answer.WriteHeader(int(stored.GetStatus()), stored.GetContentType(), "")
 	_, err := answer.Write(stored.GetBody())
 	if err != nil {
 		return nil
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -32,7 +32,7 @@
 	relay  *Relay
 	flight *flight
 	q      *gateway.Request
-	answer *gateway.Answer
+	answer *gateway.ResponseWriter
 	// lastEvent is the id of the last whole event that the caller holds.
 	lastEvent string
 	// failure is the last answer of a server that failed; the caller gets it as
@@ -58,7 +58,7 @@
 var errAnswerTooLarge = errors.New("answer is larger than the gateway holds")
 
 // Forward answers a request of the gateway.
-func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
+func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
 	team := routing.NoTeam
 	if q.Team != nil {
 		team = q.Team.Name
@@ -80,7 +80,7 @@
 	}
 	defer r.leave(f)
 	err := r.run(ctx, f, arrival, j)
-	if err != nil && j.failure != nil && !answer.Begun() && ctx.Err() == nil {
+	if err != nil && j.failure != nil && !answer.HeaderWritten() && ctx.Err() == nil {
 		return j.give(j.failure)
 	}
 	return err
@@ -105,7 +105,7 @@
 	return blocks
 }
 
-func (j *forwardJob) begun() bool { return j.answer.Begun() }
+func (j *forwardJob) begun() bool { return j.answer.HeaderWritten() }
 
 // continuable holds where the server's own events say from where to go on.
 func (j *forwardJob) continuable() bool { return j.q.Route.Resumable }
@@ -181,11 +181,11 @@
 		return errAnswerTooLarge
 	}
 	whole := &wholeAnswer{status: resp.StatusCode, header: resp.Header, body: body}
-	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.Begun() {
+	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.HeaderWritten() {
 		j.failure = whole
 		return errServerFailed
 	}
-	if j.answer.Begun() {
+	if j.answer.HeaderWritten() {
 		// A resumed stream went on as something that is no stream.
 		return errors.New("backend server answered " + strconv.Itoa(resp.StatusCode) + " where a stream was to go on")
 	}
@@ -198,7 +198,7 @@
 	j.progress(1)
 	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), whole.header)
 	j.answer.Header().Set("Content-Length", strconv.Itoa(len(whole.body)))
-	j.answer.Begin(whole.status)
+	j.answer.WriteHeader(whole.status)
 	if j.q.Method == http.MethodHead {
 		return nil
 	}
@@ -250,7 +250,7 @@
 
 // ended gives a stream without any event its header at least.
 func (j *forwardJob) ended(resp *gateway.Response) error {
-	if !j.answer.Begun() {
+	if !j.answer.HeaderWritten() {
 		j.begin(resp)
 	}
 	return nil
@@ -261,7 +261,7 @@
 	if resp.ContentLength >= 0 && !j.q.Route.Resumable {
 		j.answer.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	j.answer.Begin(resp.StatusCode)
+	j.answer.WriteHeader(resp.StatusCode)
 }
 
 func (j *forwardJob) passEvent(ctx context.Context, resp *gateway.Response, event []byte, tokens int) error {
@@ -271,7 +271,7 @@
 	if j.flight.late() {
 		return context.DeadlineExceeded
 	}
-	if !j.answer.Begun() {
+	if !j.answer.HeaderWritten() {
 		j.begin(resp)
 	}
 	j.flight.record.Answered()
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -24,14 +24,14 @@
 	relay  *Relay
 	flight *flight
 	q      *caller.Service
-	answer *caller.Answer
+	answer *caller.ResponseWriter
 	copied *copied
 }
 
 var _ job = (*serviceJob)(nil)
 
 // Service answers a request for a plain service.
-func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.Answer) error {
+func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.ResponseWriter) error {
 	f := newFlight(&q.Meta)
 	j := &serviceJob{relay: r, flight: f, q: q, answer: answer}
 	arrival := policy.Arrival{
@@ -49,7 +49,7 @@
 	return j.q.Key == "" && (j.q.Method == http.MethodGet || j.q.Method == http.MethodHead)
 }
 
-func (j *serviceJob) begun() bool       { return j.answer.Begun() }
+func (j *serviceJob) begun() bool       { return j.answer.HeaderWritten() }
 func (j *serviceJob) continuable() bool { return false }
 
 func (j *serviceJob) try(ctx context.Context, t *try) error {
@@ -98,7 +98,7 @@
 	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.flight.arrived))
 	j.copyHeader(resp.Header)
 	j.copied.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	j.answer.Begin(resp.StatusCode, "", t.start.Server)
+	j.answer.WriteHeader(resp.StatusCode, "", t.start.Server)
 	if err := j.write(head); err != nil {
 		return err
 	}
