--- a/connection/caller/chat.go
+++ b/connection/caller/chat.go
@@ -8,7 +8,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// ChatFields are the fields of a chat completions body that lilacbridge reads.
+// ChatFields holds the fields of a chat completions body that lilacbridge reads.
 type ChatFields struct {
 	Model               string        `json:"model"`
 	Messages            []Message     `json:"messages"`
@@ -21,21 +21,22 @@
 	ContinueFinal       bool          `json:"continue_final_message"`
 }
 
-// StreamOptions are the caller's wishes for a stream.
+// StreamOptions holds the caller's options for a streamed response.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Message is one turn of the conversation.
+// Message is one message of the conversation.
 type Message struct {
 	Role    string  `json:"role"`
 	Content Content `json:"content"`
 }
 
-// Content is a message's text, sent as a string, null or a list of parts.
+// Content is the text of a message, which callers send as a string, null or a list of
+// parts.
 type Content string
 
-// UnmarshalJSON reads each of the three forms; parts that are no text count as none.
+// UnmarshalJSON accepts each of the three forms. Parts without text are skipped.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	data = bytes.TrimSpace(data)
 	if len(data) == 0 || data[0] != '[' {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// TokenLimit returns the caller's bound on the answer's tokens; 0 means none.
+// TokenLimit returns the caller's limit on generated tokens; 0 means none.
 func (f *ChatFields) TokenLimit() int { return max(f.MaxTokens, f.MaxCompletionTokens) }
 
 // Texts returns the text of each message, in order.
@@ -74,23 +75,23 @@
 	return texts
 }
 
-// parseChat reads a body and refuses what can't be routed whole.
+// parseChat parses a body and rejects requests that lilacbridge does not support.
 func parseChat(body []byte) (ChatFields, error) {
 	var fields ChatFields
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body is no chat completions JSON: "+err.Error())
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body is not valid chat completions JSON: "+err.Error())
 	}
 	switch {
 	case fields.Model == "":
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body names no model; add \"model\"")
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body has no model; add \"model\"")
 	case len(fields.Messages) == 0:
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body holds no messages; add \"messages\"")
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body has no messages; add \"messages\"")
 	case fields.N != nil && *fields.N != 1:
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "only n = 1 is served; send one request for each answer")
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "only n = 1 is supported; send one request per completion")
 	case fields.LogProbs:
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "logprobs can't be carried over a broken stream; leave it out")
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "logprobs is not supported, since a broken stream can't be continued with it; leave it out")
 	case fields.MaxTokens < 0 || fields.MaxCompletionTokens < 0:
-		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "max_tokens is negative; leave it out for no bound")
+		return fields, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "max_tokens is negative; leave it out for no limit")
 	}
 	return fields, nil
 }
--- a/connection/caller/check.go
+++ b/connection/caller/check.go
@@ -19,15 +19,15 @@
 	deadlineHeader = "X-Lilac-Deadline-Ms"
 	keyHeader      = "Idempotency-Key"
 	defaultClass   = "default"
-	// maxKey is the longest Idempotency-Key, in bytes.
-	maxKey = 255
-	// maxDeadline is the longest deadline that a caller may state.
+	// maxKeyBytes bounds the Idempotency-Key.
+	maxKeyBytes = 255
+	// maxDeadline bounds the time that a caller may set in deadlineHeader.
 	maxDeadline = 24 * time.Hour
-	// notReadyRetry tells callers when to try an instance that is starting.
+	// notReadyRetry is the Retry-After of an instance that has no configuration yet.
 	notReadyRetry = 2 * time.Second
 )
 
-// headerSize adds up the header as it came, in bytes.
+// headerSize returns the size of the request line and header in bytes.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI)
 	for key, values := range r.Header {
@@ -40,19 +40,19 @@
 
 func (h *Handler) checkHeader(r *http.Request) error {
 	if headerSize(r) > h.limits.HeaderBytes {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "header is longer than "+strconv.Itoa(h.limits.HeaderBytes)+" bytes; shorten it")
+		return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "request header is longer than "+strconv.Itoa(h.limits.HeaderBytes)+" bytes; shorten it")
 	}
 	return nil
 }
 
-// checkMeta reads who asks, for which class and until when.
+// checkMeta sets the team, class, idempotency key and deadline of the request.
 func (h *Handler) checkMeta(r *http.Request, view *model.View, meta *Meta) error {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "no caller token; send Authorization: Bearer <token>")
 	}
 	if meta.Team, ok = secret.TeamOf(h.callerKey.Get(), strings.TrimSpace(token)); !ok {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "caller token is not valid here; ask the operators for one")
+		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "caller token is not valid; ask the operators for a valid one")
 	}
 	if view.Teams[meta.Team] == nil {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_TEAM, "team "+strconv.Quote(meta.Team)+" is not configured; ask the operators to add it")
@@ -61,10 +61,10 @@
 		meta.Class = defaultClass
 	}
 	if view.Classes[meta.Class] == nil {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_CLASS, "class "+strconv.Quote(meta.Class)+" is not configured; name one in "+classHeader)
+		return refused(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_CLASS, "class "+strconv.Quote(meta.Class)+" is not configured; set a configured class in "+classHeader)
 	}
-	if meta.Key = r.Header.Get(keyHeader); len(meta.Key) > maxKey {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "Idempotency-Key is longer than "+strconv.Itoa(maxKey)+" bytes; shorten it")
+	if meta.Key = r.Header.Get(keyHeader); len(meta.Key) > maxKeyBytes {
+		return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "Idempotency-Key is longer than "+strconv.Itoa(maxKeyBytes)+" bytes; shorten it")
 	}
 	meta.Path = r.URL.RequestURI()
 	return checkDeadline(r, meta)
@@ -83,14 +83,13 @@
 	return nil
 }
 
-// readBody reads the whole body within the read timeout.
+// readBody reads the complete body within the read timeout.
 //
-// It guards against callers that send a byte now and then to hold connections
-// and memory (slow loris). It shows as many open connections without requests.
-// It holds because the deadline covers the whole body, not each read.
+// The deadline covers the whole body and not each read, so that callers can't hold
+// connections and memory by sending single bytes (slow loris).
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.ContentLength > h.limits.BodyBytes {
-		return nil, h.tooLarge()
+		return nil, h.errBodyTooLarge()
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(h.limits.ReadTimeout.Duration))
@@ -101,13 +100,13 @@
 	case err == nil:
 		return body, control.SetReadDeadline(time.Time{})
 	case errors.As(err, &tooLarge):
-		return nil, h.tooLarge()
+		return nil, h.errBodyTooLarge()
 	case errors.As(err, &network) && network.Timeout():
-		return nil, refused(lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER, "body did not come within "+h.limits.ReadTimeout.String()+"; send it faster")
+		return nil, refused(lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER, "request body did not arrive within "+h.limits.ReadTimeout.String()+"; send it faster")
 	}
-	return nil, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "body broke off; send it again")
+	return nil, refused(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "request body is incomplete; send it again")
 }
 
-func (h *Handler) tooLarge() error {
-	return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "body is larger than "+strconv.FormatInt(h.limits.BodyBytes, 10)+" bytes; shorten it")
+func (h *Handler) errBodyTooLarge() error {
+	return refused(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "request body is larger than "+strconv.FormatInt(h.limits.BodyBytes, 10)+" bytes; shorten it")
 }
--- a/connection/caller/errors.go
+++ b/connection/caller/errors.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// statuses gives the HTTP status of each kind of error.
+// statuses maps each kind of error to an HTTP status.
 var statuses = map[fault.Kind]int{
 	lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST:     http.StatusBadRequest,
 	lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED: http.StatusUnauthorized,
@@ -38,7 +38,7 @@
 	lilacv1.ErrorKind_ERROR_KIND_TIMEOUT:         http.StatusGatewayTimeout,
 }
 
-// StatusOf returns the HTTP status of err.
+// StatusOf returns the HTTP status of err; 500 if its kind has none.
 func StatusOf(err error) int {
 	if status, ok := statuses[fault.KindOf(err)]; ok {
 		return status
@@ -56,7 +56,7 @@
 	RequestID    string `json:"request_id"`
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error errorBody `json:"error"`
 }
 
@@ -72,7 +72,7 @@
 
 func encodeError(err error, requestID string) []byte {
 	kind := fault.Name(fault.KindOf(err))
-	body, _ := json.Marshal(errorAnswer{Error: errorBody{
+	body, _ := json.Marshal(errorResponse{Error: errorBody{
 		Message:      err.Error(),
 		Type:         kind,
 		Code:         kind,
@@ -83,13 +83,13 @@
 	return body
 }
 
-// retryAfterSeconds rounds up, so that nobody comes back too early.
+// retryAfterSeconds rounds up, so that callers don't retry too early.
 func retryAfterSeconds(after time.Duration) string {
 	return strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10)
 }
 
-// refused makes the error of a check that failed before the request was handed
-// on. Nothing has been given to any backend server, so it did not run.
+// refused returns the error of a failed check. It states that the request did not run,
+// since checks come before any backend server gets the request.
 func refused(kind fault.Kind, message string, options ...fault.Option) error {
 	return fault.New(kind, message, append(options, fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))...)
 }
--- a/connection/caller/handler.go
+++ b/connection/caller/handler.go
@@ -1,7 +1,7 @@
-// Package caller is the HTTP front towards callers: it checks requests, hands
-// them on, and writes answers and typed errors.
+// Package caller serves callers of the chat completions API and of plain services over
+// HTTP: it checks requests, passes them to a Router, and writes responses and typed errors.
 //
-// Every check comes before anything reaches a backend server.
+// All checks are done before any backend server gets the request.
 package caller
 
 import (
@@ -23,46 +23,46 @@
 )
 
 const (
-	chatPath      = "/v1/chat/completions"
-	modelsPath    = "/v1/models"
-	servicePrefix = "/services/"
-	idBytes       = 16
+	chatPath       = "/v1/chat/completions"
+	modelsPath     = "/v1/models"
+	servicePrefix  = "/services/"
+	requestIDBytes = 16
 )
 
-// Handler answers callers.
+// Handler is the HTTP handler for callers.
 type Handler struct {
-	instance  string
-	callerKey *secret.Reloadable[[]byte]
-	limits    settings.EntryLimits
-	router    Router
-	counter   Counter
-	leaving   atomic.Bool
+	instance    string
+	callerKey   *secret.Reloadable[[]byte]
+	limits      settings.EntryLimits
+	router      Router
+	counter     Counter
+	noKeepAlive atomic.Bool
 }
 
 var _ http.Handler = (*Handler)(nil)
 
-// NewHandler returns a Handler that hands checked requests to router.
+// NewHandler returns a Handler that passes checked requests to router. callerKey verifies
+// callers' tokens.
 func NewHandler(s *settings.Entry, callerKey *secret.Reloadable[[]byte], router Router, counter Counter) *Handler {
 	return &Handler{instance: s.Name, callerKey: callerKey, limits: s.Limits, router: router, counter: counter}
 }
 
 func newRequestID() string {
-	var id [idBytes]byte
+	var id [requestIDBytes]byte
 	_, _ = rand.Read(id[:])
 	return hex.EncodeToString(id[:])
 }
 
-// DisableKeepAlives asks callers and balancers, from now on, to close their connections
-// after each answer. No connection is closed from this side, so that no request
-// already on its way meets a closed one.
-func (h *Handler) DisableKeepAlives() { h.leaving.Store(true) }
+// DisableKeepAlives makes each later response ask the caller or load balancer to close its
+// connection. The server closes none itself, since a request may be in transit on it.
+func (h *Handler) DisableKeepAlives() { h.noKeepAlive.Store(true) }
 
-// ServeHTTP answers one request.
+// ServeHTTP checks the request and passes it to the router.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.leaving.Load() {
+	if h.noKeepAlive.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	headerCame(r.Context())
+	markHeaderRead(r.Context())
 	answer := newResponseWriter(w, newRequestID(), h.instance)
 	err := h.serve(w, r, answer)
 	if err == nil {
@@ -78,7 +78,7 @@
 	}
 	view := h.router.View()
 	if view == nil {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance has no configuration yet; try again or at another instance", fault.WithRetryAfter(notReadyRetry))
+		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance has no configuration yet; retry here or at another instance", fault.WithRetryAfter(notReadyRetry))
 	}
 	meta := Meta{RequestID: answer.RequestID}
 	if err := h.checkMeta(r, view, &meta); err != nil {
@@ -92,7 +92,7 @@
 	case strings.HasPrefix(path, servicePrefix):
 		return h.service(w, r, view, meta, answer)
 	}
-	return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "nothing at "+r.Method+" "+strconv.Quote(r.URL.Path)+"; see docs/INTERFACES.md")
+	return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no endpoint for "+r.Method+" "+strconv.Quote(r.URL.Path)+"; see docs/INTERFACES.md")
 }
 
 func (h *Handler) chat(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
@@ -105,11 +105,11 @@
 		return err
 	}
 	if !serves(view, fields.Model, lilacv1.ServerKind_SERVER_KIND_ENGINE) {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_MODEL, "model "+strconv.Quote(fields.Model)+" is served by no engine; see GET "+modelsPath)
+		return refused(lilacv1.ErrorKind_ERROR_KIND_UNKNOWN_MODEL, "model "+strconv.Quote(fields.Model)+" is not served by any engine; see GET "+modelsPath)
 	}
 	meta.Target, meta.Body = fields.Model, body
 	h.counter.Request(meta.Class)
-	ctx, cancel := withDeadline(r, &meta)
+	ctx, cancel := contextWithDeadline(r, &meta)
 	defer cancel()
 	return h.router.Chat(ctx, &Chat{Meta: meta, ChatFields: fields}, answer)
 }
@@ -117,7 +117,7 @@
 func (h *Handler) service(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicePrefix), "/")
 	if !serves(view, name, lilacv1.ServerKind_SERVER_KIND_SERVICE) {
-		return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "service "+strconv.Quote(name)+" is served by no server; check the path")
+		return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "service "+strconv.Quote(name)+" is not served by any server; check the path")
 	}
 	body, err := h.readBody(w, r)
 	if err != nil {
@@ -130,13 +130,14 @@
 	}
 	meta.Target, meta.Body = name, body
 	h.counter.Request(meta.Class)
-	ctx, cancel := withDeadline(r, &meta)
+	ctx, cancel := contextWithDeadline(r, &meta)
 	defer cancel()
 	return h.router.Service(ctx, &Service{Meta: meta, Method: r.Method, URI: uri, Header: r.Header}, answer)
 }
 
-// withDeadline gives the request a context that ends with its caller or deadline.
-func withDeadline(r *http.Request, meta *Meta) (context.Context, context.CancelFunc) {
+// contextWithDeadline returns a context that ends when the caller disconnects or the
+// request's deadline passes.
+func contextWithDeadline(r *http.Request, meta *Meta) (context.Context, context.CancelFunc) {
 	if meta.Deadline.IsZero() {
 		return r.Context(), func() {}
 	}
--- a/connection/caller/response.go
+++ b/connection/caller/response.go
@@ -13,22 +13,22 @@
 	instanceHeader  = "X-Lilac-Instance"
 	serverHeader    = "X-Lilac-Server"
 	eventStream     = "text/event-stream"
-	// writeTimeout is how long a caller may take to accept one write.
+	// writeTimeout bounds one write to a caller.
 	writeTimeout = 30 * time.Second
-	// deadlineStep is how often the write deadline moves, so that not each
-	// token costs a timer.
-	deadlineStep = 5 * time.Second
+	// deadlineInterval is the minimum time between two updates of the write deadline, so
+	// that not every token sets a timer.
+	deadlineInterval = 5 * time.Second
 )
 
-// ResponseWriter writes one answer to a caller. It is used by one goroutine.
+// ResponseWriter writes the response to one request. It is not safe for concurrent use.
 type ResponseWriter struct {
-	// RequestID is the request's id towards the caller.
+	// RequestID is the request id that the caller gets.
 	RequestID string
 
-	w        http.ResponseWriter
-	control  *http.ResponseController
-	headerWritten    bool
-	stream   bool
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	headerWritten bool
+	stream        bool
 	writeDeadline time.Time
 }
 
@@ -38,77 +38,82 @@
 	return &ResponseWriter{RequestID: requestID, w: w, control: http.NewResponseController(w)}
 }
 
-// Header returns the headers, to be changed before Begin.
-func (a *ResponseWriter) Header() http.Header { return a.w.Header() }
+// Header returns the response header. Changes after WriteHeader have no effect.
+func (rw *ResponseWriter) Header() http.Header { return rw.w.Header() }
 
-// HeaderWritten tells whether the status has gone out.
-func (a *ResponseWriter) HeaderWritten() bool { return a.headerWritten }
+// HeaderWritten reports whether the status has been sent.
+func (rw *ResponseWriter) HeaderWritten() bool { return rw.headerWritten }
 
-// WriteHeader sends the status and headers; a second call does nothing.
-func (a *ResponseWriter) WriteHeader(status int, contentType, server string) {
-	if a.headerWritten {
+// WriteHeader sends the status and the header; a second call does nothing. It leaves out
+// the headers of contentType and server if these are empty.
+func (rw *ResponseWriter) WriteHeader(status int, contentType, server string) {
+	if rw.headerWritten {
 		return
 	}
-	a.headerWritten = true
-	a.stream = contentType == eventStream
-	header := a.w.Header()
+	rw.headerWritten = true
+	rw.stream = contentType == eventStream
+	header := rw.w.Header()
 	if contentType != "" {
 		header.Set("Content-Type", contentType)
 	}
 	if server != "" {
 		header.Set(serverHeader, server)
 	}
-	if a.stream {
+	if rw.stream {
 		header.Set("Cache-Control", "no-cache")
 	}
-	a.w.WriteHeader(status)
+	rw.w.WriteHeader(status)
 }
 
-// WriteStreamHeader is Begin for server-sent events.
-func (a *ResponseWriter) WriteStreamHeader(server string) { a.WriteHeader(http.StatusOK, eventStream, server) }
+// WriteStreamHeader is WriteHeader for a stream of server-sent events.
+func (rw *ResponseWriter) WriteStreamHeader(server string) {
+	rw.WriteHeader(http.StatusOK, eventStream, server)
+}
 
-// Write sends a part. A caller that accepts nothing for writeTimeout is cut.
-func (a *ResponseWriter) Write(b []byte) (int, error) {
-	if now := time.Now(); a.writeDeadline.Sub(now) < writeTimeout-deadlineStep {
-		a.writeDeadline = now.Add(writeTimeout)
-		_ = a.control.SetWriteDeadline(a.writeDeadline)
+// Write sends a part of the body. It fails if the caller accepts no data for
+// writeTimeout.
+func (rw *ResponseWriter) Write(b []byte) (int, error) {
+	if now := time.Now(); rw.writeDeadline.Sub(now) < writeTimeout-deadlineInterval {
+		rw.writeDeadline = now.Add(writeTimeout)
+		_ = rw.control.SetWriteDeadline(rw.writeDeadline)
 	}
-	return a.w.Write(b)
+	return rw.w.Write(b)
 }
 
-// Flush hands what was written to the network.
-func (a *ResponseWriter) Flush() error { return a.control.Flush() }
+// Flush sends buffered data to the caller.
+func (rw *ResponseWriter) Flush() error { return rw.control.Flush() }
 
 // WriteEvent writes one server-sent event and flushes it.
-func (a *ResponseWriter) WriteEvent(frame []byte) error {
-	if _, err := a.Write(frame); err != nil {
+func (rw *ResponseWriter) WriteEvent(frame []byte) error {
+	if _, err := rw.Write(frame); err != nil {
 		return err
 	}
-	return a.Flush()
+	return rw.Flush()
 }
 
-// Fail ends the answer with a typed error: as JSON where nothing went out yet,
-// as an event and without "[DONE]" in a stream, else by cutting the connection,
-// so that a part never looks like the whole.
-func (a *ResponseWriter) Fail(err error) {
-	body := encodeError(err, a.RequestID)
-	if !a.headerWritten {
-		a.failWhole(err, body)
+// Fail ends the response with a typed error: as JSON if the status has not been sent, and
+// as an event without "[DONE]" in a stream. Otherwise it aborts the connection by a panic
+// with http.ErrAbortHandler, so that the caller does not take a partial response for a
+// complete one.
+func (rw *ResponseWriter) Fail(err error) {
+	body := encodeError(err, rw.RequestID)
+	if !rw.headerWritten {
+		rw.writeError(err, body)
 		return
 	}
-	if !a.stream {
+	if !rw.stream {
 		panic(http.ErrAbortHandler)
 	}
-	_ = a.WriteEvent(append(append([]byte("data: "), body...), '\n', '\n'))
+	_ = rw.WriteEvent(append(append([]byte("data: "), body...), '\n', '\n'))
 }
 
-func (a *ResponseWriter) failWhole(err error, body []byte) {
-	if after := fault.RetryAfterOf(err); after > 0 {
-		a.w.Header().Set("Retry-After", retryAfterSeconds(after))
+func (rw *ResponseWriter) writeError(err error, body []byte) {
+	if retryAfter := fault.RetryAfterOf(err); retryAfter > 0 {
+		rw.w.Header().Set("Retry-After", retryAfterSeconds(retryAfter))
 	}
 	if fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER) || fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE) {
-		a.w.Header().Set("Connection", "close")
+		rw.w.Header().Set("Connection", "close")
 	}
-	a.WriteHeader(StatusOf(err), "application/json", "")
-	_, _ = a.Write(body)
+	rw.WriteHeader(StatusOf(err), "application/json", "")
+	_, _ = rw.Write(body)
 }
--- a/connection/caller/slowheader.go
+++ b/connection/caller/slowheader.go
@@ -12,71 +12,74 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Listen wraps a listener so that a caller whose header does not come in time
-// gets a typed error; the HTTP library would close its connection without a word.
-func (h *Handler) Listen(listener net.Listener) net.Listener { return &slowListener{listener, h} }
+// WrapListener returns a listener whose connections send a typed error to a caller whose
+// request header does not arrive in time; net/http closes such a connection without a
+// response.
+func (h *Handler) WrapListener(listener net.Listener) net.Listener {
+	return &headerTimeoutListener{listener, h}
+}
 
 type connKey struct{}
 
-// ConnContext lets the handler know the connection of a request; it is the
-// server's hook of that name.
+// ConnContext is an http.Server.ConnContext function that gives the handler access to the
+// connection of a request.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// headerCame notes that the connection's header was read, so that what is late
-// from now on is answered by the handler.
-func headerCame(ctx context.Context) {
-	if conn, ok := ctx.Value(connKey{}).(*slowConn); ok {
-		conn.answered.Store(true)
+// markHeaderRead records that a request header was read on the connection. The handler
+// reports later timeouts itself.
+func markHeaderRead(ctx context.Context) {
+	if conn, ok := ctx.Value(connKey{}).(*headerTimeoutConn); ok {
+		conn.handled.Store(true)
 	}
 }
 
-type slowListener struct {
+type headerTimeoutListener struct {
 	net.Listener
 	handler *Handler
 }
 
-// Accept waits for the next connection.
-func (l *slowListener) Accept() (net.Conn, error) {
+// Accept returns the next connection, wrapped in a headerTimeoutConn.
+func (l *headerTimeoutListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &slowConn{Conn: conn, handler: l.handler}, nil
+	return &headerTimeoutConn{Conn: conn, handler: l.handler}, nil
 }
 
-// slowConn answers when reading the first header times out. Once the library
-// has written anything, it has a request, and speaks for itself.
-type slowConn struct {
+// headerTimeoutConn sends a typed error if reading the first request header times out. It
+// does not do so after net/http has written to the connection or a handler has a request.
+type headerTimeoutConn struct {
 	net.Conn
 	handler *Handler
-	// begun is set with the first byte read, answered with the first written or
-	// once a handler has the request.
-	begun    atomic.Bool
-	answered atomic.Bool
+	// received is set when the first byte is read. handled is set when the first byte is
+	// written or a handler has the request.
+	received atomic.Bool
+	handled  atomic.Bool
 }
 
-func (c *slowConn) Read(b []byte) (int, error) {
+func (c *headerTimeoutConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.begun.Store(true)
+		c.received.Store(true)
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.begun.Load() && c.answered.CompareAndSwap(false, true) {
-		c.refuse()
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.received.Load() && c.handled.CompareAndSwap(false, true) {
+		c.writeTimeoutError()
 	}
 	return n, err
 }
 
-func (c *slowConn) Write(b []byte) (int, error) {
-	c.answered.Store(true)
+func (c *headerTimeoutConn) Write(b []byte) (int, error) {
+	c.handled.Store(true)
 	return c.Conn.Write(b)
 }
 
-func (c *slowConn) refuse() {
+func (c *headerTimeoutConn) writeTimeoutError() {
 	c.handler.counter.Refused("slow_caller")
 	id := newRequestID()
-	body := encodeError(refused(lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER, "header did not come within "+c.handler.limits.ReadTimeout.String()+"; send it faster"), id)
+	body := encodeError(refused(lilacv1.ErrorKind_ERROR_KIND_SLOW_CALLER, "request header did not arrive within "+c.handler.limits.ReadTimeout.String()+"; send it faster"), id)
 	head := "HTTP/1.1 " + strconv.Itoa(http.StatusRequestTimeout) + " " + http.StatusText(http.StatusRequestTimeout) +
 		"\r\nConnection: close\r\nContent-Type: application/json\r\nX-Request-Id: " + id +
 		"\r\nX-Lilac-Instance: " + c.handler.instance + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
--- a/connection/gateway/response.go
+++ b/connection/gateway/response.go
@@ -32,52 +32,52 @@
 }
 
 // Header returns the response header. Changes after WriteHeader have no effect.
-func (a *ResponseWriter) Header() http.Header { return a.w.Header() }
+func (rw *ResponseWriter) Header() http.Header { return rw.w.Header() }
 
 // HeaderWritten reports whether the status has been sent.
-func (a *ResponseWriter) HeaderWritten() bool { return a.headerWritten }
+func (rw *ResponseWriter) HeaderWritten() bool { return rw.headerWritten }
 
 // Status returns the status sent, or 0 before WriteHeader.
-func (a *ResponseWriter) Status() int { return a.status }
+func (rw *ResponseWriter) Status() int { return rw.status }
 
 // WriteHeader sends the status and the header.
-func (a *ResponseWriter) WriteHeader(status int) {
-	a.headerWritten, a.status = true, status
-	header := a.w.Header()
+func (rw *ResponseWriter) WriteHeader(status int) {
+	rw.headerWritten, rw.status = true, status
+	header := rw.w.Header()
 	// A nil value keeps net/http from adding a Content-Type that the backend server
 	// did not send.
 	if _, ok := header["Content-Type"]; !ok {
 		header["Content-Type"] = nil
 	}
-	a.w.WriteHeader(status)
+	rw.w.WriteHeader(status)
 }
 
 // Write sends a part of the body. It fails if the caller accepts no data for
 // writeTimeout.
-func (a *ResponseWriter) Write(b []byte) (int, error) {
-	if now := time.Now(); a.writeDeadline.Sub(now) < writeTimeout-deadlineInterval {
-		a.writeDeadline = now.Add(writeTimeout)
-		_ = a.control.SetWriteDeadline(a.writeDeadline)
+func (rw *ResponseWriter) Write(b []byte) (int, error) {
+	if now := time.Now(); rw.writeDeadline.Sub(now) < writeTimeout-deadlineInterval {
+		rw.writeDeadline = now.Add(writeTimeout)
+		_ = rw.control.SetWriteDeadline(rw.writeDeadline)
 	}
-	return a.w.Write(b)
+	return rw.w.Write(b)
 }
 
 // Flush sends buffered data to the caller.
-func (a *ResponseWriter) Flush() error { return a.control.Flush() }
+func (rw *ResponseWriter) Flush() error { return rw.control.Flush() }
 
 // Fail ends the response with an error. If the status has been sent, it aborts the
 // connection by a panic with http.ErrAbortHandler, so that the caller does not take a
 // partial response for a complete one.
-func (a *ResponseWriter) Fail(err error) {
-	if a.headerWritten {
+func (rw *ResponseWriter) Fail(err error) {
+	if rw.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 	if retryAfter := fault.RetryAfterOf(err); retryAfter > 0 {
-		a.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+		rw.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	a.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	a.WriteHeader(statusOf(err))
-	_, _ = a.Write([]byte(err.Error() + "\n"))
+	rw.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	rw.WriteHeader(statusOf(err))
+	_, _ = rw.Write([]byte(err.Error() + "\n"))
 }
 
 // permanentStatuses maps the kinds of errors for which a retry is useless to HTTP
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -28,7 +28,7 @@
 // which would redirect paths that services must see as they are.
 func (e *Entry) callerServer(listener net.Listener) *khttp.Server {
 	server := khttp.NewServer(
-		khttp.Listener(e.callers.Listen(listener)),
+		khttp.Listener(e.callers.WrapListener(listener)),
 		khttp.Endpoint(httpserver.Endpoint(listener.Addr().String())),
 		khttp.Timeout(0),
 		khttp.Filter(func(http.Handler) http.Handler { return e.callers }),
