--- a/connection/engine/budget.go
+++ b/connection/engine/budget.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// SmallFleetBytes is what polls may cost an instance among member.MeshLimit
+	// MeshPollBudget is what polls may cost an instance among member.MeshLimit
 	// instances at most, in bytes a second of both directions.
-	SmallFleetBytes = 4000
-	// LargeFleetBytes is the same among more of them, where digests leave less room
+	MeshPollBudget = 4000
+	// TreePollBudget is the same among more of them, where digests leave less room
 	// under the cap for control.
-	LargeFleetBytes = 2000
-	// RelayBytes is the same for the entry that relays the digests of its data
+	TreePollBudget = 2000
+	// RelayPollBudget is the same for the entry that relays the digests of its data
 	// centre: those and the signs of life take 12 of the 13 KB/s for control.
-	RelayBytes = 600
+	RelayPollBudget = 600
 	// headerBytes is what a poll costs besides the body of its answer.
 	headerBytes = 300
 	// mostSaved is how long a budget that is not used is saved up for.
--- a/connection/engine/poller.go
+++ b/connection/engine/poller.go
@@ -52,7 +52,7 @@
 // NewPoller returns a Poller that tells reports.
 func NewPoller(client *Client, reports ReportHandler) *Poller {
 	p := &Poller{client: client, reports: reports, after: make(map[string]uint64), asked: make(map[string]bool)}
-	p.SetBudget(SmallFleetBytes)
+	p.SetBudget(MeshPollBudget)
 	return p
 }
 
--- a/connection/engine/poller_test.go
+++ b/connection/engine/poller_test.go
@@ -83,7 +83,7 @@
 	is := is.New(t)
 	const seconds, loadBytes, cacheBytes = 600, 80, 19000
 	p, now := watched(100, 0), time.Unix(1, 0)
-	p.SetBudget(LargeFleetBytes)
+	p.SetBudget(TreePollBudget)
 	spent, loads := 0, 0
 	for range seconds * callsPerSecond {
 		poll, ok := p.next(at(&now))
@@ -100,6 +100,6 @@
 			loads++
 		}
 	}
-	is.True(spent <= LargeFleetBytes*seconds+headerBytes+cacheBytes)
+	is.True(spent <= TreePollBudget*seconds+headerBytes+cacheBytes)
 	is.True(loads >= 2*seconds)
 }
--- a/connection/upstream/attempt.go
+++ b/connection/upstream/attempt.go
@@ -5,39 +5,40 @@
 	"sync/atomic"
 )
 
-// ErrAbandoned is the error of a write that came after its attempt was sealed.
-var ErrAbandoned = errors.New("attempt was given up before its first byte")
+// ErrAbandoned is the error of a write that came after its attempt was abandoned.
+var ErrAbandoned = errors.New("attempt was abandoned before its first byte was written")
 
 const (
-	fresh int32 = iota
+	unsent int32 = iota
 	written
-	sealed
+	abandoned
 )
 
-// Attempt is one try at one backend server. It moves from fresh to written or
-// to sealed, and never back.
+// Attempt is one attempt to run a request on one backend server. Its state changes once,
+// from unsent to written or to abandoned. Its methods are safe for concurrent use.
 type Attempt struct {
-	// OnWrite is called once, just before the first byte may go out; may be nil.
+	// OnWrite is called once, just before the first byte may be written; may be nil.
 	OnWrite func()
 	state   atomic.Int32
 }
 
-// Abandon gives the attempt up and reports whether none of its bytes was written.
+// Abandon prevents later writes if none has begun, and reports whether none of the
+// attempt's bytes was written.
 //
-// It guards against a refusal that says "not run" while the HTTP library's own
-// goroutine is still about to write: the library reports an ended context
-// before its writer has looked. It shows as a request that ran although its
-// caller was told otherwise. It holds because the writer must first move the
-// same word from fresh to written, and a sealed attempt fails that.
+// net/http reports an ended context before its writer goroutine has noticed it, so that
+// the request may still be written and run after its caller was told that it did not run.
+// The writer must therefore first change the state from unsent to written, which fails
+// for an abandoned attempt.
 func (a *Attempt) Abandon() bool {
-	return a.state.CompareAndSwap(fresh, sealed) || a.state.Load() == sealed
+	return a.state.CompareAndSwap(unsent, abandoned) || a.state.Load() == abandoned
 }
 
 // Written reports whether a byte may have been written.
 func (a *Attempt) Written() bool { return a.state.Load() == written }
 
-func (a *Attempt) mayWrite() bool {
-	if a.state.CompareAndSwap(fresh, written) {
+// beginWrite marks the attempt as written and reports whether the write may proceed.
+func (a *Attempt) beginWrite() bool {
+	if a.state.CompareAndSwap(unsent, written) {
 		if a.OnWrite != nil {
 			a.OnWrite()
 		}
--- a/connection/upstream/failure.go
+++ b/connection/upstream/failure.go
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// maxErrorBody is how much of a server's error is read, in bytes.
-const maxErrorBody = 8 << 10
+// maxErrorBodyBytes bounds the part of an error response that is read.
+const maxErrorBodyBytes = 8 << 10
 
-// StatusError is an answer that is no success.
+// StatusError is a response with a status that is not a success.
 type StatusError struct {
 	Status int
-	// Body is the start of the server's own message.
+	// Body is the beginning of the response body.
 	Body []byte
-	// RetryAfter is the server's own; 0 if it gave none.
+	// RetryAfter is the value of the Retry-After header; 0 if it is absent or invalid.
 	RetryAfter time.Duration
-	// NotRun is true where the server states that the request did not run.
+	// NotRun is true if the server states that the request did not run.
 	NotRun bool
 }
 
@@ -31,29 +31,29 @@
 	return "backend server answered " + strconv.Itoa(e.Status)
 }
 
-// ReadStatusError makes a StatusError of an answer and closes its body.
+// ReadStatusError returns the StatusError of a response and closes its body.
 func ReadStatusError(resp *http.Response) *StatusError {
 	defer resp.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	return NewStatusError(resp.StatusCode, resp.Header, body)
 }
 
-// NewStatusError makes a StatusError of an answer that was read already.
+// NewStatusError returns the StatusError of a response whose body has been read.
 func NewStatusError(status int, header http.Header, body []byte) *StatusError {
 	e := &StatusError{Status: status, Body: body}
 	if seconds, err := strconv.Atoi(header.Get("Retry-After")); err == nil && seconds >= 0 {
 		e.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	e.NotRun = e.Busy() && saysNotRun(body)
+	e.NotRun = e.Busy() && statesNotRun(body)
 	return e
 }
 
-// Busy tells whether the status is one of a server that takes no work now.
+// Busy reports whether the status means that the server accepts no work at present.
 func (e *StatusError) Busy() bool {
 	return e.Status == http.StatusTooManyRequests || e.Status == http.StatusServiceUnavailable
 }
 
-func saysNotRun(body []byte) bool {
+func statesNotRun(body []byte) bool {
 	var typed struct {
 		Error struct {
 			NotRun any `json:"not_run"`
@@ -66,8 +66,8 @@
 	return ok && notRun
 }
 
-// IsConnectionError tells whether the error means that the server itself went away:
-// refused, reset, or closed in the middle of an answer.
+// IsConnectionError reports whether err means that the connection to the server failed:
+// refused, reset, or closed before the end of a response.
 func IsConnectionError(err error) bool {
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return true
@@ -79,10 +79,11 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// maxMessage is how much of a server's message is passed on, in bytes.
-const maxMessage = 400
+// maxMessageBytes bounds the result of StatusError.Message.
+const maxMessageBytes = 400
 
-// Message returns the server's own message, without its wrapping.
+// Message returns the message of the server's JSON error, or the body if that is not a JSON
+// error.
 func (e *StatusError) Message() string {
 	var typed struct {
 		Error struct {
@@ -93,19 +94,19 @@
 	if json.Unmarshal(e.Body, &typed) == nil && typed.Error.Message != "" {
 		text = typed.Error.Message
 	}
-	if len(text) > maxMessage {
-		text = strings.ToValidUTF8(text[:maxMessage], "")
+	if len(text) > maxMessageBytes {
+		text = strings.ToValidUTF8(text[:maxMessageBytes], "")
 	}
 	return text
 }
 
-// aliveTimeout is how long a server may take to accept a connection before it
-// counts as dead.
-const aliveTimeout = 500 * time.Millisecond
+// reachableTimeout is how long a server may take to accept a connection before it
+// is considered dead.
+const reachableTimeout = 500 * time.Millisecond
 
-// Reachable tells whether a server accepts connections.
+// Reachable reports whether the server at address (host:port) accepts connections.
 func Reachable(ctx context.Context, address string) bool {
-	dialer := net.Dialer{Timeout: aliveTimeout}
+	dialer := net.Dialer{Timeout: reachableTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
--- a/connection/upstream/pool.go
+++ b/connection/upstream/pool.go
@@ -13,65 +13,67 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// routedDialTimeout bounds a new connection for a routed request: several ways
-	// between regions. A machine without power answers nothing, and until a byte
-	// went out another server may take the request.
+	// routedDialTimeout replaces dialTimeout for routed requests. It is several round
+	// trips between regions. A machine without power does not refuse connections, and
+	// another server may run the request as long as no byte of it was written.
 	routedDialTimeout = 400 * time.Millisecond
-	// A server behind a silent cut is noticed after keepAliveIdle plus
-	// keepAliveCount times keepAliveGap.
-	keepAliveIdle  = 5 * time.Second
-	keepAliveGap   = 2 * time.Second
-	keepAliveCount = 3
-	// idleTimeout is below the 5 s after which common servers close a kept
-	// connection, so that no request meets one that is being closed.
+	// A network partition is detected after tcpKeepAliveIdle plus tcpKeepAliveCount times
+	// tcpKeepAliveInterval.
+	tcpKeepAliveIdle     = 5 * time.Second
+	tcpKeepAliveInterval = 2 * time.Second
+	tcpKeepAliveCount    = 3
+	// idleTimeout is below the 5 s after which common servers close an idle connection,
+	// so that no request is sent on a connection that is being closed.
 	idleTimeout = 4 * time.Second
-	// recentIdle is how long a connection may have been idle that carries a request which
-	// must not be repeated: servers announce timeouts in whole seconds, and none that was
-	// in use just now is about to be closed.
-	recentIdle = 900 * time.Millisecond
-	// distrustFor is how long such requests have connections of their own at a server
-	// that answered a request with another's answer.
-	distrustFor     = 10 * time.Second
-	idlePerServer   = 64
-	maxHeaderBytes  = 64 << 10
-	readBufferBytes = 4 << 10
-	// maxAddresses bounds what a pool remembers; beyond, it learns anew.
+	// maxRecentIdle is the idle timeout of connections for requests that must not be
+	// repeated. Servers announce their idle timeouts in whole seconds, so that none is
+	// about to close a connection that was used more recently.
+	maxRecentIdle = 900 * time.Millisecond
+	// distrustPeriod is how long such requests use single-use connections after a server
+	// sent the response to another request.
+	distrustPeriod   = 10 * time.Second
+	maxIdlePerServer = 64
+	maxHeaderBytes   = 64 << 10
+	readBufferBytes  = 4 << 10
+	// maxAddresses bounds the maps of a pool; a map that reaches it is cleared.
 	maxAddresses = 16384
 )
 
-// pool holds the connections of one kind of calls. Those to servers that are
-// known to echo request ids are kept, all others serve one call.
+// pool holds the connections of one kind of call. Connections are reused only to servers
+// that are known to echo request ids.
 type pool struct {
-	// idHeader carries a request's id there and back.
+	// idHeader is the header of the request id in requests and responses.
 	idHeader string
-	kept     *http.Client
-	recent   *http.Client
-	fresh    *http.Client
+	// keepAlive reuses connections, recent those that were idle for less than
+	// maxRecentIdle, singleUse none.
+	keepAlive *http.Client
+	recent    *http.Client
+	singleUse *http.Client
 	// sent and received count the bytes of all connections.
 	sent, received atomic.Uint64
 	packets        packets.Counter
 
 	mu sync.Mutex
-	// echoes tells by host:port whether the server echoes. One answer without
-	// the echo is believed for good.
-	echoes map[string]bool
-	// distrusted tells by host:port until when a server's answers may be late.
-	distrusted map[string]time.Time
+	// echoesID records by host:port whether the server echoes request ids. A false value
+	// is final, until the map is cleared.
+	echoesID map[string]bool
+	// distrustedUntil is the end of the distrustPeriod by host:port.
+	distrustedUntil map[string]time.Time
 }
 
 func newPool(idHeader string) *pool {
-	p := &pool{idHeader: idHeader, echoes: make(map[string]bool), distrusted: make(map[string]time.Time)}
-	once := p.transport(idleTimeout)
-	once.DisableKeepAlives = true
-	p.kept = &http.Client{Transport: p.transport(idleTimeout), CheckRedirect: noRedirect}
-	p.recent = &http.Client{Transport: p.transport(recentIdle), CheckRedirect: noRedirect}
-	p.fresh = &http.Client{Transport: once, CheckRedirect: noRedirect}
+	p := &pool{idHeader: idHeader, echoesID: make(map[string]bool), distrustedUntil: make(map[string]time.Time)}
+	noReuse := p.transport(idleTimeout)
+	noReuse.DisableKeepAlives = true
+	p.keepAlive = &http.Client{Transport: p.transport(idleTimeout), CheckRedirect: noRedirect}
+	p.recent = &http.Client{Transport: p.transport(maxRecentIdle), CheckRedirect: noRedirect}
+	p.singleUse = &http.Client{Transport: noReuse, CheckRedirect: noRedirect}
 	return p
 }
 
 func (p *pool) transport(idle time.Duration) *http.Transport {
 	dialer := &net.Dialer{Timeout: p.dialTimeout(), KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: keepAliveIdle, Interval: keepAliveGap, Count: keepAliveCount,
+		Enable: true, Idle: tcpKeepAliveIdle, Interval: tcpKeepAliveInterval, Count: tcpKeepAliveCount,
 	}}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -83,7 +85,7 @@
 			return &trackedConn{Conn: conn, pool: p}, nil
 		},
 		DisableCompression:     true,
-		MaxIdleConnsPerHost:    idlePerServer,
+		MaxIdleConnsPerHost:    maxIdlePerServer,
 		IdleConnTimeout:        idle,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		ReadBufferSize:         readBufferBytes,
@@ -99,51 +101,51 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// clientFor returns the client whose connections fit what is known of the server.
+// clientFor returns the client for requests that may be repeated.
 func (p *pool) clientFor(address string) *http.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.echoes[address] {
-		return p.kept
+	if p.echoesID[address] {
+		return p.keepAlive
 	}
-	return p.fresh
+	return p.singleUse
 }
 
-// recentFor returns the client for requests that must not be repeated.
-func (p *pool) recentFor(address string) *http.Client {
+// recentClientFor returns the client for requests that must not be repeated.
+func (p *pool) recentClientFor(address string) *http.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.echoes[address] && time.Now().After(p.distrusted[address]) {
+	if p.echoesID[address] && time.Now().After(p.distrustedUntil[address]) {
 		return p.recent
 	}
-	return p.fresh
+	return p.singleUse
 }
 
-// distrust notes that the server gave an answer that belongs to another request.
+// distrust records that the server sent the response to another request.
 func (p *pool) distrust(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.distrusted) >= maxAddresses {
-		clear(p.distrusted)
+	if len(p.distrustedUntil) >= maxAddresses {
+		clear(p.distrustedUntil)
 	}
-	p.distrusted[address] = time.Now().Add(distrustFor)
+	p.distrustedUntil[address] = time.Now().Add(distrustPeriod)
 }
 
-// learn notes whether an answer of the server carried its request's id.
-func (p *pool) learn(address string, echoed bool) {
+// setEchoesID records whether a response of the server carried its request's id.
+func (p *pool) setEchoesID(address string, echoed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, seen := p.echoes[address]
+	known, seen := p.echoesID[address]
 	if seen && (known == echoed || !known) {
 		return
 	}
-	if len(p.echoes) >= maxAddresses {
-		clear(p.echoes)
+	if len(p.echoesID) >= maxAddresses {
+		clear(p.echoesID)
 	}
-	p.echoes[address] = echoed
+	p.echoesID[address] = echoed
 }
 
-// trackedConn reports its writes to the attempt that uses it, and counts bytes.
+// trackedConn asks the current attempt before each write, and counts bytes and packets.
 type trackedConn struct {
 	net.Conn
 	pool    *pool
@@ -151,7 +153,7 @@
 }
 
 func (c *trackedConn) Write(b []byte) (int, error) {
-	if a := c.attempt.Load(); a != nil && !a.mayWrite() {
+	if a := c.attempt.Load(); a != nil && !a.beginWrite() {
 		return 0, ErrAbandoned
 	}
 	n, err := c.Conn.Write(b)
--- a/connection/upstream/pool_test.go
+++ b/connection/upstream/pool_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// echoServer counts the connections that it gets; while wrong is set it names another
-// request in its answers.
+// echoServer returns a server that echoes request ids, or sends a wrong one while wrong is
+// set. connections counts the connections opened to it.
 func echoServer(t *testing.T, wrong *atomic.Bool) (url string, connections *atomic.Int64) {
 	t.Helper()
 	connections = &atomic.Int64{}
@@ -36,6 +36,7 @@
 	return server.URL, connections
 }
 
+// book sends a request that must not be repeated.
 func book(t *testing.T, client *Client, url, id string) error {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, strings.NewReader("book"))
@@ -52,8 +53,9 @@
 	return err
 }
 
-// Each booking had a connection of its own, and waited for a way there and back first.
-func TestRequestsThatMustNotRepeatShareConnectionsInUse(t *testing.T) {
+// Guards against a new connection, and so an additional round trip, for each request that
+// must not be repeated.
+func TestNonIdempotentRequestsReuseRecentConnections(t *testing.T) {
 	is := is.New(t)
 	var wrong atomic.Bool
 	url, connections := echoServer(t, &wrong)
@@ -62,13 +64,13 @@
 	for _, id := range []string{"1", "2", "3", "4"} {
 		is.NoErr(book(t, client, url, id))
 	}
-	is.Equal(connections.Load(), int64(2)) // the first shows that the server names requests
+	is.Equal(connections.Load(), int64(2)) // the first shows that the server echoes request ids
 	is.True(client.requests.recent.Transport.(*http.Transport).IdleConnTimeout < time.Second)
 }
 
-// A server answers twice, and the second answer comes as that of the next booking,
-// whose outcome nobody knows then. The ones after it have connections of their own.
-func TestALateAnswerEndsSharingForAWhile(t *testing.T) {
+// Guards against reuse of connections to a server that writes two responses to one request:
+// each later booking that reads such a response has an unknown outcome.
+func TestMismatchedResponseSuspendsConnectionReuse(t *testing.T) {
 	is := is.New(t)
 	var wrong atomic.Bool
 	url, connections := echoServer(t, &wrong)
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -1,4 +1,4 @@
-// Package upstream sends HTTP requests to backend servers and knows, for each
+// Package upstream sends HTTP requests to backend servers and records, for each
 // attempt, whether a byte of it may have been written.
 package upstream
 
@@ -11,101 +11,97 @@
 	"sync/atomic"
 )
 
-// RequestIDHeader carries the id of an attempt or control call there and back.
+// RequestIDHeader carries the id of an attempt or control call in requests and responses.
 const RequestIDHeader = "X-Request-Id"
 
-// Client sends requests to all backend servers.
+// Client sends requests to all backend servers. It is safe for concurrent use.
 type Client struct {
 	requests *pool
 	control  *pool
-	// calls numbers the control calls.
-	calls atomic.Uint64
+	// controlCalls counts the control calls, for their ids.
+	controlCalls atomic.Uint64
 }
 
-// NewClient returns a Client of its own connections.
+// NewClient returns a Client with its own connections, for servers that echo
+// RequestIDHeader.
 func NewClient() *Client { return NewClientWithIDHeader(RequestIDHeader) }
 
-// NewClientWithIDHeader is NewClient for servers that echo the id of a request in the
-// given header.
+// NewClientWithIDHeader is like NewClient for servers that echo the id of a request in
+// idHeader.
 func NewClientWithIDHeader(idHeader string) *Client {
 	return &Client{requests: newPool(idHeader), control: newPool(RequestIDHeader)}
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() {
-	c.requests.kept.CloseIdleConnections()
+	c.requests.keepAlive.CloseIdleConnections()
 	c.requests.recent.CloseIdleConnections()
-	c.control.kept.CloseIdleConnections()
+	c.control.keepAlive.CloseIdleConnections()
 }
 
-// ControlBytes returns what Control's connections sent and received so far.
+// ControlBytes returns the number of bytes that Control's connections have sent and
+// received.
 func (c *Client) ControlBytes() (sent, received uint64) {
 	return c.control.sent.Load(), c.control.received.Load()
 }
 
-// ControlPackets returns how many packets Control's connections sent and
-// received so far.
+// ControlPackets returns the number of packets that Control's connections have sent and
+// received.
 func (c *Client) ControlPackets() (sent, received uint64) { return c.control.packets.Packets() }
 
-// sendOnce keeps net/http from sending the request twice.
+// preventResend keeps net/http from sending the request twice.
 //
-// It guards against a second run of a non-idempotent call: net/http sends a
-// POST again by itself after a broken connection when it carries an
-// Idempotency-Key and a body that can be had again (also an empty one). It
-// shows as two runs under one key. It holds because a body without GetBody is
-// never sent twice, once the kind of an empty one is hidden. A full one keeps
-// its kind, so that net/http writes it together with its header.
-func sendOnce(req *http.Request) {
+// After a connection failure, net/http resends a POST that has an Idempotency-Key and
+// either GetBody or http.NoBody, so that a non-idempotent call could run twice. It never
+// resends a body without GetBody; the type of an empty one must be hidden too. Other
+// bodies keep their type, so that net/http writes header and body together.
+func preventResend(req *http.Request) {
 	req.GetBody = nil
 	if req.Body == http.NoBody {
-		req.Body = onceBody{req.Body}
+		req.Body = opaqueBody{req.Body}
 	}
 }
 
-// onceBody hides that a body is empty.
-type onceBody struct{ io.Reader }
+// opaqueBody hides the type of http.NoBody from net/http.
+type opaqueBody struct{ io.Reader }
 
-// Close has nothing to free: the body stands in memory.
-func (onceBody) Close() error { return nil }
+// Close does nothing, since the body is in memory.
+func (opaqueBody) Close() error { return nil }
 
-// Do sends the request as the attempt, which may be nil for calls that no
-// caller waits for, over a kept connection where the server is known to echo
-// request ids. See ErrIDMismatch and ErrMissingID for answers that are discarded.
+// Do sends the request, over a reused connection if the server is known to echo request
+// ids. attempt may be nil for calls without a waiting caller. See ErrIDMismatch and
+// ErrMissingID for responses that are discarded.
 func (c *Client) Do(req *http.Request, attempt *Attempt) (*http.Response, error) {
 	address := req.URL.Host
 	return c.requests.do(c.requests.clientFor(address), req, attempt)
 }
 
-// DoNewConn is Do over a connection of its own.
+// DoNewConn is like Do over a new connection.
 //
-// It guards against a request that must not be repeated and meets a kept
-// connection at the moment at which the server closes it: nobody can tell then
-// whether it ran. It shows as an unknown outcome while the server is well. It
-// holds because a connection that was just opened is not idle.
+// It is for requests that must not be repeated: if the server closes an idle connection
+// just when such a request is sent on it, its outcome is unknown although the server is
+// healthy. A new connection is not idle.
 func (c *Client) DoNewConn(req *http.Request, attempt *Attempt) (*http.Response, error) {
-	return c.requests.do(c.requests.fresh, req, attempt)
+	return c.requests.do(c.requests.singleUse, req, attempt)
 }
 
-// DoRecentConn is Do for a request that must not be repeated, over a connection that was in
-// use just now, or a new one.
-//
-// It guards against the same as DoNewConn, without a new connection each time: one that
-// was used within recentIdle is not about to be closed for being idle. A server that
-// gave an answer to another request gets new connections for a while.
+// DoRecentConn is like DoNewConn, but may reuse a connection that was used within
+// maxRecentIdle, which the server is not about to close as idle. For distrustPeriod after a
+// server sent the response to another request, it uses only new connections to it.
 func (c *Client) DoRecentConn(req *http.Request, attempt *Attempt) (*http.Response, error) {
-	return c.requests.do(c.requests.recentFor(req.URL.Host), req, attempt)
+	return c.requests.do(c.requests.recentClientFor(req.URL.Host), req, attempt)
 }
 
-// Control sends a call of lilacbridge's own, such as a poll, over connections
-// that no caller's request uses. It gives the call an id of its own.
+// Control sends an internal call, such as a poll, over connections that are not shared with
+// callers' requests. It sets the request id.
 func (c *Client) Control(req *http.Request) (*http.Response, error) {
-	req.Header.Set(RequestIDHeader, "control-"+strconv.FormatUint(c.calls.Add(1), 10))
+	req.Header.Set(RequestIDHeader, "control-"+strconv.FormatUint(c.controlCalls.Add(1), 10))
 	address := req.URL.Host
 	return c.control.do(c.control.clientFor(address), req, nil)
 }
 
 func (p *pool) do(client *http.Client, req *http.Request, attempt *Attempt) (*http.Response, error) {
-	sendOnce(req)
+	preventResend(req)
 	var reused bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		reused = info.Reused
@@ -117,33 +113,30 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := p.bind(req, resp, reused); err != nil {
-		// A body that was not read to its end takes its connection along.
+	if err := p.checkID(req, resp, reused); err != nil {
+		// Closing a body before its end also closes the connection.
 		resp.Body.Close()
 		return nil, err
 	}
 	return resp, nil
 }
 
-// ErrIDMismatch is the error of an answer that belongs to another request.
-var ErrIDMismatch = errors.New("answer carries another request's X-Request-Id; it was discarded")
+// ErrIDMismatch is the error of a response that belongs to another request.
+var ErrIDMismatch = errors.New("response carries the request id of another request; discarded")
 
-// ErrMissingID is the error of an answer on a kept connection that names no
-// request, from a server that named them before. The next call to that server
-// has a connection of its own.
-var ErrMissingID = errors.New("answer on a kept connection carries no X-Request-Id and may be another's; it was discarded")
+// ErrMissingID is the error of a response without request id on a reused connection, from
+// a server that echoed request ids before. Later calls to that server use new connections.
+var ErrMissingID = errors.New("response on a reused connection carries no request id and may belong to another request; discarded")
 
-// bind checks that an answer belongs to its request.
+// checkID checks that a response belongs to its request.
 //
-// It guards against a late answer of a replaced attempt on a reused
-// connection: a server that writes a second answer where it owed one makes the
-// next request on that connection read it. It would show as one caller's
-// answer at another. It holds because each call has an id of its own, and an
-// answer on a reused connection must carry it. Servers that have not echoed
-// an id yet, or once did not, get a new connection for each call. Closing a
-// connection after its answer instead is too late: the library may have handed
-// it to the next call already, which then fails.
-func (p *pool) bind(req *http.Request, resp *http.Response, reused bool) error {
+// A server that writes two responses to one request makes the next request on that
+// connection read the second one, so that a caller would get the response to another
+// caller's request. Each call therefore has a unique id, which a response on a reused
+// connection must carry. Servers that have not echoed an id yet, or once did not, get a
+// new connection for each call. Closing a connection after such a response is too late:
+// net/http may already have assigned it to the next call, which then fails.
+func (p *pool) checkID(req *http.Request, resp *http.Response, reused bool) error {
 	want := req.Header.Get(p.idHeader)
 	got := resp.Header.Get(p.idHeader)
 	if got != "" && want != "" && got != want {
@@ -151,7 +144,7 @@
 		return ErrIDMismatch
 	}
 	echoed := want != "" && got == want
-	p.learn(req.URL.Host, echoed)
+	p.setEchoesID(req.URL.Host, echoed)
 	if reused && !echoed {
 		return ErrMissingID
 	}
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -19,15 +19,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// A caller leaves at the moment at which its request is about to be written. The
-// entry says "not run"; the HTTP library's writer, a goroutine of its own, has
-// the request still in hand. The server must see nothing of it.
-func TestNothingIsWrittenAfterTheSeal(t *testing.T) {
+// Guards against a request that net/http's writer goroutine still sends after the attempt was
+// reported as not run: the context is cancelled just before the request is written.
+func TestNothingIsWrittenAfterAbandon(t *testing.T) {
 	is := is.New(t)
 	var ran sync.Map
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { ran.Store(r.URL.Path, true) }))
 	client := NewClient()
-	var sealed []string
+	var abandoned []string
 	for i := range 300 {
 		ctx, cancel := context.WithCancel(t.Context())
 		attempt := &Attempt{}
@@ -44,39 +43,38 @@
 			resp.Body.Close()
 		}
 		if attempt.Abandon() {
-			sealed = append(sealed, path)
+			abandoned = append(abandoned, path)
 			is.True(err != nil)
 		}
 		cancel()
 	}
 	client.Close()
 	server.Close()
-	is.True(len(sealed) < 300)
-	for _, path := range sealed {
+	is.True(len(abandoned) < 300)
+	for _, path := range abandoned {
 		_, saw := ran.Load(path)
 		is.True(!saw)
 	}
 }
 
-func TestSealAndWriteExcludeEachOther(t *testing.T) {
+func TestAbandonAndWriteExcludeEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for range 1000 {
 			attempt := &Attempt{}
-			var wrote, proved atomic.Bool
-			go func() { wrote.Store(attempt.mayWrite()) }()
-			go func() { proved.Store(attempt.Abandon()) }()
+			var wrote, unsent atomic.Bool
+			go func() { wrote.Store(attempt.beginWrite()) }()
+			go func() { unsent.Store(attempt.Abandon()) }()
 			synctest.Wait()
-			is.True(wrote.Load() != proved.Load())
+			is.True(wrote.Load() != unsent.Load())
 			is.Equal(attempt.Written(), wrote.Load())
 		}
 	})
 }
 
-// A service closes a kept connection while a booking is on its way. net/http
-// would send it again by itself, since it carries an Idempotency-Key; the
-// service must see it once, also when its body is empty.
-func TestLibraryDoesNotRepeatPosts(t *testing.T) {
+// Guards against net/http resending a POST with an Idempotency-Key, with or without a body,
+// when the server closes a reused connection before it responds.
+func TestNetHTTPDoesNotResendPosts(t *testing.T) {
 	for _, body := range []string{"book", ""} {
 		t.Run("body "+body, func(t *testing.T) {
 			is := is.New(t)
@@ -90,7 +88,7 @@
 			defer server.Close()
 			client := NewClient()
 			defer client.Close()
-			client.requests.learn(server.Listener.Addr().String(), true)
+			client.requests.setEchoesID(server.Listener.Addr().String(), true)
 			for i := range 2 {
 				req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, server.URL, strings.NewReader(body))
 				is.NoErr(err)
@@ -108,7 +106,7 @@
 	}
 }
 
-// get calls the server as attempt id and reads the whole answer.
+// get sends a request with the id and reads the complete response.
 func get(t *testing.T, client *Client, url, id string) error {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
 	is.New(t).NoErr(err)
@@ -122,10 +120,10 @@
 	return err
 }
 
-// Calls to an engine that echoes no id fail now and then with "use of closed
-// network connection". Its connection was closed after the answer, when the
-// library had handed it to the next call already.
-func TestServerWithoutEchoGetsEachCallOnAConnectionOfItsOwn(t *testing.T) {
+// Guards against "use of closed network connection" with servers that echo no id: closing
+// their connections after the response fails the call to which net/http has already
+// assigned the connection.
+func TestServerWithoutEchoGetsNewConnectionPerCall(t *testing.T) {
 	is := is.New(t)
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -154,31 +152,31 @@
 	is.Equal(conns.Load(), int32(callers*calls))
 }
 
-// What answers do to the connections: kept where each carries its call's id,
-// and what may be another's answer is discarded.
-func TestAnswersBindConnections(t *testing.T) {
+// Guards against the delivery of another request's response: connections are reused only while
+// each response carries its request's id, and responses that may be another's are discarded.
+func TestResponseIDsControlConnectionReuse(t *testing.T) {
 	const other = "other"
 	cases := []struct {
 		name string
-		// echoes are the ids that the server gives back, call by call; "" is none
-		// and "=" the call's own.
-		echoes []string
-		errs   []error
-		conns  int32
+		// echoedIDs are the ids in the server's responses by call; "" is none and "=" the
+		// call's own.
+		echoedIDs []string
+		errs      []error
+		conns     int32
 	}{
 		{"echoes", []string{"=", "=", "=", "="}, []error{nil, nil, nil, nil}, 2},
 		{"never echoes", []string{"", "", ""}, []error{nil, nil, nil}, 3},
 		{"echoes later", []string{"", "=", "="}, []error{nil, nil, nil}, 3},
-		{"ends to echo", []string{"=", "=", "", "", ""}, []error{nil, nil, ErrMissingID, nil, nil}, 4},
-		{"another's answer at first", []string{other, "="}, []error{ErrIDMismatch, nil}, 2},
-		{"another's answer later", []string{"=", "=", other, "="}, []error{nil, nil, ErrIDMismatch, nil}, 3},
+		{"stops echoing", []string{"=", "=", "", "", ""}, []error{nil, nil, ErrMissingID, nil, nil}, 4},
+		{"mismatch on a new connection", []string{other, "="}, []error{ErrIDMismatch, nil}, 2},
+		{"mismatch on a reused connection", []string{"=", "=", other, "="}, []error{nil, nil, ErrIDMismatch, nil}, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var calls, conns atomic.Int32
 			server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				echo := c.echoes[calls.Add(1)-1]
+				echo := c.echoedIDs[calls.Add(1)-1]
 				if echo == "=" {
 					echo = r.Header.Get(RequestIDHeader)
 				}
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -69,11 +69,11 @@
 func pollBudget(entries int, relay bool) int {
 	switch {
 	case entries <= member.MeshLimit:
-		return engine.SmallFleetBytes
+		return engine.MeshPollBudget
 	case relay:
-		return engine.RelayBytes
+		return engine.RelayPollBudget
 	}
-	return engine.LargeFleetBytes
+	return engine.TreePollBudget
 }
 
 // relays tells whether no entry of the own data centre ranks above this one.
