--- a/connection/engine/bench_test.go
+++ b/connection/engine/bench_test.go
@@ -13,18 +13,16 @@
 	"github.com/lilacbridge/lilacbridge/connection/upstream"
 )
 
-// ignored takes reports for the benchmark.
-type ignored struct{}
+// discardReports is a ReportHandler that does nothing.
+type discardReports struct{}
 
-func (ignored) OnLoad(string, *Load)               {}
-func (ignored) OnCacheEvents(string, []CacheEvent) {}
+func (discardReports) OnLoad(string, *Load)               {}
+func (discardReports) OnCacheEvents(string, []CacheEvent) {}
 
-// BenchmarkPolls gives what the polls of one instance cost by the number of
-// servers that it watches: bytes a second of the connections at the budget of
-// calls, and processor time for each call, this side and the server's together.
-// On kept connections, and on a new one for each call, which is what servers
-// without the echo get and also those that are polled less often than
-// connections are kept.
+// BenchmarkPolls measures the cost of the polls of one instance by the number of servers:
+// bytes per second at callsPerSecond, and CPU time per call of client and server together.
+// Connections are reused ("kept") or new for each call ("fresh"), as for servers that do not
+// echo request ids or are polled less often than the idle timeout.
 func BenchmarkPolls(b *testing.B) {
 	for _, echo := range []bool{true, false} {
 		name := map[bool]string{true: "kept", false: "fresh"}[echo]
@@ -35,7 +33,7 @@
 }
 
 func benchPolls(b *testing.B, servers int, echo bool) {
-	answer := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		if echo {
 			w.Header().Set(upstream.RequestIDHeader, r.Header.Get(upstream.RequestIDHeader))
 		}
@@ -44,15 +42,15 @@
 			fmt.Fprint(w, `{"running":14,"waiting":3,"slots":16,"kv_used":0.731,"measured_unix_ms":1796256000000}`)
 			return
 		}
-		// About what an engine stores in three seconds at seven requests a second.
+		// About the events of an engine in three seconds at seven requests per second.
 		fmt.Fprint(w, `{"events":[`+strings.Repeat(`{"seq":123456,"stored":["9ae16a3b2f90404f","c3a5c85c97cb3127"],"dropped":["b492b66fbe98f273"]},`, 6)+`{"seq":123457}]}`)
 	}
 	up := upstream.NewClient()
 	defer up.Close()
-	poller := NewPoller(NewClient(up), ignored{})
+	poller := NewPoller(NewClient(up), discardReports{})
 	var watched []*lilacv1.Server
 	for i := range servers {
-		server := httptest.NewServer(http.HandlerFunc(answer))
+		server := httptest.NewServer(http.HandlerFunc(handler))
 		defer server.Close()
 		watched = append(watched, &lilacv1.Server{
 			Name: fmt.Sprint("r", i), Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, Address: server.Listener.Addr().String(),
@@ -61,10 +59,10 @@
 	poller.Watch(watched)
 	now := time.Unix(1, 0)
 	for b.Loop() {
-		// A time that leaves room for each call; what they cost is measured.
+		// Enough simulated time for the budget to allow each call.
 		now = now.Add(time.Minute)
 		if poll, ok := poller.next(now); ok {
-			poller.read(b.Context(), poll)
+			poller.run(b.Context(), poll)
 			poller.done(poll)
 		}
 	}
--- a/connection/engine/budget.go
+++ b/connection/engine/budget.go
@@ -3,40 +3,39 @@
 import "time"
 
 const (
-	// MeshPollBudget is what polls may cost an instance among member.MeshLimit
-	// instances at most, in bytes a second of both directions.
+	// MeshPollBudget is the budget for the polls of an instance in a fleet of up to
+	// member.MeshLimit instances, in bytes per second of both directions.
 	MeshPollBudget = 4000
-	// TreePollBudget is the same among more of them, where digests leave less room
-	// under the cap for control.
+	// TreePollBudget is the budget in larger fleets, in bytes per second. Digests leave
+	// less of the limit on control traffic there.
 	TreePollBudget = 2000
-	// RelayPollBudget is the same for the entry that relays the digests of its data
-	// centre: those and the signs of life take 12 of the 13 KB/s for control.
+	// RelayPollBudget is the budget of the relay of a data centre, in bytes per second:
+	// digests and heartbeats take 12 KB/s of its limit of 13 KB/s on control traffic.
 	RelayPollBudget = 600
-	// headerBytes is what a poll costs besides the body of its answer.
-	headerBytes = 300
-	// mostSaved is how long a budget that is not used is saved up for.
-	mostSaved = time.Second
+	// pollOverheadBytes is the size of a poll without the body of its response.
+	pollOverheadBytes = 300
+	// maxSavedTime bounds the unused budget that is carried over.
+	maxSavedTime = time.Second
 )
 
-// budget is a token bucket of bytes. What is spent is known only afterwards, so
-// the balance may fall below 0, and nothing is allowed until it is 0 again.
+// budget is a token bucket of bytes. The size of a response is known only afterwards, so
+// the balance may become negative, and no call is allowed until it is 0 again.
 //
-// It guards against answers that grow with the fleet: an engine that is asked
-// seldom has more cache events to tell each time, so that a number of calls
-// bounds no bytes. It shows as an instance above its cap for control. It holds
-// because a large answer is paid for by a longer wait.
+// The number of calls does not bound the bytes: in a large fleet each engine is polled
+// less often and sends more cache events per poll. Without the budget, an instance would
+// exceed its limit on control traffic.
 type budget struct {
-	perSecond float64
-	balance   float64
-	at        time.Time
+	bytesPerSecond float64
+	balance        float64
+	updated        time.Time
 }
 
 func (b *budget) allows(now time.Time) bool {
-	if b.at.IsZero() {
-		b.at = now
+	if b.updated.IsZero() {
+		b.updated = now
 	}
-	b.balance = min(b.balance+now.Sub(b.at).Seconds()*b.perSecond, b.perSecond*mostSaved.Seconds())
-	b.at = now
+	b.balance = min(b.balance+now.Sub(b.updated).Seconds()*b.bytesPerSecond, b.bytesPerSecond*maxSavedTime.Seconds())
+	b.updated = now
 	return b.balance >= 0
 }
 
--- a/connection/engine/client.go
+++ b/connection/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine speaks with model engines: streamed answers, resume, cancel,
-// KV cache moves, load reports and cache events.
+// Package engine is a client for model engines: streamed completions, resumption,
+// cancellation, KV cache transfer, load reports and cache events.
 package engine
 
 import (
@@ -19,34 +19,35 @@
 const (
 	priorityHeader = "X-Priority"
 	eventStream    = "text/event-stream"
-	// maxKVBytes is the largest KV cache that is moved, in bytes.
+	// maxKVBytes bounds a KV cache transfer.
 	maxKVBytes = 256 << 20
-	// maxReport is the largest report that is read, in bytes.
-	maxReport = 4 << 20
+	// maxReportBytes bounds a load or cache report.
+	maxReportBytes = 4 << 20
 )
 
-// ErrMissingID is the error of an engine that sends the request's id back neither
-// as X-Request-Id nor in its chunks' id, so that its answer can't be told from
-// another's.
-var ErrMissingID = errors.New("engine's answer names no request; switch its request id headers on")
+// ErrMissingID is the error of a response that carries the request's id neither in
+// X-Request-Id nor in the chunks' id, so that it may belong to another request.
+var ErrMissingID = errors.New("engine's response carries no request id; enable request id headers on the engine")
 
 // Client calls engines by address (host:port).
-type Client struct{ up *upstream.Client }
+type Client struct{ upstream *upstream.Client }
 
-// NewClient returns a Client over the connections of up.
-func NewClient(up *upstream.Client) *Client { return &Client{up: up} }
+// NewClient returns a Client that uses the connections of up.
+func NewClient(up *upstream.Client) *Client { return &Client{upstream: up} }
 
-// Call names one attempt at one engine.
+// Call identifies one attempt on one engine.
 type Call struct {
+	// Address is host:port.
 	Address string
-	// RequestID is the request's id and the attempt's number.
+	// RequestID consists of the request's id and the number of the attempt.
 	RequestID string
-	// Priority is 0 for the most urgent.
+	// Priority orders requests at the engine; 0 is the most urgent.
 	Priority int
 	Attempt  *upstream.Attempt
 }
 
-// Chat opens the streamed answer to a chat completions body.
+// Chat sends a chat completions body and returns the streamed response. The caller must
+// close the stream.
 func (c *Client) Chat(ctx context.Context, call Call, body []byte) (*Stream, error) {
 	return c.open(ctx, call, "/v1/chat/completions", body)
 }
@@ -56,9 +57,10 @@
 	AfterTokens int    `json:"after_tokens"`
 }
 
-// Resume opens the rest of the answer that the engine holds under heldID.
-func (c *Client) Resume(ctx context.Context, call Call, heldID string, afterTokens int) (*Stream, error) {
-	body, err := json.Marshal(resumeRequest{RequestID: heldID, AfterTokens: afterTokens})
+// Resume returns the rest of the completion that the engine holds under originalID, after
+// the first afterTokens tokens. The caller must close the stream.
+func (c *Client) Resume(ctx context.Context, call Call, originalID string, afterTokens int) (*Stream, error) {
+	body, err := json.Marshal(resumeRequest{RequestID: originalID, AfterTokens: afterTokens})
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	stream.id = heldID
+	stream.id = originalID
 	return stream, nil
 }
 
@@ -79,7 +81,7 @@
 	req.Header.Set("Accept", eventStream)
 	req.Header.Set(upstream.RequestIDHeader, call.RequestID)
 	req.Header.Set(priorityHeader, strconv.Itoa(call.Priority))
-	resp, err := c.up.Do(req, call.Attempt)
+	resp, err := c.upstream.Do(req, call.Attempt)
 	if err != nil {
 		return nil, err
 	}
@@ -88,10 +90,10 @@
 	}
 	if kind := resp.Header.Get("Content-Type"); !strings.HasPrefix(kind, eventStream) {
 		resp.Body.Close()
-		return nil, fmt.Errorf("engine answered %q where a stream was asked for", kind)
+		return nil, fmt.Errorf("engine sent content type %q instead of an event stream", kind)
 	}
 	stream := newStream(resp)
-	stream.bound = resp.Header.Get(upstream.RequestIDHeader) != ""
+	stream.idChecked = resp.Header.Get(upstream.RequestIDHeader) != ""
 	stream.id = call.RequestID
 	return stream, nil
 }
@@ -104,7 +106,7 @@
 	return http.NewRequestWithContext(ctx, method, "http://"+address+path, reader)
 }
 
-// Cancel frees the slot of the request that the engine runs under id.
+// Cancel makes the engine stop the request that it runs under id and free its slot.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	body, err := json.Marshal(map[string]string{"request_id": id})
 	if err != nil {
@@ -114,48 +116,48 @@
 	return err
 }
 
-// ExportKV takes the KV cache of the request id out of the engine that ran it.
-// The call is attempt callID.
+// ExportKV fetches the KV cache of request id from the engine that ran it. callID is the
+// request id of the call itself.
 func (c *Client) ExportKV(ctx context.Context, address, id, callID string) ([]byte, error) {
 	body, err := json.Marshal(map[string]string{"request_id": id})
 	if err != nil {
 		return nil, err
 	}
-	return c.move(ctx, address, "/v1/kv/export", callID, body)
+	return c.transferKV(ctx, address, "/v1/kv/export", callID, body)
 }
 
-// ImportKV gives a KV cache to an engine, which can then resume the request.
-// The call is attempt callID.
+// ImportKV sends a KV cache to an engine, which can then resume the request. callID is the
+// request id of the call itself.
 func (c *Client) ImportKV(ctx context.Context, address, callID string, cache []byte) error {
-	_, err := c.move(ctx, address, "/v1/kv/import", callID, cache)
+	_, err := c.transferKV(ctx, address, "/v1/kv/import", callID, cache)
 	return err
 }
 
-// move makes one call of a caller's request that carries or brings its KV cache.
-func (c *Client) move(ctx context.Context, address, path, callID string, body []byte) ([]byte, error) {
+// transferKV makes a call that sends or fetches the KV cache of a caller's request.
+func (c *Client) transferKV(ctx context.Context, address, path, callID string, body []byte) ([]byte, error) {
 	req, err := newRequest(ctx, http.MethodPost, address, path, body)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set(upstream.RequestIDHeader, callID)
-	resp, err := c.up.Do(req, nil)
+	resp, err := c.upstream.Do(req, nil)
 	if err != nil {
 		return nil, err
 	}
 	return readAll(resp, maxKVBytes)
 }
 
-// control makes one short call of lilacbridge's own and reads the whole answer.
+// control makes an internal call and returns the complete response body.
 func (c *Client) control(ctx context.Context, method, address, path string, body []byte) ([]byte, error) {
 	req, err := newRequest(ctx, method, address, path, body)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := c.up.Control(req)
+	resp, err := c.upstream.Control(req)
 	if err != nil {
 		return nil, err
 	}
-	return readAll(resp, maxReport)
+	return readAll(resp, maxReportBytes)
 }
 
 func readAll(resp *http.Response, limit int64) ([]byte, error) {
@@ -168,7 +170,7 @@
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("engine answered more than %d bytes to %s", limit, resp.Request.URL.Path)
+		return nil, fmt.Errorf("response to %[2]s is larger than %[1]d bytes", limit, resp.Request.URL.Path)
 	}
 	return data, nil
 }
--- a/connection/engine/engine_test.go
+++ b/connection/engine/engine_test.go
@@ -16,8 +16,8 @@
 
 const oneChunk = `data: {"id":"q-1","choices":[{"index":0,"delta":{"content":"un"},"finish_reason":"stop"}]}` + "\n\n"
 
-func serve(t *testing.T, answer http.HandlerFunc) (*Client, string) {
-	server := httptest.NewServer(answer)
+func serve(t *testing.T, handler http.HandlerFunc) (*Client, string) {
+	server := httptest.NewServer(handler)
 	up := upstream.NewClient()
 	t.Cleanup(func() { up.Close(); server.Close() })
 	return NewClient(up), strings.TrimPrefix(server.URL, "http://")
@@ -26,8 +26,8 @@
 func streamOf(t *testing.T, body string) *Stream {
 	client, address := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		is.New(t).Equal(r.Header.Get("X-Priority"), "2")
-		// An engine reads its request before it answers; a server that closes
-		// with bytes unread resets the connection under its own answer.
+		// A server that closes the connection with unread bytes resets it, and
+		// the client may lose the response.
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -39,22 +39,22 @@
 	return stream
 }
 
-// What an engine's stream may look like, and what the entry makes of it: only
-// the closing event ends it regularly.
+// Guards against a truncated stream that is taken for a complete one: only [DONE] ends a
+// stream without an error.
 func TestStreams(t *testing.T) {
-	long := strings.Repeat("x", 3*streamBuffer)
+	long := strings.Repeat("x", 3*streamBufferBytes)
 	cases := []struct {
 		name, body string
 		events     int
 		end        error
 	}{
-		{"whole", oneChunk + "data: [DONE]\n\n", 1, io.EOF},
+		{"complete", oneChunk + "data: [DONE]\n\n", 1, io.EOF},
 		{"without blanks and with comments", ": ping\r\ndata:{}\r\n\r\nevent: x\nretry: 5\ndata: [DONE]\n", 1, io.EOF},
 		{"larger than the buffer", `data: {"id":"` + long + "\"}\n\ndata: [DONE]\n\n", 1, io.EOF},
-		{"cut between events", oneChunk, 1, io.ErrUnexpectedEOF},
-		{"cut in an event", oneChunk + `data: {"id":`, 1, io.ErrUnexpectedEOF},
+		{"truncated between events", oneChunk, 1, io.ErrUnexpectedEOF},
+		{"truncated in an event", oneChunk + `data: {"id":`, 1, io.ErrUnexpectedEOF},
 		{"empty", "", 0, io.ErrUnexpectedEOF},
-		{"without end", "data: " + strings.Repeat("x", maxEvent+2*streamBuffer), 0, errTooLong},
+		{"event without end", "data: " + strings.Repeat("x", maxEventBytes+2*streamBufferBytes), 0, errEventTooLong},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,14 +70,14 @@
 	}
 }
 
-// What an engine may answer in place of a stream.
+// Covers the error responses that an engine may send instead of a stream.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		status int
-		after  time.Duration
-		notRun bool
+		name    string
+		handler http.HandlerFunc
+		status  int
+		after   time.Duration
+		notRun  bool
 	}{
 		{"overloaded", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "3")
@@ -87,15 +87,15 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = io.WriteString(w, `{"error":{"not_run":true}}`)
 		}, 503, 0, true},
-		{"can't tell whether it ran", func(w http.ResponseWriter, _ *http.Request) {
+		{"does not know whether it ran", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = io.WriteString(w, `{"error":{"not_run":"unknown"}}`)
 		}, 503, 0, false},
-		{"says not run of a failure", func(w http.ResponseWriter, _ *http.Request) {
+		{"states not run in a 500", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = io.WriteString(w, `{"error":{"not_run":true}}`)
 		}, 500, 0, false},
-		{"Retry-After that is no number", func(w http.ResponseWriter, _ *http.Request) {
+		{"invalid Retry-After", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "-5")
 			w.WriteHeader(http.StatusTooManyRequests)
 		}, 429, 0, false},
@@ -106,7 +106,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			client, address := serve(t, c.answer)
+			client, address := serve(t, c.handler)
 			_, err := client.Chat(t.Context(), Call{Address: address, RequestID: "q-1", Attempt: &upstream.Attempt{}}, []byte("{}"))
 			var status *upstream.StatusError
 			is.True(errors.As(err, &status))
--- a/connection/engine/poller.go
+++ b/connection/engine/poller.go
@@ -9,59 +9,61 @@
 )
 
 const (
-	// callsPerSecond bounds the calls of an instance, and so their processor time,
-	// whatever the number of servers; budget bounds their bytes: 1,100 instances
-	// before 5,900 replicas must stay within what they may spend on control. Own
-	// measurements come first; a report that is old counts little.
+	// callsPerSecond bounds the CPU time of an instance's polls independently of the number
+	// of servers, and budget bounds their bytes: with 1,100 instances and 5,900 replicas,
+	// each must stay within its limit on control traffic. Infrequent polls suffice, since
+	// the instance's own measurements take precedence and old reports have little weight.
 	callsPerSecond = 8
-	// cacheEvery is which call of so many reads cache events instead of a load.
-	cacheEvery  = 4
-	pollTimeout = 2 * time.Second
-	// pollWorkers bounds the polls under way, so that servers that hang hold up
-	// no others.
+	// cacheInterval is the number of calls of which one reads cache events and the others
+	// read loads.
+	cacheInterval = 4
+	pollTimeout   = 2 * time.Second
+	// pollWorkers is the maximum number of concurrent polls. It is above 1 so that
+	// hanging servers do not delay the others.
 	pollWorkers = 8
 )
 
-// ReportHandler gets what the poller reads; its calls come from several goroutines.
+// ReportHandler receives the reports that a Poller reads. Its methods are called
+// concurrently.
 type ReportHandler interface {
 	OnLoad(server string, load *Load)
 	OnCacheEvents(server string, events []CacheEvent)
 }
 
-// Poller reads load reports and cache events of a set of servers in turn.
+// Poller reads load reports and cache events of a set of servers in round-robin order.
 type Poller struct {
 	client  *Client
-	reports ReportHandler
+	handler ReportHandler
 
 	mu      sync.Mutex
 	servers []*lilacv1.Server
-	// engines are those of the servers that have a cache to tell of.
+	// engines are the servers of kind engine, which report cache events.
 	engines []*lilacv1.Server
-	// turn and engineTurn are the places of the last ones asked.
-	turn, engineTurn int
-	calls            uint64
-	// loads and caches have half of the budget each, so that engines with much to
-	// tell of their caches keep no load from being read.
-	loads, caches budget
-	// asked are the servers that have not answered their last poll.
-	asked map[string]bool
-	// after is the newest cache event read of each server.
-	after map[string]uint64
+	// lastServer and lastEngine are the indexes of the last polls.
+	lastServer, lastEngine int
+	calls                  uint64
+	// loadBudget and cacheBudget are each half of the budget, so that large reports of
+	// cache events don't prevent load polls.
+	loadBudget, cacheBudget budget
+	// inFlight holds the servers with a poll in progress.
+	inFlight map[string]bool
+	// lastSequence is the sequence number of the newest cache event read from each server.
+	lastSequence map[string]uint64
 }
 
-// NewPoller returns a Poller that tells reports.
-func NewPoller(client *Client, reports ReportHandler) *Poller {
-	p := &Poller{client: client, reports: reports, after: make(map[string]uint64), asked: make(map[string]bool)}
+// NewPoller returns a Poller with MeshPollBudget that passes reports to handler.
+func NewPoller(client *Client, handler ReportHandler) *Poller {
+	p := &Poller{client: client, handler: handler, lastSequence: make(map[string]uint64), inFlight: make(map[string]bool)}
 	p.SetBudget(MeshPollBudget)
 	return p
 }
 
-// SetBudget bounds what all polls may cost, in bytes a second.
+// SetBudget limits the traffic of all polls together, in bytes per second.
 func (p *Poller) SetBudget(bytesPerSecond int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loads.perSecond = float64(bytesPerSecond) / 2
-	p.caches.perSecond = float64(bytesPerSecond) / 2
+	p.loadBudget.bytesPerSecond = float64(bytesPerSecond) / 2
+	p.cacheBudget.bytesPerSecond = float64(bytesPerSecond) / 2
 }
 
 // Watch replaces the set of servers.
@@ -77,12 +79,12 @@
 	}
 	known := make(map[string]uint64, len(servers))
 	for _, server := range servers {
-		known[server.GetName()] = p.after[server.GetName()]
+		known[server.GetName()] = p.lastSequence[server.GetName()]
 	}
-	p.after = known
+	p.lastSequence = known
 }
 
-// Run polls until ctx ends, within the budget and in turn.
+// Run polls the servers until ctx ends.
 func (p *Poller) Run(ctx context.Context) {
 	ticker := time.NewTicker(time.Second / callsPerSecond)
 	defer ticker.Stop()
@@ -109,50 +111,50 @@
 		running.Go(func() {
 			defer func() { <-workers }()
 			defer p.done(poll)
-			p.read(ctx, poll)
+			p.run(ctx, poll)
 		})
 	}
 }
 
-// poll is one call: to read the load of a server, or its cache events.
+// poll is one call, which reads the cache events of a server or else its load.
 type poll struct {
-	server *lilacv1.Server
-	cache  bool
+	server      *lilacv1.Server
+	cacheEvents bool
 }
 
-// next returns the poll whose turn it is and marks its server as asked. It
-// tells false where there is none, its budget is spent, or its server has not
-// answered the last one: two readers of the same events would look like a gap.
+// next returns the next poll and marks its server as in flight. It returns false if there
+// is none, its budget is spent, or the previous poll of its server is in progress:
+// concurrent readers of the same cache events would look like a gap in the sequence.
 func (p *Poller) next(now time.Time) (poll, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
-	list, turn, cache := p.servers, &p.turn, false
-	if p.calls%cacheEvery == 0 && len(p.engines) > 0 && p.caches.allows(now) {
-		list, turn, cache = p.engines, &p.engineTurn, true
+	list, last, cache := p.servers, &p.lastServer, false
+	if p.calls%cacheInterval == 0 && len(p.engines) > 0 && p.cacheBudget.allows(now) {
+		list, last, cache = p.engines, &p.lastEngine, true
 	}
-	if len(list) == 0 || !cache && !p.loads.allows(now) {
+	if len(list) == 0 || !cache && !p.loadBudget.allows(now) {
 		return poll{}, false
 	}
-	*turn = (*turn + 1) % len(list)
-	server := list[*turn]
-	if p.asked[server.GetName()] {
+	*last = (*last + 1) % len(list)
+	server := list[*last]
+	if p.inFlight[server.GetName()] {
 		return poll{}, false
 	}
-	p.asked[server.GetName()] = true
-	return poll{server: server, cache: cache}, true
+	p.inFlight[server.GetName()] = true
+	return poll{server: server, cacheEvents: cache}, true
 }
 
-func (p *Poller) done(asked poll) {
+func (p *Poller) done(finished poll) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.asked, asked.server.GetName())
+	delete(p.inFlight, finished.server.GetName())
 }
 
-func (p *Poller) read(ctx context.Context, next poll) {
+func (p *Poller) run(ctx context.Context, next poll) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	if next.cache {
+	if next.cacheEvents {
 		p.readCache(ctx, next.server)
 		return
 	}
@@ -161,38 +163,38 @@
 
 func (p *Poller) readLoad(ctx context.Context, server *lilacv1.Server) {
 	load, bytes, err := p.client.Load(ctx, server.GetAddress())
-	p.spend(&p.loads, bytes)
+	p.spend(&p.loadBudget, bytes)
 	if err == nil {
-		p.reports.OnLoad(server.GetName(), load)
+		p.handler.OnLoad(server.GetName(), load)
 	}
 }
 
 func (p *Poller) readCache(ctx context.Context, server *lilacv1.Server) {
-	events, bytes, err := p.client.CacheEvents(ctx, server.GetAddress(), p.newest(server.GetName()))
-	p.spend(&p.caches, bytes)
+	events, bytes, err := p.client.CacheEvents(ctx, server.GetAddress(), p.sequence(server.GetName()))
+	p.spend(&p.cacheBudget, bytes)
 	if err != nil || len(events) == 0 {
 		return
 	}
-	p.note(server.GetName(), events[len(events)-1].Sequence)
-	p.reports.OnCacheEvents(server.GetName(), events)
+	p.setLastSequence(server.GetName(), events[len(events)-1].Sequence)
+	p.handler.OnCacheEvents(server.GetName(), events)
 }
 
 func (p *Poller) spend(b *budget, body int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.spend(headerBytes + body)
+	b.spend(pollOverheadBytes + body)
 }
 
-func (p *Poller) newest(server string) uint64 {
+func (p *Poller) sequence(server string) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.after[server]
+	return p.lastSequence[server]
 }
 
-func (p *Poller) note(server string, sequence uint64) {
+func (p *Poller) setLastSequence(server string, sequence uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, watched := p.after[server]; watched {
-		p.after[server] = sequence
+	if _, watched := p.lastSequence[server]; watched {
+		p.lastSequence[server] = sequence
 	}
 }
--- a/connection/engine/poller_test.go
+++ b/connection/engine/poller_test.go
@@ -10,7 +10,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-func watched(engines, services int) *Poller {
+func newTestPoller(engines, services int) *Poller {
 	p := NewPoller(nil, nil)
 	var servers []*lilacv1.Server
 	for i := range engines + services {
@@ -24,21 +24,22 @@
 	return p
 }
 
-// at moves the clock on by the time between two calls.
-func at(now *time.Time) time.Time {
+// tick advances now by the time between two calls and returns it.
+func tick(now *time.Time) time.Time {
 	*now = now.Add(time.Second / callsPerSecond)
 	return *now
 }
 
-// Every server's load is read in turn, and the caches of engines alone between.
-func TestPollsGoRound(t *testing.T) {
+// Guards against servers that are not polled: the loads of all servers and the cache events of
+// all engines are read in round-robin order.
+func TestPollsAreRoundRobin(t *testing.T) {
 	is := is.New(t)
-	p, now := watched(10, 3), time.Unix(1, 0)
+	p, now := newTestPoller(10, 3), time.Unix(1, 0)
 	loads, caches := make(map[string]int), make(map[string]int)
 	for range 13 * 4 {
-		next, ok := p.next(at(&now))
+		next, ok := p.next(tick(&now))
 		is.True(ok)
-		if next.cache {
+		if next.cacheEvents {
 			is.Equal(next.server.GetKind(), lilacv1.ServerKind_SERVER_KIND_ENGINE)
 			caches[next.server.GetName()]++
 		} else {
@@ -51,55 +52,55 @@
 	is.Equal(loads["0"], 3)
 }
 
-// An engine hangs: its polls must not pile up, and the others' go on.
-func TestHangingServerIsNotAskedAgain(t *testing.T) {
+// Guards against polls that pile up at a hanging engine or stop those of the others.
+func TestHangingServerIsNotPolledAgain(t *testing.T) {
 	is := is.New(t)
-	p, now := watched(2, 0), time.Unix(1, 0)
-	hanging, ok := p.next(at(&now))
+	p, now := newTestPoller(2, 0), time.Unix(1, 0)
+	hanging, ok := p.next(tick(&now))
 	is.True(ok)
-	asked := 0
+	polls := 0
 	for range 20 {
-		next, ok := p.next(at(&now))
+		next, ok := p.next(tick(&now))
 		if !ok {
 			continue
 		}
 		is.True(next.server != hanging.server)
-		asked++
+		polls++
 		p.done(next)
 	}
-	is.True(asked >= 8)
+	is.True(polls >= 8)
 }
 
 func TestNothingToPoll(t *testing.T) {
-	_, ok := watched(0, 0).next(time.Unix(1, 0))
+	_, ok := newTestPoller(0, 0).next(time.Unix(1, 0))
 	is.New(t).True(!ok)
 }
 
-// At full size an instance watches 100 engines and asks each for its cache
-// events once in a minute or so; by then an engine has 19 KB of them to tell.
-// Eight calls a second would cost 40 KB a second, three times what all control
-// may. The budget must hold, and loads must still be read.
-func TestLargeAnswersStayWithinTheBudget(t *testing.T) {
+// Guards against exceeding the limit on control traffic in a full-size fleet. An instance
+// polls 100 engines, each for its cache events about once a minute; 19 KB have accumulated
+// by then. Eight calls per second would cost 40 KB/s, three times the limit. Loads must
+// still be read.
+func TestLargeResponsesStayWithinTheBudget(t *testing.T) {
 	is := is.New(t)
 	const seconds, loadBytes, cacheBytes = 600, 80, 19000
-	p, now := watched(100, 0), time.Unix(1, 0)
+	p, now := newTestPoller(100, 0), time.Unix(1, 0)
 	p.SetBudget(TreePollBudget)
 	spent, loads := 0, 0
 	for range seconds * callsPerSecond {
-		poll, ok := p.next(at(&now))
+		poll, ok := p.next(tick(&now))
 		if !ok {
 			continue
 		}
 		p.done(poll)
-		if poll.cache {
-			p.spend(&p.caches, cacheBytes)
-			spent += headerBytes + cacheBytes
+		if poll.cacheEvents {
+			p.spend(&p.cacheBudget, cacheBytes)
+			spent += pollOverheadBytes + cacheBytes
 		} else {
-			p.spend(&p.loads, loadBytes)
-			spent += headerBytes + loadBytes
+			p.spend(&p.loadBudget, loadBytes)
+			spent += pollOverheadBytes + loadBytes
 			loads++
 		}
 	}
-	is.True(spent <= TreePollBudget*seconds+headerBytes+cacheBytes)
+	is.True(spent <= TreePollBudget*seconds+pollOverheadBytes+cacheBytes)
 	is.True(loads >= 2*seconds)
 }
--- a/connection/engine/report.go
+++ b/connection/engine/report.go
@@ -8,18 +8,19 @@
 	"strconv"
 )
 
-// Load is an engine's own report on its load.
+// Load is a load report of an engine or service. Running, Waiting and Slots count requests.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 	// KVUsed is the used share of the KV cache, 0 to 1.
 	KVUsed float64 `json:"kv_used"`
-	// MeasuredUnixMs is the engine's wall clock when it measured.
+	// MeasuredUnixMs is the time of the measurement by the engine's wall clock.
 	MeasuredUnixMs int64 `json:"measured_unix_ms"`
 }
 
-// CacheEvent tells which prefix blocks were stored and dropped.
+// CacheEvent reports changes of an engine's prefix cache: the hashes of the blocks stored
+// and dropped, in hexadecimal. Cleared is set if the whole cache was dropped.
 type CacheEvent struct {
 	Sequence uint64   `json:"seq"`
 	Stored   []string `json:"stored"`
@@ -27,15 +28,15 @@
 	Cleared  bool     `json:"cleared"`
 }
 
-// Load asks an engine or service for its load. Besides the answer it returns how
-// many bytes the body had, also where that does not decode.
+// Load reads the load report of an engine or service. bytes is the size of the response
+// body, also if that does not decode.
 func (c *Client) Load(ctx context.Context, address string) (load *Load, bytes int, err error) {
 	load = &Load{}
 	bytes, err = c.get(ctx, address, "/load", load)
 	return load, bytes, err
 }
 
-// CacheEvents asks for the events after the sequence number; bytes is as in Load.
+// CacheEvents reads the events after the sequence number. bytes is as in Load.
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (events []CacheEvent, bytes int, err error) {
 	var reply struct {
 		Events []CacheEvent `json:"events"`
@@ -50,12 +51,12 @@
 		return len(data), err
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return len(data), fmt.Errorf("report of %s%s does not decode: %w", address, path, err)
+		return len(data), fmt.Errorf("decode report of %s%s: %w", address, path, err)
 	}
 	return len(data), nil
 }
 
-// Blocks decodes hexadecimal block hashes; it skips those that are none.
+// Blocks parses hexadecimal block hashes and skips invalid ones.
 func Blocks(texts []string) []uint64 {
 	blocks := make([]uint64, 0, len(texts))
 	for _, text := range texts {
--- a/connection/engine/stream.go
+++ b/connection/engine/stream.go
@@ -13,53 +13,54 @@
 )
 
 const (
-	streamBuffer = 4 << 10
-	// maxEvent is the largest single event, in bytes.
-	maxEvent = 1 << 20
+	streamBufferBytes = 4 << 10
+	// maxEventBytes bounds a single event.
+	maxEventBytes = 1 << 20
 )
 
 var (
 	dataPrefix = []byte("data:")
-	doneData   = []byte("[DONE]")
-	readers    = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBuffer) }}
+	doneMarker = []byte("[DONE]")
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBufferBytes) }}
 )
 
-// ErrTruncated is the error of a stream that ended without its closing event.
-var ErrTruncated = fmt.Errorf("engine's stream ended in the middle: %w", io.ErrUnexpectedEOF)
+// ErrTruncated is the error of a stream that ended without [DONE].
+var ErrTruncated = fmt.Errorf("engine's stream ended without [DONE]: %w", io.ErrUnexpectedEOF)
 
-var errTooLong = fmt.Errorf("engine sent an event of more than %d bytes", maxEvent)
+var errEventTooLong = fmt.Errorf("engine sent an event larger than %d bytes", maxEventBytes)
 
-// Stream reads the events of one answer. It is used by one goroutine.
+// Stream reads the events of one response. It is not safe for concurrent use.
 type Stream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
-	long   []byte
-	// id is what an unbound stream's chunks must name.
-	id    string
-	bound bool
+	// longLine holds a line that is longer than the reader's buffer.
+	longLine []byte
+	// id must be part of the first chunk's id, unless idChecked is set already.
+	id        string
+	idChecked bool
 }
 
 func newStream(resp *http.Response) *Stream {
-	reader := readers.Get().(*bufio.Reader)
+	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(resp.Body)
 	return &Stream{body: resp.Body, reader: reader}
 }
 
-// CheckID tells whether the chunk belongs to the stream's request. The first
-// chunk settles it where the answer's header did not.
+// CheckID returns ErrMissingID if the chunk does not belong to the stream's request. It
+// checks the first chunk, and none if the response header carried the request id.
 func (s *Stream) CheckID(chunk *Chunk) error {
-	if s.bound {
+	if s.idChecked {
 		return nil
 	}
 	if !strings.Contains(chunk.ID, s.id) {
 		return ErrMissingID
 	}
-	s.bound = true
+	s.idChecked = true
 	return nil
 }
 
-// Next returns the data of the next event, valid until the next call: io.EOF
-// after the closing event, ErrTruncated where the stream ended without one.
+// Next returns the data of the next event, valid until the next call. The error is io.EOF
+// after [DONE], and ErrTruncated if the stream ended without it.
 func (s *Stream) Next() ([]byte, error) {
 	for {
 		line, err := s.line()
@@ -71,7 +72,7 @@
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		if bytes.Equal(data, doneData) {
+		if bytes.Equal(data, doneMarker) {
 			return nil, io.EOF
 		}
 		return data, nil
@@ -83,38 +84,38 @@
 	if err == nil {
 		return line, nil
 	}
-	s.long = append(s.long[:0], line...)
+	s.longLine = append(s.longLine[:0], line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
-		if len(s.long) > maxEvent {
-			return nil, errTooLong
+		if len(s.longLine) > maxEventBytes {
+			return nil, errEventTooLong
 		}
 		line, err = s.reader.ReadSlice('\n')
-		s.long = append(s.long, line...)
+		s.longLine = append(s.longLine, line...)
 	}
 	if err == io.EOF {
 		return nil, ErrTruncated
 	}
-	return s.long, err
+	return s.longLine, err
 }
 
-// Close frees the connection; before the end of the stream it closes it, which
-// also cancels the answer at the engine.
+// Close releases the connection. Before the end of the stream it closes the connection,
+// which makes the engine cancel the request.
 func (s *Stream) Close() error {
 	err := s.body.Close()
 	s.reader.Reset(nil)
-	readers.Put(s.reader)
+	readerPool.Put(s.reader)
 	s.reader = nil
 	return err
 }
 
-// Usage is the engine's count of tokens.
+// Usage holds the engine's token counts.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Delta is what one chunk adds to the answer.
+// Delta is the part of the completion that a chunk adds.
 type Delta struct {
 	Role      string          `json:"role"`
 	Content   string          `json:"content"`
@@ -123,14 +124,14 @@
 	ToolCalls json.RawMessage `json:"tool_calls"`
 }
 
-// Choice is one answer of a chunk; lilacbridge asks for one.
+// Choice is one completion of a chunk; lilacbridge requests only one.
 type Choice struct {
 	Index        int    `json:"index"`
 	Delta        Delta  `json:"delta"`
 	FinishReason string `json:"finish_reason"`
 }
 
-// Chunk is one event of an answer, as far as lilacbridge reads it.
+// Chunk holds the fields of a stream event that lilacbridge reads.
 type Chunk struct {
 	ID      string          `json:"id"`
 	Created int64           `json:"created"`
@@ -140,34 +141,35 @@
 	Error   json.RawMessage `json:"error"`
 }
 
-// Empty tells whether the chunk adds nothing to the text and does not end it.
+// Empty reports whether the chunk has no token, finish reason or usage.
 func (c *Chunk) Empty() bool {
 	return !c.HasToken() && c.FinishReason() == "" && c.Usage == nil
 }
 
-// HasToken tells whether the chunk carries a token of the answer.
+// HasToken reports whether the chunk carries a token of the completion.
 func (c *Chunk) HasToken() bool {
 	if len(c.Choices) == 0 {
 		return false
 	}
 	delta := &c.Choices[0].Delta
-	return delta.Content != "" || delta.Reasoning != "" || delta.Refusal != "" || hasCalls(delta.ToolCalls)
+	return delta.Content != "" || delta.Reasoning != "" || delta.Refusal != "" || hasToolCalls(delta.ToolCalls)
 }
 
-func hasCalls(raw json.RawMessage) bool {
+func hasToolCalls(raw json.RawMessage) bool {
 	return len(raw) > 0 && !bytes.Equal(raw, []byte("null")) && !bytes.Equal(raw, []byte("[]"))
 }
 
-// TextOnly tells whether the chunk holds nothing but text, which a prefix can carry on.
+// TextOnly reports whether the chunk adds only plain text. Another engine can continue such
+// a completion with the text so far as prefix.
 func (c *Chunk) TextOnly() bool {
 	if len(c.Choices) == 0 {
 		return true
 	}
 	delta := &c.Choices[0].Delta
-	return delta.Reasoning == "" && delta.Refusal == "" && !hasCalls(delta.ToolCalls)
+	return delta.Reasoning == "" && delta.Refusal == "" && !hasToolCalls(delta.ToolCalls)
 }
 
-// FinishReason returns why the answer ended; "" where it goes on.
+// FinishReason returns the finish reason of the completion; "" if it has not ended.
 func (c *Chunk) FinishReason() string {
 	if len(c.Choices) == 0 {
 		return ""
@@ -175,14 +177,15 @@
 	return c.Choices[0].FinishReason
 }
 
-// ParseChunk decodes an event's data.
+// ParseChunk decodes the data of an event. An error event of the engine is returned as an
+// error that wraps io.ErrUnexpectedEOF.
 func ParseChunk(data []byte) (*Chunk, error) {
 	chunk := &Chunk{}
 	if err := json.Unmarshal(data, chunk); err != nil {
-		return nil, fmt.Errorf("engine sent a chunk that is no JSON: %w", err)
+		return nil, fmt.Errorf("engine sent a chunk that is not valid JSON: %w", err)
 	}
 	if len(chunk.Error) > 0 && !bytes.Equal(chunk.Error, []byte("null")) {
-		return nil, fmt.Errorf("engine broke off with an error of its own: %w", io.ErrUnexpectedEOF)
+		return nil, fmt.Errorf("engine ended the stream with an error event: %w", io.ErrUnexpectedEOF)
 	}
 	return chunk, nil
 }
