--- a/connection/service/service.go
+++ b/connection/service/service.go
@@ -1,4 +1,4 @@
-// Package service speaks with plain HTTP services.
+// Package service is a client for plain HTTP services.
 package service
 
 import (
@@ -13,58 +13,61 @@
 )
 
 // Client calls services by address (host:port).
-type Client struct{ up *upstream.Client }
+type Client struct{ upstream *upstream.Client }
 
-// NewClient returns a Client over the connections of up.
-func NewClient(up *upstream.Client) *Client { return &Client{up: up} }
+// NewClient returns a Client that uses the connections of up.
+func NewClient(up *upstream.Client) *Client { return &Client{upstream: up} }
 
-// Call is one attempt at one service.
+// Call is one attempt on one service.
 type Call struct {
+	// Address is host:port.
 	Address string
 	Method  string
-	// URI is the path with the query, as the service shall see it.
+	// URI is the path and query to send.
 	URI    string
 	Header http.Header
 	Body   []byte
-	// RequestID is the request's id and the attempt's number.
+	// RequestID consists of the request's id and the number of the attempt.
 	RequestID string
 	Attempt   *upstream.Attempt
-	// NonIdempotent is set for calls that must not be repeated.
+	// NonIdempotent is set for calls that must not be repeated; they use a new connection.
 	NonIdempotent bool
 }
 
-// perConnection are the headers that are meant for one connection only.
-var perConnection = []string{
+// hopByHopHeaders are the headers that apply to a single connection.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaders are between callers and lilacbridge, never passed on.
-var ownHeaders = []string{
+// internalHeaders are not forwarded: they are meant for lilacbridge, or set by Do or
+// net/http.
+var internalHeaders = []string{
 	"Authorization", "X-Lilac-Class", "X-Lilac-Deadline-Ms", upstream.RequestIDHeader, "Content-Length", "Host", "Expect",
 }
 
-// CopyHeader copies the headers that go from one connection to another.
+// CopyHeader copies all headers except the hop-by-hop ones: hopByHopHeaders and those
+// listed in the Connection header.
 func CopyHeader(to, from http.Header) {
-	named := strings.Split(strings.Join(from.Values("Connection"), ","), ",")
+	listed := strings.Split(strings.Join(from.Values("Connection"), ","), ",")
 	for key, values := range from {
-		if slices.Contains(perConnection, key) || connectionNames(named, key) {
+		if slices.Contains(hopByHopHeaders, key) || listedInConnection(listed, key) {
 			continue
 		}
 		to[key] = slices.Clone(values)
 	}
 }
 
-func connectionNames(named []string, key string) bool {
-	return slices.ContainsFunc(named, func(name string) bool {
+func listedInConnection(listed []string, key string) bool {
+	return slices.ContainsFunc(listed, func(name string) bool {
 		return strings.EqualFold(strings.TrimSpace(name), key)
 	})
 }
 
-// Do sends the call; the caller of Do closes the answer's body.
+// Do sends the call. The caller must close the body of the response.
 func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
 	var body io.Reader
-	if len(call.Body) > 0 || !withoutBody(call.Method) {
+	if len(call.Body) > 0 || !hasNoBody(call.Method) {
 		body = bytes.NewReader(call.Body)
 	}
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Address+call.URI, body)
@@ -72,20 +75,20 @@
 		return nil, err
 	}
 	CopyHeader(req.Header, call.Header)
-	for _, key := range ownHeaders {
+	for _, key := range internalHeaders {
 		req.Header.Del(key)
 	}
 	req.Header.Set(upstream.RequestIDHeader, call.RequestID)
 	if req.Header.Get("User-Agent") == "" {
-		// Keeps net/http from adding its own.
+		// An empty value keeps net/http from sending its own User-Agent.
 		req.Header.Set("User-Agent", "")
 	}
 	if call.NonIdempotent {
-		return c.up.DoNewConn(req, call.Attempt)
+		return c.upstream.DoNewConn(req, call.Attempt)
 	}
-	return c.up.Do(req, call.Attempt)
+	return c.upstream.Do(req, call.Attempt)
 }
 
-func withoutBody(method string) bool {
+func hasNoBody(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead
 }
--- a/connection/service/service_test.go
+++ b/connection/service/service_test.go
@@ -13,9 +13,9 @@
 	"github.com/lilacbridge/lilacbridge/connection/upstream"
 )
 
-// A service must see a caller's call as it was sent, but neither the caller's
-// token nor headers that belong to the caller's own connection.
-func TestCallsArriveAsSent(t *testing.T) {
+// Guards against changes to a forwarded request, and against forwarding the caller's token or
+// hop-by-hop headers.
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %s|%d|%v", r.Method, r.RequestURI, body, r.ContentLength, r.Header)
@@ -29,7 +29,7 @@
 	}
 	cases := []struct {
 		method, uri, body, want string
-		once                    bool
+		nonIdempotent           bool
 	}{
 		{"GET", "/a//b/../c?x=%2F&y", "", "GET /a//b/../c?x=%2F&y |0|", false},
 		{"POST", "/book", "berth 7", "POST /book berth 7|", false},
@@ -41,7 +41,7 @@
 			is := is.New(t)
 			resp, err := NewClient(up).Do(t.Context(), Call{
 				Address: strings.TrimPrefix(server.URL, "http://"), Method: c.method, URI: c.uri, Header: header,
-				Body: []byte(c.body), RequestID: "q-1", Attempt: &upstream.Attempt{}, NonIdempotent: c.once,
+				Body: []byte(c.body), RequestID: "q-1", Attempt: &upstream.Attempt{}, NonIdempotent: c.nonIdempotent,
 			})
 			is.NoErr(err)
 			defer resp.Body.Close()
