--- a/connection/httpserver/httpserver.go
+++ b/connection/httpserver/httpserver.go
@@ -1,5 +1,5 @@
-// Package httpserver makes HTTP servers of kratos that need nothing of the machine
-// but their listener.
+// Package httpserver creates kratos HTTP servers that depend on nothing of the host but
+// their listener.
 package httpserver
 
 import (
@@ -14,22 +14,21 @@
 )
 
 const (
-	// headerTimeout covers the whole header of a request.
+	// headerTimeout bounds the time to read a complete request header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is well above what callers leave a connection idle for, so that
-	// none is closed while a request is on its way.
+	// idleTimeout is much longer than callers keep an idle connection, so that the server
+	// does not close one on which a request is in transit.
 	idleTimeout = 2 * time.Minute
 )
 
-// Endpoint is the address as kratos wants it.
+// Endpoint returns the kratos endpoint for the address (host:port) of a listener.
 //
-// It guards against platforms that don't let a process list its network
-// interfaces: kratos looks for an endpoint there unless it is given one, and the
-// process ends at its start. It holds because the listener's own address is given.
+// Without an explicit endpoint, kratos lists the network interfaces, and the process fails
+// to start on platforms that do not permit this.
 func Endpoint(address string) *url.URL { return &url.URL{Scheme: "http", Host: address} }
 
-// New returns a server in which the handler gets each request as it came: the
-// library's router would redirect paths that must stay as they are.
+// New returns a server that passes each request to handler unchanged. The handler replaces
+// the kratos router, which would redirect paths that must stay as they are.
 func New(listener net.Listener, handler http.Handler) *khttp.Server {
 	server := khttp.NewServer(
 		khttp.Listener(listener),
@@ -39,7 +38,7 @@
 	)
 	server.ReadHeaderTimeout = headerTimeout
 	server.IdleTimeout = idleTimeout
-	// Broken connections of callers are no change of state.
+	// net/http logs a line per broken connection of a caller, which operators don't need.
 	server.ErrorLog = log.New(io.Discard, "", 0)
 	return server
 }
--- a/connection/serverlist/client.go
+++ b/connection/serverlist/client.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// NewClient returns the client for the platform's list: it keeps one connection.
-// A silent one ends with the timeout of the reading; the next has a new one.
+// NewClient returns the HTTP client for the platform's list. It keeps one idle connection.
+// A connection on which a request times out is closed, and the next request opens a new one.
 func NewClient() *http.Client {
 	dialer := &net.Dialer{Timeout: readTimeout}
 	return &http.Client{
--- a/connection/serverlist/serverlist_test.go
+++ b/connection/serverlist/serverlist_test.go
@@ -15,7 +15,7 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// platform is a list that the test changes, and that may fail.
+// platform is a fake ServerList with a settable list or error.
 type platform struct {
 	mu    sync.Mutex
 	list  []routing.Server
@@ -45,20 +45,20 @@
 	}
 }
 
-// node follows the list from others or from the platform.
+// node is a process that updates its store from upstream nodes or from the platform.
 type node struct {
-	holder *Store
+	store  *Store
 	caller link.Caller
 	mu     sync.Mutex
 	names  []string
 }
 
 func newNode(ctx context.Context, p *platform, upstream ...*node) *node {
-	n := &node{holder: NewStore()}
+	n := &node{store: NewStore()}
 	mux := link.NewMux()
-	n.holder.Register(mux)
+	n.store.Register(mux)
 	n.caller = &link.Local{Mux: mux, Self: link.Peer{Process: "test", DataCenter: "a"}}
-	follower := NewUpdater(n.holder, Options{
+	updater := NewUpdater(n.store, Options{
 		Upstream: func() []link.Caller {
 			var callers []link.Caller
 			for _, other := range upstream {
@@ -76,18 +76,18 @@
 			}
 		},
 	})
-	go follower.Run(ctx)
+	go updater.Run(ctx)
 	return n
 }
 
-func (n *node) holds() []string {
+func (n *node) servers() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.names
 }
 
-// A server begins to leave. Entries hear it through the state processes within a
-// second, and the platform is asked by one process only.
+// Guards against an entry that learns of a leaving server later than a second after the state
+// processes, and against more than one process that reads the platform's list.
 func TestChangesReachAllThroughOneReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,10 +98,10 @@
 		follower := newNode(ctx, unread, leader)
 		entry := newNode(ctx, unread, follower)
 		time.Sleep(3 * time.Second)
-		is.Equal(entry.holds(), []string{"i-1", "i-2"})
+		is.Equal(entry.servers(), []string{"i-1", "i-2"})
 		p.set(nil, "i-2")
 		time.Sleep(1100 * time.Millisecond)
-		is.Equal(entry.holds(), []string{"i-2"})
+		is.Equal(entry.servers(), []string{"i-2"})
 		before := unread.called()
 		time.Sleep(time.Minute)
 		is.Equal(unread.called(), before)
@@ -111,9 +111,9 @@
 	})
 }
 
-// The state processes are gone, or know nothing themselves. The entry must read
-// the platform's list itself, or it would send work to servers that left.
-func TestEntryReadsTheListItselfWhereNobodyKnowsIt(t *testing.T) {
+// Guards against an entry that sends requests to servers that have left, since the state
+// processes are unavailable or have no current list: it must read the platform's list itself.
+func TestEntryReadsTheListItselfIfNoStateProcessHasIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -122,15 +122,15 @@
 		own.set(nil, "i-1")
 		entry := newNode(ctx, own, newNode(ctx, broken))
 		time.Sleep(5 * time.Second)
-		is.Equal(entry.holds(), []string{"i-1"})
+		is.Equal(entry.servers(), []string{"i-1"})
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The platform's list fails for a while. What is known must stay in force, and
-// be given to nobody as fresh.
-func TestLostListStaysInForceAndIsNotPassedOn(t *testing.T) {
+// Guards against dropping the last list, or serving it as current, while the platform's list
+// can't be read.
+func TestOutdatedListStaysInForceAndIsNotServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -142,8 +142,8 @@
 		time.Sleep(2 * time.Second)
 		p.set(errors.New("slow"))
 		time.Sleep(10 * time.Second)
-		is.Equal(state.holds(), []string{"i-1"})
-		is.Equal(entry.holds(), []string{"i-1", "i-2"})
+		is.Equal(state.servers(), []string{"i-1"})
+		is.Equal(entry.servers(), []string{"i-1", "i-2"})
 		cancel()
 		synctest.Wait()
 	})
--- a/connection/serverlist/store.go
+++ b/connection/serverlist/store.go
@@ -1,6 +1,5 @@
-// Package serverlist keeps the list of backend servers on the state processes and
-// gives it on to the entries, so that the platform is asked by one process and
-// not by each.
+// Package serverlist distributes the platform's list of backend servers through the state
+// processes to the entry instances, so that only one process reads it from the platform.
 package serverlist
 
 import (
@@ -20,73 +19,76 @@
 )
 
 const (
-	// Method is the link method of a question for the list.
+	// Method is the link method to query the list.
 	Method = "state.servers"
-	// holdFor is how long a question waits for a change; callers take a longer
-	// silence for a lost process.
-	holdFor = time.Second
-	// staleAfter is the age above which a list is given to nobody: its reader may
-	// be cut off, and another process may know more.
-	staleAfter = 3 * time.Second
+	// maxPollWait is how long a query waits for a change. Callers time out somewhat later
+	// and treat the process as failed.
+	maxPollWait = time.Second
+	// maxAge is the time since the last confirmation after which a list is not served:
+	// this process may be partitioned, and another may have a newer list.
+	maxAge = 3 * time.Second
 )
 
-// Store holds the newest list that was read or heard.
+// Store holds the newest list received. It is safe for concurrent use.
 type Store struct {
+	// mu guards reply, servers, confirmedAt and changed. changed is closed and replaced
+	// with each new list.
 	mu      sync.Mutex
 	reply   *lilacv1.ServersReply
 	servers []routing.Server
-	at      time.Time
-	changed chan struct{}
-	now     func() time.Time
+	// confirmedAt is when the list was last read or confirmed.
+	confirmedAt time.Time
+	changed     chan struct{}
+	now         func() time.Time
 }
 
 // NewStore returns a Store without a list.
 func NewStore() *Store { return &Store{changed: make(chan struct{}), now: time.Now} }
 
 // Register adds the method to mux.
-func (h *Store) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(h.answer)) }
+func (s *Store) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(s.serve)) }
 
-// Set takes a list in and tells whether it differs from the one held. A list in
-// another order is the same.
-func (h *Store) Set(servers []routing.Server) bool {
+// Set stores a list and reports whether it differs from the previous one, regardless of
+// order.
+func (s *Store) Set(servers []routing.Server) bool {
 	servers = slices.Clone(servers)
 	slices.SortFunc(servers, func(a, b routing.Server) int { return cmp.Compare(a.Name, b.Name) })
 	reply := encode(servers)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.at = h.now()
-	if h.reply != nil && h.reply.GetVersion() == reply.GetVersion() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmedAt = s.now()
+	if s.reply != nil && s.reply.GetVersion() == reply.GetVersion() {
 		return false
 	}
-	h.reply, h.servers = reply, servers
-	close(h.changed)
-	h.changed = make(chan struct{})
+	s.reply, s.servers = reply, servers
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return true
 }
 
-// Confirm notes that the list held is still the platform's.
-func (h *Store) Confirm() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.at = h.now()
+// Confirm records that the stored list is still current.
+func (s *Store) Confirm() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.confirmedAt = s.now()
 }
 
-// Version is that of the list held; 0 for none.
-func (h *Store) Version() uint64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.reply.GetVersion()
+// Version returns the version of the stored list; 0 if there is none.
+func (s *Store) Version() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.reply.GetVersion()
 }
 
-// answer waits for a list other than the caller's.
-func (h *Store) answer(ctx context.Context, _ link.Peer, r *lilacv1.ServersRequest) (*lilacv1.ServersReply, error) {
-	timer := time.NewTimer(holdFor)
+// serve waits up to maxPollWait for a list that differs from the caller's.
+func (s *Store) serve(ctx context.Context, _ link.Peer, r *lilacv1.ServersRequest) (*lilacv1.ServersReply, error) {
+	timer := time.NewTimer(maxPollWait)
 	defer timer.Stop()
 	for {
-		h.mu.Lock()
-		reply, changed, age := h.reply, h.changed, h.now().Sub(h.at)
-		h.mu.Unlock()
-		if reply != nil && age <= staleAfter && reply.GetVersion() != r.GetHave() {
+		s.mu.Lock()
+		reply, changed, age := s.reply, s.changed, s.now().Sub(s.confirmedAt)
+		s.mu.Unlock()
+		if reply != nil && age <= maxAge && reply.GetVersion() != r.GetHave() {
 			return reply, nil
 		}
 		select {
@@ -94,20 +96,21 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timer.C:
-			return h.unchanged(reply, age)
+			return s.unchanged(reply, age)
 		}
 	}
 }
 
-// unchanged tells the caller that what it holds stands, or that nobody knows.
-func (h *Store) unchanged(reply *lilacv1.ServersReply, age time.Duration) (*lilacv1.ServersReply, error) {
-	if reply == nil || age > staleAfter {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "the list of backend servers is not known here; ask another state process or the platform")
+// unchanged returns a reply without servers, which confirms the caller's list, or an error
+// if this process has no current list.
+func (s *Store) unchanged(reply *lilacv1.ServersReply, age time.Duration) (*lilacv1.ServersReply, error) {
+	if reply == nil || age > maxAge {
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this process has no current list of backend servers; ask another state process or the platform")
 	}
 	return &lilacv1.ServersReply{Version: reply.GetVersion()}, nil
 }
 
-// encode gives equal lists equal versions.
+// encode returns the reply for a sorted list. Equal lists have equal versions.
 func encode(servers []routing.Server) *lilacv1.ServersReply {
 	reply := &lilacv1.ServersReply{}
 	for i := range servers {
@@ -117,7 +120,7 @@
 			DataCenter: s.DataCenter, Slots: uint32(s.Slots), Leaving: s.Leaving,
 		})
 	}
-	// Messages of our own types always marshal.
+	// Marshalling a valid message does not fail.
 	data, _ := proto.MarshalOptions{Deterministic: true}.Marshal(reply)
 	reply.Version = max(xxhash.Sum64(data), 1)
 	return reply
--- a/connection/serverlist/updater.go
+++ b/connection/serverlist/updater.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// askTimeout bounds one question to another process: what it may wait, and a
-	// way between regions.
-	askTimeout = holdFor + 500*time.Millisecond
-	// readTimeout bounds one reading of the platform's list.
+	// queryTimeout bounds one query of another process: its wait for a change, and a
+	// round trip between regions.
+	queryTimeout = maxPollWait + 500*time.Millisecond
+	// readTimeout bounds one read of the platform's list.
 	readTimeout = 2 * time.Second
-	// failedPause keeps a process that fails at once from costing a processor.
-	failedPause = 200 * time.Millisecond
+	// retryInterval limits the CPU time spent if each read fails at once.
+	retryInterval = 200 * time.Millisecond
 )
 
-// Options say where a Follower gets the list from.
+// Options configure an Updater.
 type Options struct {
-	// Upstream returns the processes to ask, the best first; none means that this
-	// process reads the platform's list itself.
+	// Upstream returns the processes to query, in order of preference. If it returns none,
+	// or none responds, this process reads the platform's list itself.
 	Upstream func() []link.Caller
-	// List is the platform's; Every is the pause between two readings.
+	// List is the platform's list; Every is the interval between two reads.
 	List  gateway.ServerList
 	Every time.Duration
-	// OnList is told of each list that differs from the last; may be nil.
+	// OnList is called with each list that differs from the last; may be nil.
 	OnList func([]routing.Server)
 	Logger hclog.Logger
 }
 
-// Updater keeps a Store up to date.
+// Updater keeps a Store up to date, from other processes or from the platform.
 type Updater struct {
 	Options
-	holder *Store
-	lost   bool
+	store       *Store
+	unavailable bool
 }
 
-// NewUpdater returns a Follower of the holder; Run must be called.
-func NewUpdater(holder *Store, o Options) *Updater {
+// NewUpdater returns an Updater of the store, which does nothing until Run.
+func NewUpdater(store *Store, o Options) *Updater {
 	if o.OnList == nil {
 		o.OnList = func([]routing.Server) {}
 	}
-	return &Updater{Options: o, holder: holder}
+	return &Updater{Options: o, store: store}
 }
 
-// Run follows the list until ctx ends.
-func (f *Updater) Run(ctx context.Context) {
+// Run updates the store until ctx ends.
+func (u *Updater) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if f.ask(ctx) {
+		if u.query(ctx) {
 			continue
 		}
-		err := f.read(ctx)
-		f.note(ctx, err)
-		pause := f.Every
+		err := u.read(ctx)
+		u.logTransition(ctx, err)
+		pause := u.Every
 		if err != nil {
-			pause = failedPause
+			pause = retryInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -69,57 +69,58 @@
 	}
 }
 
-// ask puts the question to the processes in turn, and tells whether one answered.
-func (f *Updater) ask(ctx context.Context) bool {
-	for _, caller := range f.Upstream() {
-		asked, cancel := context.WithTimeout(ctx, askTimeout)
+// query asks the upstream processes one after the other for the list, and reports whether
+// one of them responded.
+func (u *Updater) query(ctx context.Context) bool {
+	for _, caller := range u.Upstream() {
+		queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
 		reply := &lilacv1.ServersReply{}
-		err := caller.Call(asked, Method, &lilacv1.ServersRequest{Have: f.holder.Version()}, reply)
+		err := caller.Call(queryCtx, Method, &lilacv1.ServersRequest{Have: u.store.Version()}, reply)
 		cancel()
 		if err != nil {
 			continue
 		}
-		if reply.GetVersion() == f.holder.Version() {
-			f.holder.Confirm()
+		if reply.GetVersion() == u.store.Version() {
+			u.store.Confirm()
 		} else {
-			f.take(decode(reply))
+			u.apply(decode(reply))
 		}
-		f.note(ctx, nil)
+		u.logTransition(ctx, nil)
 		return true
 	}
 	return false
 }
 
-func (f *Updater) read(ctx context.Context) error {
+func (u *Updater) read(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	servers, skipped, err := f.List.Fetch(ctx)
+	servers, skipped, err := u.List.Fetch(ctx)
 	if err != nil {
 		return err
 	}
 	if skipped > 0 {
-		f.Logger.Debug("entries of the list can't be read", "skipped", skipped)
+		u.Logger.Debug("skipped invalid entries of the list of backend servers", "skipped", skipped)
 	}
-	f.take(servers)
+	u.apply(servers)
 	return nil
 }
 
-func (f *Updater) take(servers []routing.Server) {
-	if f.holder.Set(servers) {
-		f.Logger.Info("list of backend servers changed", "servers", len(servers))
-		f.OnList(servers)
+func (u *Updater) apply(servers []routing.Server) {
+	if u.store.Set(servers) {
+		u.Logger.Info("list of backend servers changed", "servers", len(servers))
+		u.OnList(servers)
 	}
 }
 
-// note writes a line when the list is lost or regained.
-func (f *Updater) note(ctx context.Context, err error) {
-	if ctx.Err() != nil || f.lost == (err != nil) {
+// logTransition logs when the list becomes unavailable or available again.
+func (u *Updater) logTransition(ctx context.Context, err error) {
+	if ctx.Err() != nil || u.unavailable == (err != nil) {
 		return
 	}
-	f.lost = err != nil
-	if f.lost {
-		f.Logger.Warn("lost the list of backend servers; the last one stays in force", "error", err)
+	u.unavailable = err != nil
+	if u.unavailable {
+		u.Logger.Warn("list of backend servers unavailable; the last one stays in force", "error", err)
 	} else {
-		f.Logger.Info("regained the list of backend servers")
+		u.Logger.Info("list of backend servers available again")
 	}
 }
