--- a/connection/operator/change.go
+++ b/connection/operator/change.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	ownViewTimeout = 2 * time.Second
-	ownViewPoll    = 5 * time.Millisecond
+	// localViewTimeout bounds the wait until a change is in force at this instance.
+	localViewTimeout      = 2 * time.Second
+	localViewPollInterval = 5 * time.Millisecond
 )
 
 func (h *handler) statement(ctx context.Context, who string, body []byte) (*Reply, error) {
@@ -72,15 +73,15 @@
 	}
 }
 
-// propose sends a change to the log. An error that leaves open whether the
-// change was accepted names the command id, by which the client asks again.
+// propose proposes a change to the state processes. If the outcome is unknown, the error
+// names the command id, with which the client can repeat the change safely.
 func (h *handler) propose(ctx context.Context, proposal *lilacv1.Proposal) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	reply, err := h.State.Propose(ctx, proposal)
-	if err != nil && fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_UNKNOWN && lostAnswer(err) {
+	if err != nil && fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_UNKNOWN && outcomeUnknown(err) {
 		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN,
-			"the answer was lost and the change may be in force; send it again with command id "+proposal.GetCommandId()+" to learn which")
+			"the reply was lost and the change may be in force; to find out, send it again with command id "+proposal.GetCommandId())
 	}
 	if err != nil {
 		return nil, err
@@ -92,17 +93,17 @@
 		change.Effect, err = h.effect(ctx, proposal.GetChanges())
 		return &Reply{Change: change}, err
 	}
-	h.awaitOwnView(ctx, reply.GetRevision())
+	h.awaitLocalRevision(ctx, reply.GetRevision())
 	return &Reply{Change: change}, nil
 }
 
-// awaitOwnView waits a little until the revision is in force here, so that an
-// operator who asks this instance next sees the own change. It is accepted
-// whether or not it has come by then.
-func (h *handler) awaitOwnView(ctx context.Context, revision uint64) {
-	ctx, cancel := context.WithTimeout(ctx, ownViewTimeout)
+// awaitLocalRevision waits up to localViewTimeout until the revision is in force at this
+// instance, so that an operator who queries it next sees the change. The change is accepted
+// in any case.
+func (h *handler) awaitLocalRevision(ctx context.Context, revision uint64) {
+	ctx, cancel := context.WithTimeout(ctx, localViewTimeout)
 	defer cancel()
-	ticker := time.NewTicker(ownViewPoll)
+	ticker := time.NewTicker(localViewPollInterval)
 	defer ticker.Stop()
 	for h.View().Revision < revision {
 		select {
@@ -113,7 +114,8 @@
 	}
 }
 
-func lostAnswer(err error) bool {
+// outcomeUnknown reports whether the change may have been accepted although the call failed.
+func outcomeUnknown(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE,
 		lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM:
--- a/connection/operator/configured.go
+++ b/connection/operator/config.go
@@ -12,21 +12,22 @@
 	"github.com/lilacbridge/lilacbridge/version/table"
 )
 
-func wallClock(unixMs int64) string {
+func formatTime(unixMs int64) string {
 	return time.UnixMilli(unixMs).UTC().Format(time.RFC3339)
 }
 
-func ms(n uint32) string { return (time.Duration(n) * time.Millisecond).String() }
+func formatMs(n uint32) string { return (time.Duration(n) * time.Millisecond).String() }
 
-func late(policy lilacv1.LatePolicy) string {
+func latePolicy(policy lilacv1.LatePolicy) string {
 	if policy == lilacv1.LatePolicy_LATE_POLICY_REFUSE {
 		return "refuse"
 	}
 	return "run"
 }
 
-// configured returns the rows of a subject that stands in the configuration.
-func configured(view *model.View, subject string) *table.Table {
+// configTable returns the table of a subject that is part of the configuration; a subject
+// without a case is "models".
+func configTable(view *model.View, subject string) *table.Table {
 	switch subject {
 	case "classes":
 		return classes(view)
@@ -44,7 +45,7 @@
 		c := view.Classes[name]
 		share := strconv.FormatFloat(float64(c.GetSharePermille())/10, 'f', -1, 64) + "%"
 		t.Rows = append(t.Rows, []string{
-			name, strconv.Itoa(int(c.GetTier())), ms(c.GetFirstTokenMs()), ms(c.GetBetweenTokensMs()), share, late(c.GetLate()),
+			name, strconv.Itoa(int(c.GetTier())), formatMs(c.GetFirstTokenMs()), formatMs(c.GetBetweenTokensMs()), share, latePolicy(c.GetLate()),
 		})
 	}
 	return t
@@ -66,7 +67,7 @@
 	t := &table.Table{Columns: []string{"digest", "team", "servers", "expires"}, Rows: [][]string{}}
 	for _, digest := range slices.Sorted(maps.Keys(view.Convictions)) {
 		c := view.Convictions[digest]
-		t.Rows = append(t.Rows, []string{digest, c.GetTeam(), strings.Join(c.GetServers(), ","), wallClock(c.GetExpiresUnixMs())})
+		t.Rows = append(t.Rows, []string{digest, c.GetTeam(), strings.Join(c.GetServers(), ","), formatTime(c.GetExpiresUnixMs())})
 	}
 	return t
 }
--- a/connection/operator/filter.go
+++ b/connection/operator/filter.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// maxGathered bounds the rows that one query gathers from all instances.
-	//
-	// It guards against a query that ends the instance which asks: 1,100 instances
-	// before 5,900 backend servers have 6.5 million rows of SHOW servers. It shows
-	// as an instance out of memory. It holds because each instance sends its share
-	// of the bound at most, and says how many rows it left out.
-	maxGathered = 50000
-	// leastShare is what an instance may send, however many there are.
-	leastShare = 10
+	// maxGatheredRows bounds the rows that one query gathers from all instances, so that
+	// the instance that gathers them does not run out of memory: with 1,100 instances and
+	// 5,900 backend servers, SHOW servers has 6.5 million rows. Each instance sends at most
+	// its share and the number of rows that it left out.
+	maxGatheredRows = 50000
+	// minRowsPerInstance is the minimum share of an instance.
+	minRowsPerInstance = 10
 )
 
+// countColumns are the columns of a reply to a request with CountBy.
 var countColumns = []string{"column", "value", "requests"}
 
-// shareOf returns how many rows one of so many instances may send.
-func shareOf(instances int) int { return max(leastShare, maxGathered/max(1, instances)) }
+// rowsPerInstance returns the number of rows that each instance may send.
+func rowsPerInstance(instances int) int {
+	return max(minRowsPerInstance, maxGatheredRows/max(1, instances))
+}
 
-// FilterReply brings an instance's own part of a query down to what the request asks
-// for, before it is sent: the rows that match, in order, up to the limit, or
-// their counts.
+// FilterReply reduces an instance's reply to what the request asks for: the matching rows,
+// sorted, up to the limit, or their counts. reply must contain all rows of the subject.
 func FilterReply(request *lilacv1.QueryRequest, instance string, reply *lilacv1.QueryReply) error {
-	show, err := showOf(request.GetStatement())
+	show, err := parseShow(request.GetStatement())
 	if err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	}
 	reply.Matched = uint32(len(rows.Rows))
 	if len(request.GetCountBy()) > 0 {
-		reply.Columns, reply.Rows = countColumns, countsOf(rows, request.GetCountBy())
+		reply.Columns, reply.Rows = countColumns, countRows(rows, request.GetCountBy())
 		return nil
 	}
 	if limit := int(request.GetLimit()); limit > 0 && limit < len(rows.Rows) {
@@ -64,7 +64,8 @@
 	return append([]string{instance}, values...)
 }
 
-func showOf(text string) (*statement.Show, error) {
+// parseShow parses a SHOW statement; an empty text selects all rows.
+func parseShow(text string) (*statement.Show, error) {
 	if text == "" {
 		return &statement.Show{}, nil
 	}
@@ -73,13 +74,13 @@
 		return nil, err
 	}
 	if parsed.Show == nil {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%q is no SHOW statement; changes go to the operators' address", text)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%q is not a SHOW statement; send changes to the operator address", text)
 	}
 	return parsed.Show, nil
 }
 
-// countsOf counts the rows by value of each column, in order of the values.
-func countsOf(rows *table.Table, columns []string) []*lilacv1.QueryRow {
+// countRows counts the rows per value of each column, sorted by value.
+func countRows(rows *table.Table, columns []string) []*lilacv1.QueryRow {
 	var counts []*lilacv1.QueryRow
 	for _, name := range columns {
 		column := slices.Index(rows.Columns, name)
--- a/connection/operator/filter_test.go
+++ b/connection/operator/filter_test.go
@@ -16,11 +16,11 @@
 	"github.com/lilacbridge/lilacbridge/version/statement"
 )
 
-// fleetOf returns the handler of instance e0 among so many, each with so many
-// requests, one in a hundred of team t7; sent counts the bytes of the replies.
-func fleetOf(instances, requests int, sent *atomic.Int64) *handler {
+// newFleetHandler returns the handler of instance e0 in a fleet whose instances run the given
+// number of requests each, one in a hundred of team t7. sent counts the bytes of the replies.
+func newFleetHandler(instances, requests int, sent *atomic.Int64) *handler {
 	var columns = []string{"id", "class", "team", "server", "age", "tokens"}
-	answer := func(instance string, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
+	localReply := func(instance string, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
 		reply := &lilacv1.QueryReply{Instance: instance, Columns: columns}
 		for i := range requests {
 			reply.Rows = append(reply.Rows, &lilacv1.QueryRow{Values: []string{
@@ -36,13 +36,13 @@
 	for i := 1; i < instances; i++ {
 		name := fmt.Sprint("e", i)
 		peers = append(peers, peer(name, link.Unary(func(_ context.Context, _ link.Peer, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
-			return answer(name, request)
+			return localReply(name, request)
 		})))
 	}
 	return &handler{Options: Options{
 		Instance: "e0", GatherTimeout: time.Hour, Peers: func() []Peer { return peers },
 		Local: func(_ context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
-			return answer("e0", request)
+			return localReply("e0", request)
 		},
 	}}
 }
@@ -56,34 +56,32 @@
 	return reply
 }
 
-// An operator of a large fleet asks for all that runs. The rows of all
-// instances together would end the one that was asked; it must get a part, and
-// the operator must be told that it is one.
+// Guards against running out of memory when an operator queries all requests of a large
+// fleet: only some of the rows are gathered, and the reply must say so.
 func TestQueryOfALargeFleetIsBounded(t *testing.T) {
 	is := is.New(t)
 	const instances, requests = 500, 150
-	h := fleetOf(instances, requests, new(atomic.Int64))
+	h := newFleetHandler(instances, requests, new(atomic.Int64))
 	reply := show(t, h, "SHOW requests")
-	is.Equal(len(reply.Table.Rows), maxGathered)
-	is.Equal(reply.Omitted, instances*requests-maxGathered)
+	is.Equal(len(reply.Table.Rows), maxGatheredRows)
+	is.Equal(reply.Omitted, instances*requests-maxGatheredRows)
 	is.Equal(reply.Parts[0].Matched, requests)
 
 	reply = show(t, h, "SHOW requests ORDER BY tokens DESC LIMIT 5")
 	is.Equal(len(reply.Table.Rows), 5)
 	is.Equal(reply.Table.Rows[4][6], strconv.Itoa(requests-1))
-	is.Equal(reply.Omitted, 0) // the first five of all are there for sure
+	is.Equal(reply.Omitted, 0) // each instance sent its first five rows
 
 	reply = show(t, h, "SHOW requests WHERE instance = e7 AND tokens < 10")
 	is.Equal(len(reply.Table.Rows), 10)
 	is.Equal(reply.Omitted, 0)
 }
 
-// A dry run counts what a change concerns, and counts all of it even where the
-// rows of one instance would not all be sent.
+// Guards against a dry run that counts only the rows that an instance may send.
 func TestDryRunCountsMoreThanItsShareOfRows(t *testing.T) {
 	is := is.New(t)
-	const instances, requests = 5, 3 * maxGathered / 5
-	h := fleetOf(instances, requests, new(atomic.Int64))
+	const instances, requests = 5, 3 * maxGatheredRows / 5
+	h := newFleetHandler(instances, requests, new(atomic.Int64))
 	lines, err := h.effect(t.Context(), []*lilacv1.Change{{Op: &lilacv1.Change_DropTeam{DropTeam: "t7"}}, {Op: &lilacv1.Change_DropTeam{DropTeam: "none"}}})
 	is.NoErr(err)
 	is.Equal(lines, []string{
@@ -92,7 +90,7 @@
 	})
 }
 
-func TestFaultsOfPartsOfQueries(t *testing.T) {
+func TestFilterReplyRejectsInvalidStatements(t *testing.T) {
 	for name, text := range map[string]string{"syntax": "SHOW requests WHERE", "a change": "DROP TEAM x", "unknown column": "SHOW requests WHERE colour = red"} {
 		t.Run(name, func(t *testing.T) {
 			reply := &lilacv1.QueryReply{Columns: []string{"id"}}
@@ -101,8 +99,8 @@
 	}
 }
 
-// BenchmarkQuery gives the bytes that one query brings to the instance asked,
-// by instances of 200 requests each.
+// BenchmarkQuery measures the bytes that the queried instance receives per query, by the
+// number of instances with 200 requests each.
 func BenchmarkQuery(b *testing.B) {
 	for _, instances := range []int{8, 64, 256, 1100} {
 		for name, text := range map[string]string{
@@ -110,7 +108,7 @@
 		} {
 			b.Run(fmt.Sprintf("%s/instances=%d", name, instances), func(b *testing.B) {
 				var sent atomic.Int64
-				h := fleetOf(instances, 200, &sent)
+				h := newFleetHandler(instances, 200, &sent)
 				rows := 0
 				for b.Loop() {
 					rows = len(show(b, h, text).Table.Rows)
--- a/connection/operator/operator.go
+++ b/connection/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator answers operators' statements over HTTP: queries that it
-// gathers from all instances, and changes that it proposes to the log.
+// Package operator serves operators' statements over HTTP, and contains the client for
+// them. Queries are gathered from all instances; changes are proposed to the state processes.
 package operator
 
 import (
@@ -17,55 +17,55 @@
 )
 
 const (
-	// maxBody bounds a statement or a fleet file, in bytes.
-	maxBody = 16 << 20
-	// gatherTimeout is how long a query waits for one instance, where Options don't say.
+	// maxBodyBytes bounds the body of a request.
+	maxBodyBytes = 16 << 20
+	// gatherTimeout is the default of Options.GatherTimeout.
 	gatherTimeout = 2 * time.Second
-	// proposeTimeout is how long a change waits for its quorum.
+	// proposeTimeout bounds the wait until a quorum has accepted a change.
 	proposeTimeout = 10 * time.Second
 )
 
-// State is what the handler needs of the state processes.
+// State sends calls to the state processes.
 type State interface {
 	Propose(ctx context.Context, proposal *lilacv1.Proposal) (*lilacv1.ProposeReply, error)
 	Audit(ctx context.Context, request *lilacv1.AuditRequest) (*lilacv1.AuditReply, error)
 }
 
-// Peer is another process that answers its part of a query.
+// Peer is another process that replies to queries.
 type Peer struct {
 	Name       string
 	DataCenter string
 	Caller     link.Caller
 }
 
-// Options are what the handler is made of. All fields are required but Peers,
-// StatePeers and GatherTimeout.
+// Options configure the handler. All fields but StatePeers, GatherTimeout and OnRefused are
+// required. The functions are called concurrently.
 type Options struct {
 	Instance   string
 	DataCenter string
-	// View returns the revision in force here.
+	// View returns the configuration in force at this instance; nil if there is none yet.
 	View func() *model.View
-	// Newest returns the newest revision known to exist and how old that knowledge is.
+	// Newest returns the newest known revision and the age of that information.
 	Newest func() (revision uint64, age time.Duration)
 	State  State
-	// Local answers this instance's own part of a query.
+	// Local returns this instance's part of a query.
 	Local func(ctx context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error)
-	// Peers returns the other entry instances that are live or were lately.
+	// Peers returns the other entry instances that are or recently were live.
 	Peers func() []Peer
 	// StatePeers returns the state processes.
 	StatePeers func() []Peer
-	// GatherTimeout is how long a query waits for one instance; 0 means two seconds.
+	// GatherTimeout is how long a query waits for the other instances; 0 means 2 s.
 	GatherTimeout time.Duration
-	// Operators returns who may give statements.
+	// Operators returns the tokens of the operators.
 	Operators func() *secret.Operators
 	Now       func() time.Time
-	// OnRefused counts requests that showed no right token; may be nil.
+	// OnRefused is called for each request without a valid token; may be nil.
 	OnRefused func()
 }
 
 type handler struct{ Options }
 
-// NewHandler returns the handler of /v1/statements and /v1/apply.
+// NewHandler returns the HTTP handler for /v1/statements and /v1/apply.
 func NewHandler(options Options) http.Handler {
 	h := &handler{options}
 	mux := http.NewServeMux()
@@ -76,7 +76,7 @@
 
 type operation func(ctx context.Context, who string, body []byte) (*Reply, error)
 
-// authorized refuses requests without a right token before it reads the body.
+// authorized rejects requests without a valid token before it reads the body.
 func (h *handler) authorized(do operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -85,7 +85,7 @@
 			if h.OnRefused != nil {
 				h.OnRefused()
 			}
-			writeError(w, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "no right operator's token; name a token file with --token-file"))
+			writeError(w, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "no valid operator token; name a token file with --token-file"))
 			return
 		}
 		if h.View() == nil {
@@ -110,7 +110,7 @@
 	decoder := json.NewDecoder(strings.NewReader(string(body)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the request is no right JSON; see docs/INTERFACES.md")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the request is not valid JSON; see docs/INTERFACES.md")
 	}
 	return nil
 }
--- a/connection/operator/operator_test.go
+++ b/connection/operator/operator_test.go
@@ -21,7 +21,7 @@
 
 const token = "0123456789abcdef0123"
 
-// fakeState answers proposals by the errors in turn, then accepts.
+// fakeState returns the errors to the first proposals and accepts the later ones.
 type fakeState struct {
 	errors    []error
 	proposals []*lilacv1.Proposal
@@ -55,18 +55,18 @@
 	return Peer{Name: name, DataCenter: "thies-a", Caller: &link.Local{Mux: mux}}
 }
 
-// viewOf shows the accepted change only some looks after it was accepted, as
-// an entry that follows the log does.
+// viewOf returns a View function that returns the accepted change only from the third call
+// after it was accepted, like an entry that lags behind the state processes.
 func viewOf(state State, before *model.View) func() *model.View {
 	after := *before
 	after.Revision = 42
-	looks := 0
+	calls := 0
 	return func() *model.View {
 		fake := state.(*fakeState)
 		if !fake.accepted.Load() {
 			return before
 		}
-		if looks++; looks < 3 {
+		if calls++; calls < 3 {
 			return before
 		}
 		return &after
@@ -102,9 +102,9 @@
 	return &Client{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, Token: token}
 }
 
-// An operator asks what runs while one instance is cut off: the answer holds
-// the rows of the others and names the one that is missing.
-func TestQueryNamesInstancesThatDoNotAnswer(t *testing.T) {
+// Guards against a query that fails, or does not name the missing instance, while one instance
+// is unreachable.
+func TestQueryNamesInstancesThatDoNotReply(t *testing.T) {
 	is := is.New(t)
 	reply, err := serve(t, &fakeState{}).Statement(t.Context(), &StatementRequest{Statement: `SHOW requests WHERE age >= 2s ORDER BY id DESC`})
 	is.NoErr(err)
@@ -125,9 +125,9 @@
 	is.Equal(state.proposals[0].GetCommandId(), "c1")
 }
 
-// An operator changes a class and asks the same instance at once. The answer
-// must hold the change, though the instance learns of it a little later.
-func TestChangeIsInForceHereOnceAnswered(t *testing.T) {
+// Guards against a reply to a change before the change is in force at the instance: the next
+// query to it must show the change.
+func TestChangeIsInForceLocallyOnReply(t *testing.T) {
 	is := is.New(t)
 	client := serve(t, &fakeState{})
 	_, err := client.Statement(t.Context(), &StatementRequest{Statement: "DROP TEAM x", CommandID: "c1"})
@@ -137,10 +137,10 @@
 	is.Equal(reply.Parts[0].Revision, uint64(42))
 }
 
-// The leader dies after it accepted a change and before it answered. The
-// client must send the same command id again and, when no answer comes at all,
-// must say "unknown" and never "not made".
-func TestLostAnswerStaysUnknown(t *testing.T) {
+// Guards against reporting a change as not made if the leader fails after it accepted the
+// change and before it replied. The client must resend the same command id and, without any
+// reply, report the outcome as unknown.
+func TestLostReplyStaysUnknown(t *testing.T) {
 	is := is.New(t)
 	lost := fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")
 	state := &fakeState{errors: []error{lost}}
@@ -157,14 +157,14 @@
 	is.True(strings.Contains(err.Error(), "c2"))
 }
 
-func TestDryRunTellsWhatRuns(t *testing.T) {
+func TestDryRunReportsRunningRequests(t *testing.T) {
 	is := is.New(t)
 	reply, err := serve(t, &fakeState{}).Statement(t.Context(), &StatementRequest{Statement: "DRAIN INSTANCE e2", CommandID: "c1", DryRun: true})
 	is.NoErr(err)
 	is.Equal(reply.Change.Effect, []string{"instance e2: 2 running requests at 1 instances", "e3 did not answer; its requests are not counted"})
 }
 
-func TestFaultsOfRequests(t *testing.T) {
+func TestRequestErrors(t *testing.T) {
 	conflict := fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "revision 42 by op-2 won")
 	for name, c := range map[string]struct {
 		statement, token string
--- a/connection/operator/query.go
+++ b/connection/operator/query.go
@@ -39,25 +39,27 @@
 	}
 	newest, age := h.Newest()
 	own := []Part{{Instance: h.Instance, DataCenter: h.DataCenter, Revision: h.View().Revision, Newest: newest, AgeMs: age.Milliseconds()}}
-	return &Reply{Table: configured(h.View(), subject), Parts: own}, nil
+	return &Reply{Table: configTable(h.View(), subject), Parts: own}, nil
 }
 
-type answer struct {
+type result struct {
 	peer  Peer
 	reply *lilacv1.QueryReply
 	err   error
 }
 
-// gatherRows asks every instance for its rows that match, up to its share.
+// gatherRows asks each instance for its matching rows, up to its share of
+// maxGatheredRows.
 func (h *handler) gatherRows(ctx context.Context, show *statement.Show, text string) (*Reply, error) {
-	limit := shareOf(len(h.Peers()) + 1)
-	whole := show.Limit != nil && *show.Limit <= limit
-	if whole {
-		// The first of all are among the first of each; 0 would mean all.
+	limit := rowsPerInstance(len(h.Peers()) + 1)
+	exact := show.Limit != nil && *show.Limit <= limit
+	if exact {
+		// The first rows of all are among the first rows of each; 0 would mean no
+		// limit.
 		limit = max(1, *show.Limit)
 	}
 	reply, err := h.gather(ctx, &lilacv1.QueryRequest{Subject: strings.ToLower(show.Subject), Statement: text, Limit: uint32(limit)})
-	if err != nil || whole {
+	if err != nil || exact {
 		return reply, err
 	}
 	for _, part := range reply.Parts {
@@ -66,52 +68,55 @@
 	return reply, nil
 }
 
-// gather asks every instance at once and waits for none longer than gatherTimeout.
+// gather sends the request to all instances concurrently and merges the replies that
+// arrive within the gather timeout.
 func (h *handler) gather(ctx context.Context, request *lilacv1.QueryRequest) (*Reply, error) {
 	local, err := h.Local(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	answers := h.askAll(ctx, h.Peers(), func(ctx context.Context, peer Peer) (*lilacv1.QueryReply, error) {
+	results := h.callAll(ctx, h.Peers(), func(ctx context.Context, peer Peer) (*lilacv1.QueryReply, error) {
 		reply := &lilacv1.QueryReply{}
 		return reply, peer.Caller.Call(ctx, "entry.query", request, reply)
 	})
-	answers = append(answers, answer{peer: Peer{Name: h.Instance, DataCenter: h.DataCenter}, reply: local})
-	return merge(local.GetColumns(), answers), nil
+	results = append(results, result{peer: Peer{Name: h.Instance, DataCenter: h.DataCenter}, reply: local})
+	return merge(local.GetColumns(), results), nil
 }
 
-func (h *handler) askAll(ctx context.Context, peers []Peer, ask func(context.Context, Peer) (*lilacv1.QueryReply, error)) []answer {
+// callAll makes the call to all peers concurrently and returns one result per peer.
+func (h *handler) callAll(ctx context.Context, peers []Peer, call func(context.Context, Peer) (*lilacv1.QueryReply, error)) []result {
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(h.GatherTimeout, gatherTimeout))
 	defer cancel()
-	answers := make([]answer, len(peers))
+	results := make([]result, len(peers))
 	var wg sync.WaitGroup
 	for i, peer := range peers {
 		wg.Go(func() {
-			reply, err := ask(ctx, peer)
-			answers[i] = answer{peer: peer, reply: reply, err: err}
+			reply, err := call(ctx, peer)
+			results[i] = result{peer: peer, reply: reply, err: err}
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
-// merge puts the rows of all instances under the columns, with the instance first.
-func merge(columns []string, answers []answer) *Reply {
-	slices.SortFunc(answers, func(a, b answer) int { return strings.Compare(a.peer.Name, b.peer.Name) })
+// merge combines the rows of all instances into one table with the columns instance and
+// columns. Rows with another number of columns are dropped.
+func merge(columns []string, results []result) *Reply {
+	slices.SortFunc(results, func(a, b result) int { return strings.Compare(a.peer.Name, b.peer.Name) })
 	reply := &Reply{Table: &table.Table{Columns: append([]string{"instance"}, columns...), Rows: [][]string{}}}
-	for _, a := range answers {
-		if a.err != nil {
-			reply.Missing = append(reply.Missing, Missing{Instance: a.peer.Name, DataCenter: a.peer.DataCenter, Reason: a.err.Error()})
+	for _, r := range results {
+		if r.err != nil {
+			reply.Missing = append(reply.Missing, Missing{Instance: r.peer.Name, DataCenter: r.peer.DataCenter, Reason: r.err.Error()})
 			continue
 		}
 		reply.Parts = append(reply.Parts, Part{
-			Instance: a.peer.Name, DataCenter: a.peer.DataCenter, Revision: a.reply.GetRevision(),
-			Newest: a.reply.GetNewest(), AgeMs: int64(a.reply.GetAgeMs()),
-			Rows: len(a.reply.GetRows()), Matched: max(len(a.reply.GetRows()), int(a.reply.GetMatched())),
+			Instance: r.peer.Name, DataCenter: r.peer.DataCenter, Revision: r.reply.GetRevision(),
+			Newest: r.reply.GetNewest(), AgeMs: int64(r.reply.GetAgeMs()),
+			Rows: len(r.reply.GetRows()), Matched: max(len(r.reply.GetRows()), int(r.reply.GetMatched())),
 		})
-		for _, row := range a.reply.GetRows() {
+		for _, row := range r.reply.GetRows() {
 			if len(row.GetValues()) == len(columns) {
-				reply.Table.Rows = append(reply.Table.Rows, append([]string{a.peer.Name}, row.GetValues()...))
+				reply.Table.Rows = append(reply.Table.Rows, append([]string{r.peer.Name}, row.GetValues()...))
 			}
 		}
 	}
@@ -128,21 +133,21 @@
 	t := &table.Table{Columns: []string{"revision", "time", "who", "instance", "statement", "command"}, Rows: [][]string{}}
 	for _, r := range trail.GetRevisions() {
 		t.Rows = append(t.Rows, []string{
-			strconv.FormatUint(r.GetNumber(), 10), wallClock(r.GetProposedUnixMs()), r.GetWho(), r.GetInstance(), r.GetStatement(), r.GetCommandId(),
+			strconv.FormatUint(r.GetNumber(), 10), formatTime(r.GetProposedUnixMs()), r.GetWho(), r.GetInstance(), r.GetStatement(), r.GetCommandId(),
 		})
 	}
 	return &Reply{Table: t}, nil
 }
 
 func (h *handler) stateRows(ctx context.Context, subject string) (*Reply, error) {
-	method, columns, row := stateQuery(subject)
-	answers := h.askAll(ctx, h.statePeers(), func(ctx context.Context, peer Peer) (*lilacv1.QueryReply, error) {
-		return row(ctx, peer, method)
+	method, columns, call := stateQuery(subject)
+	results := h.callAll(ctx, h.statePeers(), func(ctx context.Context, peer Peer) (*lilacv1.QueryReply, error) {
+		return call(ctx, peer, method)
 	})
-	if !slices.ContainsFunc(answers, func(a answer) bool { return a.err == nil }) {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no state process answers; see \"lost quorum\" in docs/OPERATING.md")
+	if !slices.ContainsFunc(results, func(r result) bool { return r.err == nil }) {
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no state process replies; see \"lost quorum\" in docs/OPERATING.md")
 	}
-	return merge(columns, answers), nil
+	return merge(columns, results), nil
 }
 
 func (h *handler) statePeers() []Peer {
@@ -152,31 +157,34 @@
 	return h.StatePeers()
 }
 
-type stateAsk func(ctx context.Context, peer Peer, method string) (*lilacv1.QueryReply, error)
+// stateQueryFunc calls a method of one state process.
+type stateQueryFunc func(ctx context.Context, peer Peer, method string) (*lilacv1.QueryReply, error)
 
-func stateQuery(subject string) (method string, columns []string, ask stateAsk) {
+// stateQuery returns the method, the columns and the call for a subject that the state
+// processes answer.
+func stateQuery(subject string) (method string, columns []string, call stateQueryFunc) {
 	if subject == "leases" {
 		return "state.query", []string{"lease", "holder", "fencing", "left"}, func(ctx context.Context, peer Peer, method string) (*lilacv1.QueryReply, error) {
-			return askState(ctx, peer, method, &lilacv1.QueryRequest{Subject: "leases"})
+			return queryState(ctx, peer, method, &lilacv1.QueryRequest{Subject: "leases"})
 		}
 	}
-	return "state.status", []string{"role", "term", "leader", "commit", "applied", "revision", "voters", "learners", "claims", "disk_full", "recoveries", "rival"}, askStatus
+	return "state.status", []string{"role", "term", "leader", "commit", "applied", "revision", "voters", "learners", "claims", "disk_full", "recoveries", "rival"}, queryStatus
 }
 
-func askState(ctx context.Context, peer Peer, method string, request proto.Message) (*lilacv1.QueryReply, error) {
+func queryState(ctx context.Context, peer Peer, method string, request proto.Message) (*lilacv1.QueryReply, error) {
 	reply := &lilacv1.QueryReply{}
 	return reply, peer.Caller.Call(ctx, method, request, reply)
 }
 
-func askStatus(ctx context.Context, peer Peer, method string) (*lilacv1.QueryReply, error) {
+func queryStatus(ctx context.Context, peer Peer, method string) (*lilacv1.QueryReply, error) {
 	s := &lilacv1.StateStatus{}
 	if err := peer.Caller.Call(ctx, method, &lilacv1.StateStatusRequest{}, s); err != nil {
 		return nil, err
 	}
-	u := func(n uint64) string { return strconv.FormatUint(n, 10) }
+	format := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	return &lilacv1.QueryReply{Revision: s.GetRevision(), Rows: []*lilacv1.QueryRow{{Values: []string{
-		s.GetRole(), u(s.GetTerm()), s.GetLeader(), u(s.GetCommitIndex()), u(s.GetAppliedIndex()), u(s.GetRevision()),
-		strings.Join(s.GetVoters(), ","), strings.Join(s.GetLearners(), ","), u(s.GetClaims()), strconv.FormatBool(s.GetDiskFull()),
-		u(uint64(s.GetRecoveries())), s.GetRival(),
+		s.GetRole(), format(s.GetTerm()), s.GetLeader(), format(s.GetCommitIndex()), format(s.GetAppliedIndex()), format(s.GetRevision()),
+		strings.Join(s.GetVoters(), ","), strings.Join(s.GetLearners(), ","), format(s.GetClaims()), strconv.FormatBool(s.GetDiskFull()),
+		format(uint64(s.GetRecoveries())), s.GetRival(),
 	}}}}, nil
 }
--- a/connection/operator/reply.go
+++ b/connection/operator/reply.go
@@ -14,7 +14,7 @@
 // StatementRequest is the body of POST /v1/statements.
 type StatementRequest struct {
 	Statement string `json:"statement"`
-	// CommandID makes a resend safe: the same id gets the first answer again.
+	// CommandID makes a change safe to repeat: the same id gets the first reply again.
 	CommandID string `json:"command_id,omitempty"`
 	DryRun    bool   `json:"dry_run,omitempty"`
 }
@@ -24,61 +24,61 @@
 	// Document is the YAML text of a fleet file.
 	Document  string `json:"document"`
 	CommandID string `json:"command_id,omitempty"`
-	// IfRevision is the revision that must be the current one, 0 for an empty
-	// configuration; absent means any.
+	// IfRevision is the revision that the change requires to be current, 0 for an empty
+	// configuration; nil means any.
 	IfRevision *uint64 `json:"if_revision,omitempty"`
 	DryRun     bool    `json:"dry_run,omitempty"`
-	// Prune drops objects that the document lacks.
+	// Prune deletes objects that are not in the document.
 	Prune bool `json:"prune,omitempty"`
 }
 
-// Reply answers both; Table is set for a query, Change for a change.
+// Reply is the reply to either request. Table is set for a query, Change for a change.
 type Reply struct {
 	Table  *table.Table `json:"table,omitempty"`
 	Change *Change      `json:"change,omitempty"`
-	// Parts says how old the answer of each instance is.
+	// Parts describes the reply of each instance.
 	Parts []Part `json:"parts,omitempty"`
-	// Missing names the instances that did not answer, and why.
+	// Missing lists the instances that did not reply.
 	Missing []Missing `json:"missing,omitempty"`
-	// Omitted counts rows that matched and were not gathered, since there are too
-	// many; with a LIMIT, the rows shown may then not be the first ones.
+	// Omitted is the number of matching rows that were not gathered because there are too
+	// many. With a LIMIT, the rows of Table may then not be the first ones.
 	Omitted int `json:"left_out,omitempty"`
 }
 
-// Change tells what became of a change.
+// Change is the result of a change.
 type Change struct {
 	Revision uint64 `json:"revision"`
-	// Repeated is true where the command id had been seen before.
+	// Repeated is true if the command id was used before.
 	Repeated  bool     `json:"repeated,omitempty"`
 	DryRun    bool     `json:"dry_run,omitempty"`
 	CommandID string   `json:"command_id"`
 	Diff      []string `json:"diff,omitempty"`
-	// Effect says, for a dry run, which running requests the change concerns.
+	// Effect describes, for a dry run, the running requests that the change affects.
 	Effect []string `json:"effect,omitempty"`
 }
 
-// Part is one instance's share of a query.
+// Part describes the reply of one instance to a query.
 type Part struct {
 	Instance   string `json:"instance"`
 	DataCenter string `json:"data_center"`
 	Revision   uint64 `json:"revision"`
-	// Newest is the newest revision that the instance has heard of, AgeMs how
-	// long ago that was sure.
+	// Newest is the newest revision that the instance knows of, AgeMs the age of that
+	// information.
 	Newest uint64 `json:"newest"`
 	AgeMs  int64  `json:"age_ms"`
-	// Rows were sent, of those that Matched.
+	// Rows is the number of rows sent, Matched that of matching rows.
 	Rows    int `json:"rows"`
 	Matched int `json:"matched"`
 }
 
-// Missing is an instance that did not answer a query.
+// Missing is an instance that did not reply to a query. Reason is the error.
 type Missing struct {
 	Instance   string `json:"instance"`
 	DataCenter string `json:"data_center"`
 	Reason     string `json:"reason"`
 }
 
-// Problem is the body of an error.
+// Problem is the body of an error response.
 type Problem struct {
 	Error ProblemDetail `json:"error"`
 }
@@ -121,13 +121,13 @@
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the body is over %d bytes; split the file", maxBody)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the request body is larger than %d bytes; split the file", maxBodyBytes)
 	}
 	if err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the body could not be read")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "the request body could not be read")
 	}
 	return body, nil
 }
