--- a/connection/loadlink/loadlink.go
+++ b/connection/loadlink/loadlink.go
@@ -1,5 +1,5 @@
-// Package loadlink carries an instance's load board over the links: it sends the
-// words that are due and answers those of others.
+// Package loadlink connects the load boards of the instances over links: it sends the
+// reports that are due and replies to those of other instances.
 package loadlink
 
 import (
@@ -13,45 +13,48 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// Method is the link method of a word.
+// Method is the link method of a load report.
 const Method = "entry.loads"
 
 const (
-	// callTimeout bounds one word and its answer: some ways between regions.
+	// callTimeout bounds one report and its reply. It is several round trips between
+	// regions.
 	callTimeout = 500 * time.Millisecond
-	// tick is how often the board is asked for what is due.
+	// tick is the interval at which the reports that are due are sent.
 	tick = 50 * time.Millisecond
 )
 
-// Options say whose board it is.
+// Options configure a Link. All fields are required.
 type Options struct {
+	// Self is this instance.
 	Self member.Peer
-	// Dial returns the caller for an address; the same one each time.
+	// Dial returns the caller for an address; always the same one per address.
 	Dial func(address string) link.Caller
-	// Own returns the own loads and the shared parts sent lately; false where they
-	// are not known now.
+	// Own returns the load of this instance and its recently cached prefixes; false if they
+	// are not available at present.
 	Own func() (loadboard.Report, bool)
-	// OnLoads is given what all others run and sent, each Interval; once with empty
-	// Loads when that isn't known any more.
+	// OnLoads is called with the combined report of all other instances once per
+	// loadboard.Interval, and once with an empty report when that becomes unavailable.
 	OnLoads func(loadboard.Report)
 }
 
-// Link runs one board.
+// Link exchanges the reports of one load board. It is safe for concurrent use.
 type Link struct {
 	options Options
 
-	mu    sync.Mutex
-	board *loadboard.Board
-	busy  map[string]bool
-	wg    sync.WaitGroup
+	// mu guards board and inFlight, which holds the peers with a call in progress.
+	mu       sync.Mutex
+	board    *loadboard.Board
+	inFlight map[string]bool
+	wg       sync.WaitGroup
 }
 
 // New returns a Link that does nothing until Run.
 func New(o Options) *Link {
-	return &Link{options: o, board: loadboard.New(o.Self), busy: make(map[string]bool)}
+	return &Link{options: o, board: loadboard.New(o.Self), inFlight: make(map[string]bool)}
 }
 
-// SetPeers names the other instances that live.
+// SetPeers sets the other live instances.
 func (l *Link) SetPeers(peers []member.Peer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,38 +64,38 @@
 // Register adds the method to mux.
 func (l *Link) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(l.receive)) }
 
-func (l *Link) receive(_ context.Context, peer link.Peer, w *lilacv1.LoadWord) (*lilacv1.LoadWord, error) {
+func (l *Link) receive(_ context.Context, peer link.Peer, message *lilacv1.LoadWord) (*lilacv1.LoadWord, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	answer := l.board.Receive(now, peer.Process, peer.DataCenter, loadboard.DecodeReport(now, w))
-	return answer.Encode(now, l.options.Self.DataCenter), nil
+	reply := l.board.Receive(now, peer.Process, peer.DataCenter, loadboard.DecodeReport(now, message))
+	return reply.Encode(now, l.options.Self.DataCenter), nil
 }
 
-// Run sends what is due until ctx ends.
+// Run sends the reports that are due until ctx ends, and waits for calls in progress.
 func (l *Link) Run(ctx context.Context) {
 	defer l.wg.Wait()
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
-	var taken time.Time
-	known := false
+	var lastUpdate time.Time
+	published := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			if now.Sub(taken) >= loadboard.Interval {
-				taken = now
-				l.renew(now)
-				known = l.tell(now, known)
+			if now.Sub(lastUpdate) >= loadboard.Interval {
+				lastUpdate = now
+				l.updateOwn(now)
+				published = l.publish(now, published)
 			}
 			l.send(ctx, now)
 		}
 	}
 }
 
-// renew takes the own loads anew.
-func (l *Link) renew(now time.Time) {
+// updateOwn updates this instance's load on the board, and drops expired reports.
+func (l *Link) updateOwn(now time.Time) {
 	if !l.active() {
 		return
 	}
@@ -111,15 +114,16 @@
 	return l.board.Active()
 }
 
-// tell passes on what the others run, and once that it isn't known any more.
-func (l *Link) tell(now time.Time, known bool) bool {
+// publish calls OnLoads and reports whether the load of the others is available. published
+// is the result of the previous call.
+func (l *Link) publish(now time.Time, published bool) bool {
 	l.mu.Lock()
 	others, fresh := l.board.Others(now)
 	l.mu.Unlock()
 	switch {
 	case fresh:
 		l.options.OnLoads(others)
-	case known:
+	case published:
 		l.options.OnLoads(loadboard.Report{})
 	}
 	return fresh
@@ -128,25 +132,25 @@
 func (l *Link) send(ctx context.Context, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, ask := range l.board.Due(now) {
-		if l.busy[ask.Peer.Name] {
+	for _, outgoing := range l.board.Due(now) {
+		if l.inFlight[outgoing.Peer.Name] {
 			continue
 		}
-		l.busy[ask.Peer.Name] = true
-		word := ask.Report.Encode(now, l.options.Self.DataCenter)
-		l.wg.Go(func() { l.call(ctx, ask.Peer, word) })
+		l.inFlight[outgoing.Peer.Name] = true
+		report := outgoing.Report.Encode(now, l.options.Self.DataCenter)
+		l.wg.Go(func() { l.call(ctx, outgoing.Peer, report) })
 	}
 }
 
-// call sends one word; one at a time to each peer.
-func (l *Link) call(ctx context.Context, peer member.Peer, word *lilacv1.LoadWord) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+// call sends one report. Only one call per peer is in progress at a time.
+func (l *Link) call(ctx context.Context, peer member.Peer, report *lilacv1.LoadWord) {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	answer := &lilacv1.LoadWord{}
-	err := l.options.Dial(peer.Address).Call(limited, Method, word, answer)
+	reply := &lilacv1.LoadWord{}
+	err := l.options.Dial(peer.Address).Call(callCtx, Method, report, reply)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.busy, peer.Name)
+	delete(l.inFlight, peer.Name)
 	if ctx.Err() != nil {
 		return
 	}
@@ -155,5 +159,5 @@
 		l.board.MarkFailed(now, peer)
 		return
 	}
-	l.board.HandleReply(now, peer, loadboard.DecodeReport(now, answer))
+	l.board.HandleReply(now, peer, loadboard.DecodeReport(now, reply))
 }
--- a/connection/loadlink/loadlink_test.go
+++ b/connection/loadlink/loadlink_test.go
@@ -18,17 +18,18 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// fleet is a number of links that call each other without a network.
+// fleet is a set of links that call each other without a network.
 type fleet struct {
 	mu    sync.Mutex
 	links map[string]*Link
 	peers map[string]member.Peer
-	// heard is what each was last told, cut names those who answer nothing.
-	heard map[string]loadboard.Report
-	cut   map[string]bool
+	// received is the last report passed to OnLoads by instance; unreachable holds the
+	// instances that do not reply.
+	received    map[string]loadboard.Report
+	unreachable map[string]bool
 }
 
-// caller calls one link as a peer.
+// caller is a link.Caller that calls the link of instance to as instance from.
 type caller struct {
 	fleet    *fleet
 	from, to string
@@ -36,27 +37,27 @@
 
 func (c caller) Call(ctx context.Context, _ string, request, reply proto.Message) error {
 	c.fleet.mu.Lock()
-	cut := c.fleet.cut[c.to]
+	unreachable := c.fleet.unreachable[c.to]
 	target := c.fleet.links[c.to]
 	from := c.fleet.peers[c.from]
 	c.fleet.mu.Unlock()
-	if cut {
+	if unreachable {
 		<-ctx.Done()
-		return errors.New("no answer")
+		return errors.New("no reply")
 	}
-	word, err := target.receive(ctx, link.Peer{Process: from.Name, DataCenter: from.DataCenter}, request.(*lilacv1.LoadWord))
+	response, err := target.receive(ctx, link.Peer{Process: from.Name, DataCenter: from.DataCenter}, request.(*lilacv1.LoadWord))
 	if err == nil {
-		proto.Merge(reply, word)
+		proto.Merge(reply, response)
 	}
 	return err
 }
 
 func (caller) Open(context.Context, string, proto.Message) (link.Stream, error) {
-	return nil, errors.New("loads need no streams")
+	return nil, errors.New("streams are not supported")
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{links: make(map[string]*Link), peers: make(map[string]member.Peer), heard: make(map[string]loadboard.Report), cut: make(map[string]bool)}
+	f := &fleet{links: make(map[string]*Link), peers: make(map[string]member.Peer), received: make(map[string]loadboard.Report), unreachable: make(map[string]bool)}
 	var peers []member.Peer
 	for i := range n {
 		name := fmt.Sprint("entry-", i)
@@ -70,10 +71,10 @@
 			Own: func() (loadboard.Report, bool) {
 				return loadboard.Report{Loads: loadboard.Loads{7: {InFlight: 1}}}, true
 			},
-			OnLoads: func(word loadboard.Report) {
+			OnLoads: func(report loadboard.Report) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
-				f.heard[name] = word
+				f.received[name] = report
 			},
 		})
 		var others []member.Peer
@@ -88,17 +89,18 @@
 	return f
 }
 
+// inFlight returns the requests of all others that the instance knows of.
 func (f *fleet) inFlight(name string) uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard[name].Loads[7].InFlight
+	return f.received[name].Loads[7].InFlight
 }
 
-// Twelve instances run one request each. A second later each knows of the other
-// eleven. Then one stops answering: who called it goes on telling and hearing, and
-// what the silent one ran is forgotten. At last all others fall silent, and the one
-// that is left is told that nothing is known, rather than old loads for ever.
-func TestInstancesKnowWhatAllOthersRun(t *testing.T) {
+// Guards against outdated loads. Twelve instances run one request each; after a second each
+// must know of the other eleven. After one instance fails, the others must still exchange
+// their loads and drop its load. After all but one fail, OnLoads must report the loads of the
+// others as unavailable.
+func TestInstancesLearnTheLoadOfAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(12)
@@ -114,20 +116,20 @@
 		for name := range f.links {
 			is.Equal(f.inFlight(name), uint32(11))
 		}
-		silence := func(name string) {
+		fail := func(name string) {
 			f.mu.Lock()
-			f.cut[name] = true
+			f.unreachable[name] = true
 			f.mu.Unlock()
 			stops[name]()
 		}
-		silence("entry-3")
+		fail("entry-3")
 		time.Sleep(4 * time.Second)
 		for name := range f.links {
 			is.True(name == "entry-3" || f.inFlight(name) == 10)
 		}
 		for name := range f.links {
 			if name != "entry-0" && name != "entry-3" {
-				silence(name)
+				fail(name)
 			}
 		}
 		time.Sleep(6 * time.Second)
