--- a/connection/engine/engine_test.go
+++ b/connection/engine/engine_test.go
@@ -48,7 +48,7 @@
 		events     int
 		end        error
 	}{
-		{"complete", oneChunk + "data: [DONE]\n\n", 1, io.EOF},
+		{"whole", oneChunk + "data: [DONE]\n\n", 1, io.EOF},
 		{"without blanks and with comments", ": ping\r\ndata:{}\r\n\r\nevent: x\nretry: 5\ndata: [DONE]\n", 1, io.EOF},
 		{"larger than the buffer", `data: {"id":"` + long + "\"}\n\ndata: [DONE]\n\n", 1, io.EOF},
 		{"truncated between events", oneChunk, 1, io.ErrUnexpectedEOF},
--- a/connection/gateway/documents.go
+++ b/connection/gateway/documents.go
@@ -22,7 +22,7 @@
 type NotLeaderError struct{ Address string }
 
 func (e *NotLeaderError) Error() string {
-	return "this process is not the leader; send the request to " + e.Address
+	return "not the leader; send the request to " + e.Address + " instead"
 }
 
 // Platform adapts the gateway to the platform that it runs on.
