--- /dev/null
+++ b/connection/gateway/response.go
@@ -0,0 +1,109 @@
+package gateway
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
+	"github.com/lilacbridge/lilacbridge/process/fault"
+)
+
+const (
+	// writeTimeout bounds one write to a caller. It is several times as long as callers
+	// wait for a response.
+	writeTimeout = 30 * time.Second
+	// deadlineInterval is the minimum time between two updates of the write deadline, so
+	// that not every event sets a timer.
+	deadlineInterval = 5 * time.Second
+)
+
+// ResponseWriter writes the response to one request. It is not safe for concurrent use.
+type ResponseWriter struct {
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	headerWritten bool
+	status        int
+	writeDeadline time.Time
+}
+
+func newResponseWriter(w http.ResponseWriter) *ResponseWriter {
+	return &ResponseWriter{w: w, control: http.NewResponseController(w)}
+}
+
+// Header returns the response header. Changes after WriteHeader have no effect.
+func (rw *ResponseWriter) Header() http.Header { return rw.w.Header() }
+
+// HeaderWritten reports whether the status has been sent.
+func (rw *ResponseWriter) HeaderWritten() bool { return rw.headerWritten }
+
+// Status returns the status sent, or 0 before WriteHeader.
+func (rw *ResponseWriter) Status() int { return rw.status }
+
+// WriteHeader sends the status and the header.
+func (rw *ResponseWriter) WriteHeader(status int) {
+	rw.headerWritten, rw.status = true, status
+	header := rw.w.Header()
+	// A nil value keeps net/http from adding a Content-Type that the backend server
+	// did not send.
+	if _, ok := header["Content-Type"]; !ok {
+		header["Content-Type"] = nil
+	}
+	rw.w.WriteHeader(status)
+}
+
+// Write sends a part of the body. It fails if the caller accepts no data for
+// writeTimeout.
+func (rw *ResponseWriter) Write(b []byte) (int, error) {
+	if now := time.Now(); rw.writeDeadline.Sub(now) < writeTimeout-deadlineInterval {
+		rw.writeDeadline = now.Add(writeTimeout)
+		_ = rw.control.SetWriteDeadline(rw.writeDeadline)
+	}
+	return rw.w.Write(b)
+}
+
+// Flush sends buffered data to the caller.
+func (rw *ResponseWriter) Flush() error { return rw.control.Flush() }
+
+// Fail ends the response with an error. If the status has been sent, it aborts the
+// connection by a panic with http.ErrAbortHandler, so that the caller does not take a
+// partial response for a complete one.
+func (rw *ResponseWriter) Fail(err error) {
+	if rw.headerWritten {
+		panic(http.ErrAbortHandler)
+	}
+	if retryAfter := fault.RetryAfterOf(err); retryAfter > 0 {
+		rw.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	rw.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	rw.WriteHeader(statusOf(err))
+	_, _ = rw.Write([]byte(err.Error() + "\n"))
+}
+
+// permanentStatuses maps the kinds of errors for which a retry is useless to HTTP
+// statuses.
+var permanentStatuses = map[fault.Kind]int{
+	lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST:     http.StatusBadRequest,
+	lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED: http.StatusUnauthorized,
+	lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND:       http.StatusNotFound,
+	lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE:       http.StatusRequestEntityTooLarge,
+}
+
+// statusOf returns the HTTP status of err. 429 and 503 state that the request has not
+// run and will not run, so they are used only if err proves that.
+func statusOf(err error) int {
+	kind := fault.KindOf(err)
+	if status, ok := permanentStatuses[kind]; ok {
+		return status
+	}
+	if fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_TRUE {
+		if kind == lilacv1.ErrorKind_ERROR_KIND_LIMIT {
+			return http.StatusTooManyRequests
+		}
+		return http.StatusServiceUnavailable
+	}
+	if kind == lilacv1.ErrorKind_ERROR_KIND_TIMEOUT {
+		return http.StatusGatewayTimeout
+	}
+	return http.StatusBadGateway
+}
--- a/request/relay/chat.go
+++ b/request/relay/chat.go
@@ -36,7 +36,7 @@
 	relay      *Relay
 	req        *request
 	q          *caller.Chat
-	answer     *caller.Answer
+	answer     *caller.ResponseWriter
 	completion *completion
 	frame      []byte
 	// recorder records what was sent to the caller, for the ledger; nil without a
@@ -60,14 +60,14 @@
 
 // Chat handles a chat completions request. It returns a typed error if the answer could not be
 // completed.
-func (r *Relay) Chat(ctx context.Context, q *caller.Chat, answer *caller.Answer) error {
+func (r *Relay) Chat(ctx context.Context, q *caller.Chat, answer *caller.ResponseWriter) error {
 	req := newRequest(&q.Meta)
 	texts := q.Texts()
 	words := prefix.Words(texts...)
 	j := &chatJob{relay: r, req: req, q: q, answer: answer, completion: newCompletion(q.RequestID, words)}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
-		PromptTokens: words, MaxTokens: q.Bound(), Prefix: blocksOf(prefix.Blocks(texts...)),
+		PromptTokens: words, MaxTokens: q.TokenLimit(), Prefix: blocksOf(prefix.Blocks(texts...)),
 		Deadline: q.Deadline, Idempotent: q.Key == "",
 	}
 	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
@@ -85,7 +85,7 @@
 	return blocks
 }
 
-func (j *chatJob) begun() bool { return j.answer.Begun() }
+func (j *chatJob) begun() bool { return j.answer.HeaderWritten() }
 
 // continuable reports whether the answer so far is plain text; part of a tool call can't be
 // passed to another engine as a prefix.
@@ -96,7 +96,7 @@
 		return j.finish(att)
 	}
 	stream, err := j.open(ctx, att)
-	if err != nil && att.state.Written() && upstream.Crashed(err) && ctx.Err() == nil {
+	if err != nil && att.state.Written() && upstream.IsConnectionError(err) && ctx.Err() == nil {
 		stream, err = j.resumeSameEngine(ctx, att)
 	}
 	if err != nil {
@@ -106,7 +106,7 @@
 	for resumes := 0; ; resumes++ {
 		err = j.read(ctx, att, stream)
 		stream.Close()
-		if err == nil || resumes == maxResumes || ctx.Err() != nil || !upstream.Crashed(err) {
+		if err == nil || resumes == maxResumes || ctx.Err() != nil || !upstream.IsConnectionError(err) {
 			return err
 		}
 		if stream, err = j.resumeSameEngine(ctx, att); err != nil {
@@ -124,7 +124,7 @@
 			return j.finish(att)
 		}
 		if err == io.EOF {
-			return engine.ErrCut
+			return engine.ErrTruncated
 		}
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 
 // complete reports whether earlier attempts already received the complete text.
 func (j *chatJob) complete() bool {
-	if bound := j.q.Bound(); j.completion.finish == "" && j.completion.plain && bound > 0 && j.completion.tokens >= bound {
+	if bound := j.q.TokenLimit(); j.completion.finish == "" && j.completion.plain && bound > 0 && j.completion.tokens >= bound {
 		j.completion.finish = reasonLength
 	}
 	return j.completion.finish != ""
@@ -149,8 +149,8 @@
 	if err != nil {
 		return err
 	}
-	if err := stream.Check(chunk); err != nil {
-		return fmt.Errorf("%w: %w", err, upstream.ErrNotBound)
+	if err := stream.CheckID(chunk); err != nil {
+		return fmt.Errorf("%w: %w", err, upstream.ErrIDMismatch)
 	}
 	if err := ctx.Err(); err != nil {
 		return err
@@ -161,7 +161,7 @@
 	if err := j.completion.add(chunk); err != nil {
 		return err
 	}
-	if chunk.Token() {
+	if chunk.HasToken() {
 		j.countToken()
 	}
 	if !j.q.Stream {
--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -23,7 +23,7 @@
 	before := j.req.held
 	if before.id != "" && before.server == att.start.ResumeFrom && j.completion.tokens > 0 {
 		stream, err := j.resume(ctx, call, att, before)
-		if err == nil || att.state.Written() && upstream.Crashed(err) {
+		if err == nil || att.state.Written() && upstream.IsConnectionError(err) {
 			return stream, err
 		}
 		if ctx.Err() != nil {
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -10,14 +10,14 @@
 // forward sends an engine event to a streaming caller.
 func (j *chatJob) forward(att *upstreamAttempt, chunk *engine.Chunk, data []byte) error {
 	j.finishSent = j.finishSent || chunk.FinishReason() != ""
-	continued := j.answer.Begun() && att.start.Attempt > 1 && j.completion.tokens > 0
+	continued := j.answer.HeaderWritten() && att.start.Attempt > 1 && j.completion.tokens > 0
 	switch {
 	case chunk.Usage != nil && len(chunk.Choices) == 0:
 		// Usage is sent at the end, corrected over all attempts.
 		return nil
 	case continued && chunk.Empty():
 		return nil
-	case continued && len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Role != "" && chunk.Plain():
+	case continued && len(chunk.Choices) > 0 && chunk.Choices[0].Delta.Role != "" && chunk.TextOnly():
 		data = j.completion.textChunk(chunk.Choices[0].Delta.Content, chunk.FinishReason())
 		return j.writeEvent(att, data, false)
 	}
@@ -38,9 +38,9 @@
 }
 
 func (j *chatJob) write(att *upstreamAttempt, frame []byte) error {
-	j.answer.BeginStream(att.start.Server)
+	j.answer.WriteStreamHeader(att.start.Server)
 	j.recorder.write(frame)
-	if err := j.answer.Event(frame); err != nil && !j.req.claimed {
+	if err := j.answer.WriteEvent(frame); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
@@ -72,7 +72,7 @@
 	}
 	j.recorder.begin(http.StatusOK, contentJSON)
 	j.recorder.write(body)
-	j.answer.Begin(http.StatusOK, contentJSON, att.start.Server)
+	j.answer.WriteHeader(http.StatusOK, contentJSON, att.start.Server)
 	if _, err := j.answer.Write(body); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -36,7 +36,7 @@
 // serve runs a validated request, under a claim if it has an Idempotency-Key. The request
 // counts as in progress until its outcome was passed to Claims, so that a drain waits for
 // both.
-func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, answer *caller.Answer, run func(*answerRecorder) error) error {
+func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, answer *caller.ResponseWriter, run func(*answerRecorder) error) error {
 	if err := r.register(req); err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 }
 
 // replay sends the stored answer of an earlier request with the same key.
-func replay(stored *lilacv1.StoredAnswer, answer *caller.Answer) error {
+func replay(stored *lilacv1.StoredAnswer, answer *caller.ResponseWriter) error {
 	answer.Header().Set("X-Lilac-Replayed", "true")
-	answer.Begin(int(stored.GetStatus()), stored.GetContentType(), "")
+	answer.WriteHeader(int(stored.GetStatus()), stored.GetContentType(), "")
 	_, err := answer.Write(stored.GetBody())
 	if err != nil {
 		return nil
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -33,7 +33,7 @@
 	relay  *Relay
 	req    *request
 	q      *gateway.Request
-	answer *gateway.Answer
+	answer *gateway.ResponseWriter
 	// lastEvent is the id of the last complete event sent to the caller.
 	lastEvent string
 	// failedAnswer is the last 5xx answer of a server; it is sent to the caller unchanged
@@ -59,7 +59,7 @@
 
 // Forward handles a request of the gateway. It returns a typed error if the request could not
 // be answered.
-func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
+func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
 	team := routing.NoTeam
 	if q.Team != nil {
 		team = q.Team.Name
@@ -81,14 +81,14 @@
 	}
 	defer r.unregister(req)
 	err := r.run(ctx, req, arrival, j)
-	if err != nil && j.failedAnswer != nil && !answer.Begun() && ctx.Err() == nil {
+	if err != nil && j.failedAnswer != nil && !answer.HeaderWritten() && ctx.Err() == nil {
 		return j.writeBuffered(j.failedAnswer)
 	}
 	return err
 }
 
 // prefixOf returns a block for each part, with the hash of that part and all parts before it.
-func prefixOf(parts []gateway.Part) []policy.Block {
+func prefixOf(parts []gateway.PromptPart) []policy.Block {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -106,7 +106,7 @@
 	return blocks
 }
 
-func (j *forwardJob) begun() bool { return j.answer.Begun() }
+func (j *forwardJob) begun() bool { return j.answer.HeaderWritten() }
 
 // continuable reports whether the route's events carry ids from which another server can
 // resume.
@@ -121,7 +121,7 @@
 
 // send makes one attempt.
 func (j *forwardJob) send(ctx context.Context, att *upstreamAttempt) error {
-	send := &gateway.Send{
+	send := &gateway.ForwardInfo{
 		Server: att.server.GetIdentity(), Priority: att.start.Level, Resumable: j.q.Route.Resumable, LastEvent: j.lastEvent,
 	}
 	if j.q.Team != nil {
@@ -130,21 +130,21 @@
 	if holder := j.relay.server(att.start.FetchFrom); holder != nil {
 		send.FetchFrom = holder.GetAddress()
 	}
-	if !j.q.Waits.IsZero() {
-		send.Left = time.Until(j.q.Waits)
+	if !j.q.CallerDeadline.IsZero() {
+		send.Remaining = time.Until(j.q.CallerDeadline)
 	}
 	resp, err := j.relay.Gateway.Do(ctx, gateway.Call{
 		Address: att.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Host: j.q.Host,
-		Header: j.q.Header, Body: j.q.Body, Send: send, Attempt: att.state, Once: !j.q.Route.Repeatable(),
+		Header: j.q.Header, Body: j.q.Body, Info: send, Attempt: att.state, NonIdempotent: !j.q.Route.Repeatable(),
 	})
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	j.reportLoad(att, resp.Reply)
+	j.reportLoad(att, resp.Info)
 	j.reportLimit(att, resp)
-	if resp.Reply.NotRun {
-		return &upstream.StatusError{Status: http.StatusServiceUnavailable, NotRun: true, RetryAfter: resp.Reply.RetryAfter}
+	if resp.Info.NotRun {
+		return &upstream.StatusError{Status: http.StatusServiceUnavailable, NotRun: true, RetryAfter: resp.Info.RetryAfter}
 	}
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType) {
 		return j.forwardEvents(ctx, resp)
@@ -153,7 +153,7 @@
 }
 
 // reportLoad reports the load stated in the server's reply to the core.
-func (j *forwardJob) reportLoad(att *upstreamAttempt, reply gateway.Reply) {
+func (j *forwardJob) reportLoad(att *upstreamAttempt, reply gateway.ResponseInfo) {
 	if load := reply.Load; load != nil {
 		j.relay.Post(policy.LoadReport{Server: att.start.Server, Running: load.Running, Waiting: load.Waiting})
 	}
@@ -162,15 +162,15 @@
 // reportLimit reports to the core the limit that the server states, or that it states none.
 // A reply with status 421 comes from another server at the same address and is ignored.
 func (j *forwardJob) reportLimit(att *upstreamAttempt, resp *gateway.Response) {
-	limit := resp.Reply.Limit
+	limit := resp.Info.Limit
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	if limit.Unreadable != "" {
-		j.relay.logBadLimit(j.req, att.start, limit.Unreadable)
+	if limit.Invalid != "" {
+		j.relay.logBadLimit(j.req, att.start, limit.Invalid)
 		return
 	}
-	j.relay.Post(policy.LimitReport{Server: att.start.Server, Advertised: limit.Named, PerSecond: limit.PerSecond})
+	j.relay.Post(policy.LimitReport{Server: att.start.Server, Advertised: limit.Advertised, PerSecond: limit.PerSecond})
 }
 
 // forwardBuffered reads the complete answer before it sends the first byte.
@@ -183,11 +183,11 @@
 		return errAnswerTooLarge
 	}
 	buffered := &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
-	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.Begun() {
+	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.HeaderWritten() {
 		j.failedAnswer = buffered
 		return errServerFailed
 	}
-	if j.answer.Begun() {
+	if j.answer.HeaderWritten() {
 		// A resumed stream was answered with something other than a stream.
 		return errors.New("backend server answered " + strconv.Itoa(resp.StatusCode) + " instead of a resumed stream")
 	}
@@ -198,9 +198,9 @@
 func (j *forwardJob) writeBuffered(buffered *bufferedAnswer) error {
 	j.req.record.Answered()
 	j.reportTokens(1)
-	j.relay.Protocol.Incoming(j.answer.Header(), buffered.header)
+	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), buffered.header)
 	j.answer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
-	j.answer.Begin(buffered.status)
+	j.answer.WriteHeader(buffered.status)
 	if j.q.Method == http.MethodHead {
 		return nil
 	}
@@ -252,18 +252,18 @@
 
 // endStream sends the header of a stream that had no events.
 func (j *forwardJob) endStream(resp *gateway.Response) error {
-	if !j.answer.Begun() {
+	if !j.answer.HeaderWritten() {
 		j.begin(resp)
 	}
 	return nil
 }
 
 func (j *forwardJob) begin(resp *gateway.Response) {
-	j.relay.Protocol.Incoming(j.answer.Header(), resp.Header)
+	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), resp.Header)
 	if resp.ContentLength >= 0 && !j.q.Route.Resumable {
 		j.answer.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	j.answer.Begin(resp.StatusCode)
+	j.answer.WriteHeader(resp.StatusCode)
 }
 
 func (j *forwardJob) forwardEvent(ctx context.Context, resp *gateway.Response, event []byte, tokens int) error {
@@ -273,7 +273,7 @@
 	if j.req.pastDeadline() {
 		return context.DeadlineExceeded
 	}
-	if !j.answer.Begun() {
+	if !j.answer.HeaderWritten() {
 		j.begin(resp)
 	}
 	j.req.record.Answered()
--- a/request/relay/run.go
+++ b/request/relay/run.go
@@ -130,7 +130,7 @@
 		req.held = heldAnswer{}
 		return true, nil
 	}
-	unsent := att.state.Seal()
+	unsent := att.state.Abandon()
 	r.logFailed(req, start, err, unsent)
 	switch {
 	case !req.claimed && (ctx.Err() != nil || req.pastDeadline() || errors.Is(err, errCallerGone)):
@@ -161,7 +161,7 @@
 	if failed.Refused {
 		req.record.Refused()
 	}
-	if errors.Is(err, upstream.ErrNotBound) {
+	if errors.Is(err, upstream.ErrIDMismatch) {
 		r.Counter.Broken("answer_of_another_request")
 	}
 	if j.begun() && !j.continuable() {
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -24,7 +24,7 @@
 	relay    *Relay
 	req      *request
 	q        *caller.Service
-	answer   *caller.Answer
+	answer   *caller.ResponseWriter
 	recorder *answerRecorder
 }
 
@@ -32,7 +32,7 @@
 
 // Service handles a request for a plain service. It returns a typed error if it could not be
 // answered.
-func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.Answer) error {
+func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.ResponseWriter) error {
 	req := newRequest(&q.Meta)
 	j := &serviceJob{relay: r, req: req, q: q, answer: answer}
 	arrival := policy.Arrival{
@@ -50,13 +50,13 @@
 	return j.q.Key == "" && (j.q.Method == http.MethodGet || j.q.Method == http.MethodHead)
 }
 
-func (j *serviceJob) begun() bool       { return j.answer.Begun() }
+func (j *serviceJob) begun() bool       { return j.answer.HeaderWritten() }
 func (j *serviceJob) continuable() bool { return false }
 
 func (j *serviceJob) attempt(ctx context.Context, att *upstreamAttempt) error {
 	resp, err := j.relay.Services.Do(ctx, service.Call{
 		Address: att.server.GetAddress(), Method: j.q.Method, URI: j.q.URI, Header: j.q.Header, Body: j.q.Body,
-		RequestID: att.upstreamID, Attempt: att.state, Once: !j.idempotent(),
+		RequestID: att.upstreamID, Attempt: att.state, NonIdempotent: !j.idempotent(),
 	})
 	if err != nil {
 		return j.probeServer(ctx, att, err)
@@ -69,7 +69,7 @@
 	if err != nil {
 		return j.probeServer(ctx, att, err)
 	}
-	if status := upstream.NewStatus(resp.StatusCode, resp.Header, head); status.NotRun {
+	if status := upstream.NewStatusError(resp.StatusCode, resp.Header, head); status.NotRun {
 		return status
 	}
 	return j.forwardResponse(att, resp, head)
@@ -87,7 +87,7 @@
 // probeServer returns errConnectionBroken if err looks like a crash but the server still
 // accepts connections, else err.
 func probeServer(ctx context.Context, att *upstreamAttempt, err error) error {
-	if upstream.Crashed(err) && att.state.Written() && upstream.Alive(ctx, att.server.GetAddress()) {
+	if upstream.IsConnectionError(err) && att.state.Written() && upstream.Reachable(ctx, att.server.GetAddress()) {
 		return errConnectionBroken
 	}
 	return err
@@ -104,7 +104,7 @@
 	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.req.arrived))
 	j.copyHeader(resp.Header)
 	j.recorder.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	j.answer.Begin(resp.StatusCode, "", att.start.Server)
+	j.answer.WriteHeader(resp.StatusCode, "", att.start.Server)
 	if err := j.write(head); err != nil {
 		return err
 	}
