--- a/connection/gossip/gossip.go
+++ b/connection/gossip/gossip.go
@@ -41,17 +41,17 @@
 	Dial func(address string) link.Caller
 	// InstanceList is the URL of the platform's list; "" means none.
 	InstanceList string
-	// Own returns the digest of the own policy; instance, data centre,
+	// OwnDigest returns the digest of the own policy; instance, data centre,
 	// incarnation and sequence are filled in. May be nil.
-	Own func() *lilacv1.Digest
+	OwnDigest func() *lilacv1.Digest
 	// OnDigest is given each digest of another entry, or the combined one of
-	// member.Others, whose promises count from at; OnGone its end. May be nil.
-	OnDigest func(d *lilacv1.Digest, at time.Time)
-	OnGone   func(instance string)
-	// OnServer tells that a backend server began or ended to be leaving. May be nil.
-	OnServer func(server string, leaving bool)
-	// OnLive is given the other entries that are taken for alive. May be nil.
-	OnLive func([]settings.Peer)
+	// member.Others, whose promises count from at; OnDigestExpired its end. May be nil.
+	OnDigest        func(d *lilacv1.Digest, at time.Time)
+	OnDigestExpired func(instance string)
+	// OnServerState tells that a backend server began or ended to be leaving. May be nil.
+	OnServerState func(server string, leaving bool)
+	// OnLivePeers is given the other entries that are taken for alive. May be nil.
+	OnLivePeers func([]settings.Peer)
 	// Now is the clock by which digests are exchanged and grow old; nil means time.Now.
 	Now func() time.Time
 	// Logger gets a line for each entry that goes, comes or leaves; may be nil.
@@ -89,20 +89,20 @@
 	if o.Interval == 0 {
 		o.Interval = member.Interval
 	}
-	if o.Own == nil {
-		o.Own = func() *lilacv1.Digest { return &lilacv1.Digest{} }
+	if o.OwnDigest == nil {
+		o.OwnDigest = func() *lilacv1.Digest { return &lilacv1.Digest{} }
 	}
 	if o.OnDigest == nil {
 		o.OnDigest = func(*lilacv1.Digest, time.Time) {}
 	}
-	if o.OnGone == nil {
-		o.OnGone = func(string) {}
+	if o.OnDigestExpired == nil {
+		o.OnDigestExpired = func(string) {}
 	}
-	if o.OnServer == nil {
-		o.OnServer = func(string, bool) {}
+	if o.OnServerState == nil {
+		o.OnServerState = func(string, bool) {}
 	}
-	if o.OnLive == nil {
-		o.OnLive = func([]settings.Peer) {}
+	if o.OnLivePeers == nil {
+		o.OnLivePeers = func([]settings.Peer) {}
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -214,7 +214,7 @@
 // so that a slow answer shortens and never lengthens them.
 func (g *Gossip) own() member.Tick {
 	asked := g.options.Now()
-	d := g.options.Own()
+	d := g.options.OwnDigest()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sequence++
@@ -234,12 +234,12 @@
 			g.options.OnDigest(a.Digest, a.At)
 		case member.DigestExpired:
 			g.options.Logger.Info("entry no longer heard", "entry", a.Instance)
-			g.options.OnGone(a.Instance)
+			g.options.OnDigestExpired(a.Instance)
 		case member.ServerState:
 			g.options.Logger.Info("backend server", "server", a.Name, "leaving", a.Leaving)
-			g.options.OnServer(a.Name, a.Leaving)
+			g.options.OnServerState(a.Name, a.Leaving)
 		case member.LivePeers:
-			g.options.OnLive(peersOf(a.Peers))
+			g.options.OnLivePeers(peersOf(a.Peers))
 		}
 	}
 }
--- a/connection/gossip/gossip_test.go
+++ b/connection/gossip/gossip_test.go
@@ -63,16 +63,16 @@
 		x := &node{peer: peer, news: make(chan string, newsKept), traffic: id.Traffic}
 		o := Options{
 			Self:    member.Peer{Name: peer.Name, Address: peer.Address.Value, DataCenter: peer.DataCenter},
-			Entries: peers, Dial: dialer(t, id), Own: func() *lilacv1.Digest { return own(i) }, Now: now,
+			Entries: peers, Dial: dialer(t, id), OwnDigest: func() *lilacv1.Digest { return own(i) }, Now: now,
 			OnDigest: func(d *lilacv1.Digest, _ time.Time) {
 				if d.GetInstance() == member.Others {
 					x.others.Store(d)
 				}
 				x.tell("digest %s", d.GetInstance())
 			},
-			OnGone:   func(name string) { x.tell("gone %s", name) },
-			OnServer: func(name string, leaving bool) { x.tell("server %s %v", name, leaving) },
-			OnLive:   func(live []settings.Peer) { x.tell("live %d", len(live)) },
+			OnDigestExpired: func(name string) { x.tell("gone %s", name) },
+			OnServerState:   func(name string, leaving bool) { x.tell("server %s %v", name, leaving) },
+			OnLivePeers:     func(live []settings.Peer) { x.tell("live %d", len(live)) },
 		}
 		if i == 0 {
 			o.InstanceList = list
--- a/connection/link/client.go
+++ b/connection/link/client.go
@@ -278,11 +278,11 @@
 	return proto.Unmarshal(frame.GetMessage(), m)
 }
 
-// Requested implements Stream.
-func (s *clientStream) Requested() time.Duration { return s.requested }
+// RequestedAt implements Stream.
+func (s *clientStream) RequestedAt() time.Duration { return s.requested }
 
-// Received implements Stream.
-func (s *clientStream) Received() uint64 { return s.bytes.read.Load() }
+// BytesReceived implements Stream.
+func (s *clientStream) BytesReceived() uint64 { return s.bytes.read.Load() }
 
 // Close gives the stream up; the answering side's context ends.
 func (s *clientStream) Close() error {
--- a/connection/link/link.go
+++ b/connection/link/link.go
@@ -33,12 +33,12 @@
 type Stream interface {
 	// Recv reads the next message; io.EOF after a regular end.
 	Recv(m proto.Message) error
-	// Received counts the bytes that have come so far, those of a message that is
+	// BytesReceived counts the bytes that have come so far, those of a message that is
 	// not whole yet included. It may be called beside Recv.
-	Received() uint64
-	// Requested is when the request was written, by clock.Boot: the answering
+	BytesReceived() uint64
+	// RequestedAt is when the request was written, by clock.Boot: the answering
 	// process got it later.
-	Requested() time.Duration
+	RequestedAt() time.Duration
 	Close() error
 }
 
--- a/connection/link/link_test.go
+++ b/connection/link/link_test.go
@@ -135,7 +135,7 @@
 			is.NoErr(call(dial(clientKeys.get)))
 		}
 	}
-	server.DropOldKeys()
+	server.CloseRevokedConns()
 	is.True(call(thief) != nil)
 	is.True(call(dial(secret.Always([]byte(before)))) != nil)
 	is.NoErr(call(dial(clientKeys.get)))
--- a/connection/link/local.go
+++ b/connection/link/local.go
@@ -82,11 +82,11 @@
 	}
 }
 
-// Requested implements Stream.
-func (s *localStream) Requested() time.Duration { return s.requested }
+// RequestedAt implements Stream.
+func (s *localStream) RequestedAt() time.Duration { return s.requested }
 
-// Received implements Stream.
-func (s *localStream) Received() uint64 { return s.received.Load() }
+// BytesReceived implements Stream.
+func (s *localStream) BytesReceived() uint64 { return s.received.Load() }
 
 // Close ends the handler's context.
 func (s *localStream) Close() error {
--- a/connection/link/server.go
+++ b/connection/link/server.go
@@ -18,8 +18,8 @@
 type Server struct {
 	id  Identity
 	mux *Mux
-	// OnRefused is told of each connection that failed the handshake; may be nil.
-	OnRefused func(remote string, err error)
+	// OnHandshakeError is told of each connection that failed the handshake; may be nil.
+	OnHandshakeError func(remote string, err error)
 
 	mu sync.Mutex
 	// conns holds the key that the other end proved; nil before it has.
@@ -75,8 +75,8 @@
 	defer s.untrack(conn)
 	peer, key, err := handshake(conn, s.id, acceptorRole, dialerRole)
 	if err != nil {
-		if s.OnRefused != nil {
-			s.OnRefused(conn.RemoteAddr().String(), err)
+		if s.OnHandshakeError != nil {
+			s.OnHandshakeError(conn.RemoteAddr().String(), err)
 		}
 		return
 	}
@@ -149,13 +149,13 @@
 	}
 }
 
-// DropOldKeys ends the connections whose key is no longer in force.
+// CloseRevokedConns ends the connections whose key is no longer in force.
 //
 // It guards against a key that was replaced because it leaked: whoever holds it
 // could go on over a connection of before. It holds because each connection
 // remembers the key that it was opened with; one whose handshake is under way
 // is ended as well, and its process dials again.
-func (s *Server) DropOldKeys() {
+func (s *Server) CloseRevokedConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keys := s.id.Keys()
--- a/connection/link/traffic.go
+++ b/connection/link/traffic.go
@@ -25,7 +25,7 @@
 	if t == nil {
 		return conn
 	}
-	t.packets.Open(conn)
+	t.packets.Track(conn)
 	return &countedConn{Conn: conn, traffic: t}
 }
 
@@ -47,6 +47,6 @@
 }
 
 func (c *countedConn) Close() error {
-	c.traffic.packets.Close(c.Conn)
+	c.traffic.packets.Untrack(c.Conn)
 	return c.Conn.Close()
 }
--- a/connection/orders/candidates_test.go
+++ b/connection/orders/candidates_test.go
@@ -52,23 +52,23 @@
 	return l.table.Get(LeaseName).GetHolder()
 }
 
-// entries runs n givers in three data centres.
+// entries runs n controllers in three data centres.
 type entries struct {
 	*leader
-	givers map[string]*Giver
-	names  [testCentres][]string
-	stop   map[string]context.CancelFunc
-	work   sync.WaitGroup
+	controllers map[string]*Controller
+	names       [testCentres][]string
+	stop        map[string]context.CancelFunc
+	work        sync.WaitGroup
 }
 
 func runEntries(ctx context.Context, n int, ranked bool) *entries {
-	x := &entries{leader: &leader{table: lease.NewTable(), cut: make(map[string]bool)}, givers: make(map[string]*Giver), stop: make(map[string]context.CancelFunc)}
+	x := &entries{leader: &leader{table: lease.NewTable(), cut: make(map[string]bool)}, controllers: make(map[string]*Controller), stop: make(map[string]context.CancelFunc)}
 	for i := range n {
 		name := fmt.Sprint("entry-", i)
 		x.names[i%testCentres] = append(x.names[i%testCentres], name)
-		x.givers[name] = New(Options{
+		x.controllers[name] = New(Options{
 			View: func() *model.View { return nil },
-			Lease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
+			RequestLease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 				return x.lease(ctx, name, r)
 			},
 		})
@@ -76,7 +76,7 @@
 	if ranked {
 		x.rank()
 	}
-	for name, g := range x.givers {
+	for name, g := range x.controllers {
 		entry, stop := context.WithCancel(ctx)
 		x.stop[name] = stop
 		x.work.Go(func() { g.keepLease(entry) })
@@ -88,7 +88,7 @@
 func (x *entries) rank() {
 	for _, names := range x.names {
 		for _, name := range names {
-			x.givers[name].SetPosition(member.Position(name, names))
+			x.controllers[name].SetPosition(member.Position(name, names))
 		}
 	}
 }
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -34,9 +34,9 @@
 type Options struct {
 	// View returns the newest revision, or nil.
 	View func() *model.View
-	// Lease asks the state processes, as stateclient.Client does.
-	Lease func(context.Context, *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error)
-	// Client makes the calls to engines; nil means one of the Giver's own.
+	// RequestLease asks the state processes, as stateclient.Client does.
+	RequestLease func(context.Context, *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error)
+	// Client makes the calls to engines; nil means one of the Controller's own.
 	Client *upstream.Client
 	// LoadsPerMinute bounds the loads from the weight store. Default 30.
 	LoadsPerMinute int
@@ -50,8 +50,8 @@
 	Logger hclog.Logger
 }
 
-// Giver gives orders while it holds the lease.
-type Giver struct {
+// Controller gives orders while it holds the lease.
+type Controller struct {
 	options Options
 	engines engines
 	events  chan orders.Event
@@ -64,8 +64,8 @@
 	holding lease.Grant
 }
 
-// New returns a Giver that does nothing until Run.
-func New(o Options) *Giver {
+// New returns a Controller that does nothing until Run.
+func New(o Options) *Controller {
 	if o.LoadsPerMinute <= 0 {
 		o.LoadsPerMinute = defaultLoads
 	}
@@ -81,110 +81,110 @@
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
-	g := &Giver{options: o, events: make(chan orders.Event, 16), moved: make(chan struct{}, 1)}
-	g.engines = newEngines(o.Client, g.valid, o.OrderTimeout)
-	return g
+	c := &Controller{options: o, events: make(chan orders.Event, 16), moved: make(chan struct{}, 1)}
+	c.engines = newEngines(o.Client, c.valid, o.OrderTimeout)
+	return c
 }
 
 // valid tells whether this instance may still act under the number.
-func (g *Giver) valid(fencing uint64) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.holding.Valid(time.Now()) && g.holding.Fencing() == fencing
+func (c *Controller) valid(fencing uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.holding.Valid(time.Now()) && c.holding.Fencing() == fencing
 }
 
-// Holds tells whether this instance holds the lease, and under which number.
-func (g *Giver) Holds() (fencing uint64, holds bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.holding.Fencing(), g.holding.Valid(time.Now())
+// HoldsLease tells whether this instance holds the lease, and under which number.
+func (c *Controller) HoldsLease() (fencing uint64, holds bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.holding.Fencing(), c.holding.Valid(time.Now())
 }
 
 // Run asks for the lease and gives orders while it holds it, until ctx ends. It
 // then gives the lease back, unless an order is still in flight.
-func (g *Giver) Run(ctx context.Context) error {
-	core := orders.NewCore(g.options.LoadsPerMinute, g.options.OrderTimeout)
+func (c *Controller) Run(ctx context.Context) error {
+	core := orders.NewCore(c.options.LoadsPerMinute, c.options.OrderTimeout)
 	var work sync.WaitGroup
 	defer work.Wait()
-	work.Go(func() { g.keepLease(ctx) })
+	work.Go(func() { c.keepLease(ctx) })
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	var seen *model.View
 	step := func(event orders.Event) {
 		for _, action := range core.Step(time.Now(), event) {
-			g.act(ctx, &work, action)
+			c.act(ctx, &work, action)
 		}
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case event := <-g.events:
+		case event := <-c.events:
 			step(event)
 		case <-ticker.C:
-			if view := g.options.View(); view != nil && view != seen {
+			if view := c.options.View(); view != nil && view != seen {
 				seen = view
 				step(orders.Configured{Engines: wishes(view)})
 			}
-			step(g.standing())
+			step(c.standing())
 		}
 	}
 }
 
 // standing tells the core whether the lease holds at this moment.
-func (g *Giver) standing() orders.Event {
-	if fencing, holds := g.Holds(); holds {
+func (c *Controller) standing() orders.Event {
+	if fencing, holds := c.HoldsLease(); holds {
 		return orders.LeaseHeld{Fencing: fencing}
 	}
 	return orders.LeaseLost{}
 }
 
-func (g *Giver) act(ctx context.Context, work *sync.WaitGroup, action orders.Action) {
+func (c *Controller) act(ctx context.Context, work *sync.WaitGroup, action orders.Action) {
 	switch a := action.(type) {
 	case orders.Read:
-		work.Go(func() { g.send(ctx, g.engines.read(ctx, a)) })
+		work.Go(func() { c.send(ctx, c.engines.read(ctx, a)) })
 	case orders.Order:
-		g.options.Logger.Info("order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
-		work.Go(func() { g.send(ctx, g.engines.order(ctx, a)) })
+		c.options.Logger.Info("order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
+		work.Go(func() { c.send(ctx, c.engines.order(ctx, a)) })
 	case orders.AbandonLease:
-		g.mu.Lock()
-		g.holding = lease.Grant{}
-		g.mu.Unlock()
+		c.mu.Lock()
+		c.holding = lease.Grant{}
+		c.mu.Unlock()
 	}
 }
 
-func (g *Giver) send(ctx context.Context, event orders.Event) {
+func (c *Controller) send(ctx context.Context, event orders.Event) {
 	select {
-	case g.events <- event:
+	case c.events <- event:
 	case <-ctx.Done():
 	}
 }
 
 // SetPosition tells how many live entries of the data centre rank above this
 // one; the first few ask for the lease often. It is 0 at first.
-func (g *Giver) SetPosition(position int) {
-	if g.position.Swap(int64(position)) == int64(position) {
+func (c *Controller) SetPosition(position int) {
+	if c.position.Swap(int64(position)) == int64(position) {
 		return
 	}
 	select {
-	case g.moved <- struct{}{}:
+	case c.moved <- struct{}{}:
 	default:
 	}
 }
 
 // keepLease asks for the lease, often while it is held and seldom while another
 // holds it.
-func (g *Giver) keepLease(ctx context.Context) {
+func (c *Controller) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
-		_, held := g.Holds()
-		g.ask(ctx)
-		_, holds := g.Holds()
+		_, held := c.HoldsLease()
+		c.ask(ctx)
+		_, holds := c.HoldsLease()
 		if held != holds {
-			g.options.Logger.Info("lease for orders", "held", holds)
+			c.options.Logger.Info("lease for orders", "held", holds)
 		}
-		g.pause(ctx, holds)
+		c.pause(ctx, holds)
 	}
-	g.giveBack()
+	c.giveBack()
 }
 
 // pause waits for the next request's turn.
@@ -192,12 +192,12 @@
 // It guards against a takeover that comes late because the next in rank still
 // sleeps as long as its old place told it to: the turn is counted anew, from
 // the same start, when the place changes.
-func (g *Giver) pause(ctx context.Context, holds bool) {
+func (c *Controller) pause(ctx context.Context, holds bool) {
 	began, part := time.Now(), rand.Float64()
 	for {
-		wait := lease.RenewInterval(g.options.LeaseTime)
+		wait := lease.RenewInterval(c.options.LeaseTime)
 		if !holds {
-			wait = lease.RequestInterval(g.options.LeaseTime, int(g.position.Load()), part)
+			wait = lease.RequestInterval(c.options.LeaseTime, int(c.position.Load()), part)
 		}
 		timer := time.NewTimer(time.Until(began.Add(wait)))
 		select {
@@ -206,38 +206,38 @@
 			return
 		case <-timer.C:
 			return
-		case <-g.moved:
+		case <-c.moved:
 			timer.Stop()
 		}
 	}
 }
 
-func (g *Giver) ask(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, lease.RenewInterval(g.options.LeaseTime))
+func (c *Controller) ask(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, lease.RenewInterval(c.options.LeaseTime))
 	defer cancel()
 	sent := time.Now()
-	reply, err := g.options.Lease(ctx, &lilacv1.LeaseRequest{Name: LeaseName, DurationMs: uint32(g.options.LeaseTime.Milliseconds())})
+	reply, err := c.options.RequestLease(ctx, &lilacv1.LeaseRequest{Name: LeaseName, DurationMs: uint32(c.options.LeaseTime.Milliseconds())})
 	if err != nil {
 		// Without an answer the lease ends by its own time.
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.holding.Update(sent, reply)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.holding.Update(sent, reply)
 }
 
 // giveBack lets another begin at once, unless an order may still be in flight:
 // then the lease has to run out.
-func (g *Giver) giveBack() {
-	if _, holds := g.Holds(); !holds || g.engines.inFlight() {
+func (c *Controller) giveBack() {
+	if _, holds := c.HoldsLease(); !holds || c.engines.inFlight() {
 		return
 	}
-	g.mu.Lock()
-	g.holding = lease.Grant{}
-	g.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), lease.RenewInterval(g.options.LeaseTime))
+	c.mu.Lock()
+	c.holding = lease.Grant{}
+	c.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), lease.RenewInterval(c.options.LeaseTime))
 	defer cancel()
-	_, _ = g.options.Lease(ctx, &lilacv1.LeaseRequest{Name: LeaseName})
+	_, _ = c.options.RequestLease(ctx, &lilacv1.LeaseRequest{Name: LeaseName})
 }
 
 // wishes lists the engines that any order names.
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -71,10 +71,10 @@
 	e, address := start(t)
 	table := lease.NewTable()
 	var mu sync.Mutex
-	giver := New(Options{
+	controller := New(Options{
 		View:           func() *model.View { return viewOf(address) },
 		LoadsPerMinute: 6000,
-		Lease: func(_ context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
+		RequestLease: func(_ context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			r.Holder, r.Incarnation = "entry-1", "entry-1/1"
@@ -83,12 +83,12 @@
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error)
-	go func() { done <- giver.Run(ctx) }()
+	go func() { done <- controller.Run(ctx) }()
 	<-e.changed
-	fencing, holds := giver.Holds()
+	fencing, holds := controller.HoldsLease()
 	is.True(holds)
 	is.Equal(fencing, uint64(1))
-	for giver.engines.inFlight() {
+	for controller.engines.inFlight() {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
--- a/connection/packets/packets.go
+++ b/connection/packets/packets.go
@@ -30,9 +30,9 @@
 	sent, received uint64
 }
 
-// Open adds the connection. Those that the kernel keeps no account of, such as
+// Track adds the connection. Those that the kernel keeps no account of, such as
 // pipes in tests, count as nothing.
-func (c *Counter) Open(conn net.Conn) {
+func (c *Counter) Track(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.open == nil {
@@ -41,8 +41,8 @@
 	c.open[conn] = struct{}{}
 }
 
-// Close must be told before the connection is closed; more than once is no fault.
-func (c *Counter) Close(conn net.Conn) {
+// Untrack must be called before the connection is closed; more than once is no fault.
+func (c *Counter) Untrack(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, open := c.open[conn]; !open {
--- a/connection/replicalink/transport.go
+++ b/connection/replicalink/transport.go
@@ -63,16 +63,16 @@
 	}
 }
 
-// Open connects to the processes at the addresses before there is anything to send,
+// Connect connects to the processes at the addresses before there is anything to send,
 // again and again for some time. A first question between regions otherwise waits for
 // a connection there, and its answer for one back.
-func (t *Transport) Open(addresses []string) {
+func (t *Transport) Connect(addresses []string) {
 	for _, address := range addresses {
-		t.wg.Go(func() { t.open(t.callerOf(address)) })
+		t.wg.Go(func() { t.connect(t.callerOf(address)) })
 	}
 }
 
-func (t *Transport) open(caller link.Caller) {
+func (t *Transport) connect(caller link.Caller) {
 	ctx, cancel := context.WithTimeout(t.ctx, openFor)
 	defer cancel()
 	for ctx.Err() == nil {
--- a/connection/replicalink/transport_test.go
+++ b/connection/replicalink/transport_test.go
@@ -321,7 +321,7 @@
 		caller.left.Store(3)
 		transport := New(func(string) link.Caller { return caller })
 		defer transport.Close()
-		transport.Open([]string{"a:1"})
+		transport.Connect([]string{"a:1"})
 		time.Sleep(openFor)
 		synctest.Wait()
 		is.Equal(caller.calls.Load(), int64(4)) // and no more once it is connected
--- a/connection/spreadlink/knowledge.go
+++ b/connection/spreadlink/knowledge.go
@@ -19,16 +19,16 @@
 	behindSince time.Duration
 }
 
-// Known returns the newest revision heard of, and the age of that knowledge.
-func (w *Watcher) Known() (newest uint64, age time.Duration) {
+// LatestKnown returns the newest revision heard of, and the age of that knowledge.
+func (w *Watcher) LatestKnown() (newest uint64, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return max(w.known.newest, w.holder.Revision()), w.options.Clock() - w.known.at
 }
 
-// Unconfirmed returns how long ago the revision in force here was surely the newest.
+// Staleness returns how long ago the revision in force here was surely the newest.
 // An update confirms it only if it names no newer one.
-func (w *Watcher) Unconfirmed() time.Duration {
+func (w *Watcher) Staleness() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.options.Clock() - w.known.confirmed
--- a/connection/spreadlink/progress.go
+++ b/connection/spreadlink/progress.go
@@ -37,7 +37,7 @@
 	if p.stream == nil {
 		return spread.Target{}, false
 	}
-	received := p.stream.Received()
+	received := p.stream.BytesReceived()
 	more := received > p.received || p.applying
 	p.received = received
 	return p.from, more
--- a/connection/spreadlink/serve.go
+++ b/connection/spreadlink/serve.go
@@ -53,8 +53,8 @@
 	Config() *lilacv1.Snapshot
 	// Changed is closed at the next revision.
 	Changed() <-chan struct{}
-	// Known returns the newest revision known of, and the age of that knowledge.
-	Known() (newest uint64, age time.Duration)
+	// LatestKnown returns the newest revision known of, and the age of that knowledge.
+	LatestKnown() (newest uint64, age time.Duration)
 }
 
 // Server answers the watch and snapshot methods from a Source.
@@ -136,7 +136,7 @@
 	limit := time.NewTimer(contactWait)
 	defer limit.Stop()
 	for s.source.Revision() > 0 {
-		if _, age := s.source.Known(); age <= emptyAge {
+		if _, age := s.source.LatestKnown(); age <= emptyAge {
 			return nil
 		}
 		select {
@@ -171,7 +171,7 @@
 
 // empty tells that nothing has come here, not even that there is nothing.
 func (s *Server) empty() bool {
-	_, age := s.source.Known()
+	_, age := s.source.LatestKnown()
 	return s.source.Revision() == 0 && age > emptyAge
 }
 
@@ -201,7 +201,7 @@
 }
 
 func (s *Server) update(have uint64, following bool) (*lilacv1.WatchUpdate, error) {
-	newest, age := s.source.Known()
+	newest, age := s.source.LatestKnown()
 	update := &lilacv1.WatchUpdate{Newest: newest, AgeMs: uint32(min(age.Milliseconds(), 1<<31))}
 	if s.empty() {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no revision has come here yet; follow another process")
--- a/connection/spreadlink/serve_test.go
+++ b/connection/spreadlink/serve_test.go
@@ -54,7 +54,7 @@
 	return r.changed
 }
 
-func (r *restarted) Known() (uint64, time.Duration) {
+func (r *restarted) LatestKnown() (uint64, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newest, r.age
--- a/connection/spreadlink/watcher.go
+++ b/connection/spreadlink/watcher.go
@@ -33,8 +33,8 @@
 	// Instance and DataCenter of the entry itself.
 	Instance   string
 	DataCenter string
-	// State lists all state processes.
-	State []settings.Peer
+	// StatePeers lists all state processes.
+	StatePeers []settings.Peer
 	// Entries lists the entries known at start; SetEntries replaces them.
 	Entries []settings.Peer
 	// Dial returns the caller for an address; the same one each time.
@@ -117,11 +117,11 @@
 	return w.changed
 }
 
-// SetState replaces the state processes that may be followed.
-func (w *Watcher) SetState(peers []settings.Peer) {
+// SetStatePeers replaces the state processes that may be followed.
+func (w *Watcher) SetStatePeers(peers []settings.Peer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.options.State = peers
+	w.options.StatePeers = peers
 }
 
 // SetEntries replaces the entries of all data centres that are taken for alive.
@@ -197,7 +197,7 @@
 	}
 	w.receiving.Lock()
 	defer w.receiving.Unlock()
-	_, age := w.Known()
+	_, age := w.LatestKnown()
 	w.log.Line(logs.Belief, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.holder.Revision(), "age_ms", age.Milliseconds())
 	begun := w.options.Clock()
 	err := w.receive(ctx, caller, prefix, target)
@@ -251,7 +251,7 @@
 		}
 		return nil, "", ""
 	}
-	if len(w.options.State) == 0 {
+	if len(w.options.StatePeers) == 0 {
 		return nil, "", ""
 	}
 	near := w.nearest()
@@ -259,8 +259,8 @@
 	return w.options.Dial(peer.Address.Value), "state", peer.Name
 }
 
-// Nearest returns the state processes, those of the own data centre first.
-func (w *Watcher) Nearest() []settings.Peer {
+// StatePeers returns the state processes, those of the own data centre first.
+func (w *Watcher) StatePeers() []settings.Peer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nearest()
@@ -269,7 +269,7 @@
 // nearest needs w.mu. Entries of one data centre begin at different places of
 // the others, by their names, so that not all ask the same.
 func (w *Watcher) nearest() []settings.Peer {
-	near := slices.Clone(w.options.State)
+	near := slices.Clone(w.options.StatePeers)
 	slices.SortStableFunc(near, func(a, b settings.Peer) int {
 		return cmp.Or(w.distance(a)-w.distance(b), cmp.Compare(xxhash.Sum64String(w.options.Instance+a.Name), xxhash.Sum64String(w.options.Instance+b.Name)))
 	})
@@ -298,7 +298,7 @@
 		if err := stream.Recv(update); err != nil {
 			return err
 		}
-		sure := sureAt(stream.Requested(), update)
+		sure := sureAt(stream.RequestedAt(), update)
 		if err := w.take(update, sure); err != nil {
 			return err
 		}
--- a/connection/spreadlink/watcher_test.go
+++ b/connection/spreadlink/watcher_test.go
@@ -82,11 +82,11 @@
 // arrivalStep is how often bytes of an update arrive.
 const arrivalStep = 50 * time.Millisecond
 
-// Requested implements link.Stream, by the clock of the watcher.
-func (s *sending) Requested() time.Duration { return s.opened.Sub(s.sender.epoch) }
+// RequestedAt implements link.Stream, by the clock of the watcher.
+func (s *sending) RequestedAt() time.Duration { return s.opened.Sub(s.sender.epoch) }
 
-// Received implements link.Stream.
-func (s *sending) Received() uint64 { return s.received.Load() }
+// BytesReceived implements link.Stream.
+func (s *sending) BytesReceived() uint64 { return s.received.Load() }
 
 // lockedText is a log that is read while it is written.
 type lockedText struct {
@@ -111,9 +111,9 @@
 	s.epoch = time.Now().Add(-time.Hour)
 	w := NewWatcher(Options{
 		Instance: "e1", DataCenter: "a", Timing: spread.Quick, Logger: logger, OnView: s.onView,
-		State: []settings.Peer{{Name: "s1", DataCenter: "a"}},
-		Dial:  func(string) link.Caller { return s },
-		Clock: func() time.Duration { return time.Since(s.epoch) },
+		StatePeers: []settings.Peer{{Name: "s1", DataCenter: "a"}},
+		Dial:       func(string) link.Caller { return s },
+		Clock:      func() time.Duration { return time.Since(s.epoch) },
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -199,11 +199,11 @@
 		}}
 		w := follows(t, s, nil)
 		time.Sleep(2 * time.Second)
-		_, age := w.Known()
+		_, age := w.LatestKnown()
 		is.True(age < time.Second)
-		is.True(w.Unconfirmed() >= 2*time.Second-tick)
+		is.True(w.Staleness() >= 2*time.Second-tick)
 		time.Sleep(2 * time.Second)
-		is.True(w.Unconfirmed() < time.Second)
+		is.True(w.Staleness() < time.Second)
 	})
 }
 
@@ -221,8 +221,8 @@
 		}}
 		w := follows(t, s, nil)
 		time.Sleep(late + tick)
-		is.True(w.Unconfirmed() >= late)
-		_, age := w.Known()
+		is.True(w.Staleness() >= late)
+		_, age := w.LatestKnown()
 		is.True(age >= late)
 	})
 }
@@ -240,7 +240,7 @@
 		}}
 		w := follows(t, s, nil)
 		time.Sleep(3 * time.Second)
-		is.True(w.Unconfirmed() >= 3*time.Second-tick)
+		is.True(w.Staleness() >= 3*time.Second-tick)
 	})
 }
 
--- a/connection/stateclient/client.go
+++ b/connection/stateclient/client.go
@@ -173,7 +173,7 @@
 	defer c.mu.Unlock()
 	c.serial++
 	end, _ := ctx.Deadline()
-	return c.serial, c.core.Step(time.Now(), Begin{Call: c.serial, End: end})
+	return c.serial, c.core.Step(time.Now(), CallStarted{Call: c.serial, Deadline: end})
 }
 
 // onLeader makes the call on the leader, wherever it is. The call must be safe
@@ -182,21 +182,21 @@
 	call, action := c.begin(ctx)
 	for {
 		switch a := action.(type) {
-		case Try:
+		case Attempt:
 			err := c.send(ctx, a, method, req, resp)
-			action = c.step(Tried{Call: call, Err: err, Over: ctx.Err() != nil, FromAny: FromAny(resp)})
+			action = c.step(AttemptDone{Call: call, Err: err, ContextDone: ctx.Err() != nil, FromAnyReplica: FromAnyReplica(resp)})
 		case Pause:
 			time.Sleep(a.For)
-			action = c.step(Paused{Call: call})
-		case End:
+			action = c.step(PauseDone{Call: call})
+		case CallDone:
 			return a.Err
 		}
 	}
 }
 
-// FromAny tells whether any state process may have given the answer: that a
+// FromAnyReplica tells whether any state process may have given the answer: that a
 // claimed key has ended.
-func FromAny(answer proto.Message) bool {
+func FromAnyReplica(answer proto.Message) bool {
 	claim, ok := answer.(*lilacv1.ClaimReply)
 	if !ok {
 		return false
@@ -217,13 +217,13 @@
 	return err
 }
 
-func (c *Client) admit(address string) (Try, bool) {
+func (c *Client) admit(address string) (Attempt, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Try{Address: address, Timeout: c.core.timeout(address)}, c.core.health.admit(time.Now(), address)
+	return Attempt{Address: address, Timeout: c.core.timeout(address)}, c.core.health.admit(time.Now(), address)
 }
 
-func (c *Client) send(ctx context.Context, try Try, method string, req, resp proto.Message) error {
+func (c *Client) send(ctx context.Context, try Attempt, method string, req, resp proto.Message) error {
 	tried, cancel := context.WithTimeout(ctx, try.Timeout)
 	defer cancel()
 	return callInTime(tried, c.options.Dial(try.Address), method, req, resp)
--- a/connection/stateclient/core.go
+++ b/connection/stateclient/core.go
@@ -39,35 +39,35 @@
 // Event is something that happened to a call; see the types below.
 type Event interface{ call() uint64 }
 
-// Begin begins a call under a number that no open call has. The call is not
+// CallStarted begins a call under a number that no open call has. The call is not
 // tried again when End is near; zero means that it has no end of its own.
-type Begin struct {
-	Call uint64
-	End  time.Time
+type CallStarted struct {
+	Call     uint64
+	Deadline time.Time
 }
 
-// Tried tells how a Try ended.
-type Tried struct {
+// AttemptDone tells how a Attempt ended.
+type AttemptDone struct {
 	Call uint64
 	Err  error
-	// Over is true if the caller's own time has ended.
-	Over bool
-	// FromAny is true for an answer that processes without a quorum give as well.
-	FromAny bool
+	// ContextDone is true if the caller's own time has ended.
+	ContextDone bool
+	// FromAnyReplica is true for an answer that processes without a quorum give as well.
+	FromAnyReplica bool
 }
 
-// Paused tells that a Pause has passed.
-type Paused struct{ Call uint64 }
+// PauseDone tells that a Pause has passed.
+type PauseDone struct{ Call uint64 }
 
-func (e Begin) call() uint64  { return e.Call }
-func (e Tried) call() uint64  { return e.Call }
-func (e Paused) call() uint64 { return e.Call }
+func (e CallStarted) call() uint64 { return e.Call }
+func (e AttemptDone) call() uint64 { return e.Call }
+func (e PauseDone) call() uint64   { return e.Call }
 
-// Action is what the shell does next for the call: a Try, a Pause or the End.
+// Action is what the shell does next for the call: a Attempt, a Pause or the End.
 type Action interface{ action() }
 
-// Try sends the call to a state process and waits up to Timeout.
-type Try struct {
+// Attempt sends the call to a state process and waits up to Timeout.
+type Attempt struct {
 	Address string
 	Timeout time.Duration
 }
@@ -75,12 +75,12 @@
 // Pause waits.
 type Pause struct{ For time.Duration }
 
-// End gives the call's outcome; without Err the last Try was answered.
-type End struct{ Err error }
+// CallDone gives the call's outcome; without Err the last Attempt was answered.
+type CallDone struct{ Err error }
 
-func (Try) action()   {}
-func (Pause) action() {}
-func (End) action()   {}
+func (Attempt) action()  {}
+func (Pause) action()    {}
+func (CallDone) action() {}
 
 // Core finds the leader for the calls of one instance. Steps must not overlap.
 type Core struct {
@@ -118,16 +118,16 @@
 func (c *Core) Step(now time.Time, event Event) Action {
 	var action Action
 	switch e := event.(type) {
-	case Begin:
-		s := c.newSearch(now, e.End)
+	case CallStarted:
+		s := c.newSearch(now, e.Deadline)
 		c.calls[e.Call] = s
 		action = c.beginRound(now, s)
-	case Tried:
+	case AttemptDone:
 		action = c.ended(now, c.calls[e.Call], e)
-	case Paused:
+	case PauseDone:
 		action = c.beginRound(now, c.calls[e.Call])
 	}
-	if _, over := action.(End); over {
+	if _, over := action.(CallDone); over {
 		delete(c.calls, event.call())
 	}
 	return action
@@ -168,7 +168,7 @@
 			continue
 		}
 		s.address = address
-		return Try{Address: address, Timeout: min(c.timeout(address), s.over.Sub(now))}
+		return Attempt{Address: address, Timeout: min(c.timeout(address), s.over.Sub(now))}
 	}
 	return c.endRound(now, s)
 }
@@ -183,24 +183,24 @@
 		return Pause{For: roundPause}
 	}
 	c.lost = now
-	return End{Err: s.failure()}
+	return CallDone{Err: s.failure()}
 }
 
-func (c *Core) ended(now time.Time, s *search, e Tried) Action {
-	c.health.settle(now, s.address, e.Err, e.Over)
+func (c *Core) ended(now time.Time, s *search, e AttemptDone) Action {
+	c.health.settle(now, s.address, e.Err, e.ContextDone)
 	if e.Err == nil {
 		c.found(s.address, e)
-		return End{}
+		return CallDone{}
 	}
 	if final(e.Err) {
-		return End{Err: e.Err}
+		return CallDone{Err: e.Err}
 	}
 	s.note(e.Err)
 	if hint := fault.LeaderOf(e.Err); hint != "" {
 		c.leader = hint
 		s.queue = append([]string{hint}, s.queue...)
 	}
-	if e.Over {
+	if e.ContextDone {
 		return c.endRound(now, s)
 	}
 	return c.next(now, s)
@@ -212,8 +212,8 @@
 // answered from its own state, and the next claims hang for a whole search again,
 // at a process taken for the leader. It holds because only an answer that needs a
 // quorum ends the memory of the failed search.
-func (c *Core) found(address string, e Tried) {
-	if !e.FromAny {
+func (c *Core) found(address string, e AttemptDone) {
+	if !e.FromAnyReplica {
 		c.leader, c.lost = address, time.Time{}
 	}
 }
--- a/connection/stateclient/core_test.go
+++ b/connection/stateclient/core_test.go
@@ -24,21 +24,21 @@
 	for seed := range uint64(200) {
 		is, rng, now := is.New(t), rand.New(rand.NewPCG(seed, 1)), time.Unix(0, 0)
 		core := NewCore("dc", peers)
-		action := core.Step(now, Begin{Call: 1})
+		action := core.Step(now, CallStarted{Call: 1})
 		for range 100 {
 			switch a := action.(type) {
-			case Try:
+			case Attempt:
 				now = now.Add(a.Timeout)
-				core.Step(now, Begin{Call: 2})
+				core.Step(now, CallStarted{Call: 2})
 				core.calls[2].address = peers[rng.IntN(len(peers))].Name
-				core.Step(now, Tried{Call: 2})
-				action = core.Step(now, Tried{Call: 1, Err: fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")})
+				core.Step(now, AttemptDone{Call: 2})
+				action = core.Step(now, AttemptDone{Call: 1, Err: fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")})
 			case Pause:
 				now = now.Add(a.For)
-				action = core.Step(now, Paused{Call: 1})
+				action = core.Step(now, PauseDone{Call: 1})
 			}
 		}
-		_, over := action.(End)
+		_, over := action.(CallDone)
 		is.True(over)
 		is.True(now.Sub(time.Unix(0, 0)) <= 5*time.Second)
 	}
--- a/connection/upstream/pool.go
+++ b/connection/upstream/pool.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				return nil, err
 			}
-			p.packets.Open(conn)
+			p.packets.Track(conn)
 			return &trackedConn{Conn: conn, pool: p}, nil
 		},
 		DisableCompression:     true,
@@ -166,6 +166,6 @@
 }
 
 func (c *trackedConn) Close() error {
-	c.pool.packets.Close(c.Conn)
+	c.pool.packets.Untrack(c.Conn)
 	return c.Conn.Close()
 }
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -42,7 +42,7 @@
 	spread   *spreadlink.Server
 	gossip   *gossip.Gossip
 	loads    *loadlink.Link
-	orders   *orders.Giver
+	orders   *orders.Controller
 	links    *link.Server
 	// gateway is nil where the settings name none.
 	gateway   *routed
@@ -87,7 +87,7 @@
 	}
 	d.entry = New(Options{Gateway: protocolOf(platform), Settings: s, CallerKey: callerKey, State: d.state, Logger: logger, OnAnnounce: func() { d.gossip.Announce() }})
 	d.watcher = spreadlink.NewWatcher(spreadlink.Options{
-		Instance: s.Name, DataCenter: s.DataCenter, State: s.State, Entries: s.Entries,
+		Instance: s.Name, DataCenter: s.DataCenter, StatePeers: s.State, Entries: s.Entries,
 		Dial: d.dialer.dial, Timing: d.timing(), OnView: d.onView, Logger: logger,
 	})
 	if platform != nil {
@@ -103,7 +103,7 @@
 	d.gossip = d.newGossip()
 	d.gossip.Register(mux)
 	d.loads.Register(mux)
-	d.orders = orders.New(orders.Options{View: d.watcher.Current, Lease: d.state.Lease, Client: d.entry.clients, Logger: logger})
+	d.orders = orders.New(orders.Options{View: d.watcher.Current, RequestLease: d.state.Lease, Client: d.entry.clients, Logger: logger})
 	d.orders.SetPosition(d.position(s.Entries))
 	d.links = link.NewServer(id, mux)
 	d.registerMembership()
@@ -171,7 +171,7 @@
 	}
 	group.Go(func() { _ = d.links.Serve(d.listeners.link) })
 	group.Go(func() {
-		secret.ReloadOnHangUp(working, d.logger, d.links.DropOldKeys, d.linkKeys, d.callerKey, d.operators)
+		secret.ReloadOnHangUp(working, d.logger, d.links.CloseRevokedConns, d.linkKeys, d.callerKey, d.operators)
 	})
 	app := kratos.New(
 		kratos.Name("lilacbridge-entry"),
@@ -261,7 +261,7 @@
 func (d *Daemon) operatorServer(listener net.Listener) *khttp.Server {
 	handler := operator.NewHandler(operator.Options{
 		Instance: d.settings.Name, DataCenter: d.settings.DataCenter,
-		View: d.watcher.Current, Newest: d.watcher.Known, State: d.state, Local: d.query,
+		View: d.watcher.Current, Newest: d.watcher.LatestKnown, State: d.state, Local: d.query,
 		Peers:      func() []operator.Peer { return d.dialer.peers(d.liveEntries()) },
 		StatePeers: func() []operator.Peer { return d.dialer.peers(d.settings.State) },
 		Operators:  d.operators.Get, Now: time.Now,
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -104,7 +104,7 @@
 // share of the bound.
 func (g *routed) confirmedWithin(bound *atomic.Int64, share float64) bool {
 	most := bound.Load()
-	return most == 0 || g.daemon.watcher.Unconfirmed() < time.Duration(share*float64(most))
+	return most == 0 || g.daemon.watcher.Staleness() < time.Duration(share*float64(most))
 }
 
 // Forward implements gateway.Router.
@@ -171,7 +171,7 @@
 
 func (g *routed) upstream() []link.Caller {
 	var callers []link.Caller
-	for _, peer := range g.daemon.watcher.Nearest() {
+	for _, peer := range g.daemon.watcher.StatePeers() {
 		callers = append(callers, g.daemon.dialer.dial(peer.Address.Value))
 	}
 	return callers[:min(len(callers), askedForList)]
@@ -195,11 +195,11 @@
 		if err != nil {
 			// All that were known may be gone; the seeds may be newer.
 			g.daemon.state.SetPeers(*g.seeds.Load())
-			g.daemon.watcher.SetState(*g.seeds.Load())
+			g.daemon.watcher.SetStatePeers(*g.seeds.Load())
 			g.logger.Debug("no state process names its group", "error", err)
 		} else {
 			g.daemon.state.SetPeers(members)
-			g.daemon.watcher.SetState(members)
+			g.daemon.watcher.SetStatePeers(members)
 			g.daemon.gossip.SetEntries(entries)
 		}
 		if sleep(ctx, membersEvery) != nil {
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -24,16 +24,16 @@
 		Interval:     d.settings.DigestInterval.Duration,
 		Dial:         d.dialer.dial,
 		InstanceList: d.settings.InstanceList,
-		Own:          d.ownDigest,
+		OwnDigest:    d.ownDigest,
 		OnDigest: func(digest *lilacv1.Digest, at time.Time) {
 			relay.Post(policy.PeerDigest{Digest: digest, At: at})
 		},
-		OnGone: func(instance string) { relay.Post(policy.PeerGone{Instance: instance}) },
-		OnServer: func(server string, leaving bool) {
+		OnDigestExpired: func(instance string) { relay.Post(policy.PeerGone{Instance: instance}) },
+		OnServerState: func(server string, leaving bool) {
 			relay.Post(policy.ServerState{Server: server, Leaving: leaving})
 		},
-		OnLive: d.setLive,
-		Logger: d.logger,
+		OnLivePeers: d.setLive,
+		Logger:      d.logger,
 	})
 }
 
--- a/daemon/entry/instance.go
+++ b/daemon/entry/instance.go
@@ -17,7 +17,7 @@
 	if err := d.entry.Ready(); err != nil {
 		state = err.Error()
 	}
-	newest, age := d.watcher.Known()
+	newest, age := d.watcher.LatestKnown()
 	revision := d.watcher.Revision()
 	return instanceColumns, []*lilacv1.QueryRow{{Values: []string{
 		d.settings.DataCenter, state, strconv.FormatUint(revision, 10),
--- a/daemon/entry/links.go
+++ b/daemon/entry/links.go
@@ -52,7 +52,7 @@
 
 // query answers this instance's part of an operator's SHOW.
 func (d *Daemon) query(_ context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
-	newest, age := d.watcher.Known()
+	newest, age := d.watcher.LatestKnown()
 	reply := &lilacv1.QueryReply{
 		Instance: d.settings.Name, DataCenter: d.settings.DataCenter, Revision: d.watcher.Revision(),
 		Newest: newest, AgeMs: uint32(age.Milliseconds()),
--- a/daemon/entry/stats.go
+++ b/daemon/entry/stats.go
@@ -97,11 +97,11 @@
 	gauge("lilacbridge_entries_live", "Other entries that are taken for alive.", func() float64 { return float64(len(d.liveEntries())) })
 	gauge("lilacbridge_revision", "Newest revision in force here.", func() float64 { return float64(d.watcher.Revision()) })
 	gauge("lilacbridge_revisions_behind", "Revisions known to exist and not in force here.", func() float64 {
-		newest, _ := d.watcher.Known()
+		newest, _ := d.watcher.LatestKnown()
 		return float64(max(newest, d.watcher.Revision()) - d.watcher.Revision())
 	})
 	gauge("lilacbridge_revision_age_seconds", "How long ago the newest revision was known for sure.", func() float64 {
-		_, age := d.watcher.Known()
+		_, age := d.watcher.LatestKnown()
 		return age.Seconds()
 	})
 	counter("lilacbridge_digest_exchanges_total", "Exchanges of digests begun here.", func() float64 { return float64(d.gossip.Stats().Exchanges) })
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -201,7 +201,7 @@
 		})
 	}
 	group.Go(func() error {
-		secret.ReloadOnHangUp(running, d.logger, d.links.DropOldKeys, d.keys)
+		secret.ReloadOnHangUp(running, d.logger, d.links.CloseRevokedConns, d.keys)
 		return nil
 	})
 	d.logger.Info("started", "link", d.listener.Addr().String(), "version", build.Version)
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -240,7 +240,7 @@
 	caller := dialer(t)(all[0].peer.Address.Value)
 	var sent atomic.Int64
 	w := spreadlink.NewWatcher(spreadlink.Options{
-		Instance: "1", DataCenter: "dakar-a", State: []settings.Peer{all[0].peer},
+		Instance: "1", DataCenter: "dakar-a", StatePeers: []settings.Peer{all[0].peer},
 		Dial: func(string) link.Caller { return counting{caller, &sent} },
 	})
 	ctx, stop := context.WithCancel(t.Context())
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -117,12 +117,12 @@
 	}
 }
 
-// holder runs an order giver over the real link to the state processes.
+// holder runs an order controller over the real link to the state processes.
 type holder struct {
 	*freezer
-	giver  *orders.Giver
-	killed atomic.Bool
-	stop   func()
+	controller *orders.Controller
+	killed     atomic.Bool
+	stop       func()
 }
 
 func runHolder(t *testing.T, all []*process, name, wish string, engine *backend, f *freezer) *holder {
@@ -131,12 +131,12 @@
 		Orders:  []*lilacv1.ModelOrder{{Server: "r0", Model: wish, Loaded: true}},
 	}), newClient(t, all, name)
 	h := &holder{freezer: f}
-	h.giver = orders.New(orders.Options{
+	h.controller = orders.New(orders.Options{
 		View: func() *model.View {
 			h.looks.Add(1)
 			return view
 		},
-		Lease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
+		RequestLease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 			if h.killed.Load() {
 				return nil, errors.New("killed")
 			}
@@ -151,7 +151,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = h.giver.Run(ctx)
+		_ = h.controller.Run(ctx)
 	}()
 	h.stop = func() {
 		cancel()
@@ -199,7 +199,7 @@
 		fencing := <-old.decided
 		next := runHolder(t, all, "entry-new", "small", engine, newFreezer(false))
 		awaitAbove(engine.landed, fencing)
-		_, holds := old.giver.Holds()
+		_, holds := old.controller.HoldsLease()
 		is.True(!holds)
 		looked := old.looks.Load()
 		old.frozen.Store(false)
--- a/daemon/state/replica.go
+++ b/daemon/state/replica.go
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	replicalink.Handle(mux, node)
-	transport.Open(otherVoters(node.Status().Members, s.LinkForOthers().Value))
+	transport.Connect(otherVoters(node.Status().Members, s.LinkForOthers().Value))
 	return &replicaLog{node: node, transport: transport, name: s.Name, dc: s.DataCenter}, nil
 }
 
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -66,7 +66,7 @@
 }
 
 // Known returns the newest revision and how long ago it was surely the newest.
-func (s source) Known() (newest uint64, age time.Duration) {
+func (s source) LatestKnown() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Contact
 }
 
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -238,7 +238,7 @@
 	var started []*follower
 	for i := range n {
 		name := string(rune('1' + i))
-		w := spreadlink.NewWatcher(spreadlink.Options{Instance: name, DataCenter: "dakar-a", State: state, Dial: dialer(t)})
+		w := spreadlink.NewWatcher(spreadlink.Options{Instance: name, DataCenter: "dakar-a", StatePeers: state, Dial: dialer(t)})
 		address, kill, traffic := serveEntry(t, w)
 		entries = append(entries, settings.Peer{Name: name, DataCenter: "dakar-a", Address: settings.Address{Value: address}})
 		started = append(started, &follower{w, name, kill, traffic})
@@ -330,7 +330,7 @@
 	is.NoErr(err)
 	for _, w := range entries {
 		is.Equal(len(waitFor(w, 21).Classes), 21)
-		newest, _ := w.Known()
+		newest, _ := w.LatestKnown()
 		is.Equal(newest, uint64(21))
 	}
 }
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -82,7 +82,7 @@
 	})
 	var all []*spreadlink.Watcher
 	for _, peer := range peers {
-		o := spreadlink.Options{Instance: peer.Name, DataCenter: peer.DataCenter, State: state}
+		o := spreadlink.Options{Instance: peer.Name, DataCenter: peer.DataCenter, StatePeers: state}
 		if !flat {
 			o.Entries = peers
 		}
--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -99,17 +99,17 @@
 	k.sim.after(bound, func() {
 		k.sim.invariants.check(ended, "claims and statements end in time", "%s waits for more than %s since %s", k.entry.name, bound, c.begun)
 	})
-	c.perform(k.core.Step(k.entry.clock(), stateclient.Begin{Call: c.number}))
+	c.perform(k.core.Step(k.entry.clock(), stateclient.CallStarted{Call: c.number}))
 }
 
 func (c *stateCall) perform(action stateclient.Action) {
 	k := c.caller
 	switch a := action.(type) {
-	case stateclient.Try:
+	case stateclient.Attempt:
 		c.try(a)
 	case stateclient.Pause:
-		k.sim.after(a.For, func() { c.perform(k.core.Step(k.entry.clock(), stateclient.Paused{Call: c.number})) })
-	case stateclient.End:
+		k.sim.after(a.For, func() { c.perform(k.core.Step(k.entry.clock(), stateclient.PauseDone{Call: c.number})) })
+	case stateclient.CallDone:
 		k.sim.operators.open--
 		c.ended(a.Err)
 	}
@@ -118,7 +118,7 @@
 func (c *stateCall) ended(err error) {
 	k := c.caller
 	switch {
-	case err == nil && !stateclient.FromAny(c.result.GetClaim()):
+	case err == nil && !stateclient.FromAnyReplica(c.result.GetClaim()):
 		k.refused = -time.Hour
 	case fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM):
 		k.refused = k.sim.now
@@ -130,7 +130,7 @@
 
 // try sends the call to one state process and gives the client its answer, or
 // the silence after the timeout.
-func (c *stateCall) try(a stateclient.Try) {
+func (c *stateCall) try(a stateclient.Attempt) {
 	k, s := c.caller, c.caller.sim
 	since, down := k.silent[a.Address]
 	passed := s.now-since >= passedOver && !k.probing[a.Address]
@@ -153,7 +153,7 @@
 		c.doubtful = c.doubtful || err != nil && fault.NotRunOf(err) != lilacv1.NotRun_NOT_RUN_TRUE
 		c.result = result
 		s.note("%s call %d tried %s since %s: %v", k.entry.name, c.number, a.Address, begun, err)
-		c.perform(k.core.Step(k.entry.clock(), stateclient.Tried{Call: c.number, Err: err, FromAny: err == nil && stateclient.FromAny(result.GetClaim())}))
+		c.perform(k.core.Step(k.entry.clock(), stateclient.AttemptDone{Call: c.number, Err: err, FromAnyReplica: err == nil && stateclient.FromAnyReplica(result.GetClaim())}))
 	}
 	n := s.byName(a.Address)
 	s.reach(k.cuts.rng, k.entry.name, n.name, func() {
