--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -65,7 +65,7 @@
 	log Log
 }
 
-// Known returns the newest revision and how long ago it was surely the newest.
+// LatestKnown returns the newest revision and how long ago it was surely the newest.
 func (s source) LatestKnown() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Contact
 }
