--- a/connection/spreadlink/fetch.go
+++ b/connection/spreadlink/fetch.go
@@ -9,11 +9,10 @@
 	"github.com/lilacbridge/lilacbridge/version/spread"
 )
 
-// FetchConfig returns the whole configuration that an entry holds.
+// FetchConfig returns the complete configuration that an entry holds.
 //
-// It guards against a snapshot that the entry has kept since an earlier
-// transfer: revisions accepted after it would be missing. It holds because the
-// revisions after it are taken as well, until the entry has no more.
+// The entry may serve a snapshot cached for an earlier transfer, so the revisions
+// accepted after that snapshot are fetched and applied as well.
 func FetchConfig(ctx context.Context, entry link.Caller) (*lilacv1.Snapshot, error) {
 	snapshot, err := fetchSnapshot(ctx, entry)
 	if err != nil || snapshot.GetRevision() == 0 {
@@ -54,22 +53,22 @@
 		if err := stream.Recv(part); err != nil {
 			return nil, err
 		}
-		whole, err := assembly.Add(part)
-		if err != nil || whole != nil {
-			return whole, err
+		snapshot, err := assembly.Add(part)
+		if err != nil || snapshot != nil {
+			return snapshot, err
 		}
 	}
 }
 
-// FetchRevisions returns the revisions after have up to the number until that
-// an entry still holds one by one. It fails as NOT_FOUND where the first is gone.
+// FetchRevisions returns the revisions with numbers in (have, until] from an entry.
+// It fails with NOT_FOUND if the entry no longer holds the first of them individually.
 func FetchRevisions(ctx context.Context, entry link.Caller, have, until uint64) ([]*lilacv1.Revision, error) {
 	stream, err := entry.Open(ctx, "entry.watch", &lilacv1.WatchRequest{Have: have})
 	if err != nil {
 		return nil, err
 	}
 	defer stream.Close()
-	var all []*lilacv1.Revision
+	var revisions []*lilacv1.Revision
 	for have < until {
 		update := &lilacv1.WatchUpdate{}
 		if err := stream.Recv(update); err != nil {
@@ -77,9 +76,9 @@
 		}
 		for _, revision := range update.GetRevisions() {
 			if have = revision.GetNumber(); have <= until {
-				all = append(all, revision)
+				revisions = append(revisions, revision)
 			}
 		}
 	}
-	return all, nil
+	return revisions, nil
 }
--- a/connection/spreadlink/progress.go
+++ b/connection/spreadlink/progress.go
@@ -5,22 +5,22 @@
 	"github.com/lilacbridge/lilacbridge/version/spread"
 )
 
-// progress tells whether an update is arriving or being brought into force.
+// progress tracks whether an update is being received or applied.
 type progress struct {
-	// stream is received at present; nil between two streams.
+	// stream is the current stream; nil between streams.
 	stream link.Stream
-	from   spread.Target
-	// received is how many bytes had come at the last look.
+	target spread.Target
+	// received is the byte count at the previous call of checkProgress.
 	received uint64
-	// applying is true while an update is brought into force: nothing is read then.
+	// applying is true while an update is applied; nothing is read meanwhile.
 	applying bool
 }
 
-// receiveFrom notes the stream that is received until the returned function is called.
-func (w *Watcher) receiveFrom(stream link.Stream, from spread.Target) func() {
+// trackStream records the current stream until the returned function is called.
+func (w *Watcher) trackStream(stream link.Stream, target spread.Target) func() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.progress = progress{stream: stream, from: from}
+	w.progress = progress{stream: stream, target: target}
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -28,9 +28,9 @@
 	}
 }
 
-// receives tells whether bytes came since the last look, or an update is brought into
-// force, and from whom.
-func (w *Watcher) receives() (spread.Target, bool) {
+// checkProgress returns the target of the current stream and reports whether bytes
+// arrived since the previous call or an update is being applied.
+func (w *Watcher) checkProgress() (spread.Target, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	p := &w.progress
@@ -38,9 +38,9 @@
 		return spread.Target{}, false
 	}
 	received := p.stream.BytesReceived()
-	more := received > p.received || p.applying
+	active := received > p.received || p.applying
 	p.received = received
-	return p.from, more
+	return p.target, active
 }
 
 func (w *Watcher) setApplying(applying bool) {
--- a/connection/spreadlink/watcher.go
+++ b/connection/spreadlink/watcher.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	tick = 250 * time.Millisecond
-	// retryPause keeps a target that fails at once from costing a processor.
-	retryPause = 200 * time.Millisecond
+	tickInterval = 250 * time.Millisecond
+	// retryDelay prevents a busy loop when a target fails immediately.
+	retryDelay = 200 * time.Millisecond
 )
 
-// Options say who watches and whom it may follow.
+// Options configure a Watcher.
 type Options struct {
-	// Instance and DataCenter of the entry itself.
+	// Instance and DataCenter identify the entry itself.
 	Instance   string
 	DataCenter string
 	// StatePeers lists all state processes.
@@ -39,18 +39,19 @@
 	Entries []settings.Peer
 	// Dial returns the caller for an address; the same one each time.
 	Dial func(address string) link.Caller
-	// Timing says how soon a silent sender is left; zero means spread.Usual.
+	// Timing sets after how much silence a sender is replaced; zero means spread.Usual.
 	Timing spread.Timing
-	// OnView is told of each newer revision, in order; may be nil.
+	// OnView is called with each newer revision, in order; may be nil.
 	OnView func(*model.View)
-	// Logger gets a line for each change of whom the entry follows, for each
-	// snapshot, and when a newer revision is known than is held; may be nil.
+	// Logger logs each change of sender, each snapshot, and when the entry falls behind
+	// the newest revision or catches up; may be nil.
 	Logger hclog.Logger
-	// Clock counts suspension too; nil means clock.Boot.
+	// Clock includes time spent suspended; nil means clock.Boot.
 	Clock func() time.Duration
 }
 
-// Watcher follows the revisions on one entry and gives them on to others.
+// Watcher keeps the configuration of one entry up to date. It is a Source, so that
+// other entries can watch this one.
 type Watcher struct {
 	options Options
 	log     *logs.Log
@@ -58,20 +59,20 @@
 	core    *spread.Core
 	events  chan spread.Event
 
-	mu       sync.Mutex
-	entries  []settings.Peer
-	changed  chan struct{}
-	known    knowledge
-	progress progress
+	mu        sync.Mutex
+	entries   []settings.Peer
+	changed   chan struct{}
+	freshness freshness
+	progress  progress
 
-	// receiving is held by the one goroutine that receives; it guards assembly.
+	// receiving is held by the goroutine that receives; it guards assembly.
 	receiving sync.Mutex
 	assembly  spread.Assembly
 }
 
 var _ Source = (*Watcher)(nil)
 
-// NewWatcher returns a Watcher that holds no revision yet.
+// NewWatcher returns a Watcher without any revision; Run receives them.
 func NewWatcher(options Options) *Watcher {
 	if options.Timing == (spread.Timing{}) {
 		options.Timing = spread.Usual
@@ -96,35 +97,35 @@
 	}
 }
 
-// Current returns the newest revision in force here, or nil before the first.
+// Current returns the view of the newest applied revision, or nil before the first.
 func (w *Watcher) Current() *model.View { return w.holder.Current() }
 
-// Revision returns the number of the newest revision in force here.
+// Revision returns the number of the newest applied revision.
 func (w *Watcher) Revision() uint64 { return w.holder.Revision() }
 
-// Since returns revisions after have.
+// Since implements Source.
 func (w *Watcher) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
 	return w.holder.Since(have, limit)
 }
 
-// Config returns the whole configuration.
+// Config implements Source.
 func (w *Watcher) Config() *lilacv1.Snapshot { return w.holder.Config() }
 
-// Changed returns a channel that is closed at the next revision.
+// Changed implements Source.
 func (w *Watcher) Changed() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changed
 }
 
-// SetStatePeers replaces the state processes that may be followed.
+// SetStatePeers replaces the list of state processes.
 func (w *Watcher) SetStatePeers(peers []settings.Peer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.options.StatePeers = peers
 }
 
-// SetEntries replaces the entries of all data centres that are taken for alive.
+// SetEntries replaces the list of live entries of all data centres.
 func (w *Watcher) SetEntries(entries []settings.Peer) {
 	w.mu.Lock()
 	w.entries = slices.Clone(entries)
@@ -144,8 +145,8 @@
 	return spread.Entries{Names: names}
 }
 
-// send gives the core an event; the newest list of entries is never lost, since
-// Run asks for it again on each tick.
+// send passes an event to the core and drops it if the queue is full. The list of
+// entries is not lost by that, since Run reads it again on each tick.
 func (w *Watcher) send(ctx context.Context, event spread.Event) {
 	select {
 	case w.events <- event:
@@ -154,9 +155,9 @@
 	}
 }
 
-// Run follows the revisions until ctx ends, which gives nil.
+// Run receives revisions until ctx ends, and then returns nil.
 func (w *Watcher) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	var following sync.WaitGroup
 	defer following.Wait()
@@ -165,9 +166,9 @@
 	step := func(event spread.Event) {
 		for _, follow := range w.core.Step(time.Now(), event) {
 			stop()
-			var followed context.Context
-			followed, stop = context.WithCancel(ctx)
-			following.Go(func() { w.follow(followed, follow) })
+			var followCtx context.Context
+			followCtx, stop = context.WithCancel(ctx)
+			following.Go(func() { w.follow(followCtx, follow) })
 		}
 	}
 	step(w.entriesEvent())
@@ -179,56 +180,56 @@
 			step(event)
 		case <-ticker.C:
 			step(w.entriesEvent())
-			if from, ok := w.receives(); ok {
-				step(spread.Receiving{Target: from})
+			if target, ok := w.checkProgress(); ok {
+				step(spread.Receiving{Target: target})
 			}
 			step(spread.Tick{})
 		}
 	}
 }
 
-// follow receives from one target until the stream breaks.
+// follow receives from one target until the stream fails or ctx ends.
 func (w *Watcher) follow(ctx context.Context, follow spread.Follow) {
 	target := follow.Target
 	caller, prefix, name := w.caller(target)
 	if caller == nil {
-		w.broken(ctx, target)
+		w.reportBroken(ctx, target)
 		return
 	}
 	w.receiving.Lock()
 	defer w.receiving.Unlock()
 	_, age := w.LatestKnown()
 	w.log.Line(logs.Belief, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.holder.Revision(), "age_ms", age.Milliseconds())
-	begun := w.options.Clock()
-	err := w.receive(ctx, caller, prefix, target)
+	started := w.options.Clock()
+	err := w.receiveUpdates(ctx, caller, prefix, target)
 	for fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND) {
-		err = w.fetch(ctx, caller, prefix, target)
+		err = w.receiveSnapshot(ctx, caller, prefix, target)
 		if err == nil {
-			err = w.receive(ctx, caller, prefix, target)
+			err = w.receiveUpdates(ctx, caller, prefix, target)
 		}
 	}
 	if ctx.Err() != nil {
 		return
 	}
-	// A sender that never answered was not lost: trying all in turn while none is
-	// there is no change of state.
+	// Failed attempts to reach a sender that never answered are not a change of state
+	// and are logged at debug level only.
 	level := hclog.Debug
-	if w.heardSince(begun) {
+	if w.receivedSince(started) {
 		level = hclog.Info
 	}
-	w.options.Logger.Log(level, "lost the sender of revisions", "from", name, "error", err)
-	w.broken(ctx, target)
+	w.options.Logger.Log(level, "revision stream failed", "from", name, "error", err)
+	w.reportBroken(ctx, target)
 }
 
-func (w *Watcher) heardSince(begun time.Duration) bool {
+func (w *Watcher) receivedSince(started time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.known.at > begun
+	return w.freshness.asOf > started
 }
 
-func (w *Watcher) broken(ctx context.Context, target spread.Target) {
+func (w *Watcher) reportBroken(ctx context.Context, target spread.Target) {
 	select {
-	case <-time.After(retryPause):
+	case <-time.After(retryDelay):
 	case <-ctx.Done():
 		return
 	}
@@ -238,8 +239,8 @@
 	}
 }
 
-// caller finds the target's address. State processes of the own data centre
-// come first.
+// caller returns the caller, method prefix and name of the target; a nil caller means
+// that the target is unknown.
 func (w *Watcher) caller(target spread.Target) (caller link.Caller, prefix, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -254,26 +255,26 @@
 	if len(w.options.StatePeers) == 0 {
 		return nil, "", ""
 	}
-	near := w.nearest()
-	peer := near[target.Turn%len(near)]
+	peers := w.statePeersByDistance()
+	peer := peers[target.Turn%len(peers)]
 	return w.options.Dial(peer.Address.Value), "state", peer.Name
 }
 
-// StatePeers returns the state processes, those of the own data centre first.
+// StatePeers returns the state processes, those of the entry's data centre first.
 func (w *Watcher) StatePeers() []settings.Peer {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.nearest()
+	return w.statePeersByDistance()
 }
 
-// nearest needs w.mu. Entries of one data centre begin at different places of
-// the others, by their names, so that not all ask the same.
-func (w *Watcher) nearest() []settings.Peer {
-	near := slices.Clone(w.options.StatePeers)
-	slices.SortStableFunc(near, func(a, b settings.Peer) int {
+// statePeersByDistance requires w.mu. Peers at the same distance are ordered by a hash
+// that includes the name of the entry, so that the load is spread across them.
+func (w *Watcher) statePeersByDistance() []settings.Peer {
+	peers := slices.Clone(w.options.StatePeers)
+	slices.SortStableFunc(peers, func(a, b settings.Peer) int {
 		return cmp.Or(w.distance(a)-w.distance(b), cmp.Compare(xxhash.Sum64String(w.options.Instance+a.Name), xxhash.Sum64String(w.options.Instance+b.Name)))
 	})
-	return near
+	return peers
 }
 
 func (w *Watcher) distance(peer settings.Peer) int {
@@ -283,7 +284,7 @@
 	return 1
 }
 
-func (w *Watcher) receive(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
+func (w *Watcher) receiveUpdates(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
 	stream, err := caller.Open(ctx, prefix+".watch", &lilacv1.WatchRequest{
 		Have: w.holder.Revision(), Instance: w.options.Instance, DataCenter: w.options.DataCenter,
 		SignOfLifeMs: uint32(w.options.Timing.SignOfLife.Milliseconds()),
@@ -292,34 +293,36 @@
 		return err
 	}
 	defer stream.Close()
-	defer w.receiveFrom(stream, target)()
+	defer w.trackStream(stream, target)()
 	for {
 		update := &lilacv1.WatchUpdate{}
 		if err := stream.Recv(update); err != nil {
 			return err
 		}
-		sure := sureAt(stream.RequestedAt(), update)
-		if err := w.take(update, sure); err != nil {
+		asOf := newestAsOf(stream.RequestedAt(), update)
+		if err := w.applyUpdate(update, asOf); err != nil {
 			return err
 		}
 		age := time.Duration(update.GetAgeMs()) * time.Millisecond
-		w.send(ctx, spread.Heard{Target: target, Age: age, Delay: w.options.Clock() - sure - age})
+		w.send(ctx, spread.Heard{Target: target, Age: age, Delay: w.options.Clock() - asOf - age})
 	}
 }
 
-func (w *Watcher) take(update *lilacv1.WatchUpdate, sure time.Duration) error {
-	// A sender that holds nothing has nothing to say of the newest either.
+func (w *Watcher) applyUpdate(update *lilacv1.WatchUpdate, asOf time.Duration) error {
+	// Without revisions in the update there is something to apply only if no revision
+	// exists at all; the empty configuration then becomes the current one.
 	if len(update.GetRevisions()) > 0 || w.holder.Current() == nil && update.GetNewest() == 0 {
 		if err := w.apply(func() error { return w.holder.Apply(update.GetRevisions()) }); err != nil {
 			return err
 		}
 	}
-	w.learn(update.GetNewest(), sure)
-	w.noteBehind()
+	w.recordNewest(update.GetNewest(), asOf)
+	w.logLag()
 	return nil
 }
 
-// apply takes something newer into force and tells the watchers of this one.
+// apply runs change, and if the view has changed, calls OnView and wakes the streams
+// that wait on Changed.
 func (w *Watcher) apply(change func() error) error {
 	w.setApplying(true)
 	defer w.setApplying(false)
@@ -339,32 +342,32 @@
 	return nil
 }
 
-// fetch takes a snapshot, from where the last transfer broke if the sender
-// still holds that one.
-func (w *Watcher) fetch(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
-	begun, bytes := w.options.Clock(), 0
+// receiveSnapshot receives a snapshot and applies it. It resumes an interrupted transfer
+// if the sender still holds that snapshot.
+func (w *Watcher) receiveSnapshot(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
+	started, bytes := w.options.Clock(), 0
 	revision, part := w.assembly.Resume()
 	stream, err := caller.Open(ctx, prefix+".snapshot", &lilacv1.SnapshotRequest{Instance: w.options.Instance, Revision: revision, FromPart: part})
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	defer w.receiveFrom(stream, target)()
+	defer w.trackStream(stream, target)()
 	for {
 		part := &lilacv1.SnapshotPart{}
 		if err := stream.Recv(part); err != nil {
 			return errors.Join(err, context.Cause(ctx))
 		}
 		bytes += len(part.GetData())
-		whole, err := w.assembly.Add(part)
+		snapshot, err := w.assembly.Add(part)
 		if err != nil {
 			return err
 		}
 		w.send(ctx, spread.Heard{Target: target})
-		if whole != nil {
-			w.log.Line(logs.Belief, "took a snapshot of the configuration", "revision", whole.GetRevision(), "document", whole.GetDocument().GetVersion(),
-				"bytes", bytes, "after_ms", (w.options.Clock() - begun).Milliseconds())
-			return w.apply(func() error { return w.holder.Load(whole) })
+		if snapshot != nil {
+			w.log.Line(logs.Belief, "received configuration snapshot", "revision", snapshot.GetRevision(), "document", snapshot.GetDocument().GetVersion(),
+				"bytes", bytes, "after_ms", (w.options.Clock() - started).Milliseconds())
+			return w.apply(func() error { return w.holder.Load(snapshot) })
 		}
 	}
 }
--- a/connection/spreadlink/watcher_test.go
+++ b/connection/spreadlink/watcher_test.go
@@ -22,52 +22,52 @@
 	"github.com/lilacbridge/lilacbridge/version/spread"
 )
 
-// sender is a scripted state process.
-type sender struct {
+// fakeSender is a scripted state process.
+type fakeSender struct {
 	mu sync.Mutex
-	// opened counts the streams of revisions.
+	// opened is the number of streams opened so far.
 	opened int
-	// onView is told of each newer revision.
+	// onView is the watcher's OnView; may be nil.
 	onView func(*model.View)
-	// epoch is when the watcher's clock began.
+	// epoch is the zero time of the watcher's clock.
 	epoch time.Time
-	// next gives the update that follows, and how long it takes to arrive.
+	// next returns the next update and how long its transfer takes.
 	next func(stream, update int) (*lilacv1.WatchUpdate, time.Duration)
 }
 
-func (s *sender) Call(context.Context, string, proto.Message, proto.Message) error {
-	return errors.New("no calls here")
+func (s *fakeSender) Call(context.Context, string, proto.Message, proto.Message) error {
+	return errors.New("Call is not supported")
 }
 
-func (s *sender) Open(ctx context.Context, _ string, _ proto.Message) (link.Stream, error) {
+func (s *fakeSender) Open(ctx context.Context, _ string, _ proto.Message) (link.Stream, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.opened++
-	return &sending{sender: s, ctx: ctx, number: s.opened, opened: time.Now()}, nil
+	return &fakeStream{sender: s, ctx: ctx, number: s.opened, opened: time.Now()}, nil
 }
 
-// streams is how many streams of revisions were opened.
-func (s *sender) streams() int {
+// streams returns the number of streams opened so far.
+func (s *fakeSender) streams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.opened
 }
 
-type sending struct {
-	sender         *sender
+type fakeStream struct {
+	sender         *fakeSender
 	ctx            context.Context
 	number, update int
 	opened         time.Time
 	received       atomic.Uint64
 }
 
-func (s *sending) Close() error { return nil }
+func (s *fakeStream) Close() error { return nil }
 
-func (s *sending) Recv(m proto.Message) error {
+func (s *fakeStream) Recv(m proto.Message) error {
 	update, takes := s.sender.next(s.number, s.update)
 	s.update++
 	update.SaidAfterMs = uint64(time.Since(s.opened).Milliseconds())
-	for begun := time.Now(); time.Since(begun) < takes; {
+	for started := time.Now(); time.Since(started) < takes; {
 		select {
 		case <-time.After(arrivalStep):
 			s.received.Add(1000)
@@ -79,35 +79,35 @@
 	return nil
 }
 
-// arrivalStep is how often bytes of an update arrive.
+// arrivalStep is the interval at which bytes of an update arrive.
 const arrivalStep = 50 * time.Millisecond
 
-// RequestedAt implements link.Stream, by the clock of the watcher.
-func (s *sending) RequestedAt() time.Duration { return s.opened.Sub(s.sender.epoch) }
+// RequestedAt implements link.Stream, on the watcher's clock.
+func (s *fakeStream) RequestedAt() time.Duration { return s.opened.Sub(s.sender.epoch) }
 
 // BytesReceived implements link.Stream.
-func (s *sending) BytesReceived() uint64 { return s.received.Load() }
+func (s *fakeStream) BytesReceived() uint64 { return s.received.Load() }
 
-// lockedText is a log that is read while it is written.
-type lockedText struct {
+// syncBuffer is a log output that may be read while it is written.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lockedText) Write(p []byte) (int, error) {
+func (l *syncBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedText) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// follows runs a watcher that follows the sender, within a bubble of synctest.
-func follows(t *testing.T, s *sender, logger hclog.Logger) *Watcher {
+// runWatcher runs a watcher of the sender until the test ends, inside a synctest bubble.
+func runWatcher(t *testing.T, s *fakeSender, logger hclog.Logger) *Watcher {
 	s.epoch = time.Now().Add(-time.Hour)
 	w := NewWatcher(Options{
 		Instance: "e1", DataCenter: "a", Timing: spread.Quick, Logger: logger, OnView: s.onView,
@@ -132,13 +132,12 @@
 	return &lilacv1.Revision{Number: number}
 }
 
-// Guards against an entry of which the log does not tell whom it followed and that
-// it was behind.
-func TestLogTellsWhomAnEntryFollowsAndThatItIsBehind(t *testing.T) {
+// The log must show which sender an entry follows and when it was behind.
+func TestLogNamesSenderAndLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var text lockedText
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		var text syncBuffer
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			switch update {
 			case 0:
 				return &lilacv1.WatchUpdate{Newest: 2, Revisions: []*lilacv1.Revision{revision(1)}}, 0
@@ -147,7 +146,7 @@
 			}
 			return &lilacv1.WatchUpdate{Newest: 2}, 300 * time.Millisecond
 		}}
-		w := follows(t, s, hclog.New(&hclog.LoggerOptions{Output: &text, JSONFormat: true}))
+		w := runWatcher(t, s, hclog.New(&hclog.LoggerOptions{Output: &text, JSONFormat: true}))
 		time.Sleep(time.Second)
 		is.Equal(w.Revision(), uint64(2))
 		for _, want := range []string{
@@ -155,19 +154,19 @@
 			`"@message":"behind the newest revision"`, `"held":1,"newest":2`,
 			`"@message":"caught up with the newest revision"`,
 		} {
-			is.True(strings.Contains(text.String(), want)) // line in the log
+			is.True(strings.Contains(text.String(), want)) // missing from the log
 		}
 	})
 }
 
-// Guards against a document that takes longer to arrive than a sender may be
-// silent: the entry would leave the sender in the middle, and begin the same
-// transfer anew elsewhere, for as long as the document is in force.
-func TestSenderIsKeptWhileALongUpdateArrives(t *testing.T) {
+// A document may take longer to transfer than the silence timeout of a sender. If the
+// entry switched to another sender meanwhile, it would restart the transfer and never
+// complete it.
+func TestSenderIsKeptDuringLongUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const takes = 3 * time.Second
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			switch update {
 			case 0:
 				return &lilacv1.WatchUpdate{Newest: 1, Revisions: []*lilacv1.Revision{revision(1)}}, 0
@@ -176,19 +175,19 @@
 			}
 			return &lilacv1.WatchUpdate{Newest: 2}, 300 * time.Millisecond
 		}}
-		w := follows(t, s, nil)
-		time.Sleep(takes + tick)
+		w := runWatcher(t, s, nil)
+		time.Sleep(takes + tickInterval)
 		is.Equal(w.Revision(), uint64(2))
 		is.Equal(s.streams(), 1)
 	})
 }
 
-// Guards against an entry that hears of a newer revision, which takes long to
-// arrive, and goes by its own as if that were the newest.
-func TestWordOfANewerRevisionConfirmsNothing(t *testing.T) {
+// An entry that knows of a newer revision, but has not received it yet, must not count
+// its own revision as confirmed.
+func TestAnnouncedRevisionDoesNotConfirmHeldOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			switch {
 			case update == 0:
 				return &lilacv1.WatchUpdate{Newest: 1, Revisions: []*lilacv1.Revision{revision(1)}}, 0
@@ -197,66 +196,66 @@
 			}
 			return &lilacv1.WatchUpdate{Newest: 2, Revisions: []*lilacv1.Revision{revision(2)}}, 300 * time.Millisecond
 		}}
-		w := follows(t, s, nil)
+		w := runWatcher(t, s, nil)
 		time.Sleep(2 * time.Second)
 		_, age := w.LatestKnown()
 		is.True(age < time.Second)
-		is.True(w.Staleness() >= 2*time.Second-tick)
+		is.True(w.Staleness() >= 2*time.Second-tickInterval)
 		time.Sleep(2 * time.Second)
 		is.True(w.Staleness() < time.Second)
 	})
 }
 
-// Guards against a word that comes late, as after a cut or a suspension, and makes
-// old knowledge fresh: a key that was taken away since would be taken.
-func TestLateWordIsDatedByWhenItWasSaid(t *testing.T) {
+// An update that arrives late, as after a network outage or a suspension, must not be
+// treated as current: a key revoked in the meantime would still be accepted.
+func TestDelayedUpdateIsDatedBySendTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const late = 5 * time.Second
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			if update == 0 {
 				return &lilacv1.WatchUpdate{Newest: 1, Revisions: []*lilacv1.Revision{revision(1)}}, 0
 			}
 			return &lilacv1.WatchUpdate{Newest: 1}, late
 		}}
-		w := follows(t, s, nil)
-		time.Sleep(late + tick)
+		w := runWatcher(t, s, nil)
+		time.Sleep(late + tickInterval)
 		is.True(w.Staleness() >= late)
 		_, age := w.LatestKnown()
 		is.True(age >= late)
 	})
 }
 
-// Guards against a state process that has just woken and calls an old revision the
-// newest: an entry that holds a newer one must not take that for a confirmation.
-func TestSenderThatKnowsLessConfirmsNothing(t *testing.T) {
+// A state process that has just resumed may report an old revision as the newest. An
+// entry that holds a newer one must not take that as confirmation.
+func TestStaleSenderDoesNotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			if update == 0 {
 				return &lilacv1.WatchUpdate{Newest: 2, Revisions: []*lilacv1.Revision{revision(1), revision(2)}}, 0
 			}
 			return &lilacv1.WatchUpdate{Newest: 1}, 300 * time.Millisecond
 		}}
-		w := follows(t, s, nil)
+		w := runWatcher(t, s, nil)
 		time.Sleep(3 * time.Second)
-		is.True(w.Staleness() >= 3*time.Second-tick)
+		is.True(w.Staleness() >= 3*time.Second-tickInterval)
 	})
 }
 
-// Guards against an entry that takes long to bring a document into force, as on a
-// slow machine, and takes its sender for silent meanwhile.
-func TestSenderIsKeptWhileAnUpdateIsBroughtIntoForce(t *testing.T) {
+// An entry that takes long to apply a document, as on a slow machine, must not treat its
+// sender as silent meanwhile.
+func TestSenderIsKeptWhileUpdateIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &sender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
+		s := &fakeSender{next: func(_, update int) (*lilacv1.WatchUpdate, time.Duration) {
 			if update == 0 {
 				return &lilacv1.WatchUpdate{Newest: 1, Revisions: []*lilacv1.Revision{revision(1)}}, 0
 			}
 			return &lilacv1.WatchUpdate{Newest: 1}, 300 * time.Millisecond
 		}}
 		s.onView = func(*model.View) { time.Sleep(3 * time.Second) }
-		follows(t, s, nil)
+		runWatcher(t, s, nil)
 		time.Sleep(5 * time.Second)
 		is.Equal(s.streams(), 1)
 	})
