--- a/connection/gossip/gossip.go
+++ b/connection/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip runs the membership of an entry instance: it exchanges digests
-// with other entries over the link and reads the platform's list.
+// Package gossip runs the membership protocol of an entry instance: it exchanges
+// digests with other entries over connection/link and polls the platform's instance list.
 package gossip
 
 import (
@@ -18,73 +18,78 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// Method is the link method of an exchange.
+// Method is the link method of a digest exchange.
 const Method = "entry.digest"
 
 const (
-	// exchangeTimeout bounds one exchange.
+	// exchangeTimeout bounds one digest exchange.
 	exchangeTimeout = time.Second
-	// ownInterval is how often the own digest is taken anew.
-	ownInterval = 500 * time.Millisecond
+	// ownDigestInterval is the longest interval between two builds of the own digest.
+	ownDigestInterval = 500 * time.Millisecond
 )
 
-// Options say who the entry is and whom to tell. The callbacks run one at a time
-// and in order; they must not call the Gossip.
+// Options configure a Gossip. The callbacks run sequentially and in order; they must not
+// call the Gossip.
 type Options struct {
-	// Self names the entry; Address is that of its link.
+	// Self identifies the entry; Address is that of its link.
 	Self member.Peer
-	// Entries are those of the settings.
+	// Entries are the peers of the settings.
 	Entries []settings.Peer
-	// Interval lies between two exchanges of few entries; 0 means member.Interval.
+	// Interval is the time between two exchanges in a small cluster; 0 means
+	// member.Interval.
 	Interval time.Duration
 	// Dial returns the caller for an address; the same one each time.
 	Dial func(address string) link.Caller
-	// InstanceList is the URL of the platform's list; "" means none.
+	// InstanceList is the URL of the platform's instance list; "" means none.
 	InstanceList string
-	// OwnDigest returns the digest of the own policy; instance, data centre,
-	// incarnation and sequence are filled in. May be nil.
+	// OwnDigest returns the digest of the local policy; Gossip sets instance, data
+	// centre, incarnation and sequence. May be nil.
 	OwnDigest func() *lilacv1.Digest
-	// OnDigest is given each digest of another entry, or the combined one of
-	// member.Others, whose promises count from at; OnDigestExpired its end. May be nil.
-	OnDigest        func(d *lilacv1.Digest, at time.Time)
+	// OnDigest is called with each digest of another entry, or the combined one of
+	// member.Others. The validity of its promises counts from at. May be nil.
+	OnDigest func(d *lilacv1.Digest, at time.Time)
+	// OnDigestExpired is called when the digest of an instance is no longer valid. May
+	// be nil.
 	OnDigestExpired func(instance string)
-	// OnServerState tells that a backend server began or ended to be leaving. May be nil.
+	// OnServerState is called when a backend server starts or stops leaving. May be nil.
 	OnServerState func(server string, leaving bool)
-	// OnLivePeers is given the other entries that are taken for alive. May be nil.
+	// OnLivePeers is called with the other entries that are considered alive. May be nil.
 	OnLivePeers func([]settings.Peer)
-	// Now is the clock by which digests are exchanged and grow old; nil means time.Now.
+	// Now is the clock for exchanges and digest ages; nil means time.Now.
 	Now func() time.Time
-	// Logger gets a line for each entry that goes, comes or leaves; may be nil.
+	// Logger logs expired digests and state changes of backend servers; may be nil.
 	Logger hclog.Logger
 }
 
-// Gossip is the membership of one entry.
+// Gossip runs the membership of one entry.
 type Gossip struct {
 	options     Options
 	incarnation string
 
-	mu       sync.Mutex
-	core     *member.Core
-	busy     map[string]bool
+	// mu guards the fields from core to stats, and ctx and stopped.
+	mu   sync.Mutex
+	core *member.Core
+	// inFlight holds the names of the peers with an exchange in progress.
+	inFlight map[string]bool
 	sequence uint64
 	leaving  bool
 	stats    Stats
-	// announce asks Run to take the own digest at once.
-	announce chan struct{}
-	// ctx is Run's; stopped is true before Run waits for its goroutines.
+	// announceCh makes Run build the own digest immediately.
+	announceCh chan struct{}
+	// ctx is the context of Run; stopped is set before Run waits for its goroutines.
 	ctx     context.Context
 	stopped bool
 	wg      sync.WaitGroup
 }
 
-// Stats count the control traffic, without the link's own framing.
+// Stats counts the control traffic, excluding the framing of the link.
 type Stats struct {
 	Exchanges, Failures, Bytes uint64
-	// ListRead is when the platform's list was last read; zero before.
+	// ListRead is when the platform's list was last read; zero if never.
 	ListRead time.Time
 }
 
-// New returns a Gossip that does nothing until Run.
+// New returns a Gossip; it exchanges nothing until Run is called.
 func New(o Options) *Gossip {
 	if o.Interval == 0 {
 		o.Interval = member.Interval
@@ -114,10 +119,10 @@
 	for _, peer := range o.Entries {
 		seeds = append(seeds, member.Peer{Name: peer.Name, Address: peer.Address.Value, DataCenter: peer.DataCenter})
 	}
-	return &Gossip{options: o, incarnation: rand.Text(), core: member.NewCoreAt(o.Self, seeds, o.Interval), busy: make(map[string]bool), announce: make(chan struct{}, 1), ctx: context.Background()}
+	return &Gossip{options: o, incarnation: rand.Text(), core: member.NewCoreAt(o.Self, seeds, o.Interval), inFlight: make(map[string]bool), announceCh: make(chan struct{}, 1), ctx: context.Background()}
 }
 
-// SetEntries names the entries to try, as a list of the platform would.
+// SetEntries sets the entries to contact, with the same effect as the platform's list.
 func (g *Gossip) SetEntries(entries []settings.Peer) {
 	var event member.PlatformList
 	for _, entry := range entries {
@@ -128,36 +133,36 @@
 	g.step(event)
 }
 
-// Register adds the method of an exchange to mux.
+// Register adds Method to mux.
 func (g *Gossip) Register(mux *link.Mux) { mux.Handle(Method, link.Unary(g.receive)) }
 
-// Leave makes the digests say that this entry is leaving.
+// Leave marks this entry as leaving in its digests from now on.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.leaving = true
 }
 
-// Announce takes the own digest at once, so that news in it need not wait for
-// the next interval. It never blocks.
+// Announce makes Run build the own digest immediately, so that a change in it is not
+// delayed until the next interval. It never blocks.
 func (g *Gossip) Announce() {
 	select {
-	case g.announce <- struct{}{}:
+	case g.announceCh <- struct{}{}:
 	default:
 	}
 }
 
-// Stats returns the counts as of now.
+// Stats returns a copy of the current counters.
 func (g *Gossip) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stats
 }
 
-// receive answers another entry. The name is the one that the link has proved.
+// receive answers a digest of another entry. peer is the name authenticated by the link.
 func (g *Gossip) receive(_ context.Context, peer link.Peer, d *lilacv1.Digest) (*lilacv1.DigestReply, error) {
 	if d.GetInstance() != peer.Process && d.GetInstance() != member.Others {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_FORBIDDEN, "%s sent a digest of %s; give each process its own name", peer.Process, d.GetInstance())
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_FORBIDDEN, "%s sent a digest in the name of %s; give each process its own name", peer.Process, d.GetInstance())
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,7 +173,7 @@
 	return reply, nil
 }
 
-// Run exchanges digests until ctx ends.
+// Run exchanges digests until ctx ends, and then returns nil.
 func (g *Gossip) Run(ctx context.Context) error {
 	g.mu.Lock()
 	g.ctx = ctx
@@ -179,23 +184,23 @@
 	}
 	ticker := time.NewTicker(member.TickInterval)
 	defer ticker.Stop()
-	var taken time.Time
+	var builtAt time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
 			tick := member.Tick{}
-			if now.Sub(taken) >= min(ownInterval, g.options.Interval) {
-				taken = now
-				tick = g.own()
+			if now.Sub(builtAt) >= min(ownDigestInterval, g.options.Interval) {
+				builtAt = now
+				tick = g.buildOwn()
 			}
 			g.mu.Lock()
 			g.step(tick)
 			g.mu.Unlock()
-		case <-g.announce:
-			taken = time.Now()
-			tick := g.own()
+		case <-g.announceCh:
+			builtAt = time.Now()
+			tick := g.buildOwn()
 			g.mu.Lock()
 			g.step(tick)
 			g.mu.Unlock()
@@ -210,10 +215,10 @@
 	g.wg.Wait()
 }
 
-// own asks for the own digest. Its promises count from before it was asked for,
-// so that a slow answer shortens and never lengthens them.
-func (g *Gossip) own() member.Tick {
-	asked := g.options.Now()
+// buildOwn builds the own digest. The validity of its promises counts from before
+// OwnDigest is called, so that a slow call shortens it and never extends it.
+func (g *Gossip) buildOwn() member.Tick {
+	requestedAt := g.options.Now()
 	d := g.options.OwnDigest()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,10 +226,11 @@
 	d.Instance, d.DataCenter = g.options.Self.Name, g.options.Self.DataCenter
 	d.Incarnation, d.Sequence = g.incarnation, g.sequence
 	d.Leaving = d.GetLeaving() || g.leaving
-	return member.Tick{Own: d, RequestedAt: asked}
+	return member.Tick{Own: d, RequestedAt: requestedAt}
 }
 
-// step runs the core and does what it says; g.mu is held.
+// step passes an event to the core and performs the resulting actions. The caller holds
+// g.mu.
 func (g *Gossip) step(event member.Event) {
 	for _, action := range g.core.Step(g.options.Now(), event) {
 		switch a := action.(type) {
@@ -233,10 +239,10 @@
 		case member.PolicyDigest:
 			g.options.OnDigest(a.Digest, a.At)
 		case member.DigestExpired:
-			g.options.Logger.Info("entry no longer heard", "entry", a.Instance)
+			g.options.Logger.Info("digest expired", "entry", a.Instance)
 			g.options.OnDigestExpired(a.Instance)
 		case member.ServerState:
-			g.options.Logger.Info("backend server", "server", a.Name, "leaving", a.Leaving)
+			g.options.Logger.Info("backend server state changed", "server", a.Name, "leaving", a.Leaving)
 			g.options.OnServerState(a.Name, a.Leaving)
 		case member.LivePeers:
 			g.options.OnLivePeers(peersOf(a.Peers))
@@ -252,13 +258,14 @@
 	return peers
 }
 
-// exchange runs one exchange beside the loop; one at a time with each peer.
+// exchange starts an exchange in its own goroutine, unless one with the same peer is in
+// progress. The caller holds g.mu.
 func (g *Gossip) exchange(a member.Exchange) {
 	name := a.Peer.Name
-	if g.busy[name] || g.stopped {
+	if g.inFlight[name] || g.stopped {
 		return
 	}
-	g.busy[name] = true
+	g.inFlight[name] = true
 	g.stats.Exchanges++
 	caller := g.options.Dial(a.Peer.Address)
 	parent := g.ctx
@@ -269,7 +276,7 @@
 		err := caller.Call(ctx, Method, a.Digest, reply)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		delete(g.busy, name)
+		delete(g.inFlight, name)
 		g.stats.Bytes += uint64(proto.Size(a.Digest) + proto.Size(reply))
 		if parent.Err() != nil {
 			return
--- a/connection/gossip/gossip_test.go
+++ b/connection/gossip/gossip_test.go
@@ -23,32 +23,33 @@
 
 var testKey = []byte("one key for all tests")
 
-// newsKept is more than an entry tells in a test: a line that finds no room is
-// lost, and who waits for it waits for ever.
-const newsKept = 1 << 16
+// eventBuffer exceeds the number of events of one entry in a test. An event that does
+// not fit is dropped, and a test that waits for it would block until its timeout.
+const eventBuffer = 1 << 16
 
-// node is an entry with only its membership.
+// node is an entry that runs only the membership protocol.
 type node struct {
 	peer   settings.Peer
 	gossip *Gossip
-	// news gets a line for each callback.
-	news chan string
-	// others is the last combined digest of all others.
-	others atomic.Pointer[lilacv1.Digest]
-	server *link.Server
-	stop   context.CancelFunc
-	// traffic is that of its links.
+	// events receives a line for each callback.
+	events chan string
+	// combined is the last combined digest of all other entries.
+	combined atomic.Pointer[lilacv1.Digest]
+	server   *link.Server
+	stop     context.CancelFunc
+	// traffic counts the traffic of the node's links.
 	traffic *link.Traffic
 }
 
-// start starts n entries of one data centre that know each other, of which the
-// first reads the list.
-func start(t *testing.T, n int, list string, own func(i int) *lilacv1.Digest) []*node {
-	return startIn(t, []string{"dakar-a"}, time.Now, n, list, own)
+// start starts n entries in one data centre that know each other. Only the first reads
+// the platform's list.
+func start(t *testing.T, n int, list string, buildOwn func(i int) *lilacv1.Digest) []*node {
+	return startNodesIn(t, []string{"dakar-a"}, time.Now, n, list, buildOwn)
 }
 
-// startIn spreads the entries over the data centres in turn; now is their clock.
-func startIn(t testing.TB, dataCenters []string, now func() time.Time, n int, list string, own func(i int) *lilacv1.Digest) []*node {
+// startNodesIn distributes the entries over the data centres round-robin; now is their
+// clock.
+func startNodesIn(t testing.TB, dataCenters []string, now func() time.Time, n int, list string, buildOwn func(i int) *lilacv1.Digest) []*node {
 	var all []*node
 	var peers []settings.Peer
 	var listeners []net.Listener
@@ -60,19 +61,19 @@
 	}
 	for i, peer := range peers {
 		id := link.Identity{Peer: link.Peer{Process: peer.Name, DataCenter: peer.DataCenter}, Keys: secret.Always(testKey), Traffic: &link.Traffic{}}
-		x := &node{peer: peer, news: make(chan string, newsKept), traffic: id.Traffic}
+		x := &node{peer: peer, events: make(chan string, eventBuffer), traffic: id.Traffic}
 		o := Options{
 			Self:    member.Peer{Name: peer.Name, Address: peer.Address.Value, DataCenter: peer.DataCenter},
-			Entries: peers, Dial: dialer(t, id), OwnDigest: func() *lilacv1.Digest { return own(i) }, Now: now,
+			Entries: peers, Dial: dialer(t, id), OwnDigest: func() *lilacv1.Digest { return buildOwn(i) }, Now: now,
 			OnDigest: func(d *lilacv1.Digest, _ time.Time) {
 				if d.GetInstance() == member.Others {
-					x.others.Store(d)
+					x.combined.Store(d)
 				}
-				x.tell("digest %s", d.GetInstance())
+				x.record("digest %s", d.GetInstance())
 			},
-			OnDigestExpired: func(name string) { x.tell("gone %s", name) },
-			OnServerState:   func(name string, leaving bool) { x.tell("server %s %v", name, leaving) },
-			OnLivePeers:     func(live []settings.Peer) { x.tell("live %d", len(live)) },
+			OnDigestExpired: func(name string) { x.record("gone %s", name) },
+			OnServerState:   func(name string, leaving bool) { x.record("server %s %v", name, leaving) },
+			OnLivePeers:     func(live []settings.Peer) { x.record("live %d", len(live)) },
 		}
 		if i == 0 {
 			o.InstanceList = list
@@ -100,15 +101,15 @@
 	return all
 }
 
-func (x *node) tell(format string, args ...any) {
+func (x *node) record(format string, args ...any) {
 	select {
-	case x.news <- fmt.Sprintf(format, args...):
+	case x.events <- fmt.Sprintf(format, args...):
 	default:
 	}
 }
 
 func (x *node) waitFor(line string) {
-	for got := range x.news {
+	for got := range x.events {
 		if got == line {
 			return
 		}
@@ -130,15 +131,15 @@
 	}
 }
 
-func nothing(int) *lilacv1.Digest { return &lilacv1.Digest{} }
+func emptyDigest(int) *lilacv1.Digest { return &lilacv1.Digest{} }
 
-// An entry process is killed. The others hear nothing from it any more and must
-// tell their policies, or they would go on counting on its word.
-func TestKilledEntryIsGone(t *testing.T) {
-	all := start(t, 3, "", nothing)
+// An entry process is killed. The others must report its digest as expired, or their
+// policies would keep relying on its promises.
+func TestKilledEntryExpires(t *testing.T) {
+	all := start(t, 3, "", emptyDigest)
 	all[0].waitFor("digest entry-1")
 	all[0].waitFor("digest entry-2")
-	// An entry that was never heard is not told as gone.
+	// An entry from which no digest was received is not reported as expired.
 	all[1].waitFor("digest entry-2")
 	all[2].stop()
 	all[2].server.Close()
@@ -146,19 +147,19 @@
 	all[1].waitFor("gone entry-2")
 }
 
-// The platform's list says that a server leaves, and only one entry can read the
-// list. The others must learn it from that one.
-func TestListedAsLeavingIsToldToAll(t *testing.T) {
+// The platform's list shows a server as leaving, and only one entry can read the list.
+// That entry must propagate the state to the others.
+func TestLeavingServerIsPropagated(t *testing.T) {
 	platform := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"instances":[{"name":"r7","role":"server","state":"leaving"},{"name":"r8","role":"server","state":"live"}]}`)
 	}))
 	defer platform.Close()
-	for _, x := range start(t, 3, platform.URL, nothing) {
+	for _, x := range start(t, 3, platform.URL, emptyDigest) {
 		x.waitFor("server r7 true")
 	}
 }
 
-func TestFaultsOfTheList(t *testing.T) {
+func TestListErrors(t *testing.T) {
 	const one = `{"instances":[{"name":"r7","role":"server","state":"leaving"}]}`
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
@@ -185,9 +186,9 @@
 	}
 }
 
-// A process whose settings carry another's name would speak for it, and so hide
-// that the other is dead. The link knows who called.
-func TestDigestInAnothersNameIsRefused(t *testing.T) {
+// A process configured with the name of another one would send digests in its name and
+// hide its death. The digest must match the name authenticated by the link.
+func TestDigestWithForeignNameIsRefused(t *testing.T) {
 	is := is.New(t)
 	g := New(Options{Self: member.Peer{Name: "entry-0"}})
 	mux := link.NewMux()
--- a/connection/gossip/list.go
+++ b/connection/gossip/list.go
@@ -15,13 +15,13 @@
 const (
 	// listInterval is the shortest time between two reads of the platform's list.
 	listInterval = time.Second
-	// listRate is the most that reading the list may cost, in bytes a second: a
+	// listRate bounds the average traffic of reading the list, in bytes per second: a
 	// long list is read less often, unless the platform answers "not modified".
 	listRate = 4 << 10
 	// listTimeout bounds one read.
 	listTimeout = 2 * time.Second
-	// maxList bounds the list, in bytes.
-	maxList = 8 << 20
+	// maxListBytes bounds the size of the list.
+	maxListBytes = 8 << 20
 )
 
 // listedInstance is one item of the platform's list.
@@ -39,8 +39,8 @@
 	stateLeaving = "leaving"
 )
 
-// pollList reads the list until ctx ends. A list that can't be read changes
-// nothing: it is a hint.
+// pollList reads the list periodically until ctx ends. A failed read changes nothing,
+// since the list is only a hint.
 func (g *Gossip) pollList(ctx context.Context) {
 	client := &http.Client{Timeout: listTimeout}
 	tag := ""
@@ -54,7 +54,7 @@
 			g.mu.Unlock()
 		}
 		if err != nil && ctx.Err() == nil {
-			g.options.Logger.Debug("platform's list not read", "error", err)
+			g.options.Logger.Debug("failed to read the platform's list", "error", err)
 		}
 		wait := max(listInterval, time.Duration(size)*time.Second/listRate)
 		select {
@@ -65,7 +65,8 @@
 	}
 }
 
-// readList returns nil without an error where the list has not changed.
+// readList reads the list. It returns a nil list without an error if the list has not
+// changed since the version with the given entity tag. size is in bytes.
 func (g *Gossip) readList(ctx context.Context, client *http.Client, tag string) (list []listedInstance, newTag string, size int, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.options.InstanceList, nil)
 	if err != nil {
@@ -83,9 +84,9 @@
 		return nil, tag, 0, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, "", 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "platform's list answers %s; check instance_list", resp.Status)
+		return nil, "", 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "reading the platform's list failed with status %s; check instance_list", resp.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, "", len(data), err
 	}
@@ -93,7 +94,7 @@
 		Instances []listedInstance `json:"instances"`
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return nil, "", len(data), fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "platform's list does not decode; check instance_list")
+		return nil, "", len(data), fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "cannot decode the platform's list; check instance_list")
 	}
 	if body.Instances == nil {
 		body.Instances = []listedInstance{}
--- a/connection/gossip/traffic_bench_test.go
+++ b/connection/gossip/traffic_bench_test.go
@@ -11,9 +11,9 @@
 
 var fiveDataCenters = []string{"dakar-a", "thies-a", "saint-louis-a", "chubut-a", "rionegro-a"}
 
-// fullDigest is that of an entry at full size: something held back in every pool
-// of its data centre, and 16 teams. Its word binds as long as 220 entries in each
-// data centre ask for.
+// fullDigest returns a digest of maximum size: a cutoff for every pool of the data centre,
+// and 16 teams. Its promises are valid for the time that 220 entries in each data centre
+// require.
 func fullDigest(i int) *lilacv1.Digest {
 	const pools, teams, allTeams = 8, 16, 45000
 	d := &lilacv1.Digest{PromiseMs: 25500}
@@ -27,31 +27,33 @@
 	return d
 }
 
-// BenchmarkWire gives the bytes a second of the links of the busiest entry and of
-// the mean one, by entries that run for real in one process, in five data centres:
-// messages with their framing, and the headers of the packets. From 30 entries on
-// a relay has all its neighbours. All sizes run at the same time. What begins is incomplete for a promise, 16.5 s at these sizes,
-// and then pushed once; that is over before it counts.
+// BenchmarkWire reports the link traffic in bytes per second of the busiest entry and of
+// the average entry, including framing and packet headers. The entries run in real time
+// in one process and five data centres; all sizes run concurrently. From 30 entries on,
+// a relay has its full number of neighbours.
+//
+// Digests of newly started entries are incomplete for one validity period, 16.5 s at
+// these sizes, and are then pushed once. The settling time covers that.
 func BenchmarkWire(b *testing.B) {
-	const settle, seconds = 20 * time.Second, 9
+	const settleTime, seconds = 20 * time.Second, 9
 	sizes := []int{30, 60, 90, 120}
 	fleets := make(map[int][]*node)
 	for _, n := range sizes {
-		fleets[n] = startIn(b, fiveDataCenters, time.Now, n, "", fullDigest)
+		fleets[n] = startNodesIn(b, fiveDataCenters, time.Now, n, "", fullDigest)
 	}
-	time.Sleep(settle)
-	before := make(map[*node]spent)
+	time.Sleep(settleTime)
+	before := make(map[*node]traffic)
 	for _, n := range sizes {
 		for _, x := range fleets[n] {
-			before[x] = spentBy(x)
+			before[x] = trafficOf(x)
 		}
 	}
 	time.Sleep(seconds * time.Second)
 	for _, n := range sizes {
-		var busiest, sum spent
+		var busiest, sum traffic
 		for _, x := range fleets[n] {
-			one := spentBy(x).minus(before[x])
-			sum = sum.plus(one)
+			one := trafficOf(x).sub(before[x])
+			sum = sum.add(one)
 			if one.bytes+one.headers > busiest.bytes+busiest.headers {
 				busiest = one
 			}
@@ -67,19 +69,19 @@
 	}
 }
 
-// spent is what the links of an entry cost, both directions together.
-type spent struct{ messages, bytes, headers uint64 }
+// traffic is the traffic of an entry's links, both directions added up.
+type traffic struct{ messages, bytes, headers uint64 }
 
-func spentBy(x *node) spent {
+func trafficOf(x *node) traffic {
 	bytesOut, bytesIn := x.traffic.Bytes()
 	packetsOut, packetsIn := x.traffic.Packets()
-	return spent{x.gossip.Stats().Bytes, bytesOut + bytesIn, (packetsOut + packetsIn) * packets.HeaderBytes}
+	return traffic{x.gossip.Stats().Bytes, bytesOut + bytesIn, (packetsOut + packetsIn) * packets.HeaderBytes}
 }
 
-func (s spent) plus(o spent) spent {
-	return spent{s.messages + o.messages, s.bytes + o.bytes, s.headers + o.headers}
+func (s traffic) add(o traffic) traffic {
+	return traffic{s.messages + o.messages, s.bytes + o.bytes, s.headers + o.headers}
 }
 
-func (s spent) minus(o spent) spent {
-	return spent{s.messages - o.messages, s.bytes - o.bytes, s.headers - o.headers}
+func (s traffic) sub(o traffic) traffic {
+	return traffic{s.messages - o.messages, s.bytes - o.bytes, s.headers - o.headers}
 }
--- a/connection/gossip/tree_test.go
+++ b/connection/gossip/tree_test.go
@@ -17,35 +17,34 @@
 
 var threeDataCenters = []string{"chubut-a", "rionegro-a", "tierradelfuego-a"}
 
-// waitForOthers waits until all others' digests, each counted once, come to x
-// as the one sum of them. Ages and numbers, which differ each time, are left out.
-func (x *node) waitForOthers(t *testing.T, all []*node, own func(i int) *lilacv1.Digest) {
+// waitForOthers waits until the combined digest at x contains the digest of every other
+// entry exactly once. Sequence numbers and validity periods are ignored.
+func (x *node) waitForOthers(t *testing.T, all []*node, buildOwn func(i int) *lilacv1.Digest) {
 	var parts []*lilacv1.Digest
 	for i, other := range all {
 		if other != nil && other != x {
-			parts = append(parts, own(i))
+			parts = append(parts, buildOwn(i))
 		}
 	}
 	want := member.Combine(member.Others, "", parts...)
-	for !proto.Equal(withoutPromise(x.others.Load()), want) {
+	for !proto.Equal(withoutPromise(x.combined.Load()), want) {
 		select {
-		case <-x.news:
+		case <-x.events:
 		case <-t.Context().Done():
 			return
 		}
 	}
 }
 
-// Fleet madryn: 24 entries in three data centres, over connections that prove
-// the shared key. A pool is short of room at one leaf and idle at another, in
-// different data centres; every entry must see both, and each spend once. Then
-// the relay of one data centre is killed: its data centre would be deaf and dumb
-// if no other took its place, and its own spend would count for ever if the sum
-// that it sent were kept. At last the platform takes a server away, and only an
-// entry that is no relay can read the list.
-func TestTreeOverLinksOutlivesItsRelay(t *testing.T) {
+// 24 entries in three data centres exchange digests over authenticated connections. A
+// pool is full at one leaf and idle at another, in different data centres; every entry
+// must see both cutoffs, and each spend once. Then the relay of one data centre is
+// killed: another entry must replace it, or its data centre would be disconnected, and
+// the spend included in its last combined digest must expire. Finally the platform's
+// list, which only an entry that is not a relay can read, shows a server as leaving.
+func TestTreeRecoversFromRelayLoss(t *testing.T) {
 	const pool, team = "asistente-lm", "cooperativa"
-	own := func(i int) *lilacv1.Digest {
+	buildOwn := func(i int) *lilacv1.Digest {
 		d := &lilacv1.Digest{Spends: []*lilacv1.TeamSpend{{Team: team, Tokens: 1 + uint64(i)}}}
 		switch i {
 		case 4:
@@ -64,12 +63,12 @@
 		fmt.Fprintf(w, `{"instances":[{"name":"r7","role":"server","state":%q}]}`, state)
 	}))
 	defer platform.Close()
-	// Clocks that run four times as fast: intervals and lifetimes pass sooner.
-	begun := time.Now()
-	now := func() time.Time { return begun.Add(4 * time.Since(begun)) }
-	all := startIn(t, threeDataCenters, now, 24, platform.URL, own)
+	// The clock runs at four times real speed to shorten intervals and lifetimes.
+	started := time.Now()
+	now := func() time.Time { return started.Add(4 * time.Since(started)) }
+	all := startNodesIn(t, threeDataCenters, now, 24, platform.URL, buildOwn)
 	for _, x := range all {
-		x.waitForOthers(t, all, own)
+		x.waitForOthers(t, all, buildOwn)
 	}
 
 	relay := relayOf(all, threeDataCenters[1])
@@ -79,7 +78,7 @@
 	all[relay] = nil
 	for _, x := range all {
 		if x != nil {
-			x.waitForOthers(t, all, own)
+			x.waitForOthers(t, all, buildOwn)
 		}
 	}
 
@@ -100,7 +99,7 @@
 	return d
 }
 
-// relayOf returns the number of the first in rank of a data centre.
+// relayOf returns the index of the entry that ranks first in the data centre.
 func relayOf(all []*node, dataCenter string) int {
 	best := -1
 	for i, x := range all {
--- a/connection/gossip/wire_test.go
+++ b/connection/gossip/wire_test.go
@@ -13,10 +13,10 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// countingListener counts what passes over its connections.
+// countingListener counts the bytes, reads and writes of its connections.
 type countingListener struct {
 	net.Listener
-	bytes, segments atomic.Int64
+	bytes, operations atomic.Int64
 }
 
 type countingConn struct {
@@ -32,7 +32,7 @@
 func (c *countingConn) count(n int) {
 	c.l.bytes.Add(int64(n))
 	if n > 0 {
-		c.l.segments.Add(1)
+		c.l.operations.Add(1)
 	}
 }
 
@@ -48,8 +48,8 @@
 	return n, err
 }
 
-// BenchmarkFraming gives what one exchange of digests costs on the connection
-// beyond the two digests themselves, and in how many reads and writes.
+// BenchmarkFraming reports the bytes that one digest exchange adds to the two messages,
+// and the number of reads and writes that it takes.
 func BenchmarkFraming(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,11 +76,11 @@
 	}
 	call()
 	counting.bytes.Store(0)
-	counting.segments.Store(0)
+	counting.operations.Store(0)
 	for b.Loop() {
 		call()
 	}
 	messages := proto.Size(d) + proto.Size(reply)
 	b.ReportMetric(float64(counting.bytes.Load())/float64(b.N)-float64(messages), "framing-B/exchange")
-	b.ReportMetric(float64(counting.segments.Load())/float64(b.N), "reads+writes/exchange")
+	b.ReportMetric(float64(counting.operations.Load())/float64(b.N), "reads+writes/exchange")
 }
