--- a/connection/link/client.go
+++ b/connection/link/client.go
@@ -19,71 +19,72 @@
 )
 
 const (
-	// redialPause keeps a dead peer from costing a dial for every call.
-	redialPause = 200 * time.Millisecond
-	// keepAlive finds a silently cut connection within about twice this time,
-	// once a call waits on it.
-	keepAlive = 2 * time.Second
+	// redialDelay is the minimum time between a failed dial and the next one, so that
+	// calls to a dead peer do not each dial.
+	redialDelay = 200 * time.Millisecond
+	// keepAliveInterval determines how soon a connection that was cut without notice is
+	// detected while a call waits on it: within about twice this time.
+	keepAliveInterval = 2 * time.Second
 )
 
-// Client calls one other process over a single connection, dialled when first
-// needed and again after it breaks.
+// Client calls one other process over a single connection, which it dials on first use
+// and again after a failure. It is safe for concurrent use.
 type Client struct {
 	address string
 	id      Identity
 	dialer  func(ctx context.Context, address string) (net.Conn, error)
-	// life ends with Close.
-	life context.Context
-	end  context.CancelFunc
+	// ctx is cancelled by Close.
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu      sync.Mutex
 	session *session
-	// dialing is nil if no dial runs.
-	dialing *dialing
-	failed  time.Time
-	failure error
-	closed  bool
+	// pendingDial is nil if no dial is in progress.
+	pendingDial *pendingDial
+	// dialErr is the error of the last dial, nil if it succeeded; failedAt is its time.
+	failedAt time.Time
+	dialErr  error
+	closed   bool
 }
 
 var _ Caller = (*Client)(nil)
 
-// NewClient returns a Client for host:port; it dials nothing yet.
+// NewClient returns a Client for host:port without dialling it. The caller closes it.
 func NewClient(address string, id Identity) *Client {
-	life, end := context.WithCancel(context.Background())
-	return &Client{address: address, id: id, dialer: dialTCP, life: life, end: end}
+	ctx, cancel := context.WithCancel(context.Background())
+	return &Client{address: address, id: id, dialer: dialTCP, ctx: ctx, cancel: cancel}
 }
 
 // Address returns the host:port that the client calls.
 func (c *Client) Address() string { return c.address }
 
-// ErrNotSent marks a failure before any byte of the call was written.
+// ErrNotSent is wrapped by errors that occur before any byte of the call is written.
 var ErrNotSent = errors.New("not sent")
 
-func unavailable(err error, address string, sent error) error {
-	return fault.Wrap(errors.Join(err, sent), lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no answer from "+address+"; check that the process runs and the network between")
+// unavailableError wraps err, and notSent unless it is nil.
+func unavailableError(err error, address string, notSent error) error {
+	return fault.Wrap(errors.Join(err, notSent), lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no answer from "+address+"; check that the process is running and reachable over the network")
 }
 
-// dialing is a dial that runs; session and err are set before done is closed.
-type dialing struct {
+// pendingDial is a dial in progress; session and err are set before done is closed.
+type pendingDial struct {
 	done    chan struct{}
 	session *session
 	err     error
 }
 
-// session is a yamux session and what its writes pass through.
+// session is a yamux session and the connection that it writes to.
 type session struct {
 	*yamux.Session
-	out *gathering
+	out *coalescingConn
 }
 
-// connect returns the live session, or waits for the one dial that serves all
-// calls.
+// connect returns the open session, or waits for the dial that all calls share.
 //
-// It guards against a frozen peer, whose kernel accepts the connection while
-// nobody answers the handshake: every caller would wait for the whole handshake
-// timeout, one after another, and long past its own deadline. It holds because
-// the dial runs in the background with a time limit of its own, no lock is held
-// meanwhile, and each caller waits no longer than its context.
+// The kernel of a frozen peer accepts connections although no process answers the
+// handshake. Callers must not wait for the handshake timeout one after another, past
+// their own deadlines. So the dial runs in the background with its own timeouts, no lock
+// is held meanwhile, and each caller waits no longer than its context allows.
 func (c *Client) connect(ctx context.Context) (*session, error) {
 	c.mu.Lock()
 	if c.closed {
@@ -94,15 +95,15 @@
 		defer c.mu.Unlock()
 		return c.session, nil
 	}
-	if c.dialing == nil && c.failure != nil && time.Since(c.failed) < redialPause {
+	if c.pendingDial == nil && c.dialErr != nil && time.Since(c.failedAt) < redialDelay {
 		defer c.mu.Unlock()
-		return nil, c.failure
+		return nil, c.dialErr
 	}
-	if c.dialing == nil {
-		c.dialing = &dialing{done: make(chan struct{})}
-		go c.dial(c.dialing)
+	if c.pendingDial == nil {
+		c.pendingDial = &pendingDial{done: make(chan struct{})}
+		go c.dial(c.pendingDial)
 	}
-	d := c.dialing
+	d := c.pendingDial
 	c.mu.Unlock()
 	select {
 	case <-d.done:
@@ -112,64 +113,65 @@
 	}
 }
 
-// dial ends within the limits of dial and handshake, or when the client closes.
-func (c *Client) dial(d *dialing) {
+// dial establishes a session and completes d. It is bounded by the timeouts of the TCP
+// dial and the handshake, and ends early when the client is closed.
+func (c *Client) dial(d *pendingDial) {
 	session, err := c.establish()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	defer close(d.done)
-	c.dialing = nil
+	c.pendingDial = nil
 	if err == nil && c.closed {
 		session.Close()
 		err = net.ErrClosed
 	}
 	if err != nil {
-		c.failed, c.failure, d.err = time.Now(), err, err
+		c.failedAt, c.dialErr, d.err = time.Now(), err, err
 		return
 	}
-	c.session, c.failure, d.session = session, nil, session
+	c.session, c.dialErr, d.session = session, nil, session
 }
 
 func (c *Client) establish() (*session, error) {
-	conn, err := c.dialer(c.life, c.address)
+	conn, err := c.dialer(c.ctx, c.address)
 	if err != nil {
 		return nil, err
 	}
 	conn = c.id.Traffic.counted(conn)
-	// Close ends a handshake that is under way.
-	stop := context.AfterFunc(c.life, func() { conn.Close() })
+	// Close interrupts a handshake in progress.
+	stop := context.AfterFunc(c.ctx, func() { conn.Close() })
 	defer stop()
 	if _, _, err := handshake(conn, c.id, dialerRole, acceptorRole); err != nil {
 		conn.Close()
 		return nil, err
 	}
-	out := newGathering(conn)
+	out := newCoalescingConn(conn)
 	muxed, err := yamux.Client(out, sessionConfig())
 	if err != nil {
 		return nil, err
 	}
-	go keepSession(muxed, out)
+	go keepSessionAlive(muxed, out)
 	return &session{muxed, out}, nil
 }
 
-// dialTimes are how long the tries of one dial may take. The kernel sends an opening
-// packet that is lost again only after a second: a process that dials one that is just
-// starting would meet it a second after it is there.
-var dialTimes = []time.Duration{
+// dialTimeouts are the timeouts of the successive attempts of one dial. The kernel
+// retransmits a lost SYN only after a second, which would delay the connection to a
+// process that is just starting by as much.
+var dialTimeouts = []time.Duration{
 	250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond, 250 * time.Millisecond,
 	500 * time.Millisecond, 500 * time.Millisecond,
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var err error
-	for _, limit := range dialTimes {
-		dialer := net.Dialer{Timeout: limit}
+	for _, timeout := range dialTimeouts {
+		dialer := net.Dialer{Timeout: timeout}
 		var conn net.Conn
 		if conn, err = dialer.DialContext(ctx, "tcp", address); err == nil {
 			return conn, nil
 		}
-		var timeout net.Error
-		if ctx.Err() != nil || !errors.As(err, &timeout) || !timeout.Timeout() {
+		var netErr net.Error
+		if ctx.Err() != nil || !errors.As(err, &netErr) || !netErr.Timeout() {
 			return nil, err
 		}
 	}
@@ -180,37 +182,39 @@
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
 	config.EnableKeepAlive = false
-	config.ConnectionWriteTimeout = keepAlive
+	config.ConnectionWriteTimeout = keepAliveInterval
 	config.StreamOpenTimeout = 0
 	return config
 }
 
 type clientStream struct {
-	conn   *yamux.Stream
-	out    *gathering
+	conn *yamux.Stream
+	out  *coalescingConn
+	// ended is true once the peer has nothing more to send.
 	ended  bool
 	reader *bufio.Reader
 	bytes  *countedReader
-	stop   func() bool
-	// requested is by clock.Boot.
-	requested time.Duration
+	// stop detaches the stream from the caller's context.
+	stop func() bool
+	// requestedAt is a time of clock.Boot.
+	requestedAt time.Duration
 }
 
-// countedReader counts what is read.
+// countedReader counts the bytes that are read from Reader.
 type countedReader struct {
 	io.Reader
-	read atomic.Uint64
+	count atomic.Uint64
 }
 
 // Read implements io.Reader.
 func (r *countedReader) Read(b []byte) (int, error) {
 	n, err := r.Reader.Read(b)
-	r.read.Add(uint64(n))
+	r.count.Add(uint64(n))
 	return n, err
 }
 
-// Open dials if needed, and sends the request. Failures before the first byte
-// wrap ErrNotSent.
+// Open dials if needed, and sends the request. Errors that occur before the first byte is
+// written wrap ErrNotSent.
 func (c *Client) Open(ctx context.Context, method string, req proto.Message) (Stream, error) {
 	payload, err := proto.Marshal(req)
 	if err != nil {
@@ -218,55 +222,56 @@
 	}
 	session, err := c.connect(ctx)
 	if err != nil {
-		return nil, unavailable(err, c.address, ErrNotSent)
+		return nil, unavailableError(err, c.address, ErrNotSent)
 	}
 	conn, err := session.OpenStream()
 	if err != nil {
-		return nil, unavailable(err, c.address, ErrNotSent)
+		return nil, unavailableError(err, c.address, ErrNotSent)
 	}
 	session.out.streams.add(conn)
 	open := &lilacv1.LinkOpen{Method: method}
 	if deadline, ok := ctx.Deadline(); ok {
 		open.TimeoutMs = uint32(max(1, time.Until(deadline).Milliseconds()))
 	}
-	// An expired context unblocks reads and writes at once.
+	// A deadline in the past unblocks pending reads and writes when ctx ends.
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	counted := &countedReader{Reader: conn}
-	s := &clientStream{conn: conn, out: session.out, reader: bufio.NewReader(counted), bytes: counted, stop: stop, requested: clock.Boot()}
+	s := &clientStream{conn: conn, out: session.out, reader: bufio.NewReader(counted), bytes: counted, stop: stop, requestedAt: clock.Boot()}
 	if err := writeFrames(conn, open, messageFrame(payload)); err != nil {
 		s.Close()
-		return nil, unavailable(err, c.address, nil)
+		return nil, unavailableError(err, c.address, nil)
 	}
 	return s, nil
 }
 
-// Call opens a stream and reads its single answer.
+// Call sends the request and reads the single answer. It returns a TIMEOUT error if ctx
+// ends first.
 func (c *Client) Call(ctx context.Context, method string, req, resp proto.Message) error {
 	err := callOver(ctx, c, method, req, resp)
 	if err != nil && ctx.Err() != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time from "+c.address)
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "timed out waiting for an answer from "+c.address)
 	}
 	return err
 }
 
-// Close ends the connection and refuses further calls.
+// Close closes the connection; further calls fail.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.end()
+	c.cancel()
 	if c.session == nil {
 		return nil
 	}
 	return c.session.Close()
 }
 
-// Recv reads the next message; io.EOF after the closing status of a call that
-// went well, else its error.
+// Recv reads the next message. After the closing status it returns io.EOF if the call
+// succeeded, and the error of the call otherwise.
 func (s *clientStream) Recv(m proto.Message) error {
 	frame := &lilacv1.LinkFrame{}
 	if err := readFrame(s.reader, frame); err != nil {
-		return unavailable(errors.Join(err, io.ErrUnexpectedEOF), s.conn.RemoteAddr().String(), nil)
+		return unavailableError(errors.Join(err, io.ErrUnexpectedEOF), s.conn.RemoteAddr().String(), nil)
 	}
 	if status := frame.GetStatus(); status != nil {
 		s.ended = true
@@ -279,12 +284,12 @@
 }
 
 // RequestedAt implements Stream.
-func (s *clientStream) RequestedAt() time.Duration { return s.requested }
+func (s *clientStream) RequestedAt() time.Duration { return s.requestedAt }
 
 // BytesReceived implements Stream.
-func (s *clientStream) BytesReceived() uint64 { return s.bytes.read.Load() }
+func (s *clientStream) BytesReceived() uint64 { return s.bytes.count.Load() }
 
-// Close gives the stream up; the answering side's context ends.
+// Close aborts the stream; the context of the handler at the peer ends.
 func (s *clientStream) Close() error {
 	s.stop()
 	err := s.conn.Close()
--- a/connection/link/closing_test.go
+++ b/connection/link/closing_test.go
@@ -14,27 +14,27 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// slowToClose is a connection whose Close takes until release is closed, as one does that
-// waits for a read or write in progress.
-type slowToClose struct {
+// blockingCloseConn is a connection whose Close blocks until release is closed, like a Close
+// that waits for a read or write in progress.
+type blockingCloseConn struct {
 	net.Conn
 	closing chan struct{}
 	release chan struct{}
 	once    sync.Once
 }
 
-func newSlowToClose(conn net.Conn) *slowToClose {
-	return &slowToClose{Conn: conn, closing: make(chan struct{}), release: make(chan struct{})}
+func newBlockingCloseConn(conn net.Conn) *blockingCloseConn {
+	return &blockingCloseConn{Conn: conn, closing: make(chan struct{}), release: make(chan struct{})}
 }
 
-func (c *slowToClose) Close() error {
+func (c *blockingCloseConn) Close() error {
 	c.once.Do(func() { close(c.closing) })
 	<-c.release
 	return c.Conn.Close()
 }
 
-// endsBeforeRelease checks that the reader ends while its connection is still being closed.
-func (c *slowToClose) endsBeforeRelease(is *is.I, ended <-chan struct{}) {
+// requireEndBeforeClose requires that the reader ends while its connection is still closing.
+func (c *blockingCloseConn) requireEndBeforeClose(is *is.I, ended <-chan struct{}) {
 	is.Helper()
 	<-c.closing
 	inTime := true
@@ -44,14 +44,15 @@
 		inTime = false
 	}
 	close(c.release)
-	is.True(inTime) // else the reader spins
+	is.True(inTime) // otherwise the reader spins
 }
 
-// waiting serves a call that lasts until its caller gives it up; begun and ended are closed.
-func waiting(begun, ended chan struct{}) *Mux {
+// waitMux serves the method "wait", which lasts until its caller aborts it. It closes started
+// and ended when the handler starts and ends.
+func waitMux(started, ended chan struct{}) *Mux {
 	mux := NewMux()
 	mux.Handle("wait", func(ctx context.Context, _ *Exchange) error {
-		close(begun)
+		close(started)
 		<-ctx.Done()
 		close(ended)
 		return nil
@@ -59,23 +60,23 @@
 	return mux
 }
 
-var sharedKey = Identity{Peer: Peer{Process: "p", DataCenter: "dc"}, Keys: secret.Always([]byte("one key of all"))}
+var testIdentity = Identity{Peer: Peer{Process: "p", DataCenter: "dc"}, Keys: secret.Always([]byte("one key of all"))}
 
-// A client's readers spun from the end of its session until the connection was closed, and
-// on one processor kept it from being closed.
-func TestAClientsStreamsEndBeforeItsConnection(t *testing.T) {
+// A client's pending reads spun between the end of the session and the close of its
+// connection. On a single CPU they prevented the close.
+func TestClientStreamsEndBeforeConnection(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	server := NewServer(sharedKey, waiting(make(chan struct{}), make(chan struct{})))
+	server := NewServer(testIdentity, waitMux(make(chan struct{}), make(chan struct{})))
 	go server.Serve(listener)
 	defer func() { listener.Close(); server.Close() }()
-	client := NewClient(listener.Addr().String(), sharedKey)
-	var conn *slowToClose
+	client := NewClient(listener.Addr().String(), testIdentity)
+	var conn *blockingCloseConn
 	client.dialer = func(ctx context.Context, address string) (net.Conn, error) {
 		dialed, err := dialTCP(ctx, address)
 		if err == nil {
-			conn = newSlowToClose(dialed)
+			conn = newBlockingCloseConn(dialed)
 		}
 		return conn, err
 	}
@@ -88,16 +89,16 @@
 	}()
 	closed := make(chan struct{})
 	go func() { defer close(closed); client.Close() }()
-	conn.endsBeforeRelease(is, ended)
+	conn.requireEndBeforeClose(is, ended)
 	<-closed
 }
 
-// The goroutine that waits for a caller to give up outlived the call that was answered, and
-// spun once its session ended.
-func TestNobodyReadsAStreamThatWasAnswered(t *testing.T) {
+// The server's goroutine that waits for the caller to close the stream outlived an answered
+// call, and spun once the session ended.
+func TestAnsweredStreamHasNoReader(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
-	out := newGathering(near)
+	out := newCoalescingConn(near)
 	ours, err := yamux.Server(out, sessionConfig())
 	is.NoErr(err)
 	theirs, err := yamux.Client(far, sessionConfig())
@@ -109,7 +110,7 @@
 	is.NoErr(writeFrames(opened, &lilacv1.LinkOpen{Method: "refuse"}, messageFrame(nil)))
 	stream, err := ours.AcceptStream()
 	is.NoErr(err)
-	NewServer(sharedKey, testMux()).serveStream(context.Background(), Peer{}, stream, out)
+	NewServer(testIdentity, testMux()).serveStream(context.Background(), Peer{}, stream, out)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -123,26 +124,27 @@
 	}
 }
 
-// The same for the goroutines of a server that wait for their callers to give up.
-func TestAServersStreamsEndBeforeItsConnection(t *testing.T) {
+// The server's goroutines that wait for callers to close their streams must end before the
+// connection is closed, as in TestClientStreamsEndBeforeConnection.
+func TestServerStreamsEndBeforeConnection(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
-	conn := newSlowToClose(near)
-	out := newGathering(conn)
+	conn := newBlockingCloseConn(near)
+	out := newCoalescingConn(conn)
 	ours, err := yamux.Server(out, sessionConfig())
 	is.NoErr(err)
 	theirs, err := yamux.Client(far, sessionConfig())
 	is.NoErr(err)
-	begun, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		stream, err := ours.AcceptStream()
 		is.NoErr(err)
-		NewServer(sharedKey, waiting(begun, ended)).serveStream(context.Background(), Peer{}, stream, out)
+		NewServer(testIdentity, waitMux(started, ended)).serveStream(context.Background(), Peer{}, stream, out)
 	}()
 	stream, err := theirs.OpenStream()
 	is.NoErr(err)
 	is.NoErr(writeFrames(stream, &lilacv1.LinkOpen{Method: "wait"}, messageFrame(nil)))
-	<-begun
+	<-started
 	go theirs.Close()
-	conn.endsBeforeRelease(is, ended)
+	conn.requireEndBeforeClose(is, ended)
 }
--- a/connection/link/gather_test.go
+++ b/connection/link/coalesce_test.go
@@ -8,13 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// packetConn notes what each write brings.
-type packetConn struct {
+// recordingConn records the data of each write.
+type recordingConn struct {
 	net.Conn
 	writes []string
 }
 
-func (c *packetConn) Write(b []byte) (int, error) {
+func (c *recordingConn) Write(b []byte) (int, error) {
 	c.writes = append(c.writes, string(b))
 	return len(b), nil
 }
@@ -28,9 +28,9 @@
 }
 
 func TestFramesShareWrites(t *testing.T) {
-	const begins, ends = 1, 4
-	begin, end, data := frame(yamuxWindowUpdate, begins, 0), frame(yamuxWindowUpdate, ends, 0), frame(yamuxData, 0, 4)
-	// A body that looks like the end of a stream is a body all the same.
+	const syn, fin = 1, 4
+	begin, end, data := frame(yamuxWindowUpdate, syn, 0), frame(yamuxWindowUpdate, fin, 0), frame(yamuxData, 0, 4)
+	// The body of this frame looks like a frame that closes a stream.
 	window, reset, likeEnd := frame(yamuxWindowUpdate, 0, 7), frame(yamuxWindowUpdate, yamuxReset, 0), frame(yamuxData, 0, yamuxHeader)
 	for name, c := range map[string]struct{ in, out []string }{
 		"call":               {[]string{begin, data, "body"}, []string{begin + data + "body"}},
@@ -42,19 +42,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			conn := &packetConn{}
-			g := newGathering(conn)
+			conn := &recordingConn{}
+			out := newCoalescingConn(conn)
 			for _, b := range c.in {
-				n, err := g.Write([]byte(b))
+				n, err := out.Write([]byte(b))
 				is.NoErr(err)
 				is.Equal(n, len(b))
 			}
 			is.Equal(conn.writes, c.out)
 			before := len(conn.writes)
-			g.flushOld()
-			is.Equal(len(conn.writes), before) // Only what was held at the last time too.
-			g.flushOld()
-			is.Equal(len(g.held), 0)
+			out.flushStale()
+			is.Equal(len(conn.writes), before) // nothing was buffered at an earlier flushStale
+			out.flushStale()
+			is.Equal(len(out.buffered), 0)
 		})
 	}
 }
--- a/connection/link/frozen_test.go
+++ b/connection/link/frozen_test.go
@@ -16,19 +16,19 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// A process is stopped by the operating system: the kernel still accepts its
-// connections, but nobody answers the handshake. A caller that has no time left
-// must be told so although another one, with much time, waits for the handshake.
-func TestCallerWithoutTimePassesOneThatWaits(t *testing.T) {
+// A process is frozen: the kernel still accepts connections, but nothing answers the
+// handshake. A caller whose context has ended must return immediately, even though another
+// caller without a deadline waits for the handshake.
+func TestExpiredCallerDoesNotWaitForDial(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	client := NewClient(listener.Addr().String(), Identity{Keys: secret.Always([]byte("one key of all"))})
-	patient := make(chan error, 1)
+	pending := make(chan error, 1)
 	go func() {
 		_, err := client.Open(context.Background(), "echo", &lilacv1.QueryRequest{})
-		patient <- err
+		pending <- err
 	}()
 	conn, err := listener.Accept()
 	is.NoErr(err)
@@ -39,26 +39,26 @@
 	_, err = client.Open(ctx, "echo", &lilacv1.QueryRequest{})
 	is.True(errors.Is(err, context.Canceled))
 	is.True(errors.Is(err, ErrNotSent))
-	is.Equal(len(patient), 0)
+	is.Equal(len(pending), 0)
 
 	is.NoErr(client.Close())
-	is.True(errors.Is(<-patient, ErrNotSent))
+	is.True(errors.Is(<-pending, ErrNotSent))
 }
 
-// The same with simulated time: each caller gets its answer at the very end of
-// its own time, all share one dial, and once that has failed the next call after
-// the pause dials again.
-func TestFrozenPeerHoldsNobodyBeyondItsTime(t *testing.T) {
+// With simulated time, each caller of a frozen peer returns exactly at its own deadline.
+// All callers share one dial; after it has failed, a call dials again only once redialDelay
+// has passed.
+func TestCallersOfFrozenPeerKeepTheirDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var dials atomic.Int32
 		client := NewClient("frozen:1", Identity{Keys: secret.Always([]byte("one key of all"))})
 		client.dialer = func(context.Context, string) (net.Conn, error) {
 			dials.Add(1)
-			near, _ := net.Pipe() // Nobody reads the far end.
+			near, _ := net.Pipe() // nothing reads the far end
 			return near, nil
 		}
-		begun := time.Now()
+		started := time.Now()
 		waits := make(chan time.Duration)
 		for i := range 10 {
 			limit := time.Duration(i+1) * 100 * time.Millisecond
@@ -67,7 +67,7 @@
 				defer cancel()
 				err := client.Call(ctx, "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{})
 				is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT))
-				waits <- time.Since(begun) - limit
+				waits <- time.Since(started) - limit
 			}()
 		}
 		for range 10 {
@@ -77,12 +77,12 @@
 
 		err := client.Call(t.Context(), "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{})
 		is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE))
-		is.Equal(time.Since(begun), handshakeTimeout)
-		// Within the pause the failure is told again without a dial.
+		is.Equal(time.Since(started), handshakeTimeout)
+		// Within redialDelay the same error is returned without another dial.
 		is.True(client.Call(t.Context(), "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{}) != nil)
 		is.Equal(dials.Load(), int32(1))
 
-		time.Sleep(redialPause)
+		time.Sleep(redialDelay)
 		waiting := make(chan error, 1)
 		go func() {
 			_, err := client.Open(t.Context(), "echo", &lilacv1.QueryRequest{})
@@ -92,6 +92,6 @@
 		is.Equal(dials.Load(), int32(2))
 		is.NoErr(client.Close())
 		is.True(errors.Is(<-waiting, ErrNotSent))
-		is.Equal(time.Since(begun), handshakeTimeout+redialPause)
+		is.Equal(time.Since(started), handshakeTimeout+redialDelay)
 	})
 }
--- a/connection/link/handshake.go
+++ b/connection/link/handshake.go
@@ -21,23 +21,25 @@
 const (
 	handshakeTimeout = 3 * time.Second
 	nonceSize        = 32
-	// dialerRole and acceptorRole keep a proof from being reflected to its sender.
+	// dialerRole and acceptorRole are signed with each proof, so that a proof that is
+	// reflected to its sender is rejected.
 	dialerRole   = "dialer"
 	acceptorRole = "acceptor"
 )
 
-// Identity is what a process shows of itself, with the keys that it shares with
-// all others.
+// Identity is the name of a process and the keys that it shares with all others.
 type Identity struct {
 	Peer Peer
-	// Keys returns the keys in force; it is asked at each handshake.
+	// Keys returns the accepted keys, the one to sign with first. It is called at each
+	// handshake.
 	Keys func() secret.Keys
 	// Traffic counts the bytes of all links of the process; may be nil.
 	Traffic *Traffic
 }
 
-// proving returns the key of which the proof of peer is made, and nil if there is none.
-func proving(keys secret.Keys, signature []byte, role string, peer, own *lilacv1.LinkHello) []byte {
+// provenKey returns the key that the peer signed its proof with, or nil if it is not one of
+// keys.
+func provenKey(keys secret.Keys, signature []byte, role string, peer, own *lilacv1.LinkHello) []byte {
 	for _, key := range keys {
 		if hmac.Equal(signature, sign(key, role, peer, own)) {
 			return key
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// unbufferedReader reads byte by byte, so that no byte of the yamux session is
-// swallowed by a buffer of the handshake.
+// unbufferedReader reads byte by byte, so that the handshake does not consume bytes of the
+// yamux session that follows.
 type unbufferedReader struct{ io.Reader }
 
 func (r unbufferedReader) ReadByte() (byte, error) {
@@ -62,7 +64,7 @@
 
 func writeFrame(w io.Writer, m proto.Message) error { return writeFrames(w, m) }
 
-// writeFrames writes all frames at once, so that they share a packet.
+// writeFrames writes all frames with one Write, so that they share a packet.
 func writeFrames(w io.Writer, frames ...proto.Message) error {
 	var buffer bytes.Buffer
 	for _, m := range frames {
@@ -88,13 +90,12 @@
 	return mac.Sum(nil)
 }
 
-// handshake proves a shared key to the other end and checks its proof. It
-// returns the peer and the key that the peer proved.
+// handshake authenticates both ends of conn by a shared key. It returns the peer and the
+// key that the peer proved.
 //
-// It guards against a stranger on the network who speaks as one of our
-// processes: it shows as ErrorKind_ERROR_KIND_UNAUTHENTICATED on both sides.
-// It holds because each side signs the other's fresh nonce with its own role,
-// so an old or reflected proof does not pass.
+// Each side signs the fresh nonce of the other together with its own role, so that a
+// replayed or reflected proof is rejected. A side that receives no valid proof returns an
+// UNAUTHENTICATED error.
 func handshake(conn net.Conn, id Identity, role, otherRole string) (Peer, []byte, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return Peer{}, nil, err
@@ -119,9 +120,9 @@
 	if err := readFrame(r, proof); err != nil {
 		return Peer{}, nil, err
 	}
-	key := proving(keys, proof.GetSignature(), otherRole, other, own)
+	key := provenKey(keys, proof.GetSignature(), otherRole, other, own)
 	if len(other.GetNonce()) != nonceSize || key == nil {
-		return Peer{}, nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "the other process proves none of the keys known here; give all processes the same key file, and reload it by SIGHUP")
+		return Peer{}, nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED, "the other process proved none of the keys of this process; give all processes the same key file, and reload it with SIGHUP")
 	}
 	return Peer{Process: other.GetProcess(), DataCenter: other.GetDataCenter()}, key, conn.SetDeadline(time.Time{})
 }
--- a/connection/link/handshake_test.go
+++ b/connection/link/handshake_test.go
@@ -14,9 +14,8 @@
 	"github.com/lilacbridge/lilacbridge/process/secret"
 )
 
-// A stranger without the key connects and sends every byte that it receives
-// back to its sender, so that a state process checks its own proof. The
-// process must refuse the connection.
+// An attacker without the key connects and returns every byte that it receives, so that
+// the process checks its own proof. The process must refuse the connection.
 func TestReflectedProofIsRefused(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := net.Pipe()
@@ -34,7 +33,7 @@
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_UNAUTHENTICATED))
 }
 
-// queuedConn writes without waiting for the reader, as a socket does.
+// queuedConn queues writes without waiting for the reader, like a socket.
 type queuedConn struct {
 	net.Conn
 	out chan []byte
@@ -54,9 +53,9 @@
 }
 
 func FuzzFrame(f *testing.F) {
-	var right bytes.Buffer
-	_ = writeFrame(&right, &lilacv1.LinkFrame{Body: &lilacv1.LinkFrame_Status{Status: &lilacv1.LinkStatus{Message: "m"}}})
-	f.Add(right.Bytes())
+	var valid bytes.Buffer
+	_ = writeFrame(&valid, &lilacv1.LinkFrame{Body: &lilacv1.LinkFrame_Status{Status: &lilacv1.LinkStatus{Message: "m"}}})
+	f.Add(valid.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Add([]byte{})
 	f.Fuzz(func(_ *testing.T, data []byte) {
--- a/connection/link/link.go
+++ b/connection/link/link.go
@@ -1,8 +1,8 @@
-// Package link carries typed calls and streams between lilacbridge's own
-// processes: yamux over TCP, protobuf messages with a length before each.
+// Package link carries typed calls and streams between lilacbridge processes, as
+// length-prefixed protobuf messages over yamux and TCP.
 //
-// Each side of a connection proves that it holds the shared key before any
-// call. Every call is one stream, so a slow answer holds up no other.
+// Each side of a connection proves that it holds a shared key before any call is served.
+// Every call is a stream of its own, so a slow answer does not block others.
 package link
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// MaxFrame is the largest message between two processes, in bytes; larger
-// states are sent in parts.
+// MaxFrame is the largest message between two processes, in bytes; larger data is sent in
+// parts.
 const MaxFrame = 4 << 20
 
-// Caller makes calls to one other process. Client is the one over the network,
-// Local the one for tests.
+// Caller makes calls to one other process. Client implements it over the network, Local
+// within a process, for tests.
 type Caller interface {
 	// Call sends req and waits for the single answer.
 	Call(ctx context.Context, method string, req, resp proto.Message) error
@@ -33,16 +33,16 @@
 type Stream interface {
 	// Recv reads the next message; io.EOF after a regular end.
 	Recv(m proto.Message) error
-	// BytesReceived counts the bytes that have come so far, those of a message that is
-	// not whole yet included. It may be called beside Recv.
+	// BytesReceived returns the number of bytes received so far, including those of an
+	// incomplete message. It may be called concurrently with Recv.
 	BytesReceived() uint64
-	// RequestedAt is when the request was written, by clock.Boot: the answering
-	// process got it later.
+	// RequestedAt returns the time of clock.Boot before the request was written: the
+	// answering process received it later.
 	RequestedAt() time.Duration
 	Close() error
 }
 
-// Peer is the process at the other end, as it named itself once the key was proved.
+// Peer identifies the process at the other end, by the name that it gave in the handshake.
 type Peer struct {
 	Process    string
 	DataCenter string
@@ -54,26 +54,26 @@
 	RequestID string
 	payload   []byte
 	send      func(proto.Message) error
-	// answer is the single one of a Unary, which goes with the closing status.
+	// answer is the answer of a Unary handler; it is sent together with the closing status.
 	answer proto.Message
 }
 
 // Request decodes the caller's message into m.
 func (x *Exchange) Request(m proto.Message) error {
 	if err := proto.Unmarshal(x.payload, m); err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "message between processes does not decode; run one version on all instances")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "cannot decode the message of another process; run one version on all instances")
 	}
 	return nil
 }
 
-// Send writes one answer.
+// Send writes one answer to the caller; it blocks while the caller does not read.
 func (x *Exchange) Send(m proto.Message) error { return x.send(m) }
 
-// Handler answers one stream; its error becomes the closing status. The
-// context ends with the connection or the caller's timeout.
+// Handler serves one stream; its error becomes the closing status. The context ends with
+// the connection, when the caller closes the stream, or at the caller's timeout.
 type Handler func(ctx context.Context, x *Exchange) error
 
-// Mux finds the handler of a method. Handlers are added before it serves.
+// Mux maps methods to their handlers.
 type Mux struct {
 	mu       sync.RWMutex
 	handlers map[string]Handler
@@ -94,18 +94,18 @@
 	h, ok := m.handlers[method]
 	m.mu.RUnlock()
 	if !ok {
-		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no method %q here; check that the address belongs to the right kind of process", method)
+		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown method %q; check that the address belongs to the right kind of process", method)
 	}
 	return h(ctx, x)
 }
 
-// Message is satisfied by a pointer to a generated message type.
+// Message is the constraint for a pointer to the generated message type T.
 type Message[T any] interface {
 	*T
 	proto.Message
 }
 
-// Unary makes a Handler of a function with one request and one answer.
+// Unary adapts a function with one request and one answer to a Handler.
 func Unary[Req any, PReq Message[Req], Resp proto.Message](f func(ctx context.Context, peer Peer, req PReq) (Resp, error)) Handler {
 	return func(ctx context.Context, x *Exchange) error {
 		req := PReq(new(Req))
@@ -121,9 +121,9 @@
 	}
 }
 
-// ending returns the last frames of the stream: the answer that is left, and the
-// closing status.
-func (x *Exchange) ending(err error) []proto.Message {
+// finalFrames returns the last frames of the stream: the answer of a Unary handler, if any,
+// and the closing status.
+func (x *Exchange) finalFrames(err error) []proto.Message {
 	var frames []proto.Message
 	if err == nil && x.answer != nil {
 		var payload []byte
--- a/connection/link/link_test.go
+++ b/connection/link/link_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// A stranger on the network calls a state process with a key of its own. The
-// connection must end before any handler runs, and the caller must be told why.
+// An attacker calls a state process with a different key. The connection must end before
+// any handler runs, and the caller must receive an error.
 func TestOtherKeyIsRefused(t *testing.T) {
 	is := is.New(t)
 	client := NewClient(serve(t, "one key of all"), Identity{Keys: secret.Always([]byte("another key"))})
@@ -90,7 +90,7 @@
 	is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE))
 }
 
-// keyring is a file of keys that an operator replaces while the process runs.
+// keyring is a set of keys that changes at run time, like a key file that is reloaded.
 type keyring struct{ keys atomic.Pointer[secret.Keys] }
 
 func (k *keyring) set(keys ...string) {
@@ -103,16 +103,15 @@
 
 func (k *keyring) get() secret.Keys { return *k.keys.Load() }
 
-// The key between the processes has leaked. The operator adds a new one, puts it
-// first and takes the old one away, in each step first at one process and then
-// at the other. No call may fail meanwhile, and once the old key is away nobody
-// may go on over a connection that was opened with it.
-func TestKeyIsReplacedWithoutARestart(t *testing.T) {
-	const before, after = "the key of before", "the key of after"
+// The shared key has leaked. The operator adds a new key, makes it the first and removes
+// the old one, each step at one process after the other. No call may fail meanwhile, and
+// after the old key is removed no connection that was opened with it may be used.
+func TestKeyRotationWithoutRestart(t *testing.T) {
+	const oldKey, newKey = "the key of before", "the key of after"
 	is := is.New(t)
 	var serverKeys, clientKeys keyring
-	serverKeys.set(before)
-	clientKeys.set(before)
+	serverKeys.set(oldKey)
+	clientKeys.set(oldKey)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	server := NewServer(Identity{Peer: Peer{Process: "s"}, Keys: serverKeys.get}, testMux())
@@ -126,9 +125,9 @@
 	call := func(client *Client) error {
 		return client.Call(t.Context(), "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{})
 	}
-	thief := dial(secret.Always([]byte(before)))
-	is.NoErr(call(thief))
-	for _, keys := range [][]string{{before, after}, {after, before}, {after}} {
+	attacker := dial(secret.Always([]byte(oldKey)))
+	is.NoErr(call(attacker))
+	for _, keys := range [][]string{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
 		for _, ring := range []*keyring{&serverKeys, &clientKeys} {
 			is.NoErr(call(dial(clientKeys.get)))
 			ring.set(keys...)
@@ -136,7 +135,7 @@
 		}
 	}
 	server.CloseRevokedConns()
-	is.True(call(thief) != nil)
-	is.True(call(dial(secret.Always([]byte(before)))) != nil)
+	is.True(call(attacker) != nil)
+	is.True(call(dial(secret.Always([]byte(oldKey)))) != nil)
 	is.NoErr(call(dial(clientKeys.get)))
 }
--- a/connection/link/local.go
+++ b/connection/link/local.go
@@ -12,9 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Local calls a Mux of the same process, with every message encoded and
-// decoded as on the network. Tests under testing/synctest use it, since yamux
-// shares timers between bubbles.
+// Local calls a Mux of the same process and encodes and decodes every message as on the
+// network. Tests under testing/synctest use it, since yamux shares timers between bubbles.
 type Local struct {
 	Mux  *Mux
 	Self Peer
@@ -27,18 +26,18 @@
 	done     chan error
 	cancel   context.CancelFunc
 	received atomic.Uint64
-	// requested is by clock.Boot.
-	requested time.Duration
+	// requestedAt is a time of clock.Boot.
+	requestedAt time.Duration
 }
 
-// Open starts the handler in a goroutine of its own.
+// Open starts the handler in a new goroutine; Close of the stream cancels its context.
 func (l *Local) Open(ctx context.Context, method string, req proto.Message) (Stream, error) {
 	payload, err := proto.Marshal(req)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	s := &localStream{messages: make(chan []byte), done: make(chan error, 1), cancel: cancel, requested: clock.Boot()}
+	s := &localStream{messages: make(chan []byte), done: make(chan error, 1), cancel: cancel, requestedAt: clock.Boot()}
 	send := func(m proto.Message) error {
 		b, err := proto.Marshal(m)
 		if err != nil {
@@ -62,12 +61,12 @@
 	return s, nil
 }
 
-// Call opens a stream and reads its single answer.
+// Call implements Caller.
 func (l *Local) Call(ctx context.Context, method string, req, resp proto.Message) error {
 	return callOver(ctx, l, method, req, resp)
 }
 
-// Recv reads the next message or the closing status.
+// Recv implements Stream.
 func (s *localStream) Recv(m proto.Message) error {
 	select {
 	case b := <-s.messages:
@@ -83,18 +82,18 @@
 }
 
 // RequestedAt implements Stream.
-func (s *localStream) RequestedAt() time.Duration { return s.requested }
+func (s *localStream) RequestedAt() time.Duration { return s.requestedAt }
 
 // BytesReceived implements Stream.
 func (s *localStream) BytesReceived() uint64 { return s.received.Load() }
 
-// Close ends the handler's context.
+// Close cancels the handler's context.
 func (s *localStream) Close() error {
 	s.cancel()
 	return nil
 }
 
-// callOver makes a unary call of a stream.
+// callOver makes a unary call over a stream.
 func callOver(ctx context.Context, c Caller, method string, req, resp proto.Message) error {
 	s, err := c.Open(ctx, method, req)
 	if err != nil {
@@ -105,9 +104,9 @@
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
-	if over, ok := s.(*clientStream); ok && err == nil {
-		// The status comes with the answer and says nothing more.
-		over.ended = true
+	if stream, ok := s.(*clientStream); ok && err == nil {
+		// The closing status arrives with the answer and carries no further information.
+		stream.ended = true
 	}
 	return err
 }
--- a/connection/link/server.go
+++ b/connection/link/server.go
@@ -14,26 +14,27 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Server accepts connections of other processes and hands their streams to a Mux.
+// Server accepts connections of other processes and dispatches their streams to a Mux.
 type Server struct {
 	id  Identity
 	mux *Mux
-	// OnHandshakeError is told of each connection that failed the handshake; may be nil.
+	// OnHandshakeError is called for each connection whose handshake failed; may be nil.
 	OnHandshakeError func(remote string, err error)
 
 	mu sync.Mutex
-	// conns holds the key that the other end proved; nil before it has.
+	// conns maps each open connection to the key that its peer proved; nil until then.
 	conns  map[net.Conn][]byte
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// NewServer returns a Server that answers from mux.
+// NewServer returns a Server that dispatches to mux.
 func NewServer(id Identity, mux *Mux) *Server {
 	return &Server{id: id, mux: mux, conns: make(map[net.Conn][]byte)}
 }
 
-// Serve accepts until the listener or the server is closed, which gives nil.
+// Serve accepts connections until the listener or the server is closed, and then returns
+// nil.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -80,14 +81,14 @@
 		}
 		return
 	}
-	s.proved(conn, key)
-	out := newGathering(conn)
+	s.setKey(conn, key)
+	out := newCoalescingConn(conn)
 	session, err := yamux.Server(out, sessionConfig())
 	if err != nil {
 		return
 	}
 	defer session.Close()
-	go keepSession(session, out)
+	go keepSessionAlive(session, out)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for {
@@ -103,7 +104,7 @@
 	}
 }
 
-func (s *Server) serveStream(ctx context.Context, peer Peer, stream *yamux.Stream, out *gathering) {
+func (s *Server) serveStream(ctx context.Context, peer Peer, stream *yamux.Stream, out *coalescingConn) {
 	out.streams.add(stream)
 	defer func() {
 		stream.Close()
@@ -112,7 +113,7 @@
 	reader := bufio.NewReader(stream)
 	open, frame := &lilacv1.LinkOpen{}, &lilacv1.LinkFrame{}
 	if err := errors.Join(readFrame(reader, open), readFrame(reader, frame)); err != nil {
-		// Without a status the other end waits for the end of the stream.
+		// No status is sent, so the peer waits for the close of the stream.
 		stream.Close()
 		out.flush()
 		return
@@ -124,7 +125,7 @@
 		ctx, stop = context.WithTimeout(ctx, time.Duration(open.GetTimeoutMs())*time.Millisecond)
 		defer stop()
 	}
-	// The caller sends nothing more: the read ends when it closes the stream.
+	// The caller sends nothing further, so the read ends when it closes the stream.
 	go func() {
 		defer cancel()
 		reader.ReadByte()
@@ -138,10 +139,10 @@
 		return writeFrame(stream, messageFrame(payload))
 	}
 	err := s.mux.serve(ctx, open.GetMethod(), x)
-	_ = writeFrames(stream, x.ending(err)...)
+	_ = writeFrames(stream, x.finalFrames(err)...)
 }
 
-func (s *Server) proved(conn net.Conn, key []byte) {
+func (s *Server) setKey(conn net.Conn, key []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, open := s.conns[conn]; open {
@@ -149,12 +150,10 @@
 	}
 }
 
-// CloseRevokedConns ends the connections whose key is no longer in force.
-//
-// It guards against a key that was replaced because it leaked: whoever holds it
-// could go on over a connection of before. It holds because each connection
-// remembers the key that it was opened with; one whose handshake is under way
-// is ended as well, and its process dials again.
+// CloseRevokedConns closes the connections that were authenticated with a key that is no
+// longer accepted. After a leaked key is replaced, its holder could otherwise keep using
+// connections opened before. Connections whose handshake is in progress are closed as
+// well; their processes dial again.
 func (s *Server) CloseRevokedConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +165,7 @@
 	}
 }
 
-// Close ends all connections and waits for their handlers.
+// Close closes all connections and waits for their handlers.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
--- a/connection/link/streams.go
+++ b/connection/link/streams.go
@@ -7,24 +7,24 @@
 	"github.com/hashicorp/yamux"
 )
 
-// openStreams are the streams of one session that may be read or written.
+// openStreams is the set of streams of one session that may be read or written.
 //
-// Between the end of a session and that of its connection, yamux has reads that wait go
-// round without a pause. On one processor they may keep the connection's own goroutines
-// from ending, for which its Close waits. So all streams are given up before the connection
-// is closed.
+// Between the end of a session and the close of its connection, pending reads of yamux
+// streams spin without a pause. On a single CPU they may keep the goroutines of the
+// connection from ending, for which its Close waits. So all streams are aborted before the
+// connection is closed.
 type openStreams struct {
-	mu    sync.Mutex
-	all   map[*yamux.Stream]struct{}
-	ended bool
+	mu     sync.Mutex
+	all    map[*yamux.Stream]struct{}
+	closed bool
 }
 
-// add notes a stream that was opened or accepted.
+// add registers a stream that was opened or accepted.
 func (s *openStreams) add(stream *yamux.Stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
-		giveUp(stream)
+	if s.closed {
+		abortStream(stream)
 		return
 	}
 	if s.all == nil {
@@ -33,28 +33,28 @@
 	s.all[stream] = struct{}{}
 }
 
-// remove forgets a stream whose call has ended. A read may still wait for the other end to
-// close the stream: it ends too.
+// remove unregisters a stream whose call has ended. It also ends a read that still waits
+// for the peer to close the stream.
 func (s *openStreams) remove(stream *yamux.Stream) {
-	giveUp(stream)
+	abortStream(stream)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.all, stream)
 }
 
-// end gives all streams up, later ones too.
-func (s *openStreams) end() {
+// abortAll aborts all streams, including those that are added later.
+func (s *openStreams) abortAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.closed = true
 	for stream := range s.all {
-		giveUp(stream)
+		abortStream(stream)
 	}
 	s.all = nil
 }
 
-// giveUp ends the stream's reads and writes, present and later ones.
-func giveUp(stream *yamux.Stream) {
-	// A stream fails to take a deadline only if it has ended.
+// abortStream fails all pending and later reads and writes of the stream.
+func abortStream(stream *yamux.Stream) {
+	// SetDeadline fails only on a stream that has ended.
 	_ = stream.SetDeadline(time.Unix(1, 0))
 }
--- a/connection/link/traffic.go
+++ b/connection/link/traffic.go
@@ -7,20 +7,20 @@
 	"github.com/lilacbridge/lilacbridge/connection/packets"
 )
 
-// Traffic counts the bytes of a process's links, framing included, without
-// packet headers, and the packets. Any goroutine may read it.
+// Traffic counts the bytes of a process's links, including framing but not packet headers,
+// and the packets. It is safe for concurrent use.
 type Traffic struct {
 	sent, received atomic.Uint64
 	packets        packets.Counter
 }
 
-// Bytes returns what was sent and received so far.
+// Bytes returns the numbers of bytes sent and received so far.
 func (t *Traffic) Bytes() (sent, received uint64) { return t.sent.Load(), t.received.Load() }
 
-// Packets returns how many packets were sent and received so far.
+// Packets returns the numbers of packets sent and received so far.
 func (t *Traffic) Packets() (sent, received uint64) { return t.packets.Packets() }
 
-// counted returns the connection with its bytes added to t, which may be nil.
+// counted wraps conn so that its traffic is added to t. If t is nil, it returns conn.
 func (t *Traffic) counted(conn net.Conn) net.Conn {
 	if t == nil {
 		return conn
