--- a/connection/replicalink/bench_test.go
+++ b/connection/replicalink/bench_test.go
@@ -12,35 +12,35 @@
 	"github.com/lilacbridge/lilacbridge/process/replica"
 )
 
-// counted adds up the bytes of all connections that a listener accepts, both ways.
-type counted struct {
+// countingListener adds up the bytes, in both directions, of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (l counted) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return countedConn{conn, l.bytes}, err
+	return countingConn{conn, l.bytes}, err
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func names(count int) []string {
+func nodeNames(count int) []string {
 	var all []string
 	for i := range count {
 		all = append(all, fmt.Sprint("state-", i))
@@ -59,8 +59,8 @@
 	}
 }
 
-// BenchmarkPropose gives proposals a second and their times, with callers at
-// once, voters, and proposals that may share a sync.
+// BenchmarkPropose reports throughput and latency percentiles of proposals, by number of
+// voters, number of concurrent callers, and whether proposals share a sync.
 func BenchmarkPropose(b *testing.B) {
 	for _, c := range []struct{ voters, callers, batch int }{
 		{3, 1, 0}, {3, 16, 0}, {3, 256, 0}, {3, 16, 1}, {3, 256, 1}, {1, 256, 0}, {5, 256, 0}, {7, 256, 0},
@@ -70,7 +70,7 @@
 			batch = "alone"
 		}
 		b.Run(fmt.Sprintf("voters=%d/callers=%d/sync=%s", c.voters, c.callers, batch), func(b *testing.B) {
-			f := newFleetOf(b, c.batch, names(c.voters)...)
+			f := newFleetWithBatch(b, c.batch, nodeNames(c.voters)...)
 			f.propose("first")
 			node := f.leader()
 			command := make([]byte, 200)
@@ -83,13 +83,13 @@
 			for range c.callers {
 				wg.Go(func() {
 					for left.Add(-1) >= 0 {
-						begun := time.Now()
+						started := time.Now()
 						if _, err := node.Propose(b.Context(), command); err != nil {
 							b.Error(err)
 							return
 						}
 						mu.Lock()
-						times = append(times, time.Since(begun))
+						times = append(times, time.Since(started))
 						mu.Unlock()
 					}
 				})
@@ -104,22 +104,22 @@
 	}
 }
 
-// defaultHeartbeats is how many heartbeats a second each follower gets by default.
+// defaultHeartbeats is the default number of heartbeats per second to each follower.
 const defaultHeartbeats = 5
 
-// BenchmarkHeartbeat gives the bytes of an idle group, on all connections
-// together, for each heartbeat to each follower and its answer.
+// BenchmarkHeartbeat reports the bytes that an idle group exchanges, on all connections
+// together, for one heartbeat to one follower and its answer.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, voters := range []int{3, 5, 7, 9} {
 		b.Run(fmt.Sprint("idle/voters=", voters), func(b *testing.B) {
-			f := newFleetOf(b, 0, names(voters)...)
+			f := newFleetWithBatch(b, 0, nodeNames(voters)...)
 			f.propose("first")
 			time.Sleep(5 * testHeartbeat)
 			before := f.bytes.Load()
-			begun := time.Now()
+			started := time.Now()
 			b.ResetTimer()
 			time.Sleep(time.Duration(b.N) * testHeartbeat)
-			heartbeats := float64(time.Since(begun)) / float64(testHeartbeat) * float64(voters-1)
+			heartbeats := float64(time.Since(started)) / float64(testHeartbeat) * float64(voters-1)
 			each := float64(f.bytes.Load()-before) / heartbeats
 			b.ReportMetric(each, "bytes/heartbeat")
 			b.ReportMetric(each*float64(voters-1)*defaultHeartbeats, "leader-B/s")
--- a/connection/replicalink/transport.go
+++ b/connection/replicalink/transport.go
@@ -1,5 +1,5 @@
-// Package replicalink carries the messages of the replicated log over
-// connection/link.
+// Package replicalink carries the messages of the replicated log between state processes
+// over connection/link.
 package replicalink
 
 import (
@@ -12,68 +12,72 @@
 	"github.com/lilacbridge/lilacbridge/process/replica"
 )
 
-// Method is the link method under which messages arrive.
+// Method is the link method that receives messages.
 const Method = "raft.send"
 
 const (
-	// queueBatches bounds the batches that wait for one process; more are dropped.
-	queueBatches = 1024
-	// sendTimeout bounds one call; the log sends again what is lost.
+	// queueLength bounds the batches queued for one process; more are dropped.
+	queueLength = 1024
+	// sendTimeout bounds one call; the log retransmits lost messages.
 	sendTimeout = 2 * time.Second
-	// batchBytes is when a batch is full; well under link.MaxFrame together
-	// with the largest single message.
-	batchBytes = 1 << 20
-	// callsInFlight is how many calls to one process may wait for their answer.
-	callsInFlight = 4
-	// openFor is how long a first connection is tried for, openPause the pause between
-	// two tries: processes of one group start some tenths of a second apart.
-	openFor      = 2 * time.Second
-	openPause    = 50 * time.Millisecond
-	messageBytes = 128
+	// maxBatchBytes is the size at which a batch is full. Together with the largest single
+	// message it must stay well below link.MaxFrame.
+	maxBatchBytes = 1 << 20
+	// maxInFlight bounds the concurrent calls to one process.
+	maxInFlight = 4
+	// connectTimeout bounds the attempts of Connect, and connectRetryDelay is the pause
+	// between two: processes of one group start some tenths of a second apart.
+	connectTimeout    = 2 * time.Second
+	connectRetryDelay = 50 * time.Millisecond
+	// messageOverhead is an estimate of the bytes of a message besides its data.
+	messageOverhead = 128
 )
 
-// Dial makes a caller of the process at an address.
+// Dial returns a caller for the process at address.
 type Dial func(address string) link.Caller
 
-// Transport sends messages to other processes; it makes one connection to each.
+// Transport sends messages to other processes, over one connection to each. It implements
+// replica.Transport and is safe for concurrent use.
 type Transport struct {
 	dial   Dial
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	peers   map[string]chan []*lilacv1.RaftMessage
+	mu sync.Mutex
+	// queues and callers are keyed by address.
+	queues  map[string]chan []*lilacv1.RaftMessage
 	callers map[string]link.Caller
 }
 
 var _ replica.Transport = (*Transport)(nil)
 
-// New returns a Transport that reaches other processes by dial.
+// New returns a Transport that connects by dial. The caller closes it.
 func New(dial Dial) *Transport {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Transport{dial: dial, ctx: ctx, cancel: cancel, peers: map[string]chan []*lilacv1.RaftMessage{}, callers: map[string]link.Caller{}}
+	return &Transport{dial: dial, ctx: ctx, cancel: cancel, queues: map[string]chan []*lilacv1.RaftMessage{}, callers: map[string]link.Caller{}}
 }
 
-// Send queues messages for the process at address, and drops them if too many wait.
+// Send queues messages for the process at address, or drops them if its queue is full. It
+// never blocks.
 func (t *Transport) Send(address string, messages []*lilacv1.RaftMessage) {
 	select {
-	case t.peer(address) <- messages:
+	case t.queue(address) <- messages:
 	default:
 	}
 }
 
-// Connect connects to the processes at the addresses before there is anything to send,
-// again and again for some time. A first question between regions otherwise waits for
-// a connection there, and its answer for one back.
+// Connect opens connections to the processes at the addresses in the background and
+// retries for connectTimeout. Otherwise the first vote request between regions waits for a
+// connection, and its answer for a connection back.
 func (t *Transport) Connect(addresses []string) {
 	for _, address := range addresses {
-		t.wg.Go(func() { t.connect(t.callerOf(address)) })
+		t.wg.Go(func() { t.connect(t.caller(address)) })
 	}
 }
 
 func (t *Transport) connect(caller link.Caller) {
-	ctx, cancel := context.WithTimeout(t.ctx, openFor)
+	ctx, cancel := context.WithTimeout(t.ctx, connectTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if err := caller.Call(ctx, Method, &lilacv1.RaftBatch{}, &lilacv1.RaftBatchReply{}); err == nil {
@@ -81,51 +85,51 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(openPause):
+		case <-time.After(connectRetryDelay):
 		}
 	}
 }
 
-// callerOf returns the caller of the process at the address.
-func (t *Transport) callerOf(address string) link.Caller {
-	t.peer(address)
+// caller returns the caller for the process at address.
+func (t *Transport) caller(address string) link.Caller {
+	t.queue(address)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.callers[address]
 }
 
-func (t *Transport) peer(address string) chan []*lilacv1.RaftMessage {
+func (t *Transport) queue(address string) chan []*lilacv1.RaftMessage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	queue, ok := t.peers[address]
+	queue, ok := t.queues[address]
 	if ok {
 		return queue
 	}
-	queue = make(chan []*lilacv1.RaftMessage, queueBatches)
-	t.peers[address] = queue
+	queue = make(chan []*lilacv1.RaftMessage, queueLength)
+	t.queues[address] = queue
 	caller := t.dial(address)
 	t.callers[address] = caller
-	for range callsInFlight {
-		t.wg.Go(func() { t.serve(queue, caller) })
+	for range maxInFlight {
+		t.wg.Go(func() { t.sendLoop(queue, caller) })
 	}
 	return queue
 }
 
-func (t *Transport) serve(queue chan []*lilacv1.RaftMessage, caller link.Caller) {
+func (t *Transport) sendLoop(queue chan []*lilacv1.RaftMessage, caller link.Caller) {
 	for {
 		select {
 		case <-t.ctx.Done():
 			return
 		case messages := <-queue:
-			t.call(caller, gather(messages, queue))
+			t.call(caller, coalesce(messages, queue))
 		}
 	}
 }
 
-// gather joins batches that wait into one call.
-func gather(messages []*lilacv1.RaftMessage, queue chan []*lilacv1.RaftMessage) []*lilacv1.RaftMessage {
+// coalesce appends queued batches to messages until they fill a call. It returns a copy.
+func coalesce(messages []*lilacv1.RaftMessage, queue chan []*lilacv1.RaftMessage) []*lilacv1.RaftMessage {
 	messages = append([]*lilacv1.RaftMessage(nil), messages...)
-	for size(messages) < batchBytes {
+	for size(messages) < maxBatchBytes {
 		select {
 		case more := <-queue:
 			messages = append(messages, more...)
@@ -139,7 +143,7 @@
 func size(messages []*lilacv1.RaftMessage) int {
 	total := 0
 	for _, m := range messages {
-		total += messageBytes + len(m.GetChunk())
+		total += messageOverhead + len(m.GetChunk())
 		for _, entry := range m.GetEntries() {
 			total += len(entry.GetData())
 		}
@@ -147,12 +151,12 @@
 	return total
 }
 
-// call sends the messages in parts that fit a frame; failures are losses, which
-// the log's own retries make good.
+// call sends the messages in parts that fit a frame. After an error the rest is dropped;
+// the log retransmits it.
 func (t *Transport) call(caller link.Caller, messages []*lilacv1.RaftMessage) {
 	for len(messages) > 0 {
 		n := 1
-		for n < len(messages) && size(messages[:n+1]) < 2*batchBytes {
+		for n < len(messages) && size(messages[:n+1]) < 2*maxBatchBytes {
 			n++
 		}
 		ctx, cancel := context.WithTimeout(t.ctx, sendTimeout)
@@ -165,19 +169,19 @@
 	}
 }
 
-// Close stops sending.
+// Close stops sending and waits for calls in progress to end.
 func (t *Transport) Close() error {
 	t.cancel()
 	t.wg.Wait()
 	return nil
 }
 
-// Receiver takes messages that arrive; a replica.Node is one.
+// Receiver handles received messages; replica.Node implements it.
 type Receiver interface {
 	Receive(messages []*lilacv1.RaftMessage)
 }
 
-// Handle answers Method on mux by handing messages to receiver.
+// Handle registers Method on mux and passes received messages to receiver.
 func Handle(mux *link.Mux, receiver Receiver) {
 	mux.Handle(Method, link.Unary(func(_ context.Context, _ link.Peer, batch *lilacv1.RaftBatch) (*lilacv1.RaftBatchReply, error) {
 		receiver.Receive(batch.GetMessages())
--- a/connection/replicalink/transport_test.go
+++ b/connection/replicalink/transport_test.go
@@ -27,20 +27,20 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// journal is a state machine that keeps all commands in order.
-type journal struct {
+// recorder is a state machine that records all commands in order.
+type recorder struct {
 	mu       sync.Mutex
 	commands []string
 }
 
-func (j *journal) Apply(_ uint64, command []byte) []byte {
+func (j *recorder) Apply(_ uint64, command []byte) []byte {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = append(j.commands, string(command))
 	return fmt.Appendf(nil, "%d", len(j.commands))
 }
 
-func (j *journal) Capture() func() ([]byte, error) {
+func (j *recorder) Capture() func() ([]byte, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	b := []byte{1}
@@ -50,7 +50,7 @@
 	return func() ([]byte, error) { return b, nil }
 }
 
-func (j *journal) Restore(data []byte) error {
+func (j *recorder) Restore(data []byte) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.commands = nil
@@ -64,9 +64,9 @@
 	return nil
 }
 
-// all returns the commands in order. One that was proposed again, as after a
-// change of leader, counts once; one that was applied twice counts twice.
-func (j *journal) all() []string {
+// all returns the commands in order. A command that was proposed more than once, as after a
+// change of leader, is listed once; a proposal that was applied twice is listed twice.
+func (j *recorder) all() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var commands []string
@@ -86,7 +86,7 @@
 	testElection  = 200 * time.Millisecond
 )
 
-// election is short in tests and as in the settings' default in benchmarks.
+// election is the election timeout: short in tests, the settings' default in benchmarks.
 func (f *fleet) election() time.Duration {
 	if _, ok := f.t.(*testing.B); ok {
 		return time.Second
@@ -94,22 +94,23 @@
 	return testElection
 }
 
-// every is small in tests, so that snapshots are made, and as usual in benchmarks.
-func (f *fleet) every() uint64 {
+// snapshotEvery is small in tests, so that snapshots are taken; 0 is the default, used in
+// benchmarks.
+func (f *fleet) snapshotEvery() uint64 {
 	if _, ok := f.t.(*testing.B); ok {
 		return 0
 	}
 	return 100
 }
 
-// process is one state process without its daemon.
+// process is a state process without its daemon.
 type process struct {
 	name     string
 	listener net.Listener
 	server   *link.Server
 	out      *Transport
 	node     *replica.Node
-	machine  *journal
+	machine  *recorder
 }
 
 type fleet struct {
@@ -124,10 +125,13 @@
 
 var key = []byte("the key that all share")
 
-func newFleet(t testing.TB, names ...string) *fleet { return newFleetOf(t, 0, names...) }
+func newFleet(t testing.TB, names ...string) *fleet {
+	return newFleetWithBatch(t, 0, names...)
+}
 
-// newFleetOf starts processes of which so many proposals may share a sync.
-func newFleetOf(t testing.TB, batch int, names ...string) *fleet {
+// newFleetWithBatch starts processes that let up to batch proposals share a sync; 0 is the
+// default.
+func newFleetWithBatch(t testing.TB, batch int, names ...string) *fleet {
 	f := &fleet{t: t, is: is.New(t), batch: batch, folder: t.TempDir(), addresses: map[string]string{}, running: map[string]*process{}}
 	for _, name := range names {
 		listener, err := loopback.Listen()
@@ -150,7 +154,7 @@
 	listener, err := net.Listen("tcp", f.addresses[name])
 	f.is.NoErr(err)
 	identity := link.Identity{Peer: link.Peer{Process: name}, Keys: secret.Always(key)}
-	p := &process{name: name, listener: listener, machine: &journal{}}
+	p := &process{name: name, listener: listener, machine: &recorder{}}
 	p.out = New(func(address string) link.Caller { return link.NewClient(address, identity) })
 	folder, err := wal.OSFolder(filepath.Join(f.folder, name))
 	f.is.NoErr(err)
@@ -161,12 +165,12 @@
 		}
 	}
 	p.node, err = replica.Open(replica.Options{Name: name, Address: f.addresses[name], Peers: peers, Bootstrap: bootstrap,
-		Heartbeat: testHeartbeat, Election: f.election(), Folder: folder, Machine: p.machine, Transport: p.out, SnapshotEvery: f.every(), MaxBatch: f.batch})
+		Heartbeat: testHeartbeat, Election: f.election(), Folder: folder, Machine: p.machine, Transport: p.out, SnapshotEvery: f.snapshotEvery(), MaxBatch: f.batch})
 	f.is.NoErr(err)
 	mux := link.NewMux()
 	Handle(mux, p.node)
 	p.server = link.NewServer(identity, mux)
-	go p.server.Serve(counted{listener, &f.bytes})
+	go p.server.Serve(countingListener{listener, &f.bytes})
 	f.running[name] = p
 	return p
 }
@@ -180,7 +184,7 @@
 	f.is.NoErr(p.out.Close())
 }
 
-// propose sends the command to whoever leads, until it is accepted.
+// propose proposes the command to the current leader until it is accepted.
 func (f *fleet) propose(command string) {
 	ctx, cancel := context.WithTimeout(f.t.Context(), 20*time.Second)
 	defer cancel()
@@ -198,22 +202,22 @@
 	f.t.Fatalf("%s was not accepted", command)
 }
 
-func (f *fleet) until(what string, holds func() bool) {
+func (f *fleet) waitUntil(what string, holds func() bool) {
 	deadline := time.Now().Add(20 * time.Second)
 	for !holds() {
 		if time.Now().After(deadline) {
 			for name, p := range f.running {
 				f.t.Logf("%s: %+v", name, p.node.Status())
 			}
-			f.t.Fatalf("not in time: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Three empty processes whose settings say bootstrap found one group; what one
-// accepts all apply, in the same order.
-func TestThreeProcessesAgree(t *testing.T) {
+// Three empty processes with the bootstrap setting form one group, and all of them apply
+// the accepted commands in the same order.
+func TestProcessesApplySameCommands(t *testing.T) {
 	f := newFleet(t, "state-a", "state-b", "state-c")
 	var want []string
 	for i := range 250 {
@@ -221,18 +225,18 @@
 		f.propose(want[i])
 	}
 	for _, p := range f.running {
-		f.until("all commands on "+p.name, func() bool { return len(p.machine.all()) >= len(want) })
+		f.waitUntil("all commands on "+p.name, func() bool { return len(p.machine.all()) >= len(want) })
 		f.is.Equal(p.machine.all(), want)
 	}
 }
 
-// Kill the leader: the others go on. Delete its folder: it comes back empty,
-// its settings still say bootstrap, and it must join as a new member and count
-// again, without founding a group of its own.
-func TestLostDiskComesBackUnderNewIdentity(t *testing.T) {
+// A process that loses its disk comes back empty and still has the bootstrap setting. It
+// must join the existing group as a new member and become a voter again, rather than
+// bootstrap a group of its own.
+func TestLostDiskRejoinsWithNewIdentity(t *testing.T) {
 	f := newFleet(t, "state-a", "state-b", "state-c")
 	f.propose("before")
-	f.until("members", func() bool { return len(f.running["state-b"].node.Status().Voters()) == 3 })
+	f.waitUntil("members", func() bool { return len(f.running["state-b"].node.Status().Voters()) == 3 })
 	lost := f.running["state-b"].node.Status()
 	f.stop("state-b")
 	for i := range 300 {
@@ -241,18 +245,18 @@
 	folder := filepath.Join(f.folder, "state-b")
 	f.is.NoErr(os.RemoveAll(folder))
 	back := f.start("state-b", true)
-	f.until("repair", func() bool {
+	f.waitUntil("repair", func() bool {
 		s := back.node.Status()
-		return len(s.Voters()) == 3 && len(s.Learners()) == 0 && s.Group == lost.Group && s.ID != lost.ID && votes(s)
+		return len(s.Voters()) == 3 && len(s.Learners()) == 0 && s.Group == lost.Group && s.ID != lost.ID && isVoter(s)
 	})
 	f.stop("state-c")
 	f.propose("with the repaired one only")
-	f.until("all commands", func() bool { return len(back.machine.all()) == 302 })
+	f.waitUntil("all commands", func() bool { return len(back.machine.all()) == 302 })
 }
 
-// votes tells whether the process's own identity is a voter in force: its name
-// alone may still be that of the lost one.
-func votes(s replica.Status) bool {
+// isVoter reports whether the process's current identity is a voter. Its name alone may
+// still refer to the lost identity.
+func isVoter(s replica.Status) bool {
 	for _, member := range s.Members {
 		if member.GetId() == s.ID {
 			return member.GetVoter()
@@ -261,9 +265,9 @@
 	return false
 }
 
-// All processes stop at once after hundreds of changes; each must come back
-// with all of them from its own files.
-func TestRestartOfAllKeepsEverything(t *testing.T) {
+// All processes stop at the same time after many commands; each must restore all commands
+// from its own files.
+func TestRestartOfAllKeepsCommands(t *testing.T) {
 	f := newFleet(t, "state-a", "state-b", "state-c")
 	for i := range 150 {
 		f.propose(fmt.Sprint("change ", i))
@@ -277,53 +281,53 @@
 	}
 	f.propose("after")
 	for _, p := range f.running {
-		f.until("all commands on "+p.name, func() bool { return len(p.machine.all()) == 151 })
+		f.waitUntil("all commands on "+p.name, func() bool { return len(p.machine.all()) == 151 })
 	}
 }
 
-// The others are gone: the last process must refuse at once with a typed
-// error that says that nothing ran.
-func TestWithoutQuorumIsRefused(t *testing.T) {
+// Without a quorum, the remaining process must refuse proposals with an error that states
+// that nothing was executed.
+func TestProposalWithoutQuorumIsRefused(t *testing.T) {
 	f := newFleet(t, "state-a", "state-b", "state-c")
 	f.propose("before")
 	f.stop("state-a")
 	f.stop("state-b")
 	left := f.running["state-c"].node
-	f.until("no leader", func() bool { return left.Status().Role != replica.Leader && left.Status().Leader == "" })
+	f.waitUntil("no leader", func() bool { return left.Status().Role != replica.Leader && left.Status().Leader == "" })
 	_, err := left.Propose(t.Context(), []byte("alone"))
 	f.is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM))
 	f.is.Equal(fault.NotRunOf(err), lilacv1.NotRun_NOT_RUN_TRUE)
 	f.is.True(fault.Is(left.Barrier(t.Context()), lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM))
 }
 
-// failing is a caller whose process starts after some calls.
-type failing struct {
+// failingCaller is a caller whose first calls fail, as if its process were still starting.
+type failingCaller struct {
 	link.Caller
-	left  atomic.Int64
-	calls atomic.Int64
+	failures atomic.Int64
+	calls    atomic.Int64
 }
 
-func (f *failing) Call(context.Context, string, proto.Message, proto.Message) error {
+func (f *failingCaller) Call(context.Context, string, proto.Message, proto.Message) error {
 	f.calls.Add(1)
-	if f.left.Add(-1) >= 0 {
+	if f.failures.Add(-1) >= 0 {
 		return errors.New("connection refused")
 	}
 	return nil
 }
 
-// The first question of an election waited for its connection, and the answer for one
-// back: 0.3 s between regions. So connections are made before, also to a process that
-// starts a little later.
-func TestConnectionsAreMadeBeforeTheFirstMessage(t *testing.T) {
+// The first vote request of an election waited for its connection, and the answer for a
+// connection back: 0.3 s between regions. Connections must be opened in advance, also to a
+// process that starts slightly later.
+func TestConnectDialsBeforeFirstMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		caller := &failing{}
-		caller.left.Store(3)
+		caller := &failingCaller{}
+		caller.failures.Store(3)
 		transport := New(func(string) link.Caller { return caller })
 		defer transport.Close()
 		transport.Connect([]string{"a:1"})
-		time.Sleep(openFor)
+		time.Sleep(connectTimeout)
 		synctest.Wait()
-		is.Equal(caller.calls.Load(), int64(4)) // and no more once it is connected
+		is.Equal(caller.calls.Load(), int64(4)) // no further calls once connected
 	})
 }
