--- a/connection/stateclient/calls.go
+++ b/connection/stateclient/calls.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// maxReleases is how many claims may wait to be given up in the background.
+	// maxReleases bounds the claims that wait to be released in the background.
 	maxReleases = 4096
-	// releaseTime bounds one try to give a claim up.
-	releaseTime = 5 * time.Second
-	// releasePause lies between two tries.
-	releasePause = time.Second
-	// heartbeatInterval is how often an instance that has claimed says that it
-	// lives. State processes take it for dead after 15s of silence.
+	// releaseTimeout bounds one attempt to release a claim.
+	releaseTimeout = 5 * time.Second
+	// releaseRetryDelay is the pause after a failed attempt.
+	releaseRetryDelay = time.Second
+	// heartbeatInterval is the interval of heartbeats of an instance that has made a
+	// claim. State processes consider it dead after 15 s without one.
 	heartbeatInterval = 3 * time.Second
 )
 
-// NewCommandID returns an id for a proposal.
+// NewCommandID returns a random command id for a proposal.
 func NewCommandID() string { return rand.Text() }
 
-// Propose gives a proposal to the leader. The error of a lost race has the kind
-// CONFLICT and comes with a reply that holds the winner. An error whose NotRunOf
-// is unknown may still take effect: the same proposal with the same command id
-// may be sent again and gets the first answer. A missing command id is filled in.
+// Propose sends a proposal to the leader. If the configuration has changed since the
+// proposal's revision, it returns a CONFLICT error together with a reply that contains the
+// winning revision. If fault.NotRunOf(err) is unknown, the proposal may still take effect;
+// sending it again with the same command id is safe and returns the first result. Propose
+// sets a missing command id.
 func (c *Client) Propose(ctx context.Context, p *lilacv1.Proposal) (*lilacv1.ProposeReply, error) {
 	if p.GetCommandId() == "" {
 		p.CommandId = NewCommandID()
 	}
 	p.Recoveries = c.options.Recoveries()
 	reply := &lilacv1.ProposeReply{}
-	if err := c.onLeader(ctx, "state.propose", p, reply); err != nil {
+	if err := c.callLeader(ctx, "state.propose", p, reply); err != nil {
 		return nil, err
 	}
 	if winner := reply.GetWinner(); winner != nil {
 		return reply, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, fmt.Sprintf(
-			"the configuration is at revision %d, not %d; %s made revision %d at %s: %s; look at it, then give the statement again with the new number",
+			"the configuration is at revision %d, not %d; %s created revision %d at %s: %s; review it, then repeat the statement with the new revision number",
 			reply.GetRevision(), p.GetIfRevision(), winner.GetWho(), winner.GetNumber(),
 			time.UnixMilli(winner.GetProposedUnixMs()).UTC().Format(time.RFC3339), winner.GetStatement()),
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
@@ -49,10 +50,10 @@
 	return reply, nil
 }
 
-// Claim asks whether a non-idempotent request may run. Instance, incarnation
-// and, where it is missing, the attempt are filled in; the caller passes the
-// same attempt to Outcome. On any error the request must not run, and is not
-// run: a claim that may stand all the same is given up in the background.
+// Claim asks the ledger whether a non-idempotent request may run. It sets the instance, the
+// incarnation and, if missing, the attempt of r; the caller passes the same attempt to
+// Outcome. After an error the caller must not run the request. A claim that may have been
+// granted despite the error is released in the background.
 func (c *Client) Claim(ctx context.Context, r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error) {
 	if r.GetAttempt() == "" {
 		r.Attempt = rand.Text()
@@ -61,8 +62,8 @@
 	generation := c.startClaim(r)
 	reply, err := c.claim(ctx, r)
 	if fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT) {
-		// The ledger took this incarnation for dead while it was cut off.
-		c.renew(generation)
+		// The ledger declared this incarnation dead while it was disconnected.
+		c.renewIncarnation(generation)
 		c.startClaim(r)
 		reply, err = c.claim(ctx, r)
 	}
@@ -77,14 +78,14 @@
 
 func (c *Client) claim(ctx context.Context, r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error) {
 	reply := &lilacv1.ClaimReply{}
-	if err := c.onLeader(ctx, "state.claim", r, reply); err != nil {
+	if err := c.callLeader(ctx, "state.claim", r, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
 }
 
-// asNotRun states for the caller's request what Claim promises: without a grant
-// it is never sent.
+// asNotRun converts an error of Claim into one that states that the caller's request was
+// not run: without a granted claim it is never sent.
 func asNotRun(err error) error {
 	return fault.New(fault.KindOf(err), err.Error(),
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE), fault.WithRetryAfter(fault.RetryAfterOf(err)))
@@ -98,8 +99,9 @@
 	return c.generation
 }
 
-// renew takes a new incarnation, once for all claims that met the old one's end.
-func (c *Client) renew(generation int) {
+// renewIncarnation creates a new incarnation, unless another claim of the same generation
+// has done so already.
+func (c *Client) renewIncarnation(generation int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.generation == generation {
@@ -116,32 +118,32 @@
 	select {
 	case c.releases <- o:
 	default:
-		// The claim then ends as unknown when this instance does.
+		// The claim remains until this instance ends, and its outcome is then unknown.
 	}
 }
 
-// Outcome records how a claimed request ended. It may be sent again until it
-// succeeds.
+// Outcome records how a claimed request ended. It is idempotent and may be repeated until
+// it succeeds.
 func (c *Client) Outcome(ctx context.Context, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	reply := &lilacv1.OutcomeReply{}
-	if err := c.onLeader(ctx, "state.outcome", r, reply); err != nil {
+	if err := c.callLeader(ctx, "state.outcome", r, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
 }
 
-// Lease takes, renews or gives back a lease.
+// Lease acquires, renews or releases a lease. It sets the holder and incarnation of r.
 func (c *Client) Lease(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 	r.Holder, r.Incarnation, r.Recoveries = c.options.Instance, c.Incarnation(), c.options.Recoveries()
 	reply := &lilacv1.LeaseReply{}
-	if err := c.onLeader(ctx, "state.lease", r, reply); err != nil {
+	if err := c.callLeader(ctx, "state.lease", r, reply); err != nil {
 		return nil, err
 	}
 	return reply, nil
 }
 
-// Run sends heartbeats once this instance has claimed, and gives up claims whose
-// answer was lost, until ctx ends.
+// Run sends heartbeats once this instance has made a claim, and releases claims whose
+// answer was lost. It returns nil when ctx ends.
 func (c *Client) Run(ctx context.Context) error {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -150,24 +152,25 @@
 		case <-ctx.Done():
 			return nil
 		case o := <-c.releases:
-			c.giveUp(ctx, o)
+			c.tryRelease(ctx, o)
 		case <-ticker.C:
 			c.heartbeat(ctx)
 		}
 	}
 }
 
-func (c *Client) giveUp(ctx context.Context, o *lilacv1.OutcomeRequest) {
-	tried, cancel := context.WithTimeout(ctx, releaseTime)
+// tryRelease makes one attempt to release a claim and queues it again if that fails.
+func (c *Client) tryRelease(ctx context.Context, o *lilacv1.OutcomeRequest) {
+	attemptCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	_, err := c.Outcome(tried, o)
-	if err == nil || final(err) {
+	_, err := c.Outcome(attemptCtx, o)
+	if err == nil || isFinal(err) {
 		return
 	}
 	c.queueRelease(o)
 	c.heartbeat(ctx)
 	select {
-	case <-time.After(releasePause):
+	case <-time.After(releaseRetryDelay):
 	case <-ctx.Done():
 	}
 }
@@ -181,25 +184,25 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatInterval)
 	defer cancel()
-	_ = c.onLeader(ctx, "state.heartbeat", &lilacv1.HeartbeatRequest{Instance: c.options.Instance, Incarnation: incarnation}, &lilacv1.HeartbeatReply{})
+	_ = c.callLeader(ctx, "state.heartbeat", &lilacv1.HeartbeatRequest{Instance: c.options.Instance, Incarnation: incarnation}, &lilacv1.HeartbeatReply{})
 }
 
-// Audit returns revisions of the audit trail, newest first, from the leader if
-// it answers, else from the nearest state process that does.
+// Audit returns revisions of the audit trail, newest first, from the leader if it answers,
+// and otherwise from the nearest state process that does.
 func (c *Client) Audit(ctx context.Context, r *lilacv1.AuditRequest) (*lilacv1.AuditReply, error) {
 	s := &search{}
-	for _, address := range c.order() {
+	for _, address := range c.addressesByPriority() {
 		reply := &lilacv1.AuditReply{}
 		err := c.attempt(ctx, address, "state.audit", r, reply)
 		if err == nil {
 			return reply, nil
 		}
-		s.note(err)
+		s.recordError(err)
 	}
-	return nil, s.failure()
+	return nil, s.finalError()
 }
 
-// ProcessStatus is one state process's answer, or the error in its place.
+// ProcessStatus is the status of one state process, or the error of the call to it.
 type ProcessStatus struct {
 	Peer   string
 	Status *lilacv1.StateStatus
@@ -225,16 +228,16 @@
 	return answers
 }
 
-// Watch opens the stream of revisions on the nearest state process that answers.
-// An entry uses spreadlink.Watcher instead, which keeps order and place.
+// Watch opens a stream of revisions on the first state process that answers, in the same
+// order as Audit. An entry uses spreadlink.Watcher instead, which resumes after failures.
 func (c *Client) Watch(ctx context.Context, r *lilacv1.WatchRequest) (link.Stream, error) {
 	s := &search{}
-	for _, address := range c.order() {
+	for _, address := range c.addressesByPriority() {
 		stream, err := c.options.Dial(address).Open(ctx, "state.watch", r)
 		if err == nil {
 			return stream, nil
 		}
-		s.note(err)
+		s.recordError(err)
 	}
-	return nil, s.failure()
+	return nil, s.finalError()
 }
--- a/connection/stateclient/client.go
+++ b/connection/stateclient/client.go
@@ -1,8 +1,8 @@
-// Package stateclient calls the state processes for an entry instance: it finds
-// the leader, resends what is safe to resend and gives typed errors.
+// Package stateclient calls the state processes on behalf of an entry instance. It finds
+// the leader, resends calls that are safe to repeat, and returns typed errors.
 //
-// Core decides whom a call tries next and when it is given up, without clock or
-// goroutine; Client is the shell that makes the calls.
+// Core decides which process a call tries next and when the call fails; it uses neither a
+// clock nor goroutines. Client makes the calls that Core requests.
 package stateclient
 
 import (
@@ -22,78 +22,78 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// Options say who calls and where the state processes are.
+// Options configure a Client.
 type Options struct {
-	// Instance and DataCenter of the caller.
+	// Instance and DataCenter identify the calling instance.
 	Instance   string
 	DataCenter string
 	// Peers lists all state processes.
 	Peers []settings.Peer
 	// Dial returns the caller for an address; the same one each time.
 	Dial func(address string) link.Caller
-	// Recoveries tells how many recoveries of the state processes the instance
-	// knows of; a group that knows fewer refuses its calls. May be nil.
+	// Recoveries returns the number of recoveries of the state processes known to this
+	// instance; a group that knows of fewer refuses its calls. May be nil.
 	Recoveries func() uint32
 }
 
-// Client calls the state processes. All its methods may be called at once from
-// many goroutines.
+// Client calls the state processes. It is safe for concurrent use.
 type Client struct {
 	options Options
 
 	mu   sync.Mutex
 	core *Core
-	// serial numbers the calls.
-	serial uint64
-	// incarnation is fresh at each start, and whenever the ledger takes the
-	// last one for dead.
+	// lastCall is the number of the latest call.
+	lastCall uint64
+	// incarnation is renewed at each start, and whenever the ledger has declared the
+	// previous one dead. generation counts the renewals since the start.
 	incarnation string
 	generation  int
 	claimed     bool
 	releases    chan *lilacv1.OutcomeRequest
-	// groups are the last answers to Members, by the address that gave them.
-	groups map[string]*lilacv1.StateMembers
+	// memberReplies holds the last reply to state.members by address.
+	memberReplies map[string]*lilacv1.StateMembers
 }
 
-// New returns a Client; it dials nothing yet.
+// New returns a Client; connections are opened by the first calls.
 func New(options Options) *Client {
 	if options.Recoveries == nil {
 		options.Recoveries = func() uint32 { return 0 }
 	}
 	return &Client{
-		options:     options,
-		core:        NewCore(options.DataCenter, options.Peers),
-		incarnation: options.Instance + "/" + rand.Text(),
-		releases:    make(chan *lilacv1.OutcomeRequest, maxReleases),
-		groups:      make(map[string]*lilacv1.StateMembers),
+		options:       options,
+		core:          NewCore(options.DataCenter, options.Peers),
+		incarnation:   options.Instance + "/" + rand.Text(),
+		releases:      make(chan *lilacv1.OutcomeRequest, maxReleases),
+		memberReplies: make(map[string]*lilacv1.StateMembers),
 	}
 }
 
-// Incarnation returns the name of this start of the instance towards the ledger.
+// Incarnation returns the current incarnation of the instance in the ledger.
 func (c *Client) Incarnation() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.incarnation
 }
 
-// SetPeers replaces the state processes that calls may go to.
+// SetPeers replaces the list of state processes.
 func (c *Client) SetPeers(peers []settings.Peer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core.peers = peers
-	maps.DeleteFunc(c.groups, func(address string, _ *lilacv1.StateMembers) bool {
+	maps.DeleteFunc(c.memberReplies, func(address string, _ *lilacv1.StateMembers) bool {
 		return !slices.ContainsFunc(peers, func(p settings.Peer) bool { return p.Address.Value == address })
 	})
 }
 
-// Members asks all state processes for those of their group and for the entries
-// that asked them, and tells them of this one. It fails where none answers.
+// Members asks all state processes for the members of their group and for the entries known
+// to them, and registers self as an entry. It returns an error if no process names its
+// group.
 func (c *Client) Members(ctx context.Context, self settings.Peer) (members, entries []settings.Peer, err error) {
 	entry := &lilacv1.StateMember{Name: self.Name, Address: self.Address.Value, DataCenter: self.DataCenter}
 	var errs []error
 	known := make(map[string]bool)
-	for _, address := range c.order() {
-		reply, err := c.group(ctx, address, entry)
+	for _, address := range c.addressesByPriority() {
+		reply, err := c.fetchMembers(ctx, address, entry)
 		if err != nil {
 			errs = append(errs, err)
 			continue
@@ -114,11 +114,12 @@
 	return members, entries, nil
 }
 
-// group is what one state process says of its group. The lists of a large fleet have
-// many kilobytes, so they are sent only where they differ from the last ones.
-func (c *Client) group(ctx context.Context, address string, entry *lilacv1.StateMember) (*lilacv1.StateMembers, error) {
+// fetchMembers returns the members and entries known to one state process. The lists of a
+// large fleet take many kilobytes, so a process sends them only if they differ from the
+// previous reply.
+func (c *Client) fetchMembers(ctx context.Context, address string, entry *lilacv1.StateMember) (*lilacv1.StateMembers, error) {
 	c.mu.Lock()
-	held := c.groups[address]
+	held := c.memberReplies[address]
 	c.mu.Unlock()
 	reply := &lilacv1.StateMembers{}
 	request := &lilacv1.StateMembersRequest{Entry: entry, Have: held.GetVersion()}
@@ -130,22 +131,20 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Processes that give the same answer share it.
-	for _, other := range c.groups {
+	// Equal replies of several processes are stored once.
+	for _, other := range c.memberReplies {
 		if reply.GetVersion() != 0 && other.GetVersion() == reply.GetVersion() {
 			reply = other
 			break
 		}
 	}
-	c.groups[address] = reply
+	c.memberReplies[address] = reply
 	return reply, nil
 }
 
-// errNoGroup is the error where all that answered belong to no group yet.
-//
-// It guards against an entry that takes an empty answer for the group's members
-// while the state processes are still founding it: it would know nobody to ask any
-// more, and never get a configuration.
+// errNoGroup is returned if no process that answered belongs to a group yet. Without it an
+// entry would accept the empty list while the state processes are still forming their group,
+// have no process left to ask, and never receive a configuration.
 var errNoGroup = fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "no state process that answered belongs to a group yet; see their logs")
 
 func peersOf(members []*lilacv1.StateMember) []settings.Peer {
@@ -156,10 +155,10 @@
 	return peers
 }
 
-func (c *Client) order() []string {
+func (c *Client) addressesByPriority() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.core.order()
+	return c.core.addressesByPriority()
 }
 
 func (c *Client) step(event Event) Action {
@@ -171,14 +170,14 @@
 func (c *Client) begin(ctx context.Context) (uint64, Action) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serial++
-	end, _ := ctx.Deadline()
-	return c.serial, c.core.Step(time.Now(), CallStarted{Call: c.serial, Deadline: end})
+	c.lastCall++
+	deadline, _ := ctx.Deadline()
+	return c.lastCall, c.core.Step(time.Now(), CallStarted{Call: c.lastCall, Deadline: deadline})
 }
 
-// onLeader makes the call on the leader, wherever it is. The call must be safe
-// to send twice. Its errors say whether the command may have taken effect.
-func (c *Client) onLeader(ctx context.Context, method string, req, resp proto.Message) error {
+// callLeader finds the leader and makes the call on it. The call must be safe to repeat.
+// fault.NotRunOf of its errors states whether the command may have taken effect.
+func (c *Client) callLeader(ctx context.Context, method string, req, resp proto.Message) error {
 	call, action := c.begin(ctx)
 	for {
 		switch a := action.(type) {
@@ -194,8 +193,8 @@
 	}
 }
 
-// FromAnyReplica tells whether any state process may have given the answer: that a
-// claimed key has ended.
+// FromAnyReplica reports whether a process without a quorum may have given the answer. That
+// holds for a claim on a key whose request has already ended.
 func FromAnyReplica(answer proto.Message) bool {
 	claim, ok := answer.(*lilacv1.ClaimReply)
 	if !ok {
@@ -204,34 +203,34 @@
 	return claim.GetState() == lilacv1.ClaimState_CLAIM_STATE_RAN || claim.GetState() == lilacv1.ClaimState_CLAIM_STATE_UNKNOWN
 }
 
-// attempt makes the call on one state process, unless it is passed over.
+// attempt makes the call on one state process, unless that process is skipped.
 func (c *Client) attempt(ctx context.Context, address, method string, req, resp proto.Message) error {
-	try, admitted := c.admit(address)
-	if !admitted {
-		return errPassedOver
+	a, allowed := c.allow(address)
+	if !allowed {
+		return errSkipped
 	}
-	err := c.send(ctx, try, method, req, resp)
+	err := c.send(ctx, a, method, req, resp)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.core.health.settle(time.Now(), address, err, ctx.Err() != nil)
+	c.core.health.recordResult(time.Now(), address, err, ctx.Err() != nil)
 	return err
 }
 
-func (c *Client) admit(address string) (Attempt, bool) {
+func (c *Client) allow(address string) (Attempt, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Attempt{Address: address, Timeout: c.core.timeout(address)}, c.core.health.admit(time.Now(), address)
+	return Attempt{Address: address, Timeout: c.core.timeout(address)}, c.core.health.allow(time.Now(), address)
 }
 
-func (c *Client) send(ctx context.Context, try Attempt, method string, req, resp proto.Message) error {
-	tried, cancel := context.WithTimeout(ctx, try.Timeout)
+func (c *Client) send(ctx context.Context, a Attempt, method string, req, resp proto.Message) error {
+	attemptCtx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
-	return callInTime(tried, c.options.Dial(try.Address), method, req, resp)
+	return callWithContext(attemptCtx, c.options.Dial(a.Address), method, req, resp)
 }
 
-// callInTime is Call, but returns when ctx ends even while the caller still
-// dials, which it may do longer.
-func callInTime(ctx context.Context, caller link.Caller, method string, req, resp proto.Message) error {
+// callWithContext is caller.Call, but returns as soon as ctx ends, even if the caller is
+// still dialling.
+func callWithContext(ctx context.Context, caller link.Caller, method string, req, resp proto.Message) error {
 	sent := proto.Clone(req)
 	got := resp.ProtoReflect().New().Interface()
 	done := make(chan error, 1)
--- a/connection/stateclient/core.go
+++ b/connection/stateclient/core.go
@@ -13,108 +13,108 @@
 )
 
 const (
-	// attemptTimeout bounds one call to one state process; a frozen leader must
-	// not hold up the search for the next.
+	// attemptTimeout bounds one call to the presumed leader; a frozen leader must not block
+	// the search for the next.
 	attemptTimeout = time.Second
-	// probeTimeout bounds a call to a process that is not known to lead. One that
-	// does not answers at once; one that does is found again by its next answer.
+	// probeTimeout bounds a call to a process that is not the presumed leader. Followers
+	// answer immediately; a leader that was too slow is found by a later attempt.
 	probeTimeout = 400 * time.Millisecond
-	// searchTime is how long a call looks for a leader. It covers an election.
-	searchTime = 3 * time.Second
-	// roundTime bounds the last round: a leader that gives no answer, and two
-	// others.
-	roundTime = attemptTimeout + 2*probeTimeout
-	// roundPause lies between two rounds over all state processes.
-	roundPause = 100 * time.Millisecond
-	// reserve is the time left to a call below which no further round is tried:
-	// a call that ends in the middle of one can't say that nothing was changed.
-	reserve = 100 * time.Millisecond
-	// lostMemory is how long a failed search is remembered: calls within it try
-	// one round only, so that a cut-off data centre refuses at once.
-	lostMemory = 2 * time.Second
-	// retryAfter is what callers are told while there is no leader.
+	// searchTimeout is how long a call searches for a leader. It covers an election.
+	searchTimeout = 3 * time.Second
+	// roundTimeout bounds the last round: a leader that does not answer, and two other
+	// processes.
+	roundTimeout = attemptTimeout + 2*probeTimeout
+	// roundDelay is the pause between two rounds over all state processes.
+	roundDelay = 100 * time.Millisecond
+	// minTimeLeft is the time that must remain to a call for another round: a call that
+	// ends within a round can't report that nothing was changed.
+	minTimeLeft = 100 * time.Millisecond
+	// noLeaderPeriod is how long after a failed search calls try a single round, so that a
+	// disconnected data centre fails calls quickly.
+	noLeaderPeriod = 2 * time.Second
+	// retryAfter is the retry delay given to callers while there is no leader.
 	retryAfter = 2 * time.Second
 )
 
-// Event is something that happened to a call; see the types below.
+// Event is an input of Core.Step; the event types below implement it.
 type Event interface{ call() uint64 }
 
-// CallStarted begins a call under a number that no open call has. The call is not
-// tried again when End is near; zero means that it has no end of its own.
+// CallStarted starts a call with a number that no other open call uses. No further round is
+// tried shortly before Deadline; zero means no deadline.
 type CallStarted struct {
 	Call     uint64
 	Deadline time.Time
 }
 
-// AttemptDone tells how a Attempt ended.
+// AttemptDone reports the result of an Attempt.
 type AttemptDone struct {
 	Call uint64
 	Err  error
-	// ContextDone is true if the caller's own time has ended.
+	// ContextDone is true if the caller's context has ended.
 	ContextDone bool
-	// FromAnyReplica is true for an answer that processes without a quorum give as well.
+	// FromAnyReplica is true for an answer that a process without a quorum may also give.
 	FromAnyReplica bool
 }
 
-// PauseDone tells that a Pause has passed.
+// PauseDone reports that a Pause has elapsed.
 type PauseDone struct{ Call uint64 }
 
 func (e CallStarted) call() uint64 { return e.Call }
 func (e AttemptDone) call() uint64 { return e.Call }
 func (e PauseDone) call() uint64   { return e.Call }
 
-// Action is what the shell does next for the call: a Attempt, a Pause or the End.
+// Action is the next step of a call: an Attempt, a Pause or CallDone.
 type Action interface{ action() }
 
-// Attempt sends the call to a state process and waits up to Timeout.
+// Attempt sends the call to the state process at Address and waits up to Timeout.
 type Attempt struct {
 	Address string
 	Timeout time.Duration
 }
 
-// Pause waits.
+// Pause waits before the next round.
 type Pause struct{ For time.Duration }
 
-// CallDone gives the call's outcome; without Err the last Attempt was answered.
+// CallDone ends the call. If Err is nil, the last Attempt was answered.
 type CallDone struct{ Err error }
 
 func (Attempt) action()  {}
 func (Pause) action()    {}
 func (CallDone) action() {}
 
-// Core finds the leader for the calls of one instance. Steps must not overlap.
+// Core finds the leader for the calls of one instance. It is not safe for concurrent use.
 type Core struct {
 	dataCenter string
 	peers      []settings.Peer
 	health     health
 	leader     string
-	// lost is when the last search for a leader failed; zero after a success.
-	lost  time.Time
-	calls map[uint64]*search
+	// lostAt is the time at which the last search failed; zero if it succeeded.
+	lostAt time.Time
+	calls  map[uint64]*search
 }
 
-// NewCore returns a core for an instance in the data centre.
+// NewCore returns a Core that prefers peers in dataCenter.
 func NewCore(dataCenter string, peers []settings.Peer) *Core {
 	return &Core{dataCenter: dataCenter, peers: peers, health: newHealth(), calls: map[uint64]*search{}}
 }
 
-// search is one call's way to the leader.
+// search is the state of one call.
 type search struct {
-	// until is when the search for a leader ends, over when its last round does,
-	// end when the call's time does.
-	until, over, end time.Time
-	oneRound         bool
-	queue            []string
-	tried            map[string]bool
-	// address is the process that is being tried.
+	// searchDeadline is the time after which no further round starts, roundDeadline the
+	// end of the last round, and callDeadline the deadline of the call.
+	searchDeadline, roundDeadline, callDeadline time.Time
+	oneRound                                    bool
+	queue                                       []string
+	tried                                       map[string]bool
+	// address is the target of the current attempt.
 	address string
-	// maySent is true once any process may have received the call without
-	// refusing it: the command may take effect.
-	maySent bool
-	last    error
+	// maybeSent is true once a process may have received the call without refusing it, so
+	// that the command may take effect.
+	maybeSent bool
+	lastErr   error
 }
 
-// Step takes an event of one call and returns that call's next action.
+// Step handles an event of a call and returns the next action of that call.
 func (c *Core) Step(now time.Time, event Event) Action {
 	var action Action
 	switch e := event.(type) {
@@ -123,79 +123,77 @@
 		c.calls[e.Call] = s
 		action = c.beginRound(now, s)
 	case AttemptDone:
-		action = c.ended(now, c.calls[e.Call], e)
+		action = c.attemptDone(now, c.calls[e.Call], e)
 	case PauseDone:
 		action = c.beginRound(now, c.calls[e.Call])
 	}
-	if _, over := action.(CallDone); over {
+	if _, done := action.(CallDone); done {
 		delete(c.calls, event.call())
 	}
 	return action
 }
 
-// newSearch begins a search, which also gives its last round an end.
+// newSearch starts a search and sets its deadlines.
 //
-// It guards against a last round in which other calls hear of one leader after
-// the other: each would be given the time of a leader. It shows as a claim that
-// hangs for 6 s and more. It holds because no try outlasts over.
-func (c *Core) newSearch(now, end time.Time) *search {
-	s := &search{until: now.Add(searchTime), end: end, oneRound: c.recentlyLost(now)}
-	s.over = s.until.Add(roundPause + roundTime)
+// roundDeadline bounds every attempt. Without it, a last round during which other calls
+// learn of one leader after another would grant each of them the leader's timeout, and a
+// claim could take 6 s and more.
+func (c *Core) newSearch(now, callDeadline time.Time) *search {
+	s := &search{searchDeadline: now.Add(searchTimeout), callDeadline: callDeadline, oneRound: c.recentlyLost(now)}
+	s.roundDeadline = s.searchDeadline.Add(roundDelay + roundTimeout)
 	if s.oneRound {
-		s.over = now.Add(roundTime)
+		s.roundDeadline = now.Add(roundTimeout)
 	}
 	return s
 }
 
-// beginRound tries each process once, and the leader that one of them names.
+// beginRound starts a round that tries each process once, and each leader that they name.
 func (c *Core) beginRound(now time.Time, s *search) Action {
-	s.queue, s.tried = c.order(), make(map[string]bool)
+	s.queue, s.tried = c.addressesByPriority(), make(map[string]bool)
 	return c.next(now, s)
 }
 
-// next tries the first process of the queue that was not tried in this round
-// and is not passed over.
+// next tries the first process in the queue that was not tried in this round and is not
+// skipped because of its health.
 func (c *Core) next(now time.Time, s *search) Action {
-	for len(s.queue) > 0 && now.Before(s.over) {
+	for len(s.queue) > 0 && now.Before(s.roundDeadline) {
 		address := s.queue[0]
 		s.queue = s.queue[1:]
 		if s.tried[address] {
 			continue
 		}
 		s.tried[address] = true
-		if !c.health.admit(now, address) {
-			s.note(errPassedOver)
+		if !c.health.allow(now, address) {
+			s.recordError(errSkipped)
 			continue
 		}
 		s.address = address
-		return Attempt{Address: address, Timeout: min(c.timeout(address), s.over.Sub(now))}
+		return Attempt{Address: address, Timeout: min(c.timeout(address), s.roundDeadline.Sub(now))}
 	}
 	return c.endRound(now, s)
 }
 
-// endRound gives a search up that took its time, and remembers it.
-//
-// It guards against a cut-off data centre in which every claim and statement
-// hangs for the whole search before it is refused. It holds because the calls
-// that begin shortly after a failed search try one round only.
+// endRound schedules another round, or fails the call if its time is used up. It records
+// the failure, so that calls started shortly after try one round only: in a disconnected
+// data centre every claim and statement would otherwise take the full search time.
 func (c *Core) endRound(now time.Time, s *search) Action {
-	if !s.oneRound && !now.After(s.until) && !s.nearlyOver(now) {
-		return Pause{For: roundPause}
+	if !s.oneRound && !now.After(s.searchDeadline) && !s.deadlineNear(now) {
+		return Pause{For: roundDelay}
 	}
-	c.lost = now
-	return CallDone{Err: s.failure()}
+	c.lostAt = now
+	return CallDone{Err: s.finalError()}
 }
 
-func (c *Core) ended(now time.Time, s *search, e AttemptDone) Action {
-	c.health.settle(now, s.address, e.Err, e.ContextDone)
+func (c *Core) attemptDone(now time.Time, s *search, e AttemptDone) Action {
+	c.health.recordResult(now, s.address, e.Err, e.ContextDone)
 	if e.Err == nil {
-		c.found(s.address, e)
+		c.leaderFound(s.address, e)
 		return CallDone{}
 	}
-	if final(e.Err) {
+	if isFinal(e.Err) {
 		return CallDone{Err: e.Err}
 	}
-	s.note(e.Err)
+	s.recordError(e.Err)
 	if hint := fault.LeaderOf(e.Err); hint != "" {
 		c.leader = hint
 		s.queue = append([]string{hint}, s.queue...)
@@ -206,25 +204,22 @@
 	return c.next(now, s)
 }
 
-// found notes who leads.
-//
-// It guards against a cut-off data centre in which a key that has ended is
-// answered from its own state, and the next claims hang for a whole search again,
-// at a process taken for the leader. It holds because only an answer that needs a
-// quorum ends the memory of the failed search.
-func (c *Core) found(address string, e AttemptDone) {
+// leaderFound records the leader after a successful attempt, unless the answer did not
+// require a quorum. A disconnected process answers claims on ended keys from its own state.
+// If it were taken for the leader, the following claims would take the full search time.
+func (c *Core) leaderFound(address string, e AttemptDone) {
 	if !e.FromAnyReplica {
-		c.leader, c.lost = address, time.Time{}
+		c.leader, c.lostAt = address, time.Time{}
 	}
 }
 
 func (c *Core) recentlyLost(now time.Time) bool {
-	return !c.lost.IsZero() && now.Sub(c.lost) < lostMemory
+	return !c.lostAt.IsZero() && now.Sub(c.lostAt) < noLeaderPeriod
 }
 
-// order returns the presumed leader, then the state processes of the own data
+// addressesByPriority returns the presumed leader, then the state processes of the same data
 // centre, then the others.
-func (c *Core) order() []string {
+func (c *Core) addressesByPriority() []string {
 	peers := slices.Clone(c.peers)
 	weight := func(p settings.Peer) int {
 		switch {
@@ -250,17 +245,18 @@
 	return probeTimeout
 }
 
-// nearlyOver tells whether the call's time ends before another round could.
-func (s *search) nearlyOver(now time.Time) bool {
-	return !s.end.IsZero() && s.end.Sub(now) < roundPause+reserve
+// deadlineNear reports whether too little time remains for another round.
+func (s *search) deadlineNear(now time.Time) bool {
+	return !s.callDeadline.IsZero() && s.callDeadline.Sub(now) < roundDelay+minTimeLeft
 }
 
-// errPassedOver stands for a call that was not made.
-var errPassedOver = fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE,
-	"gave no answer just now and is passed over for a moment", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
+// errSkipped is the error of a call that was not sent because its target is skipped.
+var errSkipped = fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE,
+	"state process did not answer recently and is skipped temporarily", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 
-// final tells errors that the state machine itself gave from those of the way to it.
-func final(err error) bool {
+// isFinal reports whether err was returned by the state machine rather than caused by the
+// search for the leader or the transport, so that the call must not be retried.
+func isFinal(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM,
 		lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT,
@@ -271,21 +267,21 @@
 	return true
 }
 
-func (s *search) note(err error) {
-	s.last = err
+func (s *search) recordError(err error) {
+	s.lastErr = err
 	refused := errors.Is(err, link.ErrNotSent) || fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_TRUE
-	s.maySent = s.maySent || !refused
+	s.maybeSent = s.maybeSent || !refused
 }
 
-func (s *search) failure() error {
+func (s *search) finalError() error {
 	notRun := lilacv1.NotRun_NOT_RUN_TRUE
-	text := "no state process leads with a quorum within reach, nothing was changed; try again, or see the state processes' status"
-	if s.maySent {
+	text := "no leader with a quorum is reachable, nothing was changed; try again, or check the status of the state processes"
+	if s.maybeSent {
 		notRun = lilacv1.NotRun_NOT_RUN_UNKNOWN
-		text = "no answer from the state processes, the command may still take effect; send it again under the same id"
+		text = "no answer from the state processes, the command may still take effect; send it again with the same id"
 	}
-	if s.last != nil {
-		text = fmt.Sprintf("%s (last: %v)", text, s.last)
+	if s.lastErr != nil {
+		text = fmt.Sprintf("%s (last error: %v)", text, s.lastErr)
 	}
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, text, fault.WithNotRun(notRun), fault.WithRetryAfter(retryAfter))
 }
--- a/connection/stateclient/core_test.go
+++ b/connection/stateclient/core_test.go
@@ -13,10 +13,10 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// A claim waits for 6 s at an entry that is cut off: no state process answers
-// its tries, while other calls, on their way before the cut, still bring word of
-// one leader after the other, and each of these is waited for as a leader.
-func TestACallEndsInTimeWhateverOthersHear(t *testing.T) {
+// A claim at a disconnected entry took 6 s: no state process answered its attempts, while
+// answers to calls that were sent before the disconnection named one leader after another,
+// and the claim waited for each of them with the leader's timeout.
+func TestCallEndsInTimeDespiteOtherCalls(t *testing.T) {
 	var peers []settings.Peer
 	for i := range 5 {
 		peers = append(peers, settings.Peer{Name: fmt.Sprint(i), Address: settings.Address{Value: fmt.Sprint(i)}})
--- a/connection/stateclient/members_test.go
+++ b/connection/stateclient/members_test.go
@@ -11,10 +11,10 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// An entry starts in the same moment as the state processes. They answer, but have
-// founded no group yet. The entry must keep to its seeds and ask again; it took the
-// empty list for the group and knew nobody any more.
-func TestProcessesWithoutAGroupNameNobody(t *testing.T) {
+// An entry starts at the same time as the state processes, which answer before they have
+// formed a group. The entry took the empty list for the group and had no process left to
+// ask; it must keep its seeds and ask again.
+func TestMembersFailsWithoutGroup(t *testing.T) {
 	is := is.New(t)
 	var members []*lilacv1.StateMember
 	mux := link.NewMux()
@@ -31,10 +31,10 @@
 	is.Equal(len(peers), 1)
 }
 
-// Each of 194 entries had six state processes send it the whole list of entries each two
-// seconds, 11 KB at a time: three quarters of all bytes between regions. An answer that
-// stands is told by its version alone, and a changed one is taken.
-func TestAGroupThatStandsIsNotSentAgain(t *testing.T) {
+// With 194 entries, each received the full list of entries, 11 KB, from six state processes
+// every two seconds: three quarters of all bytes between regions. An unchanged list must be
+// answered by its version alone, and a changed one must replace it.
+func TestUnchangedMembersAreNotResent(t *testing.T) {
 	is := is.New(t)
 	full := &lilacv1.StateMembers{Version: 7, Members: []*lilacv1.StateMember{{Name: "s1", Address: "s1"}}, Entries: []*lilacv1.StateMember{{Name: "e2", Address: "e2"}}}
 	sent := 0
@@ -59,16 +59,16 @@
 		is.Equal(len(members), 1)
 		is.Equal(len(entries), 1)
 	}
-	is.Equal(sent, 2) // once from each
+	is.Equal(sent, 2) // once by each process
 	full = &lilacv1.StateMembers{Version: 8, Members: full.Members, Entries: append(full.Entries, &lilacv1.StateMember{Name: "e3", Address: "e3"})}
 	_, entries := ask()
 	is.Equal(len(entries), 2)
 	c.SetPeers(peers[:1])
-	is.Equal(len(c.groups), 1) // who left the group is forgotten
+	is.Equal(len(c.memberReplies), 1) // replies of removed peers are dropped
 }
 
-// State processes of an earlier build give no version: what they say is taken each time.
-func TestAnswersWithoutAVersionAreTakenEachTime(t *testing.T) {
+// Replies of older state processes have no version and must be used every time.
+func TestMembersWithoutVersionAreNotCached(t *testing.T) {
 	is := is.New(t)
 	reply := &lilacv1.StateMembers{Members: []*lilacv1.StateMember{{Name: "s1", Address: "s1"}}}
 	mux := link.NewMux()
