--- a/connection/orders/bench_test.go
+++ b/connection/orders/bench_test.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// benchSeconds of a holder's life, after as many in which the readings that
-	// were saved up are made.
+	// benchSeconds is the simulated time that is measured, after a warm-up of the same
+	// length in which the initial allowance of reads is used up.
 	benchSeconds = 60
-	// What an engine has: a model and some adapters.
-	benchAnswer = `{"models":["asistente-lm"],"adapters":["es","fr","pt","wo","cy"],"fencing":12}`
+	// benchReply is the reply of an engine that has a model and some adapters loaded.
+	benchReply = `{"models":["asistente-lm"],"adapters":["es","fr","pt","wo","cy"],"fencing":12}`
 )
 
-// benchEngines answers readings at every address of the loopback network, without
-// the echo of request ids: each gets a connection of its own, as all do that are
-// read less often than connections are kept. It returns the port.
+// benchEngines serves reads at every address of the loopback network and returns the port.
+// It does not echo request ids, so that each read takes a new connection, as it does for
+// engines that are read less often than idle connections are kept.
 func benchEngines(b *testing.B) int {
 	listener, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -32,23 +32,23 @@
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		io.WriteString(w, benchAnswer)
+		io.WriteString(w, benchReply)
 	})}
 	go server.Serve(listener)
 	b.Cleanup(func() { server.Close() })
 	return listener.Addr().(*net.TCPAddr).Port
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// holder carries a core's readings out, in a time that is only counted.
+// holder performs the reads of a core in simulated time.
 type holder struct {
 	core    *orders.Core
-	engines engines
+	engines engineClient
 	now     time.Time
 }
 
@@ -65,16 +65,15 @@
 }
 
 func (h *holder) run(b *testing.B, seconds int) {
-	for range seconds * int(time.Second/tick) {
-		h.now = h.now.Add(tick)
+	for range seconds * int(time.Second/tickInterval) {
+		h.now = h.now.Add(tickInterval)
 		h.step(b, orders.LeaseHeld{Fencing: 1})
 	}
 }
 
-// BenchmarkReadings gives what the lease holder's readings of engines cost a
-// second: bytes of the connections for control, the headers of their packets and
-// processor time of both sides, by engines. From
-// 500 on there are more than the readings of a minute.
+// BenchmarkReadings reports what the lease holder's reads of engines cost per second, by
+// number of engines: bytes of the control connections, packet headers, and CPU time of both
+// sides. From 500 engines on, there are more engines than reads in a minute.
 func BenchmarkReadings(b *testing.B) {
 	port := benchEngines(b)
 	for _, count := range []int{500, 1000, 2000, 5900} {
@@ -87,16 +86,16 @@
 				list = append(list, orders.Engine{Name: fmt.Sprint("r", i), Address: address, ChecksFencing: true,
 					Desired: map[orders.Model]bool{{Name: "asistente-lm"}: true}})
 			}
-			h := &holder{core: orders.NewCore(defaultLoads, orders.OrderTimeout), now: time.Unix(1, 0),
-				engines: newEngines(client, func(uint64) bool { return true }, time.Second)}
+			h := &holder{core: orders.NewCore(defaultLoadsPerMinute, orders.OrderTimeout), now: time.Unix(1, 0),
+				engines: newEngineClient(client, func(uint64) bool { return true }, time.Second)}
 			h.step(b, orders.Configured{Engines: list})
 			h.run(b, benchSeconds)
-			bytes, headers, spent := controlBytes(client), controlHeaders(client), processorTime()
+			bytes, headers, cpu := controlBytes(client), controlHeaders(client), cpuTime()
 			h.run(b, benchSeconds)
 			bytes, headers = controlBytes(client)-bytes, controlHeaders(client)-headers
 			b.ReportMetric(float64(bytes)/benchSeconds, "read-B/s")
 			b.ReportMetric(float64(bytes+headers)/benchSeconds, "wire-B/s")
-			b.ReportMetric(100*(processorTime()-spent).Seconds()/benchSeconds, "core-%")
+			b.ReportMetric(100*(cpuTime()-cpu).Seconds()/benchSeconds, "core-%")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/connection/orders/candidates_test.go
+++ b/connection/orders/candidates_test.go
@@ -16,23 +16,23 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-const testCentres = 3
+const testDataCenters = 3
 
-// leader is a fake of the state processes that counts requests.
+// leader is a fake of the state processes that counts lease requests.
 type leader struct {
 	mu      sync.Mutex
 	table   *lease.Table
 	renewed time.Time
 	calls   int
-	// cut entries get no answer.
-	cut map[string]bool
+	// unreachable entries receive no answer.
+	unreachable map[string]bool
 }
 
 func (l *leader) lease(ctx context.Context, name string, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
-	if l.cut[name] {
+	if l.unreachable[name] {
 		return nil, context.DeadlineExceeded
 	}
 	r.Holder, r.Incarnation = name, name
@@ -52,20 +52,20 @@
 	return l.table.Get(LeaseName).GetHolder()
 }
 
-// entries runs n controllers in three data centres.
-type entries struct {
+// fleet is a set of controllers spread over three data centres.
+type fleet struct {
 	*leader
 	controllers map[string]*Controller
-	names       [testCentres][]string
+	names       [testDataCenters][]string
 	stop        map[string]context.CancelFunc
 	work        sync.WaitGroup
 }
 
-func runEntries(ctx context.Context, n int, ranked bool) *entries {
-	x := &entries{leader: &leader{table: lease.NewTable(), cut: make(map[string]bool)}, controllers: make(map[string]*Controller), stop: make(map[string]context.CancelFunc)}
+func startFleet(ctx context.Context, n int, ranked bool) *fleet {
+	x := &fleet{leader: &leader{table: lease.NewTable(), unreachable: make(map[string]bool)}, controllers: make(map[string]*Controller), stop: make(map[string]context.CancelFunc)}
 	for i := range n {
 		name := fmt.Sprint("entry-", i)
-		x.names[i%testCentres] = append(x.names[i%testCentres], name)
+		x.names[i%testDataCenters] = append(x.names[i%testDataCenters], name)
 		x.controllers[name] = New(Options{
 			View: func() *model.View { return nil },
 			RequestLease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
@@ -76,16 +76,16 @@
 	if ranked {
 		x.rank()
 	}
-	for name, g := range x.controllers {
+	for name, controller := range x.controllers {
 		entry, stop := context.WithCancel(ctx)
 		x.stop[name] = stop
-		x.work.Go(func() { g.keepLease(entry) })
+		x.work.Go(func() { controller.keepLease(entry) })
 	}
 	return x
 }
 
-// rank tells all who lives, as the membership does.
-func (x *entries) rank() {
+// rank sets the position of each controller, as the membership does.
+func (x *fleet) rank() {
 	for _, names := range x.names {
 		for _, name := range names {
 			x.controllers[name].SetPosition(member.Position(name, names))
@@ -93,14 +93,15 @@
 	}
 }
 
-// The leader of a fleet of 1,100 entries answered all of them in vain. Only a
-// few may ask often; the calls must grow much less than the fleet.
-func TestFewAskForTheLease(t *testing.T) {
+// The leader of a fleet of 1,100 entries had to refuse the lease requests of all of them.
+// Only a few entries may request the lease often, so that the request rate grows much more
+// slowly than the fleet.
+func TestLeaseRequestRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	rate := func(n int, ranked bool) (perSecond float64) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			x := runEntries(ctx, n, ranked)
+			x := startFleet(ctx, n, ranked)
 			time.Sleep(time.Minute)
 			x.mu.Lock()
 			before := x.calls
@@ -112,35 +113,36 @@
 			stop()
 			x.work.Wait()
 		})
-		t.Logf("%d entries, ranked %v: %.1f calls a second", n, ranked, perSecond)
+		t.Logf("%d entries, ranked %v: %.1f calls per second", n, ranked, perSecond)
 		return perSecond
 	}
 	is.True(rate(7, true) <= rate(7, false)+0.2)
 	is.True(rate(1100, true) < rate(1100, false)/15)
 }
 
-// The holder and the best-ranked of each data centre die, and the membership
-// tells the others, whose turns lie minutes away. Or they are taken for alive
-// and can't reach the leader. Another must take the lease over either way.
+// The holder and the best-ranked entries of each data centre fail. Either the membership
+// reports that to the others, whose next requests are minutes away, or the failed entries
+// are still considered alive but can't reach the leader. In both cases another entry must
+// take over the lease.
 func TestDeadCandidatesAreReplaced(t *testing.T) {
 	for _, seen := range []bool{true, false} {
 		t.Run(fmt.Sprint("seen ", seen), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ctx, stop := context.WithCancel(t.Context())
-				x := runEntries(ctx, 300, true)
+				x := startFleet(ctx, 300, true)
 				time.Sleep(time.Minute)
 				dead := make(map[string]bool)
 				x.mu.Lock()
 				for _, names := range x.names {
 					for _, name := range names {
 						if member.Position(name, names) < 3 {
-							x.cut[name], dead[name] = true, true
+							x.unreachable[name], dead[name] = true, true
 						}
 					}
 				}
 				dead[x.table.Get(LeaseName).GetHolder()] = true
-				x.cut[x.table.Get(LeaseName).GetHolder()] = true
+				x.unreachable[x.table.Get(LeaseName).GetHolder()] = true
 				x.mu.Unlock()
 				if seen {
 					for i, names := range x.names {
--- a/connection/orders/engines.go
+++ b/connection/orders/engines.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// readTimeout bounds one reading of an engine.
+	// readTimeout bounds one read of an engine.
 	readTimeout = 5 * time.Second
-	// maxAnswer bounds an engine's answer, in bytes.
-	maxAnswer = 1 << 20
+	// maxAnswerBytes bounds the answer of an engine.
+	maxAnswerBytes = 1 << 20
 
 	ordersPath = "/orders"
 	kindLoad   = "load"
 	kindUnload = "unload"
 )
 
-// orderBody is POST /orders.
+// orderBody is the request body of POST /orders.
 type orderBody struct {
 	Kind    string `json:"kind"`
 	Model   string `json:"model"`
@@ -35,37 +35,39 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// loadedBody is the answer of GET /orders.
+// loadedBody is the response body of GET /orders.
 type loadedBody struct {
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
 	Fencing  uint64   `json:"fencing"`
 }
 
-// engines speaks the orders' part of the engines' protocol.
-type engines struct {
-	// client makes the calls over the connections for control, where their bytes
-	// are counted and a late answer of another call is found out.
+// engineClient sends orders to engines and reads which models they have loaded.
+type engineClient struct {
+	// client makes the calls over control connections, which count their bytes and detect
+	// late answers to earlier calls.
 	client *upstream.Client
-	valid  func(fencing uint64) bool
-	flying *atomic.Int64
+	// valid reports whether the lease with the fencing number is still held.
+	valid func(fencing uint64) bool
+	// pending is the number of orders in flight.
+	pending *atomic.Int64
 	// timeout bounds one order.
 	timeout time.Duration
 }
 
-func newEngines(client *upstream.Client, valid func(uint64) bool, timeout time.Duration) engines {
-	return engines{client: client, valid: valid, flying: new(atomic.Int64), timeout: timeout}
+func newEngineClient(client *upstream.Client, valid func(uint64) bool, timeout time.Duration) engineClient {
+	return engineClient{client: client, valid: valid, pending: new(atomic.Int64), timeout: timeout}
 }
 
-func (e engines) inFlight() bool { return e.flying.Load() > 0 }
+func (e engineClient) inFlight() bool { return e.pending.Load() > 0 }
 
-// read asks an engine what it has.
-func (e engines) read(ctx context.Context, r orders.Read) orders.ReadDone {
-	has, err := e.loaded(ctx, r.Engine)
-	return orders.ReadDone{Engine: r.Engine.Name, Fencing: r.Fencing, Loaded: has, Err: err}
+// read reads which of its desired models an engine has loaded.
+func (e engineClient) read(ctx context.Context, r orders.Read) orders.ReadDone {
+	loaded, err := e.loaded(ctx, r.Engine)
+	return orders.ReadDone{Engine: r.Engine.Name, Fencing: r.Fencing, Loaded: loaded, Err: err}
 }
 
-func (e engines) loaded(ctx context.Context, engine orders.Engine) ([]orders.Model, error) {
+func (e engineClient) loaded(ctx context.Context, engine orders.Engine) ([]orders.Model, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+engine.Address+ordersPath, nil)
@@ -78,18 +80,18 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "engine %s answers %s to a reading of its models", engine.Name, resp.Status)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "reading the models of engine %s failed with status %s", engine.Name, resp.Status)
 	}
 	var body loadedBody
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(&body); err != nil {
 		return nil, err
 	}
-	return has(engine, body), nil
+	return desiredLoaded(engine, body), nil
 }
 
-// has names what the engine has in the words of its wishes: an engine lists
-// adapters without their model.
-func has(engine orders.Engine, body loadedBody) []orders.Model {
+// desiredLoaded returns the entries of engine.Desired that the engine has loaded. Engines
+// list adapters without their model, so an adapter is matched by its name alone.
+func desiredLoaded(engine orders.Engine, body loadedBody) []orders.Model {
 	var list []orders.Model
 	for m := range engine.Desired {
 		if m.Adapter == "" && slices.Contains(body.Models, m.Name) || m.Adapter != "" && slices.Contains(body.Adapters, m.Adapter) {
@@ -99,16 +101,16 @@
 	return list
 }
 
-// order sends one order.
-func (e engines) order(ctx context.Context, o orders.Order) orders.OrderDone {
-	e.flying.Add(1)
-	defer e.flying.Add(-1)
+// order sends one order and counts it as pending until it is answered.
+func (e engineClient) order(ctx context.Context, o orders.Order) orders.OrderDone {
+	e.pending.Add(1)
+	defer e.pending.Add(-1)
 	done := orders.OrderDone{Engine: o.Engine.Name, Fencing: o.Fencing}
 	done.Refused, done.Err = e.post(ctx, o)
 	return done
 }
 
-func (e engines) post(ctx context.Context, o orders.Order) (refused bool, err error) {
+func (e engineClient) post(ctx context.Context, o orders.Order) (refused bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, e.timeout)
 	defer cancel()
 	body := orderBody{Kind: kindUnload, Model: o.Model.Name, Adapter: o.Model.Adapter, Fencing: o.Fencing}
@@ -119,7 +121,7 @@
 	if err != nil {
 		return false, err
 	}
-	leased := &leasedBody{Reader: bytes.NewReader(data), valid: func() bool { return e.valid(o.Fencing) }}
+	leased := &leaseCheckedBody{Reader: bytes.NewReader(data), valid: func() bool { return e.valid(o.Fencing) }}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Engine.Address+ordersPath, leased)
 	if err != nil {
 		return false, err
@@ -137,23 +139,22 @@
 	case http.StatusConflict:
 		return true, nil
 	}
-	return false, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "engine %s answers %s to an order", o.Engine.Name, resp.Status)
+	return false, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED, "order to engine %s failed with status %s", o.Engine.Name, resp.Status)
 }
 
-// leasedBody gives the body only while the lease holds.
+// leaseCheckedBody is a request body that fails to read once the lease is no longer held.
 //
-// It guards against a holder that is frozen or waits for a connection after it
-// decided, and sends its order when another already holds the lease. It holds
-// because the check is made when the body is written: without a whole body the
-// engine carries nothing out.
-type leasedBody struct {
+// A holder may be frozen, or wait for a connection, after it has decided on an order, and
+// then send it while another instance holds the lease. The lease is therefore checked when
+// the body is written: an engine executes nothing without a complete body.
+type leaseCheckedBody struct {
 	io.Reader
 	valid func() bool
 }
 
-func (b *leasedBody) Read(p []byte) (int, error) {
+func (b *leaseCheckedBody) Read(p []byte) (int, error) {
 	if !b.valid() {
-		return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "the lease ran out before the order was sent")
+		return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "the lease expired before the order was sent")
 	}
 	return b.Reader.Read(p)
 }
--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders gives orders to load and unload models to engines, on the one
-// instance that holds the lease for it.
+// Package orders sends orders to load and unload models to engines, from the one instance
+// that holds the lease for it.
 package orders
 
 import (
@@ -18,59 +18,59 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// LeaseName is the name of the lease for giving orders.
+// LeaseName is the name of the lease for sending orders.
 const LeaseName = "orders"
 
 const (
-	// defaultLease is how long a lease lasts unless it is renewed.
-	defaultLease = 10 * time.Second
-	// tick is how often the core is told the time.
-	tick = 500 * time.Millisecond
-	// defaultLoads is the number of loads a minute where none is stated.
-	defaultLoads = 30
+	defaultLeaseTime = 10 * time.Second
+	// tickInterval is the interval of clock events to the core.
+	tickInterval          = 500 * time.Millisecond
+	defaultLoadsPerMinute = 30
 )
 
-// Options say what to order and on whose word.
+// Options configure a Controller.
 type Options struct {
-	// View returns the newest revision, or nil.
+	// View returns the view of the newest revision, or nil if there is none.
 	View func() *model.View
-	// RequestLease asks the state processes, as stateclient.Client does.
+	// RequestLease sends a lease request to the state processes, like
+	// stateclient.Client.Lease.
 	RequestLease func(context.Context, *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error)
-	// Client makes the calls to engines; nil means one of the Controller's own.
+	// Client makes the calls to engines; nil means a new one.
 	Client *upstream.Client
 	// LoadsPerMinute bounds the loads from the weight store. Default 30.
 	LoadsPerMinute int
-	// LeaseTime is how long a lease lasts unless it is renewed. Default 10 s;
-	// tests shorten it.
+	// LeaseTime is the duration of a lease unless it is renewed. Default 10 s; tests use
+	// shorter ones.
 	LeaseTime time.Duration
-	// OrderTimeout is the longest that an order may be in flight, the same in all
-	// instances. Default 30 s; tests shorten it.
+	// OrderTimeout bounds the time that an order may be in flight. It must be the same
+	// on all instances. Default 30 s; tests use shorter ones.
 	OrderTimeout time.Duration
-	// Logger gets a line for each holding and order; may be nil.
+	// Logger logs each order and each change of the lease; may be nil.
 	Logger hclog.Logger
 }
 
-// Controller gives orders while it holds the lease.
+// Controller sends orders while it holds the lease.
 type Controller struct {
 	options Options
-	engines engines
+	engines engineClient
 	events  chan orders.Event
 
-	// position among those who ask for the lease, and that it changed.
-	position atomic.Int64
-	moved    chan struct{}
+	// position is the rank among the entries that request the lease; positionChanged
+	// signals a change of it.
+	position        atomic.Int64
+	positionChanged chan struct{}
 
-	mu      sync.Mutex
-	holding lease.Grant
+	mu    sync.Mutex
+	grant lease.Grant
 }
 
-// New returns a Controller that does nothing until Run.
+// New returns a Controller; it sends nothing until Run is called.
 func New(o Options) *Controller {
 	if o.LoadsPerMinute <= 0 {
-		o.LoadsPerMinute = defaultLoads
+		o.LoadsPerMinute = defaultLoadsPerMinute
 	}
 	if o.LeaseTime <= 0 {
-		o.LeaseTime = defaultLease
+		o.LeaseTime = defaultLeaseTime
 	}
 	if o.OrderTimeout <= 0 {
 		o.OrderTimeout = orders.OrderTimeout
@@ -81,38 +81,38 @@
 	if o.Logger == nil {
 		o.Logger = hclog.NewNullLogger()
 	}
-	c := &Controller{options: o, events: make(chan orders.Event, 16), moved: make(chan struct{}, 1)}
-	c.engines = newEngines(o.Client, c.valid, o.OrderTimeout)
+	c := &Controller{options: o, events: make(chan orders.Event, 16), positionChanged: make(chan struct{}, 1)}
+	c.engines = newEngineClient(o.Client, c.valid, o.OrderTimeout)
 	return c
 }
 
-// valid tells whether this instance may still act under the number.
+// valid reports whether this instance still holds the lease with the fencing number.
 func (c *Controller) valid(fencing uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holding.Valid(time.Now()) && c.holding.Fencing() == fencing
+	return c.grant.Valid(time.Now()) && c.grant.Fencing() == fencing
 }
 
-// HoldsLease tells whether this instance holds the lease, and under which number.
+// HoldsLease reports whether this instance holds the lease, and with which fencing number.
 func (c *Controller) HoldsLease() (fencing uint64, holds bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.holding.Fencing(), c.holding.Valid(time.Now())
+	return c.grant.Fencing(), c.grant.Valid(time.Now())
 }
 
-// Run asks for the lease and gives orders while it holds it, until ctx ends. It
-// then gives the lease back, unless an order is still in flight.
+// Run requests the lease and sends orders while it holds the lease. When ctx ends, it
+// releases the lease, unless an order is still in flight, and returns nil.
 func (c *Controller) Run(ctx context.Context) error {
 	core := orders.NewCore(c.options.LoadsPerMinute, c.options.OrderTimeout)
 	var work sync.WaitGroup
 	defer work.Wait()
 	work.Go(func() { c.keepLease(ctx) })
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var seen *model.View
+	var lastView *model.View
 	step := func(event orders.Event) {
 		for _, action := range core.Step(time.Now(), event) {
-			c.act(ctx, &work, action)
+			c.perform(ctx, &work, action)
 		}
 	}
 	for {
@@ -122,33 +122,33 @@
 		case event := <-c.events:
 			step(event)
 		case <-ticker.C:
-			if view := c.options.View(); view != nil && view != seen {
-				seen = view
-				step(orders.Configured{Engines: wishes(view)})
+			if view := c.options.View(); view != nil && view != lastView {
+				lastView = view
+				step(orders.Configured{Engines: enginesOf(view)})
 			}
-			step(c.standing())
+			step(c.leaseEvent())
 		}
 	}
 }
 
-// standing tells the core whether the lease holds at this moment.
-func (c *Controller) standing() orders.Event {
+// leaseEvent returns the event that reports the current state of the lease to the core.
+func (c *Controller) leaseEvent() orders.Event {
 	if fencing, holds := c.HoldsLease(); holds {
 		return orders.LeaseHeld{Fencing: fencing}
 	}
 	return orders.LeaseLost{}
 }
 
-func (c *Controller) act(ctx context.Context, work *sync.WaitGroup, action orders.Action) {
+func (c *Controller) perform(ctx context.Context, work *sync.WaitGroup, action orders.Action) {
 	switch a := action.(type) {
 	case orders.Read:
 		work.Go(func() { c.send(ctx, c.engines.read(ctx, a)) })
 	case orders.Order:
-		c.options.Logger.Info("order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
+		c.options.Logger.Info("sending order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
 		work.Go(func() { c.send(ctx, c.engines.order(ctx, a)) })
 	case orders.AbandonLease:
 		c.mu.Lock()
-		c.holding = lease.Grant{}
+		c.grant = lease.Grant{}
 		c.mu.Unlock()
 	}
 }
@@ -160,88 +160,86 @@
 	}
 }
 
-// SetPosition tells how many live entries of the data centre rank above this
-// one; the first few ask for the lease often. It is 0 at first.
+// SetPosition sets the number of live entries of the data centre that rank above this one,
+// initially 0. The first few entries request the lease often.
 func (c *Controller) SetPosition(position int) {
 	if c.position.Swap(int64(position)) == int64(position) {
 		return
 	}
 	select {
-	case c.moved <- struct{}{}:
+	case c.positionChanged <- struct{}{}:
 	default:
 	}
 }
 
-// keepLease asks for the lease, often while it is held and seldom while another
-// holds it.
+// keepLease requests and renews the lease until ctx ends, and then releases it. Requests are
+// frequent while this instance holds the lease and rare while another one does.
 func (c *Controller) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, held := c.HoldsLease()
-		c.ask(ctx)
+		c.requestLease(ctx)
 		_, holds := c.HoldsLease()
 		if held != holds {
-			c.options.Logger.Info("lease for orders", "held", holds)
+			c.options.Logger.Info("orders lease changed", "held", holds)
 		}
-		c.pause(ctx, holds)
+		c.waitForNextRequest(ctx, holds)
 	}
-	c.giveBack()
+	c.releaseLease()
 }
 
-// pause waits for the next request's turn.
-//
-// It guards against a takeover that comes late because the next in rank still
-// sleeps as long as its old place told it to: the turn is counted anew, from
-// the same start, when the place changes.
-func (c *Controller) pause(ctx context.Context, holds bool) {
-	began, part := time.Now(), rand.Float64()
+// waitForNextRequest waits until the next lease request is due. When the position changes,
+// it computes the due time anew from the same start, so that an entry that has moved up in
+// rank does not delay a takeover by the longer interval of its previous position.
+func (c *Controller) waitForNextRequest(ctx context.Context, holds bool) {
+	start, jitter := time.Now(), rand.Float64()
 	for {
 		wait := lease.RenewInterval(c.options.LeaseTime)
 		if !holds {
-			wait = lease.RequestInterval(c.options.LeaseTime, int(c.position.Load()), part)
+			wait = lease.RequestInterval(c.options.LeaseTime, int(c.position.Load()), jitter)
 		}
-		timer := time.NewTimer(time.Until(began.Add(wait)))
+		timer := time.NewTimer(time.Until(start.Add(wait)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
 			return
-		case <-c.moved:
+		case <-c.positionChanged:
 			timer.Stop()
 		}
 	}
 }
 
-func (c *Controller) ask(ctx context.Context) {
+func (c *Controller) requestLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, lease.RenewInterval(c.options.LeaseTime))
 	defer cancel()
 	sent := time.Now()
 	reply, err := c.options.RequestLease(ctx, &lilacv1.LeaseRequest{Name: LeaseName, DurationMs: uint32(c.options.LeaseTime.Milliseconds())})
 	if err != nil {
-		// Without an answer the lease ends by its own time.
+		// Without an answer the lease expires on its own.
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holding.Update(sent, reply)
+	c.grant.Update(sent, reply)
 }
 
-// giveBack lets another begin at once, unless an order may still be in flight:
-// then the lease has to run out.
-func (c *Controller) giveBack() {
+// releaseLease lets another instance take over immediately. While an order may still be in
+// flight, the lease must expire instead.
+func (c *Controller) releaseLease() {
 	if _, holds := c.HoldsLease(); !holds || c.engines.inFlight() {
 		return
 	}
 	c.mu.Lock()
-	c.holding = lease.Grant{}
+	c.grant = lease.Grant{}
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), lease.RenewInterval(c.options.LeaseTime))
 	defer cancel()
 	_, _ = c.options.RequestLease(ctx, &lilacv1.LeaseRequest{Name: LeaseName})
 }
 
-// wishes lists the engines that any order names.
-func wishes(view *model.View) []orders.Engine {
+// enginesOf returns the engines that the orders of the view name.
+func enginesOf(view *model.View) []orders.Engine {
 	byName := make(map[string]*orders.Engine)
 	var names []string
 	for _, o := range view.Orders {
--- a/connection/orders/orders_test.go
+++ b/connection/orders/orders_test.go
@@ -19,12 +19,12 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// engine plays the orders' part of a model engine.
+// engine is a fake model engine that serves the orders protocol.
 type engine struct {
 	mu     sync.Mutex
 	loaded loadedBody
 	got    []orderBody
-	// changed is sent to after each order.
+	// changed receives a value after each executed order.
 	changed chan struct{}
 }
 
@@ -59,20 +59,20 @@
 	return e, strings.TrimPrefix(server.URL, "http://")
 }
 
-func viewOf(address string) *model.View {
+func newView(address string) *model.View {
 	return model.NewView(&lilacv1.Snapshot{
 		Servers: []*lilacv1.Server{{Name: "r1", Address: address, Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, ChecksFencing: true}},
 		Orders:  []*lilacv1.ModelOrder{{Server: "r1", Model: "large", Loaded: true}, {Server: "gone", Model: "large", Loaded: true}},
 	})
 }
 
-func TestWishIsOrderedByTheHolder(t *testing.T) {
+func TestHolderOrdersDesiredModels(t *testing.T) {
 	is := is.New(t)
 	e, address := start(t)
 	table := lease.NewTable()
 	var mu sync.Mutex
 	controller := New(Options{
-		View:           func() *model.View { return viewOf(address) },
+		View:           func() *model.View { return newView(address) },
 		LoadsPerMinute: 6000,
 		RequestLease: func(_ context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 			mu.Lock()
@@ -97,19 +97,19 @@
 	is.Equal(table.Get(LeaseName).GetHolder(), "")
 }
 
-// A holder decided on an order and froze before it sent it; meanwhile its lease
-// ran out. When it wakes the engine must receive nothing that it could carry out.
-func TestOrderIsNotSentAfterTheLease(t *testing.T) {
+// A holder freezes after deciding on an order and resumes after its lease has expired. The
+// engine must not receive an order that it could execute.
+func TestOrderIsNotSentAfterLeaseExpired(t *testing.T) {
 	is := is.New(t)
 	e, address := start(t)
-	frozen := newEngines(upstream.NewClient(), func(uint64) bool { return false }, orders.OrderTimeout)
+	frozen := newEngineClient(upstream.NewClient(), func(uint64) bool { return false }, orders.OrderTimeout)
 	done := frozen.order(t.Context(), orders.Order{Engine: orders.Engine{Name: "r1", Address: address}, Model: orders.Model{Name: "large"}, Load: true, Fencing: 1})
 	is.True(done.Err != nil)
 	is.True(!done.Refused)
 	is.Equal(len(e.got), 0)
 }
 
-func TestFaultsOfEngines(t *testing.T) {
+func TestEngineErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer     http.HandlerFunc
 		readFails  bool
@@ -130,7 +130,7 @@
 			defer server.Close()
 			target := orders.Engine{Name: "r1", Address: strings.TrimPrefix(server.URL, "http://"),
 				Desired: map[orders.Model]bool{{Name: "large"}: true, {Name: "large", Adapter: "fr"}: true, {Name: "large", Adapter: "wo"}: true}}
-			e := newEngines(upstream.NewClient(), func(uint64) bool { return true }, orders.OrderTimeout)
+			e := newEngineClient(upstream.NewClient(), func(uint64) bool { return true }, orders.OrderTimeout)
 			read := e.read(t.Context(), orders.Read{Engine: target})
 			is.Equal(read.Err != nil, c.readFails)
 			is.Equal(len(read.Loaded) == 2, !c.readFails)
--- a/connection/packets/packets.go
+++ b/connection/packets/packets.go
@@ -1,5 +1,5 @@
-// Package packets counts the TCP packets of a process's connections by the
-// kernel's own account, so that what their headers cost is known.
+// Package packets counts the TCP packets of a process's connections with the statistics of
+// the kernel, to determine the overhead of packet headers.
 package packets
 
 import (
@@ -10,66 +10,68 @@
 	"golang.org/x/sys/unix"
 )
 
-// HeaderBytes is what each packet carries besides its data: 20 bytes of IPv4, 20
-// of TCP and 12 of timestamps. The few packets that open a connection have up to
-// 8 more.
+// HeaderBytes is the size of the headers of a packet: 20 bytes of IPv4, 20 of TCP and 12 of
+// timestamps. The few packets that open a connection have up to 8 more.
 const HeaderBytes = 52
 
-// A connection that is closed from this side still sends its end, and receives an
-// acknowledgement; the other side's own end has come before, most times.
+// Packets of a connection that follow its removal from a Counter: the FIN sent by this side,
+// and its acknowledgement. The FIN of the peer has usually been received before.
 const (
-	sentAtEnd     = 1
-	receivedAtEnd = 1
+	sentAfterUntrack     = 1
+	receivedAfterUntrack = 1
 )
 
-// Counter counts packets, acknowledgements and repeated ones included. The zero
-// value is ready; any goroutine may use it.
+// Counter counts packets, including acknowledgements and retransmissions. The zero value is
+// ready to use. It is safe for concurrent use.
 type Counter struct {
-	mu             sync.Mutex
-	open           map[net.Conn]struct{}
+	mu      sync.Mutex
+	tracked map[net.Conn]struct{}
+	// sent and received are the totals of the connections that are no longer tracked.
 	sent, received uint64
 }
 
-// Track adds the connection. Those that the kernel keeps no account of, such as
-// pipes in tests, count as nothing.
+// Track starts counting the packets of conn. Connections for which the kernel keeps no
+// statistics, such as pipes in tests, are not counted.
 func (c *Counter) Track(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == nil {
-		c.open = make(map[net.Conn]struct{})
+	if c.tracked == nil {
+		c.tracked = make(map[net.Conn]struct{})
 	}
-	c.open[conn] = struct{}{}
+	c.tracked[conn] = struct{}{}
 }
 
-// Untrack must be called before the connection is closed; more than once is no fault.
+// Untrack adds the packets of conn to the totals. It must be called before conn is closed;
+// repeated calls have no effect.
 func (c *Counter) Untrack(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, open := c.open[conn]; !open {
+	if _, tracked := c.tracked[conn]; !tracked {
 		return
 	}
-	delete(c.open, conn)
-	sent, received, ok := account(conn)
+	delete(c.tracked, conn)
+	sent, received, ok := segmentCounts(conn)
 	if ok {
-		c.sent += sent + sentAtEnd
-		c.received += received + receivedAtEnd
+		c.sent += sent + sentAfterUntrack
+		c.received += received + receivedAfterUntrack
 	}
 }
 
-// Packets returns what was sent and received so far on all connections.
+// Packets returns the numbers of packets sent and received so far on all connections.
 func (c *Counter) Packets() (sent, received uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sent, received = c.sent, c.received
-	for conn := range c.open {
-		s, r, _ := account(conn)
+	for conn := range c.tracked {
+		s, r, _ := segmentCounts(conn)
 		sent, received = sent+s, received+r
 	}
 	return sent, received
 }
 
-// account asks the kernel; it tells false for a connection without an account.
-func account(conn net.Conn) (sent, received uint64, ok bool) {
+// segmentCounts reads the counts of a connection from the kernel. ok is false if the kernel
+// keeps none.
+func segmentCounts(conn net.Conn) (sent, received uint64, ok bool) {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, 0, false
@@ -79,10 +81,10 @@
 		return 0, 0, false
 	}
 	var info *unix.TCPInfo
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	})
-	if failed != nil || err != nil {
+	if controlErr != nil || err != nil {
 		return 0, 0, false
 	}
 	return uint64(info.Segs_out), uint64(info.Segs_in), true
