--- a/connection/orders/orders.go
+++ b/connection/orders/orders.go
@@ -144,7 +144,7 @@
 	case orders.Read:
 		work.Go(func() { c.send(ctx, c.engines.read(ctx, a)) })
 	case orders.Order:
-		c.options.Logger.Info("sending order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
+		c.options.Logger.Info("order", "engine", a.Engine.Name, "model", a.Model.Name, "adapter", a.Model.Adapter, "load", a.Load, "fencing", a.Fencing)
 		work.Go(func() { c.send(ctx, c.engines.order(ctx, a)) })
 	case orders.AbandonLease:
 		c.mu.Lock()
