--- a/connection/link/coalesce_test.go
+++ b/connection/link/coalesce_test.go
@@ -34,8 +34,8 @@
 	window, reset, likeEnd := frame(yamuxWindowUpdate, 0, 7), frame(yamuxWindowUpdate, yamuxReset, 0), frame(yamuxData, 0, yamuxHeader)
 	for name, c := range map[string]struct{ in, out []string }{
 		"call":               {[]string{begin, data, "body"}, []string{begin + data + "body"}},
-		"end waits":          {[]string{data, "body", end}, []string{data + "body"}},
-		"end goes along":     {[]string{end, data, "body"}, []string{end + data + "body"}},
+		"end is delayed":     {[]string{data, "body", end}, []string{data + "body"}},
+		"end joins next":     {[]string{end, data, "body"}, []string{end + data + "body"}},
 		"window":             {[]string{end, window}, []string{end + window}},
 		"reset":              {[]string{reset}, []string{reset}},
 		"body like a header": {[]string{likeEnd, end}, []string{likeEnd + end}},
--- a/connection/stateclient/core_test.go
+++ b/connection/stateclient/core_test.go
@@ -38,8 +38,8 @@
 				action = core.Step(now, PauseDone{Call: 1})
 			}
 		}
-		_, over := action.(CallDone)
-		is.True(over)
+		_, done := action.(CallDone)
+		is.True(done)
 		is.True(now.Sub(time.Unix(0, 0)) <= 5*time.Second)
 	}
 }
