--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -65,8 +65,8 @@
 	log Log
 }
 
-// Known returns the newest revision and how long ago it was surely the newest.
-func (s source) Known() (newest uint64, age time.Duration) {
+// LatestKnown returns the newest revision and how long ago it was surely the newest.
+func (s source) LatestKnown() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Contact
 }
 
