--- a/daemon/entry/bench_test.go
+++ b/daemon/entry/bench_test.go
@@ -31,7 +31,7 @@
 		body, _ := io.ReadAll(r.Body)
 		_, rest, _ := strings.Cut(string(body), "tokens:")
 		count, _ := strconv.Atoi(strings.Trim(strings.SplitN(rest, " ", 2)[0], `"}]`))
-		id := heldID(r)
+		id := requestID(r)
 		w.Header().Set("X-Request-Id", id)
 		startStream(w)
 		for i := range count {
@@ -50,7 +50,7 @@
 	return server
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
@@ -95,7 +95,7 @@
 		work <- struct{}{}
 	}
 	close(work)
-	before := processorTime()
+	before := cpuTime()
 	var group sync.WaitGroup
 	for _, client := range clients {
 		group.Go(func() {
@@ -105,7 +105,7 @@
 		})
 	}
 	group.Wait()
-	return processorTime() - before
+	return cpuTime() - before
 }
 
 // The framework's lines would stand in the middle of the benchmark's.
--- a/daemon/entry/claims_test.go
+++ b/daemon/entry/claims_test.go
@@ -18,7 +18,7 @@
 	bookingURL = "/services/guichet/book?day=3"
 )
 
-func ran(w http.ResponseWriter, _ *http.Request, _ int) {
+func serveBooking(w http.ResponseWriter, _ *http.Request, _ int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(http.StatusCreated)
 	_, _ = w.Write([]byte(`{"booked":true}`))
@@ -27,9 +27,9 @@
 // A skipper's client books a berth, loses the answer and sends the booking
 // again. The berth must be booked once, and the second send gets the first
 // answer; another booking under the same key is refused.
-func TestBookingRunsOnceAndItsAnswerIsGivenAgain(t *testing.T) {
+func TestKeyedCallRunsOnceAndItsAnswerIsReplayed(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, ran)
+	backend := newFakeBackend(t, serveBooking)
 	f := start(t, testSettings(), backend.service("g1"))
 	for range 3 {
 		resp, body := f.post(bookingURL, booking, "Idempotency-Key", "k1")
@@ -42,19 +42,19 @@
 	is.Equal(backend.calls("/book")[0].key, "k1")
 	resp, body := f.post(bookingURL, `{"berth":8}`, "Idempotency-Key", "k1")
 	is.Equal(resp.StatusCode, http.StatusConflict)
-	is.Equal(errorOf(body).Type, "key_reused")
+	is.Equal(parseError(body).Type, "key_reused")
 	is.Equal(len(backend.calls("/book")), 1)
 }
 
 // A client sends a booking while its first send is still at the service. The
 // second must be told so at once and not wait or run.
-func TestSecondSendInProgressIsToldAtOnce(t *testing.T) {
+func TestSecondSendInProgressIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	f := start(t, testSettings(), backend.service("g1"))
 	var first sync.WaitGroup
@@ -62,7 +62,7 @@
 	<-arrived
 	resp, body := f.post(bookingURL, booking, "Idempotency-Key", "k1")
 	is.Equal(resp.StatusCode, http.StatusConflict)
-	is.Equal(errorOf(body).Type, "in_progress")
+	is.Equal(parseError(body).Type, "in_progress")
 	close(release)
 	first.Wait()
 	is.Equal(len(backend.calls("/book")), 1)
@@ -71,7 +71,7 @@
 // Faults before, during and after the first byte of a call that may not be
 // repeated. "Not run" must be said only where the service saw nothing, and no
 // call may reach the service twice.
-func TestNotRunIsSaidOnlyWhereItIsProved(t *testing.T) {
+func TestNotRunIsReportedOnlyWithProof(t *testing.T) {
 	cut := func(http.ResponseWriter, *http.Request, int) { abort() }
 	refuse := func(w http.ResponseWriter, _ *http.Request, _ int) {
 		w.Header().Set("Retry-After", "1")
@@ -94,9 +94,9 @@
 		state  lilacv1.ClaimState
 		calls  int
 	}{
-		{"port closed", ran, true, false, "k", true, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN, 0},
-		{"port closed, no key", ran, true, false, "", true, 0, 0},
-		{"ledger out of reach", ran, false, true, "k", true, 0, 0},
+		{"port closed", serveBooking, true, false, "k", true, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN, 0},
+		{"port closed, no key", serveBooking, true, false, "", true, 0, 0},
+		{"ledger out of reach", serveBooking, false, true, "k", true, 0, 0},
 		{"cut after the request", cut, false, false, "k", "unknown", lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, 1},
 		{"cut after the request, no key", cut, false, false, "", "unknown", 0, 1},
 		{"cut in the answer", half, false, false, "k", "unknown", lilacv1.ClaimState_CLAIM_STATE_UNKNOWN, 1},
@@ -104,7 +104,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, c.answer)
+			backend := newFakeBackend(t, c.answer)
 			f := start(t, testSettings(), backend.service("g1"))
 			if c.down {
 				backend.Close()
@@ -116,18 +116,18 @@
 			}
 			resp, body := f.post(bookingURL, booking, headers...)
 			is.True(resp.StatusCode >= 400)
-			is.Equal(errorOf(body).NotRun, c.notRun)
+			is.Equal(parseError(body).NotRun, c.notRun)
 			is.Equal(len(backend.calls("")), c.calls)
 			waitFor(t, func() bool { return f.ledger.state("k") == c.state })
 		})
 	}
 	t.Run("service refuses", func(t *testing.T) {
 		is := is.New(t)
-		backend := newFake(t, refuse)
+		backend := newFakeBackend(t, refuse)
 		f := start(t, testSettings(), backend.service("g1"))
 		resp, body := f.post(bookingURL, booking, "X-Lilac-Deadline-Ms", "500", "Idempotency-Key", "k")
 		is.True(resp.StatusCode >= 400)
-		is.Equal(errorOf(body).NotRun, true)
+		is.Equal(parseError(body).NotRun, true)
 		waitFor(t, func() bool { return f.ledger.state("k") == lilacv1.ClaimState_CLAIM_STATE_NOT_RUN })
 	})
 }
@@ -138,18 +138,18 @@
 	for _, body := range []string{booking, ""} {
 		t.Run("body "+body, func(t *testing.T) {
 			is := is.New(t)
-			backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+			backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 				if n > 1 {
 					abort()
 				}
-				ran(w, r, n)
+				serveBooking(w, r, n)
 			})
 			f := start(t, testSettings(), backend.service("g1"))
 			resp, _ := f.post(bookingURL, body, "Idempotency-Key", "k1")
 			is.Equal(resp.StatusCode, http.StatusCreated)
 			resp, text := f.post(bookingURL, body, "Idempotency-Key", "k2")
 			is.Equal(resp.StatusCode, http.StatusConflict)
-			is.Equal(errorOf(text).Type, "outcome_unknown")
+			is.Equal(parseError(text).Type, "outcome_unknown")
 			is.Equal(len(backend.calls("/book")), 2)
 		})
 	}
@@ -157,13 +157,13 @@
 
 // A caller leaves while its booking runs. The booking goes on, and its answer
 // is there for the next send.
-func TestBookingOutlivesItsCaller(t *testing.T) {
+func TestCallContinuesAfterItsCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, n int) {
 		close(arrived)
 		<-release
-		ran(w, r, n)
+		serveBooking(w, r, n)
 	})
 	f := start(t, testSettings(), backend.service("g1"))
 	client := http.Client{Timeout: 200 * time.Millisecond}
@@ -182,9 +182,9 @@
 }
 
 // Calls that are idempotent by their method are tried again where the first try broke.
-func TestBrokenGetIsTriedAgain(t *testing.T) {
+func TestBrokenGetIsRetried(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(w http.ResponseWriter, _ *http.Request, n int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, _ *http.Request, n int) {
 		if n == 1 {
 			abort()
 		}
--- a/daemon/entry/core_test.go
+++ b/daemon/entry/core_test.go
@@ -14,13 +14,13 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// scripted is a core that decides as a test says.
-type scripted func(event policy.Event) []policy.Action
+// scriptedCore is a core that decides as a test says.
+type scriptedCore func(event policy.Event) []policy.Action
 
-func (s scripted) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
-func (s scripted) Digest(time.Time) *lilacv1.Digest                     { return &lilacv1.Digest{} }
-func (s scripted) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
-func (s scripted) Stats() policy.Stats                                  { return policy.Stats{} }
+func (s scriptedCore) Step(_ time.Time, event policy.Event) []policy.Action { return s(event) }
+func (s scriptedCore) Digest(time.Time) *lilacv1.Digest                     { return &lilacv1.Digest{} }
+func (s scriptedCore) Loads(time.Time) loadboard.Report                     { return loadboard.Report{} }
+func (s scriptedCore) Stats() policy.Stats                                  { return policy.Stats{} }
 
 // An engine is drained in the middle of an answer. Its KV cache moves to another
 // engine, which goes on; the caller sees one whole answer, and the first engine
@@ -28,26 +28,26 @@
 func TestAnswerMovesWithItsCache(t *testing.T) {
 	is := is.New(t)
 	const after = 2
-	var old, next *fake
-	old = newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	var old, next *fakeBackend
+	old = newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/export" {
 			_, _ = w.Write([]byte("cache"))
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[:after], "")
+		sendTokens(w, requestID(r), tokens[:after], "")
 		<-r.Context().Done()
 	})
-	next = newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	next = newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/import" {
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[after:], "stop")
+		sendTokens(w, requestID(r), tokens[after:], "stop")
 		sendDone(w)
 	})
 	got := 0
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "r1", Attempt: 1}}
@@ -63,7 +63,7 @@
 	})
 	f := startWith(t, testSettings(), core, old.engine("r1"), next.engine("r2"))
 	_, stream := f.post("/v1/chat/completions", chatBody)
-	text, ids, done, _ := textOf(stream)
+	text, ids, done, _ := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(len(ids), 1)
@@ -80,10 +80,10 @@
 
 // The policy says "not run" of a request that has been sent. The entry must not
 // repeat what it can't prove, and must count the broken invariant.
-func TestShellTrustsItsRecordMoreThanThePolicy(t *testing.T) {
+func TestPolicyClaimOfNotRunNeedsProof(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(http.ResponseWriter, *http.Request, int) { abort() })
-	core := scripted(func(event policy.Event) []policy.Action {
+	backend := newFakeBackend(t, func(http.ResponseWriter, *http.Request, int) { abort() })
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "g1", Attempt: 1}}
@@ -94,7 +94,7 @@
 	})
 	f := startWith(t, testSettings(), core, backend.service("g1"))
 	_, body := f.post(bookingURL, booking)
-	is.Equal(errorOf(body), errorEvent{Type: "overloaded", NotRun: "unknown"})
+	is.Equal(parseError(body), errorEvent{Type: "overloaded", NotRun: "unknown"})
 	families, err := f.registry.Gather()
 	is.NoErr(err)
 	found := false
@@ -106,10 +106,10 @@
 
 // An entry is frozen while a request waits, and woken after its deadline. What
 // the core decided before must not be acted on.
-func TestWokenEntryChecksTheDeadline(t *testing.T) {
+func TestExpiredRequestIsNotSentAfterAFreeze(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, ran)
-	core := scripted(func(event policy.Event) []policy.Action {
+	backend := newFakeBackend(t, serveBooking)
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		if e, ok := event.(policy.Arrival); ok {
 			// The freeze: the decision arrives late, and the timer not yet.
 			time.Sleep(time.Until(e.Deadline))
@@ -120,7 +120,7 @@
 	f := startWith(t, testSettings(), core, backend.service("g1"))
 	resp, body := f.post(bookingURL, booking, "X-Lilac-Deadline-Ms", "50")
 	is.Equal(resp.StatusCode, http.StatusGatewayTimeout)
-	is.Equal(errorOf(body), errorEvent{Type: "timeout", NotRun: true})
+	is.Equal(parseError(body), errorEvent{Type: "timeout", NotRun: true})
 	is.Equal(len(backend.calls("")), 0)
 }
 
@@ -128,9 +128,9 @@
 // conviction is proposed to the log, once, also when the first try fails.
 func TestConvictionIsProposed(t *testing.T) {
 	is := is.New(t)
-	f := startWith(t, testSettings(), scripted(func(policy.Event) []policy.Action { return nil }))
+	f := startWith(t, testSettings(), scriptedCore(func(policy.Event) []policy.Action { return nil }))
 	f.ledger.setDown(true)
-	f.convict(policy.Convict{Digest: "d1", Team: "coop", Servers: []string{"r1", "r2"}})
+	f.queueConviction(policy.Convict{Digest: "d1", Team: "coop", Servers: []string{"r1", "r2"}})
 	f.ledger.setDown(false)
 	waitFor(t, func() bool { return len(f.ledger.proposed()) == 1 })
 	conviction := f.ledger.proposed()[0].GetChanges()[0].GetConvict()
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -45,7 +45,7 @@
 	orders   *orders.Controller
 	links    *link.Server
 	// gateway is nil where the settings name none.
-	gateway   *routed
+	gateway   *gatewayRouter
 	operators *secret.Reloadable[*secret.Operators]
 	callerKey *secret.Reloadable[[]byte]
 	linkKeys  *secret.Reloadable[secret.Keys]
@@ -59,7 +59,7 @@
 }
 
 // listeners are nil where the settings name no address.
-type listeners struct{ callers, operators, admin, link, routed, readiness net.Listener }
+type listeners struct{ callers, operators, admin, link, gatewayCallers, readiness net.Listener }
 
 // NewDaemon reads the keys and opens the listeners; Run serves. The platform is
 // nil where the settings name no gateway.
@@ -68,11 +68,11 @@
 	if err != nil {
 		return nil, err
 	}
-	callerKey, err := openUnless(s.CallerKeyFile == "", s.CallerKeyFile, secret.ReadKey)
+	callerKey, err := openOptional(s.CallerKeyFile == "", s.CallerKeyFile, secret.ReadKey)
 	if err != nil {
 		return nil, err
 	}
-	operators, err := openUnless(s.OperatorTokensFile == "", s.OperatorTokensFile, secret.ReadOperators)
+	operators, err := openOptional(s.OperatorTokensFile == "", s.OperatorTokensFile, secret.ReadOperators)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		Dial: d.dialer.dial, Timing: d.timing(), OnView: d.onView, Logger: logger,
 	})
 	if platform != nil {
-		d.gateway = newRouted(d, platform)
+		d.gateway = newGatewayRouter(d, platform)
 	}
 	mux := link.NewMux()
 	mux.Handle("entry.query", link.Unary(func(ctx context.Context, _ link.Peer, req *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
@@ -147,7 +147,7 @@
 	d.listeners.admin, errs[2] = open(d.settings.Admin)
 	d.listeners.link, errs[3] = open(d.settings.Link)
 	if d.gateway != nil {
-		d.listeners.routed, errs[4] = open(d.settings.Gateway.Callers)
+		d.listeners.gatewayCallers, errs[4] = open(d.settings.Gateway.Callers)
 		d.listeners.readiness, errs[5] = open(d.settings.Gateway.Readiness)
 	}
 	return errors.Join(errs[:]...)
@@ -158,7 +158,7 @@
 	working, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group sync.WaitGroup
-	group.Go(func() { d.entry.Work(working) })
+	group.Go(func() { d.entry.Run(working) })
 	group.Go(func() { _ = d.watcher.Run(working) })
 	group.Go(func() { _ = d.state.Run(working) })
 	group.Go(func() { _ = d.gossip.Run(working) })
@@ -201,9 +201,9 @@
 	return err
 }
 
-// openUnless opens a file of secrets, or gives an empty one where none is named:
+// openOptional opens a file of secrets, or gives an empty one where none is named:
 // nothing that needs it is served then.
-func openUnless[T any](none bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
+func openOptional[T any](none bool, file string, read func(string) (T, error)) (*secret.Reloadable[T], error) {
 	if none {
 		var empty T
 		return secret.Fixed(empty), nil
@@ -254,7 +254,7 @@
 	if d.listeners.callers != nil {
 		return d.listeners.callers.Addr().String()
 	}
-	return d.listeners.routed.Addr().String()
+	return d.listeners.gatewayCallers.Addr().String()
 }
 
 // operatorServer serves operators' statements.
@@ -274,7 +274,7 @@
 		khttp.Filter(func(http.Handler) http.Handler { return handler }),
 	)
 	server.ReadHeaderTimeout = d.settings.Limits.ReadTimeout.Duration
-	server.ErrorLog = d.entry.quiet()
+	server.ErrorLog = d.entry.debugLogger()
 	return server
 }
 
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -25,23 +25,23 @@
 )
 
 const (
-	// askedForList is how many state processes are asked for the list before the
+	// maxListSources is how many state processes are asked for the list before the
 	// platform is.
-	askedForList = 2
-	// membersEvery is how often the state processes are asked for their group.
-	membersEvery = 2 * time.Second
-	// keysTrusted is the share of the bound on revocations for which the keys may
+	maxListSources = 2
+	// membersInterval is how often the state processes are asked for their group.
+	membersInterval = 2 * time.Second
+	// keysFreshShare is the share of the bound on revocations for which the keys may
 	// go unconfirmed: the rest is for clocks that run apart and for the request's
 	// own way to the backend server.
-	keysTrusted = 0.8
-	// denialTrusted is the share of the bound on documents for which the one in force
+	keysFreshShare = 0.8
+	// denialFreshShare is the share of the bound on documents for which the one in force
 	// may go unconfirmed and still deny: the rest is for the request's own way.
-	denialTrusted = 0.8
+	denialFreshShare = 0.8
 )
 
-// routed is the gateway of an entry: the document in force joined with the list
+// gatewayRouter is the gateway of an entry: the document in force joined with the list
 // of backend servers.
-type routed struct {
+type gatewayRouter struct {
 	daemon   *Daemon
 	logger   hclog.Logger
 	platform gateway.Platform
@@ -59,16 +59,16 @@
 	mu      sync.Mutex
 	view    *model.View
 	servers []routing.Server
-	// newest is the document of view, indexed.
-	newest *routing.Table
-	// listed is true once the list was read.
-	listed bool
+	// newestTable is the document of view, indexed.
+	newestTable *routing.Table
+	// hasList is true once the list was read.
+	hasList bool
 }
 
-var _ gateway.Router = (*routed)(nil)
+var _ gateway.Router = (*gatewayRouter)(nil)
 
-func newRouted(d *Daemon, platform gateway.Platform) *routed {
-	g := &routed{daemon: d, logger: d.logger, platform: platform}
+func newGatewayRouter(d *Daemon, platform gateway.Platform) *gatewayRouter {
+	g := &gatewayRouter{daemon: d, logger: d.logger, platform: platform}
 	g.list = platform.ServerList(d.settings.Gateway.ServerList.Value, serverlist.NewClient())
 	g.handler = gateway.NewHandler(platform, g, d.entry.counters, requestLog{d.entry.log})
 	d.entry.onLeave = g.handler.DisableKeepAlives
@@ -77,43 +77,43 @@
 	return g
 }
 
-func (g *routed) setBounds(s *settings.Gateway) {
+func (g *gatewayRouter) setBounds(s *settings.Gateway) {
 	g.revocation.Store(int64(s.Revocation.Duration))
 	g.applied.Store(int64(s.AppliedWithin.Duration))
 }
 
 // Table implements gateway.Router.
-func (g *routed) Table() *routing.Table { return g.table.Load() }
+func (g *gatewayRouter) Table() *routing.Table { return g.table.Load() }
 
 // KeysFresh implements gateway.Router.
 //
 // An instance that is cut off from the state processes must not go on taking a key
 // that was taken away. The age counts from a moment at which a quorum was heard, by
 // a clock that counts suspension too.
-func (g *routed) KeysFresh() bool {
-	return g.confirmedWithin(&g.revocation, keysTrusted)
+func (g *gatewayRouter) KeysFresh() bool {
+	return g.confirmedWithin(&g.revocation, keysFreshShare)
 }
 
 // DocumentFresh implements gateway.Router.
 //
 // An instance that a document has not reached yet can't tell a route or key that was
 // added from one that never was.
-func (g *routed) DocumentFresh() bool { return g.confirmedWithin(&g.applied, denialTrusted) }
+func (g *gatewayRouter) DocumentFresh() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
 
 // confirmedWithin tells whether what is in force was surely the newest within a
 // share of the bound.
-func (g *routed) confirmedWithin(bound *atomic.Int64, share float64) bool {
+func (g *gatewayRouter) confirmedWithin(bound *atomic.Int64, share float64) bool {
 	most := bound.Load()
 	return most == 0 || g.daemon.watcher.Staleness() < time.Duration(share*float64(most))
 }
 
 // Forward implements gateway.Router.
-func (g *routed) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
+func (g *gatewayRouter) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
 	return g.daemon.entry.relay.Forward(ctx, q, answer)
 }
 
 // onView takes a revision of the replicated log.
-func (g *routed) onView(view *model.View) {
+func (g *gatewayRouter) onView(view *model.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	newest := view.Document
@@ -125,7 +125,7 @@
 			g.logger.Error("document does not decode; run one version on all instances", "version", newest.GetVersion(), "error", err)
 			return
 		}
-		g.newest = routing.NewTable(decoded, view.Revision)
+		g.newestTable = routing.NewTable(decoded, view.Revision)
 		g.logger.Info("document in force", "version", newest.GetVersion(), "revision", view.Revision, "routes", len(decoded.Routes),
 			"packed_bytes", len(newest.GetContent()), "decoded_ms", time.Since(begun).Milliseconds())
 	}
@@ -133,7 +133,7 @@
 	g.configure()
 }
 
-func (g *routed) decode(d *lilacv1.Document) (*routing.Document, error) {
+func (g *gatewayRouter) decode(d *lilacv1.Document) (*routing.Document, error) {
 	text, err := packed.Text(d)
 	if err != nil {
 		return nil, err
@@ -144,16 +144,16 @@
 // configure gives the policy the document and the servers, and only then lets
 // requests in by the document: the policy refuses a class that it does not know. The
 // caller holds mu.
-func (g *routed) configure() {
-	if g.newest == nil || !g.listed {
+func (g *gatewayRouter) configure() {
+	if g.newestTable == nil || !g.hasList {
 		return
 	}
-	g.daemon.entry.Configure(routing.View(g.newest, g.servers, g.view.Convictions))
-	g.table.Store(g.newest)
+	g.daemon.entry.Configure(routing.View(g.newestTable, g.servers, g.view.Convictions))
+	g.table.Store(g.newestTable)
 }
 
 // run follows the list of backend servers and the group of state processes.
-func (g *routed) run(ctx context.Context) {
+func (g *gatewayRouter) run(ctx context.Context) {
 	var group sync.WaitGroup
 	group.Go(func() { g.followList(ctx) })
 	group.Go(func() { g.followMembers(ctx) })
@@ -162,34 +162,34 @@
 
 // followList takes the list from the state processes, the nearest first, and from
 // the platform itself where none of them knows it.
-func (g *routed) followList(ctx context.Context) {
+func (g *gatewayRouter) followList(ctx context.Context) {
 	serverlist.NewUpdater(serverlist.NewStore(), serverlist.Options{
 		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
 		OnList: g.onList, Logger: g.logger,
 	}).Run(ctx)
 }
 
-func (g *routed) upstream() []link.Caller {
+func (g *gatewayRouter) upstream() []link.Caller {
 	var callers []link.Caller
 	for _, peer := range g.daemon.watcher.StatePeers() {
 		callers = append(callers, g.daemon.dialer.dial(peer.Address.Value))
 	}
-	return callers[:min(len(callers), askedForList)]
+	return callers[:min(len(callers), maxListSources)]
 }
 
 // onList brings a list of backend servers into force.
-func (g *routed) onList(servers []routing.Server) {
+func (g *gatewayRouter) onList(servers []routing.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.servers, g.listed = servers, true
+	g.servers, g.hasList = servers, true
 	g.configure()
 }
 
-func (g *routed) followMembers(ctx context.Context) {
+func (g *gatewayRouter) followMembers(ctx context.Context) {
 	s := g.daemon.settings
 	self := settings.Peer{Name: s.Name, Address: s.LinkForOthers(), DataCenter: s.DataCenter}
 	for {
-		asked, cancel := context.WithTimeout(ctx, membersEvery)
+		asked, cancel := context.WithTimeout(ctx, membersInterval)
 		members, entries, err := g.daemon.state.Members(asked, self)
 		cancel()
 		if err != nil {
@@ -202,22 +202,22 @@
 			g.daemon.watcher.SetStatePeers(members)
 			g.daemon.gossip.SetEntries(entries)
 		}
-		if sleep(ctx, membersEvery) != nil {
+		if sleep(ctx, membersInterval) != nil {
 			return
 		}
 	}
 }
 
-func (g *routed) httpServers(l listeners) []transport.Server {
+func (g *gatewayRouter) httpServers(l listeners) []transport.Server {
 	return []transport.Server{
-		httpserver.New(l.routed, g.handler),
+		httpserver.New(l.gatewayCallers, g.handler),
 		httpserver.New(l.readiness, http.HandlerFunc(g.serveReady)),
 	}
 }
 
 // serveReady tells the balancer whether connections should come here: not while
 // the instance leaves, knows no document or can't check keys.
-func (g *routed) serveReady(w http.ResponseWriter, r *http.Request) {
+func (g *gatewayRouter) serveReady(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != g.platform.ReadinessPath() {
 		http.NotFound(w, r)
 		return
@@ -229,7 +229,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
-func (g *routed) ready() error {
+func (g *gatewayRouter) ready() error {
 	switch {
 	case g.daemon.entry.leaving.Load():
 		return errLeaving
--- a/daemon/entry/moves_test.go
+++ b/daemon/entry/moves_test.go
@@ -16,26 +16,26 @@
 // An answer moves to another engine, but the old one has dropped it meanwhile.
 // The caller must get the whole answer all the same, and the policy must hear
 // that the prompt was computed again.
-func TestMoveWithoutCacheGoesOnFromTheText(t *testing.T) {
+func TestMoveWithoutCacheContinuesFromTheText(t *testing.T) {
 	is := is.New(t)
 	const after = 2
-	old := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	old := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		if r.URL.Path == "/v1/kv/export" {
 			w.WriteHeader(http.StatusNotFound)
 			return
 		}
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[:after], "")
+		sendTokens(w, requestID(r), tokens[:after], "")
 		<-r.Context().Done()
 	})
-	next := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	next := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
-		sendTokens(w, heldID(r), tokens[after:], "stop")
+		sendTokens(w, requestID(r), tokens[after:], "stop")
 		sendDone(w)
 	})
 	got := 0
 	var recomputed atomic.Int32
-	core := scripted(func(event policy.Event) []policy.Action {
+	core := scriptedCore(func(event policy.Event) []policy.Action {
 		switch e := event.(type) {
 		case policy.Arrival:
 			return []policy.Action{policy.Start{ID: e.ID, Server: "r1", Attempt: 1}}
@@ -53,7 +53,7 @@
 	})
 	f := startWith(t, testSettings(), core, old.engine("r1"), next.engine("r2"))
 	_, stream := f.post("/v1/chat/completions", chatBody)
-	text, ids, done, _ := textOf(stream)
+	text, ids, done, _ := parseStream(stream)
 	is.Equal(text, strings.Join(tokens, ""))
 	is.True(done)
 	is.Equal(len(ids), 1)
@@ -62,11 +62,11 @@
 
 // A caller leaves in the middle of an answer. Operators must see what the engine
 // was spared, in tokens.
-func TestLeavingCallerSparesTokens(t *testing.T) {
+func TestDisconnectedCallerSavesTokens(t *testing.T) {
 	is := is.New(t)
-	backend := newFake(t, func(w http.ResponseWriter, r *http.Request, _ int) {
+	backend := newFakeBackend(t, func(w http.ResponseWriter, r *http.Request, _ int) {
 		startStream(w)
-		sendChunk(w, heldID(r), "un", "")
+		sendChunk(w, requestID(r), "un", "")
 		<-r.Context().Done()
 	})
 	f := start(t, testSettings(), backend.engine("r1"))
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -19,9 +19,9 @@
 const (
 	// idleTimeout closes callers' connections that carry no request.
 	idleTimeout = 2 * time.Minute
-	// headerRoom is above the limit of the settings, so that a header a little
+	// headerMargin is above the limit of the settings, so that a header a little
 	// too long gets a typed error and not the library's plain one.
-	headerRoom = 256 << 10
+	headerMargin = 256 << 10
 )
 
 // callerServer serves callers. The handler stands before the library's router,
@@ -38,13 +38,13 @@
 	server.ReadHeaderTimeout = e.settings.Limits.ReadTimeout.Duration
 	server.ConnContext = caller.ConnContext
 	server.IdleTimeout = idleTimeout
-	server.MaxHeaderBytes = e.settings.Limits.HeaderBytes + headerRoom
-	server.ErrorLog = e.quiet()
+	server.MaxHeaderBytes = e.settings.Limits.HeaderBytes + headerMargin
+	server.ErrorLog = e.debugLogger()
 	return server
 }
 
-// quiet keeps the HTTP library's lines on callers' broken connections at debug.
-func (e *Entry) quiet() *log.Logger {
+// debugLogger keeps the HTTP library's lines on callers' broken connections at debug.
+func (e *Entry) debugLogger() *log.Logger {
 	return e.logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug})
 }
 
--- a/daemon/state/capture_test.go
+++ b/daemon/state/capture_test.go
@@ -12,9 +12,9 @@
 	"github.com/lilacbridge/lilacbridge/process/ledger"
 )
 
-// commandsOf returns commands of round n that change every part of the state:
+// commandsForRound returns commands of round n that change every part of the state:
 // teams, refusals, claims, answers, retentions that end, restarts and leases.
-func commandsOf(n int) []*lilacv1.Command {
+func commandsForRound(n int) []*lilacv1.Command {
 	now := int64(n) * time.Minute.Milliseconds()
 	incarnation := fmt.Sprint("e/", n/7)
 	var all []*lilacv1.Command
@@ -45,13 +45,13 @@
 // are opened again and expire. If the file held one of them, a process that
 // starts from it would run the command a second time and differ from the others
 // from then on, without any error. The capture must be what it was at its index.
-func TestCaptureStaysAsItWas(t *testing.T) {
+func TestCaptureIsUnaffectedByLaterCommands(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(20, ledger.Limits{Retention: 10 * time.Minute, Entries: 30, TotalAnswerBytes: 500})
 	round := 1
 	apply := func(rounds int) {
 		for end := round + rounds; round < end; round++ {
-			for _, c := range commandsOf(round) {
+			for _, c := range commandsForRound(round) {
 				data, err := proto.Marshal(c)
 				is.NoErr(err)
 				m.Apply(uint64(round), data)
@@ -82,5 +82,5 @@
 		is.True(string(now) != string(want))
 	}
 	is.True(m.Counts().Tombstones > 0)
-	is.Equal(m.Counts().Broken, uint64(0))
+	is.Equal(m.Counts().BrokenInvariants, uint64(0))
 }
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -26,22 +26,22 @@
 	"github.com/lilacbridge/lilacbridge/version/routing"
 )
 
-// answeringLog applies at once, or fails as the test says.
-type answeringLog struct {
+// immediateLog applies at once, or fails as the test says.
+type immediateLog struct {
 	machine *Machine
 	index   uint64
 	err     error
 }
 
-func (l *answeringLog) Propose(_ context.Context, command []byte) ([]byte, error) {
+func (l *immediateLog) Propose(_ context.Context, command []byte) ([]byte, error) {
 	if l.err != nil {
 		return nil, l.err
 	}
 	l.index++
 	return l.machine.Apply(l.index, command), nil
 }
-func (l *answeringLog) Barrier(context.Context) error { return l.err }
-func (l *answeringLog) Status() LogStatus             { return LogStatus{Leads: l.err == nil} }
+func (l *immediateLog) Barrier(context.Context) error { return l.err }
+func (l *immediateLog) Status() LogStatus             { return LogStatus{IsLeader: l.err == nil} }
 
 // decodeText reads "VERSION text"; a text that says "invalid" has a route
 // without a timeout.
@@ -58,9 +58,9 @@
 	return d, nil
 }
 
-func newDocuments(t *testing.T) (*documents, *answeringLog) {
+func newDocuments(t *testing.T) (*documents, *immediateLog) {
 	machine := NewMachine(100, ledger.Limits{Retention: time.Hour})
-	log := &answeringLog{machine: machine}
+	log := &immediateLog{machine: machine}
 	return &documents{
 		service: NewService(machine, log, hclog.NewNullLogger()), decode: decodeText, logger: hclog.NewNullLogger(), name: "s1",
 		control: netip.MustParseAddrPort("10.0.0.1:8229"),
@@ -69,7 +69,7 @@
 
 // Operators send versions out of order, again, and other texts under a version
 // that is held. The highest version must stay, as it was first accepted.
-func TestHighestDocumentStays(t *testing.T) {
+func TestHighestDocumentVersionIsKept(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
 	ctx := t.Context()
@@ -98,7 +98,7 @@
 
 // A process that does not lead sends the operator to the one that does, on that
 // machine's own port for operators; without a leader nothing is promised.
-func TestOperatorsAreSentToTheLeader(t *testing.T) {
+func TestOperatorsAreRedirectedToTheLeader(t *testing.T) {
 	is := is.New(t)
 	d, log := newDocuments(t)
 	log.err = fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another leads", fault.WithLeader("10.0.0.4:7340"))
@@ -112,7 +112,7 @@
 }
 
 // Hundreds of large documents come in a day. The trail must not hold them all.
-func TestTrailHoldsFewLargeDocuments(t *testing.T) {
+func TestAuditTrailBoundsLargeDocuments(t *testing.T) {
 	is := is.New(t)
 	d, _ := newDocuments(t)
 	large := randomText(200 << 10)
@@ -129,15 +129,15 @@
 
 // An entry asks for the members of the group and so is named to the others; one
 // that asks no more is forgotten.
-func TestEntriesFindEachOtherThroughTheStateProcesses(t *testing.T) {
+func TestEntriesDiscoverEachOtherThroughStateProcesses(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	table := newEntryTable(func() time.Time { return now })
-	table.heard(&lilacv1.StateMember{Name: "e2"})
-	now = now.Add(entryMemory / 2)
-	table.heard(&lilacv1.StateMember{Name: "e1"})
+	table.record(&lilacv1.StateMember{Name: "e2"})
+	now = now.Add(entryTTL / 2)
+	table.record(&lilacv1.StateMember{Name: "e1"})
 	is.Equal(len(table.list()), 2)
-	now = now.Add(entryMemory/2 + time.Second)
+	now = now.Add(entryTTL/2 + time.Second)
 	list := table.list()
 	is.Equal(len(list), 1)
 	is.Equal(list[0].GetName(), "e1")
@@ -146,13 +146,13 @@
 // Guards against a loss of power after which every entry holds the newest revision
 // without the document: more documents came than the trail holds, so entries that
 // start take a snapshot.
-func TestEntryThatStartsAfterManyDocumentsHasTheNewest(t *testing.T) {
+func TestEntryStartedAfterManyDocumentsGetsTheNewest(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	putDocuments(t, all[0], 30)
-	entries := watchers(t, all, 3)
+	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
-		is.Equal(waitFor(w, 30).Document.GetVersion(), uint64(30))
+		is.Equal(waitForRevision(w, 30).Document.GetVersion(), uint64(30))
 	}
 }
 
@@ -249,9 +249,9 @@
 		defer close(done)
 		_ = w.Run(ctx)
 	}()
-	is.Equal(waitFor(w, 8).Document.GetVersion(), uint64(8))
+	is.Equal(waitForRevision(w, 8).Document.GetVersion(), uint64(8))
 	is.NoErr(d.Put(t.Context(), []byte("9 "+randomText(size))))
-	is.Equal(waitFor(w, 9).Document.GetVersion(), uint64(9))
+	is.Equal(waitForRevision(w, 9).Document.GetVersion(), uint64(9))
 	stop()
 	<-done
 	is.True(sent.Load() < 3*size)
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -29,7 +29,7 @@
 	leader   string
 }
 
-func (g *sharedLog) run(command []byte) []byte {
+func (g *sharedLog) apply(command []byte) []byte {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.index++
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	result := l.group.run(command)
+	result := l.group.apply(command)
 	l.group.mu.Lock()
 	after := l.after
 	l.group.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 func (l *memberLog) Status() LogStatus {
-	return LogStatus{Leads: l.leads(), Status: &lilacv1.StateStatus{Leader: l.group.leader, Process: l.address}}
+	return LogStatus{IsLeader: l.leads(), Status: &lilacv1.StateStatus{Leader: l.group.leader, Process: l.address}}
 }
 
 // process is a state process over the real link.
@@ -101,10 +101,10 @@
 }
 
 // group starts n state processes, the first of which leads.
-func group(t testing.TB, n int) (*sharedLog, []*process) { return groupKeeping(t, n, 0) }
+func group(t testing.TB, n int) (*sharedLog, []*process) { return groupWithRetention(t, n, 0) }
 
-// groupKeeping is group with so many revisions in the audit trail.
-func groupKeeping(t testing.TB, n, retention int) (*sharedLog, []*process) {
+// groupWithRetention is group with so many revisions in the audit trail.
+func groupWithRetention(t testing.TB, n, retention int) (*sharedLog, []*process) {
 	shared := &sharedLog{}
 	var all []*process
 	for i := range n {
@@ -135,11 +135,11 @@
 var testKey = []byte("one key for all tests")
 
 func newClient(t testing.TB, all []*process, name string) *stateclient.Client {
-	return newClientKnowing(t, all, name, nil)
+	return newClientWithRecoveries(t, all, name, nil)
 }
 
-// newClientKnowing is newClient of an instance that knows of so many recoveries.
-func newClientKnowing(t testing.TB, all []*process, name string, recoveries func() uint32) *stateclient.Client {
+// newClientWithRecoveries is newClient of an instance that knows of so many recoveries.
+func newClientWithRecoveries(t testing.TB, all []*process, name string, recoveries func() uint32) *stateclient.Client {
 	dialed := dialer(t)
 	var peers []settings.Peer
 	for _, p := range all {
--- a/daemon/state/group_test.go
+++ b/daemon/state/group_test.go
@@ -39,7 +39,7 @@
 // The leader stops while operators and callers are at work. What was accepted
 // must still be there, a claim that was granted must not be granted again, and
 // the entries must find the new leader by themselves.
-func TestAcceptedSurvivesTheLeader(t *testing.T) {
+func TestCommittedStateSurvivesLossOfTheLeader(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
 	c := newClient(t, processes(all), "entry-1")
@@ -50,7 +50,7 @@
 	first, err := c.Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
 	is.True(first.GetGranted())
-	leader := slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().Leads })
+	leader := slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().IsLeader })
 	is.NoErr(all[leader].running.Close())
 	all[leader].server.Close()
 
@@ -62,15 +62,15 @@
 	is.NoErr(err)
 	is.True(!second.GetGranted())
 	is.Equal(second.GetState(), lilacv1.ClaimState_CLAIM_STATE_CLAIMED)
-	for _, w := range watchers(t, processes(all), 2) {
-		is.Equal(len(waitFor(w, 20).Classes), 20)
+	for _, w := range startWatchers(t, processes(all), 2) {
+		is.Equal(len(waitForRevision(w, 20).Classes), 20)
 	}
 }
 
 // Two of three data centres are cut off. The third must refuse new claims with
 // "not run", at once after the first time, and still give the first answer of a
 // request that it has seen end, the audit trail and the configuration.
-func TestCutOffMinorityRefusesAndReads(t *testing.T) {
+func TestMinorityRefusesClaimsAndServesReads(t *testing.T) {
 	is := is.New(t)
 	all := replicatedGroup(t)
 	c := newClient(t, processes(all), "entry-1")
@@ -85,7 +85,7 @@
 	again := claimOf("ended")
 	again.Instance, again.Incarnation, again.Attempt = "e", "e", "a"
 	seen := func() bool {
-		_, final := left.service.machine.FinalClaim(again)
+		_, final := left.service.machine.FinalReply(again)
 		return final
 	}
 	for left.service.machine.Revision() < 1 || !seen() {
@@ -106,8 +106,8 @@
 	audit, err := c.Audit(t.Context(), &lilacv1.AuditRequest{})
 	is.NoErr(err)
 	is.Equal(len(audit.GetRevisions()), 1)
-	for _, w := range watchers(t, processes(all), 2) {
-		is.Equal(len(waitFor(w, 1).Classes), 1)
+	for _, w := range startWatchers(t, processes(all), 2) {
+		is.Equal(len(waitForRevision(w, 1).Classes), 1)
 	}
 }
 
@@ -143,7 +143,7 @@
 	if _, err := c.Propose(b.Context(), proposal("one", "alerts", 0)); err != nil {
 		b.Fatal(err)
 	}
-	leader := all[slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().Leads })]
+	leader := all[slices.IndexFunc(all, func(m *stateProcess) bool { return m.running.Status().IsLeader })]
 	plain := dialer(b)(leader.peer.Address.Value)
 	run := 0
 	for _, workers := range []int{1, 16, 128, 512} {
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -24,17 +24,17 @@
 	ledger  *ledger.Ledger
 	leases  *lease.Table
 	applied uint64
-	// encoded is the size of the last snapshot, in bytes.
-	encoded int
+	// lastSnapshotSize is the size of the last snapshot, in bytes.
+	lastSnapshotSize int
 	// changed is closed and replaced at each new revision.
 	changed chan struct{}
 	// onLease is told of each grant or renewal as it is applied.
 	onLease func(*lilacv1.LeaseEntry)
 }
 
-// roomPart is the part of the last snapshot's size by which the next may be
+// headroomDivisor is the part of the last snapshot's size by which the next may be
 // larger without a new buffer.
-const roomPart = 8
+const headroomDivisor = 8
 
 // NewMachine returns an empty Machine. All processes of a group must have the
 // same audit retention (in revisions) and limits.
@@ -83,22 +83,22 @@
 }
 
 func (m *Machine) propose(p *lilacv1.Proposal) *lilacv1.CommandResult {
-	if err := m.checkForget(p); err != nil {
+	if err := m.checkForgetKeys(p); err != nil {
 		return failed(err)
 	}
 	before := m.config.Revision()
 	result := m.config.Apply(p)
 	if m.config.Revision() != before {
-		m.forget(p)
-		m.wake()
+		m.forgetKeys(p)
+		m.notifyChanged()
 	}
 	return result
 }
 
-// checkForget has the ledger check a date that is not its configuration's. The
+// checkForgetKeys has the ledger check a date that is not its configuration's. The
 // caller holds mu.
-func (m *Machine) checkForget(p *lilacv1.Proposal) error {
-	for _, before := range forgotten(p) {
+func (m *Machine) checkForgetKeys(p *lilacv1.Proposal) error {
+	for _, before := range forgetCutoffs(p) {
 		if err := m.ledger.CheckForget(before); err != nil {
 			return err
 		}
@@ -106,14 +106,14 @@
 	return nil
 }
 
-func (m *Machine) forget(p *lilacv1.Proposal) {
-	for _, before := range forgotten(p) {
+func (m *Machine) forgetKeys(p *lilacv1.Proposal) {
+	for _, before := range forgetCutoffs(p) {
 		m.ledger.Forget(before)
 	}
 }
 
-// forgotten returns the moments before which the proposal has keys forgotten.
-func forgotten(p *lilacv1.Proposal) []int64 {
+// forgetCutoffs returns the moments before which the proposal has keys forgotten.
+func forgetCutoffs(p *lilacv1.Proposal) []int64 {
 	var moments []int64
 	for _, change := range p.GetChanges() {
 		if op, ok := change.GetOp().(*lilacv1.Change_ForgetKeysBeforeUnixMs); ok {
@@ -132,7 +132,7 @@
 	return &lilacv1.CommandResult{Status: fault.ToStatus(err), Reply: &lilacv1.CommandResult_Lease{Lease: reply}}
 }
 
-func (m *Machine) wake() {
+func (m *Machine) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -147,9 +147,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	configured, claimed, leased := m.config.Capture(), m.ledger.Capture(), m.leases.Snapshot()
-	size := m.encoded
+	size := m.lastSnapshotSize
 	return func() ([]byte, error) {
-		data := make([]byte, 0, size+size/roomPart)
+		data := make([]byte, 0, size+size/headroomDivisor)
 		add := func(part *lilacv1.MachineSnapshot) (err error) {
 			data, err = proto.MarshalOptions{Deterministic: true}.MarshalAppend(data, part)
 			return err
@@ -160,7 +160,7 @@
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.encoded = len(data)
+		m.lastSnapshotSize = len(data)
 		return data, err
 	}
 }
@@ -176,8 +176,8 @@
 	m.config.Restore(s.GetConfig())
 	m.ledger.Restore(s.GetLedger())
 	m.leases.Restore(s.GetLeases())
-	m.encoded = len(data)
-	m.wake()
+	m.lastSnapshotSize = len(data)
+	m.notifyChanged()
 	return nil
 }
 
@@ -187,7 +187,7 @@
 	preview.DryRun = true
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.checkForget(preview); err != nil {
+	if err := m.checkForgetKeys(preview); err != nil {
 		return failed(err)
 	}
 	return m.config.Apply(preview)
@@ -237,14 +237,14 @@
 
 // Counts are sizes for metrics and status.
 type Counts struct {
-	Revision     uint64
-	Applied      uint64
-	Claims       int
-	OpenClaims   int
-	Tombstones   int
-	LateOutcomes uint64
-	Doubted      uint64
-	Broken       uint64
+	Revision         uint64
+	Applied          uint64
+	Claims           int
+	OpenClaims       int
+	Tombstones       int
+	LateOutcomes     uint64
+	InDoubtClaims    uint64
+	BrokenInvariants uint64
 }
 
 // Counts returns the sizes as of now.
@@ -252,19 +252,19 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Counts{
-		Revision:     m.config.Revision(),
-		Applied:      m.applied,
-		Claims:       m.ledger.Len(),
-		OpenClaims:   m.ledger.OpenClaims(),
-		Tombstones:   m.ledger.Tombstones(),
-		LateOutcomes: m.ledger.LateOutcomes(),
-		Doubted:      m.ledger.InDoubtClaims(),
-		Broken:       m.ledger.BrokenInvariants(),
+		Revision:         m.config.Revision(),
+		Applied:          m.applied,
+		Claims:           m.ledger.Len(),
+		OpenClaims:       m.ledger.OpenClaims(),
+		Tombstones:       m.ledger.Tombstones(),
+		LateOutcomes:     m.ledger.LateOutcomes(),
+		InDoubtClaims:    m.ledger.InDoubtClaims(),
+		BrokenInvariants: m.ledger.BrokenInvariants(),
 	}
 }
 
-// FinalClaim answers a claim that needs no place in the log, as ledger.FinalReply does.
-func (m *Machine) FinalClaim(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
+// FinalReply answers a claim that needs no place in the log, as ledger.FinalReply does.
+func (m *Machine) FinalReply(r *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ledger.FinalReply(r)
--- a/daemon/state/recover_test.go
+++ b/daemon/state/recover_test.go
@@ -26,9 +26,9 @@
 // majority returns the names of a leader and one more voter, and the third voter.
 func (c *cluster) majority() (two []string, third string) {
 	var leader string
-	await(func() bool {
+	waitUntil(func() bool {
 		for name, m := range c.running {
-			if m.running.Status().Leads {
+			if m.running.Status().IsLeader {
 				leader = name
 			}
 		}
@@ -50,7 +50,7 @@
 	return data
 }
 
-func keyMadeAt(at time.Time, n int) string {
+func timedKey(at time.Time, n int) string {
 	ms := at.UnixMilli()
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", ms>>16, ms&0xffff, n)
 }
@@ -66,20 +66,20 @@
 	client := newClient(t, c.processes(), "entry-1")
 	_, err := client.Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
-	entries := watchers(t, c.processes(), 1)
-	waitFor(entries[0], 1)
+	entries := startWatchers(t, c.processes(), 1)
+	waitForRevision(entries[0], 1)
 	entryAddress, _, _ := serveEntry(t, entries[0].Watcher)
 	// The entry keeps what it sent here, as it does when another entry starts.
 	early, err := spreadlink.FetchConfig(t.Context(), dialer(t)(entryAddress))
 	is.NoErr(err)
 	is.Equal(early.GetRevision(), uint64(1))
 	lost, survivor := c.majority()
-	await(func() bool { return c.running[survivor].service.machine.Revision() == 1 })
+	waitUntil(func() bool { return c.running[survivor].service.machine.Revision() == 1 })
 	c.stop(survivor)
 	_, err = client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
 	made := time.Now()
-	for _, key := range []string{"plain", keyMadeAt(made, 1)} {
+	for _, key := range []string{"plain", timedKey(made, 1)} {
 		reply, err := client.Claim(t.Context(), claimOf(key))
 		is.NoErr(err)
 		is.True(reply.GetGranted())
@@ -87,7 +87,7 @@
 	leased, err := client.Lease(t.Context(), &lilacv1.LeaseRequest{Name: "orders", DurationMs: 1000})
 	is.NoErr(err)
 	is.True(leased.GetGranted())
-	waitFor(entries[0], 2)
+	waitForRevision(entries[0], 2)
 
 	// While they run, there is nothing to recover.
 	_, err = Recover(t.Context(), c.options(survivor, entryAddress))
@@ -112,11 +112,11 @@
 	reply, err := client.Propose(t.Context(), proposal("three", "berths", 0))
 	is.NoErr(err)
 	is.Equal(reply.GetRevision(), done.NewRevision+1)
-	is.Equal(len(waitFor(entries[0], reply.GetRevision()).Classes), 3)
+	is.Equal(len(waitForRevision(entries[0], reply.GetRevision()).Classes), 3)
 	again, err := client.Propose(t.Context(), proposal("two", "dossiers", 0))
 	is.NoErr(err)
 	is.True(again.GetRepeatedCommand())
-	for _, key := range []string{"plain", keyMadeAt(made, 1)} {
+	for _, key := range []string{"plain", timedKey(made, 1)} {
 		reply, err := newClient(t, c.processes(), "entry-2").Claim(t.Context(), claimOf(key))
 		is.NoErr(err)
 		is.True(!reply.GetGranted() && reply.GetInDoubt())
@@ -128,9 +128,9 @@
 	for _, name := range lost {
 		is.NoErr(c.start(name))
 	}
-	await(func() bool { return len(c.running[survivor].service.Status().GetVoters()) == 3 })
+	waitUntil(func() bool { return len(c.running[survivor].service.Status().GetVoters()) == 3 })
 	status := c.running[lost[0]].service.Status()
-	await(func() bool {
+	waitUntil(func() bool {
 		status = c.running[lost[0]].service.Status()
 		return status.GetGroup() == done.NewGroup
 	})
@@ -163,7 +163,7 @@
 	_, err := client.Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
 	var known uint32
-	client = newClientKnowing(t, all, "entry-1", func() uint32 { return known })
+	client = newClientWithRecoveries(t, all, "entry-1", func() uint32 { return known })
 	reply, err := client.Claim(t.Context(), claimOf("before"))
 	is.NoErr(err)
 	is.True(reply.GetGranted())
@@ -180,7 +180,7 @@
 // The survivor led once, lost its quorum and wrote a change that was never
 // accepted, under the number that the others then gave to another one. Both the
 // survivor's folder and an entry hold that number: the entry's is the truth.
-func TestEntriesOverruleWhatWasNeverAccepted(t *testing.T) {
+func TestEntryConfigOverridesUncommittedRevisions(t *testing.T) {
 	is := is.New(t)
 	accepted, own := NewMachine(0, ledger.Limits{}), NewMachine(0, ledger.Limits{})
 	apply := func(m *Machine, index uint64, id, class string) []byte {
@@ -196,7 +196,7 @@
 	}
 	found, err := own.replay(state, accepted.Config())
 	is.NoErr(err)
-	is.True(found.differs)
+	is.True(found.diverged)
 	is.Equal(found.revision, uint64(2))
 	is.Equal(found.committed, uint64(0))
 }
--- a/daemon/state/service_test.go
+++ b/daemon/state/service_test.go
@@ -35,7 +35,7 @@
 	return &lilacv1.ClaimRequest{Team: "coop", Key: key, Digest: digest(1)}
 }
 
-func TestTheWholeInterface(t *testing.T) {
+func TestClientCalls(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
 	c := newClient(t, all, "entry-1")
@@ -85,7 +85,7 @@
 
 // What the client makes of each way in which a call can fail, and what it says
 // of the command: refused and surely not in the log, or perhaps in it.
-func TestFaultsOnTheWayToTheLeader(t *testing.T) {
+func TestCallFaultsAndNotRun(t *testing.T) {
 	noLeader := func(s *sharedLog, _ []*process) { s.leader = "" }
 	for _, c := range []struct {
 		name   string
@@ -144,7 +144,7 @@
 // know whether it stands; it does not send the request and tells its caller "not
 // run". When the link heals, the claim must be given up by itself, so that the
 // caller's resend runs.
-func TestClaimWhoseAnswerWasLostIsGivenUp(t *testing.T) {
+func TestClaimWithLostReplyIsReleased(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	all[0].log.setAfter(func() error { return errors.New("answer lost") })
@@ -170,21 +170,21 @@
 // An entry is silent for longer than claims may wait, so the leader takes it for
 // dead and its claim becomes unknown. The entry was only cut off: when it comes
 // back it must be able to claim again without a restart.
-func TestSilentEntryLosesItsClaimsAndComesBack(t *testing.T) {
+func TestTimedOutEntryLosesItsClaimsAndClaimsAgain(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	service := all[0].service
 	now := time.Now()
-	service.lives.now = func() time.Time { return now }
+	service.liveness.now = func() time.Time { return now }
 	c := newClient(t, all, "entry-1")
 	_, err := c.Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
-	service.endSilent(t.Context())
-	now = now.Add(goneAfter)
-	service.endSilent(t.Context())
+	service.expireIncarnations(t.Context())
+	now = now.Add(livenessTimeout)
+	service.expireIncarnations(t.Context())
 	is.Equal(service.machine.Counts().OpenClaims, 1)
 	now = now.Add(time.Second)
-	service.endSilent(t.Context())
+	service.expireIncarnations(t.Context())
 	is.Equal(service.machine.Counts().OpenClaims, 0)
 	old, err := newClient(t, all, "entry-2").Claim(t.Context(), claimOf("k"))
 	is.NoErr(err)
@@ -194,7 +194,7 @@
 	is.True(fresh.GetGranted())
 }
 
-func TestMachineComesBackFromItsSnapshot(t *testing.T) {
+func TestMachineRestoresFromItsSnapshot(t *testing.T) {
 	is := is.New(t)
 	shared, all := group(t, 1)
 	c := newClient(t, all, "entry-1")
@@ -228,8 +228,8 @@
 	traffic *link.Traffic
 }
 
-// watchers starts n entries of one data centre.
-func watchers(t testing.TB, all []*process, n int) []*follower {
+// startWatchers starts n entries of one data centre.
+func startWatchers(t testing.TB, all []*process, n int) []*follower {
 	var state []settings.Peer
 	for _, p := range all {
 		state = append(state, p.peer)
@@ -259,14 +259,14 @@
 	return started
 }
 
-// watched is an entry that follows revisions.
-type watched interface {
+// revisionWatcher is an entry that follows revisions.
+type revisionWatcher interface {
 	Changed() <-chan struct{}
 	Current() *model.View
 	Revision() uint64
 }
 
-func waitFor(w watched, revision uint64) *model.View {
+func waitForRevision(w revisionWatcher, revision uint64) *model.View {
 	for {
 		changed := w.Changed()
 		if w.Current() != nil && w.Revision() >= revision {
@@ -279,9 +279,9 @@
 func TestRevisionsReachAllEntries(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
-	entries := watchers(t, all, 4)
+	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
-		waitFor(w, 0)
+		waitForRevision(w, 0)
 	}
 	c := newClient(t, all, "entry-1")
 	_, err := c.Propose(t.Context(), proposal("one", "alerts", 0))
@@ -289,47 +289,47 @@
 	_, err = c.Propose(t.Context(), proposal("two", "alerts", 3))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(waitFor(w, 2).Classes["alerts"].GetTier(), uint32(3))
+		is.Equal(waitForRevision(w, 2).Classes["alerts"].GetTier(), uint32(3))
 	}
 }
 
 // The relay of a data centre dies. The entries below it must go on with the next
 // in rank, and that one with a state process, without an operator.
-func TestEntriesGoOnWithoutTheirRelay(t *testing.T) {
+func TestEntriesFailOverWhenTheirRelayDies(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 3)
-	entries := watchers(t, all, 4)
+	entries := startWatchers(t, all, 4)
 	for _, w := range entries {
-		waitFor(w, 0)
+		waitForRevision(w, 0)
 	}
 	slices.SortFunc(entries, func(a, b *follower) int { return member.CompareRank(a.name, b.name) })
 	entries[0].kill()
 	_, err := newClient(t, all, "entry-1").Propose(t.Context(), proposal("one", "alerts", 0))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 1).Classes), 1)
+		is.Equal(len(waitForRevision(w, 1).Classes), 1)
 	}
 }
 
 // An entry starts after more changes than the audit trail holds. Neither the
 // state processes nor the relay can give them one by one, so it must take a
 // snapshot, and then each later change in order.
-func TestLongAbsenceIsMadeGoodBySnapshot(t *testing.T) {
+func TestEntryBeyondTheAuditTrailGetsASnapshot(t *testing.T) {
 	is := is.New(t)
-	_, all := groupKeeping(t, 1, 5)
+	_, all := groupWithRetention(t, 1, 5)
 	c := newClient(t, all, "entry-1")
 	for i := range 20 {
 		_, err := c.Propose(t.Context(), proposal(fmt.Sprint(i), fmt.Sprint("class-", i), 0))
 		is.NoErr(err)
 	}
-	entries := watchers(t, all, 3)
+	entries := startWatchers(t, all, 3)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 20).Classes), 20)
+		is.Equal(len(waitForRevision(w, 20).Classes), 20)
 	}
 	_, err := c.Propose(t.Context(), proposal("20", "class-20", 0))
 	is.NoErr(err)
 	for _, w := range entries {
-		is.Equal(len(waitFor(w, 21).Classes), 21)
+		is.Equal(len(waitForRevision(w, 21).Classes), 21)
 		newest, _ := w.LatestKnown()
 		is.Equal(newest, uint64(21))
 	}
@@ -337,7 +337,7 @@
 
 // An entry that holds what this process would answer is told so, and nothing else, until
 // another entry comes.
-func TestMembersAreSentOnlyWhereTheyDiffer(t *testing.T) {
+func TestMembersAreSentOnlyWhenChanged(t *testing.T) {
 	is := is.New(t)
 	_, all := group(t, 1)
 	ask := func(name string, have uint64) *lilacv1.StateMembers {
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -19,57 +19,57 @@
 )
 
 const (
-	benchCenters = 5
+	benchDataCenters = 5
 	// nearDelay and farDelay are one way, inside a data centre and between two.
 	nearDelay = time.Millisecond
 	farDelay  = 30 * time.Millisecond
 )
 
-// wire counts the messages that pass and delays each as the network would.
-type wire struct{ near, far, fromState atomic.Int64 }
+// trafficMeter counts the messages that pass and delays each as the network would.
+type trafficMeter struct{ near, far, fromState atomic.Int64 }
 
-type wiredCaller struct {
+type meteredCaller struct {
 	link.Caller
-	wire       *wire
+	meter      *trafficMeter
 	far, state bool
 }
 
-type wiredStream struct {
+type meteredStream struct {
 	link.Stream
-	caller *wiredCaller
+	caller *meteredCaller
 }
 
-func (c *wiredCaller) Open(ctx context.Context, method string, req proto.Message) (link.Stream, error) {
+func (c *meteredCaller) Open(ctx context.Context, method string, req proto.Message) (link.Stream, error) {
 	s, err := c.Caller.Open(ctx, method, req)
-	return &wiredStream{s, c}, err
+	return &meteredStream{s, c}, err
 }
 
-func (s *wiredStream) Recv(m proto.Message) error {
+func (s *meteredStream) Recv(m proto.Message) error {
 	err := s.Stream.Recv(m)
 	size := int64(proto.Size(m))
 	if s.caller.state {
-		s.caller.wire.fromState.Add(size)
+		s.caller.meter.fromState.Add(size)
 	}
 	if s.caller.far {
-		s.caller.wire.far.Add(size)
+		s.caller.meter.far.Add(size)
 		time.Sleep(farDelay)
 		return err
 	}
-	s.caller.wire.near.Add(size)
+	s.caller.meter.near.Add(size)
 	time.Sleep(nearDelay)
 	return err
 }
 
-// entries starts n watchers in five data centres below one state process. Flat
+// startEntries starts n watchers in five data centres below one state process. Flat
 // ones know of no other entry, so that each follows the state process.
-func entries(b *testing.B, service *Service, w *wire, n int, flat bool) []*spreadlink.Watcher {
+func startEntries(b *testing.B, service *Service, w *trafficMeter, n int, flat bool) []*spreadlink.Watcher {
 	muxes := make(map[string]*link.Mux)
 	centers := map[string]string{"state": "dc-0"}
 	muxes["state"] = link.NewMux()
 	service.Register(muxes["state"])
 	var peers []settings.Peer
 	for i := range n {
-		name, center := fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%benchCenters)
+		name, center := fmt.Sprint("entry-", i), fmt.Sprint("dc-", i%benchDataCenters)
 		peers = append(peers, settings.Peer{Name: name, Address: settings.Address{Value: name}, DataCenter: center})
 		muxes[name], centers[name] = link.NewMux(), center
 	}
@@ -87,7 +87,7 @@
 			o.Entries = peers
 		}
 		o.Dial = func(address string) link.Caller {
-			return &wiredCaller{&link.Local{Mux: muxes[address]}, w, centers[address] != peer.DataCenter, address == "state"}
+			return &meteredCaller{&link.Local{Mux: muxes[address]}, w, centers[address] != peer.DataCenter, address == "state"}
 		}
 		watcher := spreadlink.NewWatcher(o)
 		spreadlink.NewServer(watcher, hclog.NewNullLogger()).Register(muxes[peer.Name], "entry")
@@ -108,15 +108,15 @@
 				machine := NewMachine(0, ledger.Limits{})
 				shared := &sharedLog{machines: []*Machine{machine}, leader: "state"}
 				service := NewService(machine, &memberLog{group: shared, address: "state"}, hclog.NewNullLogger())
-				w := &wire{}
-				watchers := entries(b, service, w, n, flat)
+				w := &trafficMeter{}
+				watchers := startEntries(b, service, w, n, flat)
 				propose := func(i int) {
 					command, _ := proto.Marshal(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal(fmt.Sprint(i), "alerts", uint32(i%4))}})
-					shared.run(command)
+					shared.apply(command)
 				}
 				arrive := func(revision uint64) {
 					for _, watcher := range watchers {
-						waitFor(watcher, revision)
+						waitForRevision(watcher, revision)
 					}
 				}
 				propose(0)
