--- a/connection/caller/handler.go
+++ b/connection/caller/handler.go
@@ -63,16 +63,16 @@
 		w.Header().Set("Connection", "close")
 	}
 	markHeaderRead(r.Context())
-	answer := newResponseWriter(w, newRequestID(), h.instance)
-	err := h.serve(w, r, answer)
+	rw := newResponseWriter(w, newRequestID(), h.instance)
+	err := h.serve(w, r, rw)
 	if err == nil {
 		return
 	}
 	h.counter.Refused(fault.Name(fault.KindOf(err)))
-	answer.Fail(err)
+	rw.Fail(err)
 }
 
-func (h *Handler) serve(w http.ResponseWriter, r *http.Request, answer *ResponseWriter) error {
+func (h *Handler) serve(w http.ResponseWriter, r *http.Request, rw *ResponseWriter) error {
 	if err := h.checkHeader(r); err != nil {
 		return err
 	}
@@ -80,22 +80,22 @@
 	if view == nil {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance has no configuration yet; retry here or at another instance", fault.WithRetryAfter(notReadyRetry))
 	}
-	meta := Meta{RequestID: answer.RequestID}
+	meta := Meta{RequestID: rw.RequestID}
 	if err := h.checkMeta(r, view, &meta); err != nil {
 		return err
 	}
 	switch path := r.URL.Path; {
 	case path == chatPath && r.Method == http.MethodPost:
-		return h.chat(w, r, view, meta, answer)
+		return h.chat(w, r, view, meta, rw)
 	case path == modelsPath && r.Method == http.MethodGet:
-		return h.models(view, answer)
+		return h.models(view, rw)
 	case strings.HasPrefix(path, servicePrefix):
-		return h.service(w, r, view, meta, answer)
+		return h.service(w, r, view, meta, rw)
 	}
 	return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no endpoint for "+r.Method+" "+strconv.Quote(r.URL.Path)+"; see docs/INTERFACES.md")
 }
 
-func (h *Handler) chat(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
+func (h *Handler) chat(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, rw *ResponseWriter) error {
 	body, err := h.readBody(w, r)
 	if err != nil {
 		return err
@@ -111,10 +111,10 @@
 	h.counter.Request(meta.Class)
 	ctx, cancel := contextWithDeadline(r, &meta)
 	defer cancel()
-	return h.router.Chat(ctx, &Chat{Meta: meta, ChatFields: fields}, answer)
+	return h.router.Chat(ctx, &Chat{Meta: meta, ChatFields: fields}, rw)
 }
 
-func (h *Handler) service(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, answer *ResponseWriter) error {
+func (h *Handler) service(w http.ResponseWriter, r *http.Request, view *model.View, meta Meta, rw *ResponseWriter) error {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicePrefix), "/")
 	if !serves(view, name, lilacv1.ServerKind_SERVER_KIND_SERVICE) {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "service "+strconv.Quote(name)+" is not served by any server; check the path")
@@ -132,7 +132,7 @@
 	h.counter.Request(meta.Class)
 	ctx, cancel := contextWithDeadline(r, &meta)
 	defer cancel()
-	return h.router.Service(ctx, &Service{Meta: meta, Method: r.Method, URI: uri, Header: r.Header}, answer)
+	return h.router.Service(ctx, &Service{Meta: meta, Method: r.Method, URI: uri, Header: r.Header}, rw)
 }
 
 // contextWithDeadline returns a context that ends when the caller disconnects or the
@@ -165,7 +165,7 @@
 	Data   []modelEntry `json:"data"`
 }
 
-func (h *Handler) models(view *model.View, answer *ResponseWriter) error {
+func (h *Handler) models(view *model.View, rw *ResponseWriter) error {
 	list := modelList{Object: "list", Data: []modelEntry{}}
 	for name := range view.Pools {
 		if serves(view, name, lilacv1.ServerKind_SERVER_KIND_ENGINE) {
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	answer.WriteHeader(http.StatusOK, "application/json", "")
-	_, err = answer.Write(body)
+	rw.WriteHeader(http.StatusOK, "application/json", "")
+	_, err = rw.Write(body)
 	return err
 }
--- a/connection/caller/request.go
+++ b/connection/caller/request.go
@@ -46,8 +46,8 @@
 type Router interface {
 	// View returns the configuration in force; nil if there is none yet.
 	View() *model.View
-	Chat(ctx context.Context, q *Chat, answer *ResponseWriter) error
-	Service(ctx context.Context, q *Service, answer *ResponseWriter) error
+	Chat(ctx context.Context, q *Chat, rw *ResponseWriter) error
+	Service(ctx context.Context, q *Service, rw *ResponseWriter) error
 }
 
 // Counter counts requests. The number of distinct kinds and classes is bounded. Its methods
--- a/connection/engine/client.go
+++ b/connection/engine/client.go
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, fmt.Errorf("response to %[2]s is larger than %[1]d bytes", limit, resp.Request.URL.Path)
+		return nil, fmt.Errorf("engine sent more than %d bytes in response to %s", limit, resp.Request.URL.Path)
 	}
 	return data, nil
 }
--- a/connection/gateway/handler.go
+++ b/connection/gateway/handler.go
@@ -71,7 +71,7 @@
 	DocumentFresh() bool
 	// Forward runs the request and writes the response. If it returns an error, the
 	// handler sends that to the caller.
-	Forward(ctx context.Context, q *Request, answer *ResponseWriter) error
+	Forward(ctx context.Context, q *Request, rw *ResponseWriter) error
 }
 
 // Counter counts requests. Its methods are called concurrently.
@@ -115,26 +115,26 @@
 	if h.noKeepAlive.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	answer := newResponseWriter(w)
+	rw := newResponseWriter(w)
 	q, err := h.check(w, r)
 	if err != nil {
-		h.refuse(r, answer, err)
+		h.refuse(r, rw, err)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.Deadline)
 	defer cancel()
 	h.counter.Request(q.Route.Name)
-	if err := h.router.Forward(ctx, q, answer); err != nil {
+	if err := h.router.Forward(ctx, q, rw); err != nil {
 		h.counter.Refused(fault.Name(fault.KindOf(err)))
 		h.log.Failed(q.AttemptID, statusOf(err), err)
-		answer.Fail(err)
+		rw.Fail(err)
 	}
 }
 
-func (h *Handler) refuse(r *http.Request, answer *ResponseWriter, err error) {
+func (h *Handler) refuse(r *http.Request, rw *ResponseWriter, err error) {
 	h.counter.Refused(fault.Name(fault.KindOf(err)))
 	h.log.Refused(r.Header.Get(h.protocol.IDHeader()), r.Host, r.URL.Path, err)
-	answer.Fail(err)
+	rw.Fail(err)
 }
 
 // startingRetryAfter returns the Retry-After of an instance that has run for uptime and
--- a/connection/httpserver/httpserver.go
+++ b/connection/httpserver/httpserver.go
@@ -38,7 +38,7 @@
 	)
 	server.ReadHeaderTimeout = headerTimeout
 	server.IdleTimeout = idleTimeout
-	// net/http logs a line per broken connection of a caller, which operators don't need.
+	// Only changes of state are logged, not every broken connection of a caller.
 	server.ErrorLog = log.New(io.Discard, "", 0)
 	return server
 }
--- a/connection/loadlink/loadlink.go
+++ b/connection/loadlink/loadlink.go
@@ -17,7 +17,7 @@
 const Method = "entry.loads"
 
 const (
-	// callTimeout bounds one report and its reply. It is several round trips between
+	// callTimeout bounds one report and its reply. It is several times the latency between
 	// regions.
 	callTimeout = 500 * time.Millisecond
 	// tick is the interval at which the reports that are due are sent.
--- a/connection/operator/operator_test.go
+++ b/connection/operator/operator_test.go
@@ -93,7 +93,7 @@
 					return reply, FilterReply(request, "e2", reply)
 				})),
 				peer("e3", func(context.Context, *link.Exchange) error {
-					return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "cut off")
+					return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "instance unreachable")
 				}),
 			}
 		},
@@ -142,7 +142,7 @@
 // reply, report the outcome as unknown.
 func TestLostReplyStaysUnknown(t *testing.T) {
 	is := is.New(t)
-	lost := fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")
+	lost := fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no reply in time")
 	state := &fakeState{errors: []error{lost}}
 	client := serve(t, state)
 	reply, err := client.Statement(t.Context(), &StatementRequest{Statement: "DROP TEAM x", CommandID: "c1"})
--- a/connection/serverlist/serverlist_test.go
+++ b/connection/serverlist/serverlist_test.go
@@ -118,7 +118,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
 		broken, own := &platform{}, &platform{}
-		broken.set(errors.New("cut off"))
+		broken.set(errors.New("list unreachable"))
 		own.set(nil, "i-1")
 		entry := newNode(ctx, own, newNode(ctx, broken))
 		time.Sleep(5 * time.Second)
--- a/connection/serverlist/updater.go
+++ b/connection/serverlist/updater.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// queryTimeout bounds one query of another process: its wait for a change, and a
-	// round trip between regions.
+	// queryTimeout bounds one query of another process: its wait for a change, and the
+	// latency between regions.
 	queryTimeout = maxPollWait + 500*time.Millisecond
 	// readTimeout bounds one read of the platform's list.
 	readTimeout = 2 * time.Second
--- a/connection/upstream/pool.go
+++ b/connection/upstream/pool.go
@@ -13,8 +13,8 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// routedDialTimeout replaces dialTimeout for routed requests. It is several round
-	// trips between regions. A machine without power does not refuse connections, and
+	// routedDialTimeout replaces dialTimeout for routed requests. It is several times the
+	// latency between regions. A machine without power does not refuse connections, and
 	// another server may run the request as long as no byte of it was written.
 	routedDialTimeout = 400 * time.Millisecond
 	// A network partition is detected after tcpKeepAliveIdle plus tcpKeepAliveCount times
