--- /dev/null
+++ b/connection/serverlist/updater.go
@@ -0,0 +1,126 @@
+package serverlist
+
+import (
+	"context"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
+	"github.com/lilacbridge/lilacbridge/connection/gateway"
+	"github.com/lilacbridge/lilacbridge/connection/link"
+	"github.com/lilacbridge/lilacbridge/version/routing"
+)
+
+const (
+	// queryTimeout bounds one query of another process: its wait for a change, and the
+	// latency between regions.
+	queryTimeout = maxPollWait + 500*time.Millisecond
+	// readTimeout bounds one read of the platform's list.
+	readTimeout = 2 * time.Second
+	// retryInterval limits the CPU time spent if each read fails at once.
+	retryInterval = 200 * time.Millisecond
+)
+
+// Options configure an Updater.
+type Options struct {
+	// Upstream returns the processes to query, in order of preference. If it returns none,
+	// or none responds, this process reads the platform's list itself.
+	Upstream func() []link.Caller
+	// List is the platform's list; Every is the interval between two reads.
+	List  gateway.ServerList
+	Every time.Duration
+	// OnList is called with each list that differs from the last; may be nil.
+	OnList func([]routing.Server)
+	Logger hclog.Logger
+}
+
+// Updater keeps a Store up to date, from other processes or from the platform.
+type Updater struct {
+	Options
+	store       *Store
+	unavailable bool
+}
+
+// NewUpdater returns an Updater of the store, which does nothing until Run.
+func NewUpdater(store *Store, o Options) *Updater {
+	if o.OnList == nil {
+		o.OnList = func([]routing.Server) {}
+	}
+	return &Updater{Options: o, store: store}
+}
+
+// Run updates the store until ctx ends.
+func (u *Updater) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		if u.query(ctx) {
+			continue
+		}
+		err := u.read(ctx)
+		u.logTransition(ctx, err)
+		pause := u.Every
+		if err != nil {
+			pause = retryInterval
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(pause):
+		}
+	}
+}
+
+// query asks the upstream processes one after the other for the list, and reports whether
+// one of them responded.
+func (u *Updater) query(ctx context.Context) bool {
+	for _, caller := range u.Upstream() {
+		queryCtx, cancel := context.WithTimeout(ctx, queryTimeout)
+		reply := &lilacv1.ServersReply{}
+		err := caller.Call(queryCtx, Method, &lilacv1.ServersRequest{Have: u.store.Version()}, reply)
+		cancel()
+		if err != nil {
+			continue
+		}
+		if reply.GetVersion() == u.store.Version() {
+			u.store.Confirm()
+		} else {
+			u.apply(decode(reply))
+		}
+		u.logTransition(ctx, nil)
+		return true
+	}
+	return false
+}
+
+func (u *Updater) read(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	servers, skipped, err := u.List.Fetch(ctx)
+	if err != nil {
+		return err
+	}
+	if skipped > 0 {
+		u.Logger.Debug("skipped invalid entries of the list of backend servers", "skipped", skipped)
+	}
+	u.apply(servers)
+	return nil
+}
+
+func (u *Updater) apply(servers []routing.Server) {
+	if u.store.Set(servers) {
+		u.Logger.Info("list of backend servers changed", "servers", len(servers))
+		u.OnList(servers)
+	}
+}
+
+// logTransition logs when the list becomes unavailable or available again.
+func (u *Updater) logTransition(ctx context.Context, err error) {
+	if ctx.Err() != nil || u.unavailable == (err != nil) {
+		return
+	}
+	u.unavailable = err != nil
+	if u.unavailable {
+		u.Logger.Warn("list of backend servers unavailable; the last one stays in force", "error", err)
+	} else {
+		u.Logger.Info("list of backend servers available again")
+	}
+}
--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -25,7 +25,7 @@
 // then refuses with a typed error. The listener is closed only after Drain returns.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
-	e.callers.Leave()
+	e.callers.DisableKeepAlives()
 	if e.onLeave != nil {
 		e.onLeave()
 	}
--- a/daemon/entry/entry.go
+++ b/daemon/entry/entry.go
@@ -107,7 +107,7 @@
 	if protocol == nil {
 		return nil
 	}
-	e.gatewayUpstream = upstream.NewClientFor(protocol.IDHeader())
+	e.gatewayUpstream = upstream.NewClientWithIDHeader(protocol.IDHeader())
 	return gateway.NewClient(e.gatewayUpstream, protocol)
 }
 
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -74,7 +74,7 @@
 	g := &gatewayRouter{daemon: d, logger: d.logger, platform: platform}
 	g.list = platform.ServerList(d.settings.Gateway.ServerList.Value, serverlist.NewClient())
 	g.handler = gateway.NewHandler(platform, g, d.entry.counters, requestLog{d.entry.log})
-	d.entry.onLeave = g.handler.Leave
+	d.entry.onLeave = g.handler.DisableKeepAlives
 	g.setBounds(d.settings.Gateway)
 	g.seeds.Store(&d.settings.State)
 	return g
@@ -97,21 +97,21 @@
 	return g.confirmedWithin(&g.revocation, keysFreshShare)
 }
 
-// MayDeny implements gateway.Router.
+// DocumentFresh implements gateway.Router.
 //
 // An instance that has not received the newest document can't distinguish a newly
 // added route or key from an unknown one.
-func (g *gatewayRouter) MayDeny() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
+func (g *gatewayRouter) DocumentFresh() bool { return g.confirmedWithin(&g.applied, denialFreshShare) }
 
 // confirmedWithin reports whether the revision in force was confirmed as the newest
 // within the given share of the bound; always true without a bound.
 func (g *gatewayRouter) confirmedWithin(bound *atomic.Int64, share float64) bool {
 	limit := bound.Load()
-	return limit == 0 || g.daemon.watcher.Unconfirmed() < time.Duration(share*float64(limit))
+	return limit == 0 || g.daemon.watcher.Staleness() < time.Duration(share*float64(limit))
 }
 
 // Forward implements gateway.Router.
-func (g *gatewayRouter) Forward(ctx context.Context, q *gateway.Request, answer *gateway.Answer) error {
+func (g *gatewayRouter) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
 	return g.daemon.entry.relay.Forward(ctx, q, answer)
 }
 
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return g.platform.Document(text)
+	return g.platform.ParseDocument(text)
 }
 
 // configure passes the document and the servers to the policy, and only then publishes
@@ -168,7 +168,7 @@
 // followList reads the server list from the nearest state processes, or from the
 // platform if none of them has it.
 func (g *gatewayRouter) followList(ctx context.Context) {
-	serverlist.NewFollower(serverlist.NewHolder(), serverlist.Options{
+	serverlist.NewUpdater(serverlist.NewStore(), serverlist.Options{
 		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
 		OnList: g.onList, Logger: g.logger,
 	}).Run(ctx)
@@ -176,7 +176,7 @@
 
 func (g *gatewayRouter) upstream() []link.Caller {
 	var callers []link.Caller
-	for _, peer := range g.daemon.watcher.Nearest() {
+	for _, peer := range g.daemon.watcher.StatePeers() {
 		callers = append(callers, g.daemon.dialer.dial(peer.Address.Value))
 	}
 	return callers[:min(len(callers), maxListSources)]
@@ -200,11 +200,11 @@
 		if err != nil {
 			// All known members may have been replaced; the seeds may be more recent.
 			g.daemon.state.SetPeers(*g.seeds.Load())
-			g.daemon.watcher.SetState(*g.seeds.Load())
+			g.daemon.watcher.SetStatePeers(*g.seeds.Load())
 			g.logger.Debug("no state process returned the group's members", "error", err)
 		} else {
 			g.daemon.state.SetPeers(members)
-			g.daemon.watcher.SetState(members)
+			g.daemon.watcher.SetStatePeers(members)
 			g.daemon.gossip.SetEntries(entries)
 		}
 		if sleep(ctx, membersInterval) != nil {
--- a/daemon/entry/links.go
+++ b/daemon/entry/links.go
@@ -54,7 +54,7 @@
 
 // query returns this instance's part of an operator's SHOW statement.
 func (d *Daemon) query(_ context.Context, request *lilacv1.QueryRequest) (*lilacv1.QueryReply, error) {
-	newest, age := d.watcher.Known()
+	newest, age := d.watcher.LatestKnown()
 	reply := &lilacv1.QueryReply{
 		Instance: d.settings.Name, DataCenter: d.settings.DataCenter, Revision: d.watcher.Revision(),
 		Newest: newest, AgeMs: uint32(age.Milliseconds()),
@@ -69,5 +69,5 @@
 	default:
 		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown subject %q: instances answer requests, servers or instances", request.GetSubject())
 	}
-	return reply, operator.Narrow(request, d.settings.Name, reply)
+	return reply, operator.FilterReply(request, d.settings.Name, reply)
 }
--- a/daemon/entry/reports.go
+++ b/daemon/entry/reports.go
@@ -21,7 +21,7 @@
 // reports forwards engine reports to the policy core.
 type reports struct{ relay *relay.Relay }
 
-var _ engine.Reports = reports{}
+var _ engine.ReportHandler = reports{}
 
 // OnLoad implements engine.Reports. The core receives the report's age instead of its
 // wall-clock time.
--- a/daemon/entry/servers.go
+++ b/daemon/entry/servers.go
@@ -30,7 +30,7 @@
 // that services must receive unchanged.
 func (e *Entry) callerServer(listener net.Listener) *khttp.Server {
 	server := khttp.NewServer(
-		khttp.Listener(e.callers.Listen(listener)),
+		khttp.Listener(e.callers.WrapListener(listener)),
 		khttp.Endpoint(httpserver.Endpoint(listener.Addr().String())),
 		khttp.Timeout(0),
 		khttp.Filter(func(http.Handler) http.Handler { return e.callers }),
--- a/daemon/entry/stats.go
+++ b/daemon/entry/stats.go
@@ -98,11 +98,11 @@
 	gauge("lilacbridge_entries_live", "Other entries considered alive.", func() float64 { return float64(len(d.liveEntries())) })
 	gauge("lilacbridge_revision", "Newest revision in force on this instance.", func() float64 { return float64(d.watcher.Revision()) })
 	gauge("lilacbridge_revisions_behind", "Revisions known to exist but not yet in force on this instance.", func() float64 {
-		newest, _ := d.watcher.Known()
+		newest, _ := d.watcher.LatestKnown()
 		return float64(max(newest, d.watcher.Revision()) - d.watcher.Revision())
 	})
 	gauge("lilacbridge_revision_age_seconds", "Time since the newest revision was last confirmed.", func() float64 {
-		_, age := d.watcher.Known()
+		_, age := d.watcher.LatestKnown()
 		return age.Seconds()
 	})
 	counter("lilacbridge_digest_exchanges_total", "Digest exchanges started by this instance.", func() float64 { return float64(d.gossip.Stats().Exchanges) })
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -61,7 +61,7 @@
 	keys     *secret.Reloadable[secret.Keys]
 	// follower keeps the list of backend servers up to date; nil if the settings
 	// configure no server list.
-	follower *serverlist.Follower
+	follower *serverlist.Updater
 	// control serves the operators' interface for the gateway's document; nil without
 	// a gateway.
 	control  *khttp.Server
@@ -70,7 +70,7 @@
 
 // ControlHandler returns the HTTP handler through which operators read and write the
 // gateway's document.
-type ControlHandler func(documents gateway.Documents) http.Handler
+type ControlHandler func(documents gateway.DocumentStore) http.Handler
 
 // Control holds the platform's implementation of the gateway interfaces. Its zero
 // value is for a state process without a gateway.
@@ -99,7 +99,7 @@
 	}
 	service := NewService(machine, log, logger)
 	service.Register(mux)
-	servers := serverlist.NewHolder()
+	servers := serverlist.NewStore()
 	servers.Register(mux)
 	registerMetrics(registry, service)
 	metrics.RegisterTraffic(registry, metrics.LinkBytes, metrics.LinkBytesHelp, id.Traffic.Bytes)
@@ -125,7 +125,7 @@
 
 // newFollower returns a follower that reads the server list from the platform if this
 // process leads or has no recent contact with a leader, otherwise from the leader.
-func (d *Daemon) newFollower(holder *serverlist.Holder, id link.Identity, control Control) *serverlist.Follower {
+func (d *Daemon) newFollower(holder *serverlist.Store, id link.Identity, control Control) *serverlist.Updater {
 	var leader link.Caller
 	address := ""
 	upstream := func() []link.Caller {
@@ -139,7 +139,7 @@
 		}
 		return []link.Caller{leader}
 	}
-	return serverlist.NewFollower(holder, serverlist.Options{
+	return serverlist.NewUpdater(holder, serverlist.Options{
 		Upstream: upstream, List: control.List(d.settings.ServerList.Value, serverlist.NewClient()),
 		Every: d.settings.ListEvery.Duration, Logger: d.logger,
 	})
@@ -211,7 +211,7 @@
 		})
 	}
 	group.Go(func() error {
-		secret.ReloadOnHangUp(background, d.logger, d.links.DropOldKeys, d.keys)
+		secret.ReloadOnHangUp(background, d.logger, d.links.CloseRevokedConns, d.keys)
 		return nil
 	})
 	d.logger.Info("started", "link", d.listener.Addr().String(), "version", build.Version)
--- a/daemon/state/documents_test.go
+++ b/daemon/state/documents_test.go
@@ -101,7 +101,7 @@
 	is := is.New(t)
 	d, log := newDocuments(t)
 	log.err = fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER, "another leads", fault.WithLeader("10.0.0.4:7340"))
-	var moved *gateway.MovedError
+	var moved *gateway.NotLeaderError
 	is.True(errors.As(d.Put(t.Context(), []byte("4 first")), &moved))
 	is.Equal(moved.Address, "10.0.0.4:8229")
 	_, err := d.Get(t.Context())
@@ -240,7 +240,7 @@
 	caller := dialer(t)(all[0].peer.Address.Value)
 	var sent atomic.Int64
 	w := spreadlink.NewWatcher(spreadlink.Options{
-		Instance: "1", DataCenter: "dakar-a", State: []settings.Peer{all[0].peer},
+		Instance: "1", DataCenter: "dakar-a", StatePeers: []settings.Peer{all[0].peer},
 		Dial: func(string) link.Caller { return counting{caller, &sent} },
 	})
 	ctx, stop := context.WithCancel(t.Context())
--- a/daemon/state/orders_test.go
+++ b/daemon/state/orders_test.go
@@ -117,12 +117,12 @@
 	}
 }
 
-// holder runs an order giver that is connected to the state processes by the real link.
+// holder runs an order controller that is connected to the state processes by the real link.
 type holder struct {
 	*holderFreezer
-	giver  *orders.Giver
-	killed atomic.Bool
-	stop   func()
+	controller *orders.Controller
+	killed     atomic.Bool
+	stop       func()
 }
 
 func runHolder(t *testing.T, all []*process, name, modelName string, engine *delayedEngine, f *holderFreezer) *holder {
@@ -131,12 +131,12 @@
 		Orders:  []*lilacv1.ModelOrder{{Server: "r0", Model: modelName, Loaded: true}},
 	}), newClient(t, all, name)
 	h := &holder{holderFreezer: f}
-	h.giver = orders.New(orders.Options{
+	h.controller = orders.New(orders.Options{
 		View: func() *model.View {
 			h.viewCalls.Add(1)
 			return view
 		},
-		Lease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
+		RequestLease: func(ctx context.Context, r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 			if h.killed.Load() {
 				return nil, errors.New("killed")
 			}
@@ -151,7 +151,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = h.giver.Run(ctx)
+		_ = h.controller.Run(ctx)
 	}()
 	h.stop = func() {
 		cancel()
@@ -199,7 +199,7 @@
 		fencing := <-old.decided
 		next := runHolder(t, all, "entry-new", "small", engine, newFreezer(false))
 		waitForFencingAbove(engine.delivered, fencing)
-		_, holds := old.giver.Holds()
+		_, holds := old.controller.HoldsLease()
 		is.True(!holds)
 		looked := old.viewCalls.Load()
 		old.frozen.Store(false)
--- a/daemon/state/service.go
+++ b/daemon/state/service.go
@@ -66,9 +66,9 @@
 	log Log
 }
 
-// Known returns the newest revision applied and the time since it is known to have been
+// LatestKnown returns the newest revision applied and the time since it is known to have been
 // the newest committed one.
-func (s watchSource) Known() (newest uint64, age time.Duration) {
+func (s watchSource) LatestKnown() (newest uint64, age time.Duration) {
 	return s.Revision(), s.log.Status().Staleness
 }
 
--- a/daemon/state/spread_bench_test.go
+++ b/daemon/state/spread_bench_test.go
@@ -84,7 +84,7 @@
 	})
 	var all []*spreadlink.Watcher
 	for _, peer := range peers {
-		o := spreadlink.Options{Instance: peer.Name, DataCenter: peer.DataCenter, State: state}
+		o := spreadlink.Options{Instance: peer.Name, DataCenter: peer.DataCenter, StatePeers: state}
 		if !flat {
 			o.Entries = peers
 		}
--- a/request/policy/replay_engine_test.go
+++ b/request/policy/replay_engine_test.go
@@ -14,9 +14,9 @@
 type replayAttempt struct {
 	core  *core
 	start Start
-	// prompt is the length of the prompt, unread the part still to be prefilled.
+	// prompt is the length of the prompt, toPrefill the number of tokens still to prefill.
 	prompt    int
-	unread    int
+	toPrefill int
 	left      int
 	generated int
 	// rank is the rank of the request's class.
@@ -33,7 +33,7 @@
 	waiting []*replayAttempt
 	// prefilling is the prompt in progress.
 	prefilling *replayAttempt
-	held       map[uint64]bool
+	cached     map[uint64]bool
 	freeAt     time.Time
 	// preempted counts preempted requests, priorityInversions those of them that were preempted
 	// while one of a less urgent rank kept running.
@@ -42,7 +42,7 @@
 }
 
 func (e *replayEngine) stop(c *core, id ID) {
-	matches := func(j *replayAttempt) bool { return j.core == c && j.start.ID == id }
+	matches := func(a *replayAttempt) bool { return a.core == c && a.start.ID == id }
 	e.running = slices.DeleteFunc(e.running, matches)
 	e.waiting = slices.DeleteFunc(e.waiting, matches)
 	if e.prefilling != nil && matches(e.prefilling) {
@@ -59,11 +59,11 @@
 	if len(e.running) == 0 {
 		return
 	}
-	read := e.prefillStep()
-	e.freeAt = r.now.Add(e.speed.step + time.Duration(len(e.running))*e.speed.perRequest + time.Duration(read)*e.speed.prefill)
-	for _, j := range slices.Clone(e.running) {
-		if j.unread == 0 && !r.now.Before(j.readyAt) {
-			e.token(r, j)
+	prefilled := e.prefillStep()
+	e.freeAt = r.now.Add(e.speed.step + time.Duration(len(e.running))*e.speed.perRequest + time.Duration(prefilled)*e.speed.prefill)
+	for _, a := range slices.Clone(e.running) {
+		if a.toPrefill == 0 && !r.now.Before(a.readyAt) {
+			e.token(r, a)
 		}
 	}
 }
@@ -83,22 +83,22 @@
 // prompt is prefilled again.
 func (e *replayEngine) preempt(level int) bool {
 	var victim *replayAttempt
-	for _, j := range e.running {
-		if victim == nil || j.start.Level >= victim.start.Level {
-			victim = j
+	for _, a := range e.running {
+		if victim == nil || a.start.Level >= victim.start.Level {
+			victim = a
 		}
 	}
 	if victim.start.Level <= level {
 		return false
 	}
-	e.running = slices.DeleteFunc(e.running, func(j *replayAttempt) bool { return j == victim })
+	e.running = slices.DeleteFunc(e.running, func(a *replayAttempt) bool { return a == victim })
 	if e.prefilling == victim {
 		e.prefilling = nil
 	}
-	if slices.ContainsFunc(e.running, func(j *replayAttempt) bool { return j.rank > victim.rank }) {
+	if slices.ContainsFunc(e.running, func(a *replayAttempt) bool { return a.rank > victim.rank }) {
 		e.priorityInversions++
 	}
-	victim.unread = victim.prompt + victim.generated
+	victim.toPrefill = victim.prompt + victim.generated
 	e.waiting = append(e.waiting, victim)
 	e.preempted++
 	return true
@@ -107,14 +107,14 @@
 func (e *replayEngine) prefillStep() int {
 	left := replayChunk
 	for left > 0 {
-		if e.prefilling == nil || e.prefilling.unread == 0 {
+		if e.prefilling == nil || e.prefilling.toPrefill == 0 {
 			e.prefilling = e.nextPrompt()
 		}
 		if e.prefilling == nil {
 			break
 		}
-		take := min(e.prefilling.unread, left)
-		e.prefilling.unread -= take
+		take := min(e.prefilling.toPrefill, left)
+		e.prefilling.toPrefill -= take
 		left -= take
 	}
 	return replayChunk - left
@@ -123,38 +123,38 @@
 // nextPrompt returns the most urgent unfinished prompt, the oldest of several; nil for none.
 func (e *replayEngine) nextPrompt() *replayAttempt {
 	var next *replayAttempt
-	for _, j := range e.running {
-		if j.unread > 0 && (next == nil || j.start.Level < next.start.Level) {
-			next = j
+	for _, a := range e.running {
+		if a.toPrefill > 0 && (next == nil || a.start.Level < next.start.Level) {
+			next = a
 		}
 	}
 	return next
 }
 
-func (e *replayEngine) token(r *replay, j *replayAttempt) {
-	j.generated++
-	j.left--
-	if j.generated != 1 && j.generated%replayStride != 0 && j.left > 0 {
+func (e *replayEngine) token(r *replay, a *replayAttempt) {
+	a.generated++
+	a.left--
+	if a.generated != 1 && a.generated%replayEventTokens != 0 && a.left > 0 {
 		return
 	}
-	outcome := r.outcomes[j.start.ID]
-	if j.generated == 1 {
-		e.limiter.sendReport(r, j)
+	outcome := r.outcomes[a.start.ID]
+	if a.generated == 1 {
+		e.limiter.sendReport(r, a)
 	}
 	if outcome.firstTokenAt.IsZero() {
 		outcome.firstTokenAt = r.now
 	} else {
-		outcome.maxPause = max(outcome.maxPause, r.now.Sub(outcome.lastTokenAt))
+		outcome.maxGap = max(outcome.maxGap, r.now.Sub(outcome.lastTokenAt))
 	}
 	outcome.lastTokenAt = r.now
-	count := replayStride
-	if j.generated == 1 {
+	count := replayEventTokens
+	if a.generated == 1 {
 		count = 1
 	}
-	r.apply(j.core, j.core.Step(r.now, Tokens{ID: j.start.ID, Attempt: j.start.Attempt, Count: count}))
-	if j.left <= 0 {
-		e.stop(j.core, j.start.ID)
+	r.apply(a.core, a.core.Step(r.now, Tokens{ID: a.start.ID, Attempt: a.start.Attempt, Count: count}))
+	if a.left <= 0 {
+		e.stop(a.core, a.start.ID)
 		outcome.finished, outcome.endedAt = true, r.now
-		r.apply(j.core, j.core.Step(r.now, Finished{ID: j.start.ID, Attempt: j.start.Attempt}))
+		r.apply(a.core, a.core.Step(r.now, Finished{ID: a.start.ID, Attempt: a.start.Attempt}))
 	}
 }
