--- a/daemon/state/recover_random_test.go
+++ b/daemon/state/recover_random_test.go
@@ -32,7 +32,7 @@
 	// classes are the classes set by accepted changes; contents maps revisions to them.
 	classes  []string
 	contents map[uint64]string
-	// staleConfig is what an entry holds that is cut off since some revision.
+	// staleConfig is the configuration of an entry that stopped receiving revisions.
 	staleConfig *lilacv1.Snapshot
 	keys        []string
 	runs        map[string]int
@@ -131,7 +131,8 @@
 	h.fencing = max(h.fencing, reply.GetFencing())
 }
 
-// survivorState leaves the survivor with a part of the log, and an end of its own at times.
+// survivorState returns the folder content of the survivor: a random prefix of the log,
+// followed by up to two changes of its own that were never accepted.
 func (h *majorityLoss) survivorState() *wal.State {
 	known := h.random.IntN(len(h.log) + 1)
 	state := &wal.State{
--- a/daemon/state/replay.go
+++ b/daemon/state/replay.go
@@ -26,9 +26,9 @@
 // replay applies the folder's snapshot and all its log entries. That includes entries not
 // known to be committed, because a caller may have been told of their result.
 //
-// Entry instances hold accepted revisions only. If accepted, their configuration, has different content under a
-// revision number that the folder has too, the last entries of the folder were written by
-// a leader without a quorum and were never accepted.
+// Entry instances hold accepted revisions only. If accepted, their configuration, has
+// different content under a revision number that the folder has too, the last log entries
+// of the folder were written by a leader without a quorum and were never accepted.
 func (m *Machine) replay(state *wal.State, accepted *lilacv1.Snapshot) (*replayResult, error) {
 	if state.Snapshot.GetSize() > 0 {
 		if err := m.Restore(state.SnapshotData); err != nil {
