--- a/cmd/lilacctl/explain.go
+++ b/cmd/lilacctl/explain.go
@@ -21,7 +21,7 @@
 			return nil
 		},
 		RunE: func(command *cobra.Command, args []string) error {
-			s := &story.Story{}
+			s := &story.Timeline{}
 			if len(args) == 1 {
 				if err := s.Read(command.InOrStdin()); err != nil {
 					return err
@@ -32,7 +32,7 @@
 					return err
 				}
 			}
-			if !s.Tell(command.OutOrStdout(), args[0]) {
+			if !s.Print(command.OutOrStdout(), args[0]) {
 				return fmt.Errorf("no line on request %q (%d lines are no JSON); give the logs of all entries from the minute of the request, and look for \"log lines\" that were dropped or left out", args[0], s.Skipped)
 			}
 			return nil
@@ -40,7 +40,7 @@
 	}
 }
 
-func readLog(s *story.Story, file string) error {
+func readLog(s *story.Timeline, file string) error {
 	log, err := os.Open(file)
 	if err != nil {
 		return err
--- a/cmd/lilacctl/recover.go
+++ b/cmd/lilacctl/recover.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	id := link.Identity{Peer: link.Peer{Process: "lilacctl", DataCenter: s.DataCenter}, Keys: secret.Always(keys...)}
+	id := link.Identity{Peer: link.Peer{Process: "lilacctl", DataCenter: s.DataCenter}, Keys: secret.StaticKeys(keys...)}
 	o := f.RecoverOptions
 	o.Folder = wal.ReadOnlyFolder(s.Data)
 	o.AuditRetention, o.Limits = s.AuditRetention, ledger.Limits{Retention: s.ClaimRetention.Duration}
--- a/connection/gateway/handler.go
+++ b/connection/gateway/handler.go
@@ -209,13 +209,13 @@
 	if q.Route == nil {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no route matches this host and path; check them against the configuration")
 	}
-	if q.Route.Public || !table.Keyed() {
+	if q.Route.Public || !table.RequiresKeys() {
 		return nil
 	}
 	if !h.router.KeysFresh() {
 		return refused(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this instance can't reach the state processes to check keys; retry, another instance may be able to", withNotReadyRetry())
 	}
-	q.Team = table.Holder(q.Key)
+	q.Team = table.TeamByKey(q.Key)
 	if q.Team == nil && !h.router.DocumentFresh() {
 		return errMaybeOutdated()
 	}
--- a/connection/gossip/gossip_test.go
+++ b/connection/gossip/gossip_test.go
@@ -60,7 +60,7 @@
 		peers = append(peers, settings.Peer{Name: fmt.Sprint("entry-", i), Address: settings.Address{Value: listener.Addr().String()}, DataCenter: dataCenters[i%len(dataCenters)]})
 	}
 	for i, peer := range peers {
-		id := link.Identity{Peer: link.Peer{Process: peer.Name, DataCenter: peer.DataCenter}, Keys: secret.Always(testKey), Traffic: &link.Traffic{}}
+		id := link.Identity{Peer: link.Peer{Process: peer.Name, DataCenter: peer.DataCenter}, Keys: secret.StaticKeys(testKey), Traffic: &link.Traffic{}}
 		x := &node{peer: peer, events: make(chan string, eventBuffer), traffic: id.Traffic}
 		o := Options{
 			Self:    member.Peer{Name: peer.Name, Address: peer.Address.Value, DataCenter: peer.DataCenter},
--- a/connection/gossip/wire_test.go
+++ b/connection/gossip/wire_test.go
@@ -56,7 +56,7 @@
 		b.Fatal(err)
 	}
 	counting := &countingListener{Listener: listener}
-	id := link.Identity{Peer: link.Peer{Process: "entry-1"}, Keys: secret.Always(testKey)}
+	id := link.Identity{Peer: link.Peer{Process: "entry-1"}, Keys: secret.StaticKeys(testKey)}
 	mux := link.NewMux()
 	g := New(Options{Self: member.Peer{Name: "entry-0"}})
 	g.Register(mux)
--- a/connection/link/closing_test.go
+++ b/connection/link/closing_test.go
@@ -60,7 +60,7 @@
 	return mux
 }
 
-var testIdentity = Identity{Peer: Peer{Process: "p", DataCenter: "dc"}, Keys: secret.Always([]byte("one key of all"))}
+var testIdentity = Identity{Peer: Peer{Process: "p", DataCenter: "dc"}, Keys: secret.StaticKeys([]byte("one key of all"))}
 
 // A client's pending reads spun between the end of the session and the close of its
 // connection. On a single CPU they prevented the close.
--- a/connection/link/frozen_test.go
+++ b/connection/link/frozen_test.go
@@ -24,7 +24,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	client := NewClient(listener.Addr().String(), Identity{Keys: secret.Always([]byte("one key of all"))})
+	client := NewClient(listener.Addr().String(), Identity{Keys: secret.StaticKeys([]byte("one key of all"))})
 	pending := make(chan error, 1)
 	go func() {
 		_, err := client.Open(context.Background(), "echo", &lilacv1.QueryRequest{})
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var dials atomic.Int32
-		client := NewClient("frozen:1", Identity{Keys: secret.Always([]byte("one key of all"))})
+		client := NewClient("frozen:1", Identity{Keys: secret.StaticKeys([]byte("one key of all"))})
 		client.dialer = func(context.Context, string) (net.Conn, error) {
 			dials.Add(1)
 			near, _ := net.Pipe() // nothing reads the far end
--- a/connection/link/handshake_test.go
+++ b/connection/link/handshake_test.go
@@ -26,7 +26,7 @@
 		time.Sleep(handshakeTimeout + time.Second)
 		theirs.Close()
 	}()
-	id := Identity{Peer: Peer{Process: "s"}, Keys: secret.Always([]byte("one key of all"))}
+	id := Identity{Peer: Peer{Process: "s"}, Keys: secret.StaticKeys([]byte("one key of all"))}
 	buffered := &queuedConn{Conn: ours, out: make(chan []byte, 8)}
 	go buffered.drain()
 	_, _, err := handshake(buffered, id, acceptorRole, dialerRole)
--- a/connection/link/link_test.go
+++ b/connection/link/link_test.go
@@ -38,7 +38,7 @@
 func serve(t *testing.T, key string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	server := NewServer(Identity{Peer: Peer{Process: "s", DataCenter: "dc"}, Keys: secret.Always([]byte(key))}, testMux())
+	server := NewServer(Identity{Peer: Peer{Process: "s", DataCenter: "dc"}, Keys: secret.StaticKeys([]byte(key))}, testMux())
 	go server.Serve(listener)
 	t.Cleanup(func() { listener.Close(); server.Close() })
 	return listener.Addr().String()
@@ -46,7 +46,7 @@
 
 func callers(t *testing.T) map[string]Caller {
 	peer := Peer{Process: "c", DataCenter: "dakar-a"}
-	client := NewClient(serve(t, "one key of all"), Identity{Peer: peer, Keys: secret.Always([]byte("one key of all"))})
+	client := NewClient(serve(t, "one key of all"), Identity{Peer: peer, Keys: secret.StaticKeys([]byte("one key of all"))})
 	t.Cleanup(func() { client.Close() })
 	return map[string]Caller{"network": client, "local": &Local{Mux: testMux(), Self: peer}}
 }
@@ -83,7 +83,7 @@
 // any handler runs, and the caller must receive an error.
 func TestOtherKeyIsRefused(t *testing.T) {
 	is := is.New(t)
-	client := NewClient(serve(t, "one key of all"), Identity{Keys: secret.Always([]byte("another key"))})
+	client := NewClient(serve(t, "one key of all"), Identity{Keys: secret.StaticKeys([]byte("another key"))})
 	defer client.Close()
 	err := client.Call(t.Context(), "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{})
 	is.True(err != nil)
@@ -125,7 +125,7 @@
 	call := func(client *Client) error {
 		return client.Call(t.Context(), "echo", &lilacv1.QueryRequest{}, &lilacv1.QueryReply{})
 	}
-	attacker := dial(secret.Always([]byte(oldKey)))
+	attacker := dial(secret.StaticKeys([]byte(oldKey)))
 	is.NoErr(call(attacker))
 	for _, keys := range [][]string{{oldKey, newKey}, {newKey, oldKey}, {newKey}} {
 		for _, ring := range []*keyring{&serverKeys, &clientKeys} {
@@ -136,6 +136,6 @@
 	}
 	server.CloseRevokedConns()
 	is.True(call(attacker) != nil)
-	is.True(call(dial(secret.Always([]byte(oldKey)))) != nil)
+	is.True(call(dial(secret.StaticKeys([]byte(oldKey)))) != nil)
 	is.NoErr(call(dial(clientKeys.get)))
 }
--- a/connection/link/server.go
+++ b/connection/link/server.go
@@ -159,7 +159,7 @@
 	defer s.mu.Unlock()
 	keys := s.id.Keys()
 	for conn, key := range s.conns {
-		if !keys.Has(key) {
+		if !keys.Contains(key) {
 			conn.Close()
 		}
 	}
--- a/connection/operator/operator.go
+++ b/connection/operator/operator.go
@@ -80,7 +80,7 @@
 func (h *handler) authorized(do operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		who, ok := h.Operators().Who(token)
+		who, ok := h.Operators().ByToken(token)
 		if !ok {
 			if h.OnRefused != nil {
 				h.OnRefused()
--- a/connection/replicalink/transport_test.go
+++ b/connection/replicalink/transport_test.go
@@ -153,7 +153,7 @@
 func (f *fleet) start(name string, bootstrap bool) *process {
 	listener, err := net.Listen("tcp", f.addresses[name])
 	f.is.NoErr(err)
-	identity := link.Identity{Peer: link.Peer{Process: name}, Keys: secret.Always(key)}
+	identity := link.Identity{Peer: link.Peer{Process: name}, Keys: secret.StaticKeys(key)}
 	p := &process{name: name, listener: listener, machine: &recorder{}}
 	p.out = New(func(address string) link.Caller { return link.NewClient(address, identity) })
 	folder, err := wal.OSFolder(filepath.Join(f.folder, name))
--- a/connection/spreadlink/fetch.go
+++ b/connection/spreadlink/fetch.go
@@ -18,7 +18,7 @@
 	if err != nil || snapshot.GetRevision() == 0 {
 		return snapshot, err
 	}
-	holder := config.NewHolder()
+	holder := config.NewFollower()
 	if err := holder.Load(snapshot); err != nil {
 		return nil, err
 	}
--- a/connection/spreadlink/freshness.go
+++ b/connection/spreadlink/freshness.go
@@ -75,8 +75,8 @@
 	w.mu.Unlock()
 	switch {
 	case newest > held && since == 0:
-		w.log.Line(logs.Belief, "behind the newest revision", "held", held, "newest", newest)
+		w.log.Line(logs.StateChange, "behind the newest revision", "held", held, "newest", newest)
 	case newest <= held && since != 0:
-		w.log.Line(logs.Belief, "caught up with the newest revision", "held", held, "after_ms", (now - since).Milliseconds())
+		w.log.Line(logs.StateChange, "caught up with the newest revision", "held", held, "after_ms", (now - since).Milliseconds())
 	}
 }
--- a/connection/spreadlink/serve.go
+++ b/connection/spreadlink/serve.go
@@ -189,7 +189,7 @@
 	if ms := req.GetSignOfLifeMs(); ms > 0 {
 		return max(time.Duration(ms)*time.Millisecond, minHeartbeatInterval)
 	}
-	return spread.SignOfLife
+	return spread.HeartbeatInterval
 }
 
 // wait returns nil at the next change or after the heartbeat interval.
@@ -258,7 +258,7 @@
 	if err != nil {
 		return err
 	}
-	s.log.Line(logs.Belief, "sending configuration snapshot", "to", req.GetInstance(), "revision", parts[0].GetRevision(), "from_part", req.GetFromPart(), "parts", parts[0].GetParts())
+	s.log.Line(logs.StateChange, "sending configuration snapshot", "to", req.GetInstance(), "revision", parts[0].GetRevision(), "from_part", req.GetFromPart(), "parts", parts[0].GetParts())
 	for _, part := range parts {
 		if err := x.Send(part); err != nil {
 			return err
--- a/connection/spreadlink/watcher.go
+++ b/connection/spreadlink/watcher.go
@@ -39,7 +39,7 @@
 	Entries []settings.Peer
 	// Dial returns the caller for an address; the same one each time.
 	Dial func(address string) link.Caller
-	// Timing sets after how much silence a sender is replaced; zero means spread.Usual.
+	// Timing sets after how much silence a sender is replaced; zero means spread.DefaultTiming.
 	Timing spread.Timing
 	// OnView is called with each newer revision, in order; may be nil.
 	OnView func(*model.View)
@@ -55,7 +55,7 @@
 type Watcher struct {
 	options Options
 	log     *logs.Log
-	holder  *config.Holder
+	holder  *config.Follower
 	core    *spread.Core
 	events  chan spread.Event
 
@@ -75,7 +75,7 @@
 // NewWatcher returns a Watcher without any revision; Run receives them.
 func NewWatcher(options Options) *Watcher {
 	if options.Timing == (spread.Timing{}) {
-		options.Timing = spread.Usual
+		options.Timing = spread.DefaultTiming
 	}
 	if options.OnView == nil {
 		options.OnView = func(*model.View) {}
@@ -89,8 +89,8 @@
 	return &Watcher{
 		options: options,
 		log:     logs.New(options.Logger),
-		holder:  config.NewHolder(),
-		core:    spread.NewTimedCore(options.Instance, options.Timing),
+		holder:  config.NewFollower(),
+		core:    spread.NewCoreWithTiming(options.Instance, options.Timing),
 		events:  make(chan spread.Event, 64),
 		entries: options.Entries,
 		changed: make(chan struct{}),
@@ -181,7 +181,7 @@
 		case <-ticker.C:
 			step(w.entriesEvent())
 			if target, ok := w.checkProgress(); ok {
-				step(spread.Receiving{Target: target})
+				step(spread.UpdateProgress{Target: target})
 			}
 			step(spread.Tick{})
 		}
@@ -199,7 +199,7 @@
 	w.receiving.Lock()
 	defer w.receiving.Unlock()
 	_, age := w.LatestKnown()
-	w.log.Line(logs.Belief, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.holder.Revision(), "age_ms", age.Milliseconds())
+	w.log.Line(logs.StateChange, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.holder.Revision(), "age_ms", age.Milliseconds())
 	started := w.options.Clock()
 	err := w.receiveUpdates(ctx, caller, prefix, target)
 	for fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND) {
@@ -234,7 +234,7 @@
 		return
 	}
 	select {
-	case w.events <- spread.Broken{Target: target}:
+	case w.events <- spread.StreamFailed{Target: target}:
 	case <-ctx.Done():
 	}
 }
@@ -244,7 +244,7 @@
 func (w *Watcher) caller(target spread.Target) (caller link.Caller, prefix, name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !target.State() {
+	if !target.IsState() {
 		for _, entry := range w.entries {
 			if entry.Name == target.Entry {
 				return w.options.Dial(entry.Address.Value), "entry", entry.Name
@@ -256,7 +256,7 @@
 		return nil, "", ""
 	}
 	peers := w.statePeersByDistance()
-	peer := peers[target.Turn%len(peers)]
+	peer := peers[target.StateIndex%len(peers)]
 	return w.options.Dial(peer.Address.Value), "state", peer.Name
 }
 
@@ -287,7 +287,7 @@
 func (w *Watcher) receiveUpdates(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
 	stream, err := caller.Open(ctx, prefix+".watch", &lilacv1.WatchRequest{
 		Have: w.holder.Revision(), Instance: w.options.Instance, DataCenter: w.options.DataCenter,
-		SignOfLifeMs: uint32(w.options.Timing.SignOfLife.Milliseconds()),
+		SignOfLifeMs: uint32(w.options.Timing.HeartbeatInterval.Milliseconds()),
 	})
 	if err != nil {
 		return err
@@ -304,7 +304,7 @@
 			return err
 		}
 		age := time.Duration(update.GetAgeMs()) * time.Millisecond
-		w.send(ctx, spread.Heard{Target: target, Age: age, Delay: w.options.Clock() - asOf - age})
+		w.send(ctx, spread.UpdateReceived{Target: target, Age: age, Delay: w.options.Clock() - asOf - age})
 	}
 }
 
@@ -363,9 +363,9 @@
 		if err != nil {
 			return err
 		}
-		w.send(ctx, spread.Heard{Target: target})
+		w.send(ctx, spread.UpdateReceived{Target: target})
 		if snapshot != nil {
-			w.log.Line(logs.Belief, "received configuration snapshot", "revision", snapshot.GetRevision(), "document", snapshot.GetDocument().GetVersion(),
+			w.log.Line(logs.StateChange, "received configuration snapshot", "revision", snapshot.GetRevision(), "document", snapshot.GetDocument().GetVersion(),
 				"bytes", bytes, "after_ms", (w.options.Clock() - started).Milliseconds())
 			return w.apply(func() error { return w.holder.Load(snapshot) })
 		}
--- a/connection/spreadlink/watcher_test.go
+++ b/connection/spreadlink/watcher_test.go
@@ -110,7 +110,7 @@
 func runWatcher(t *testing.T, s *fakeSender, logger hclog.Logger) *Watcher {
 	s.epoch = time.Now().Add(-time.Hour)
 	w := NewWatcher(Options{
-		Instance: "e1", DataCenter: "a", Timing: spread.Quick, Logger: logger, OnView: s.onView,
+		Instance: "e1", DataCenter: "a", Timing: spread.FastTiming, Logger: logger, OnView: s.onView,
 		StatePeers: []settings.Peer{{Name: "s1", DataCenter: "a"}},
 		Dial:       func(string) link.Caller { return s },
 		Clock:      func() time.Duration { return time.Since(s.epoch) },
--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -113,7 +113,7 @@
 // Reload takes changed settings in: seeds, and what a gateway's bounds are. Other
 // fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.Entry) error {
-	if err := s.SameProcess(&d.settings.Common); err != nil {
+	if err := s.ValidateReload(&d.settings.Common); err != nil {
 		return err
 	}
 	if d.gateway != nil && s.Gateway == nil {
@@ -179,7 +179,7 @@
 		kratos.Version(build.Version),
 		kratos.Server(d.servers()...),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
-		kratos.StopTimeout(d.settings.Closing()),
+		kratos.StopTimeout(d.settings.CloseTimeout()),
 		// The drain comes before the library closes anything.
 		kratos.BeforeStop(func(context.Context) error {
 			d.gossip.Leave()
@@ -221,9 +221,9 @@
 // timing keeps a gateway's entries within the bounds that its platform sets.
 func (d *Daemon) timing() spread.Timing {
 	if d.settings.Gateway != nil {
-		return spread.Quick
+		return spread.FastTiming
 	}
-	return spread.Usual
+	return spread.DefaultTiming
 }
 
 // onView brings a revision into force, through the gateway where there is one.
--- a/daemon/entry/daemon_test.go
+++ b/daemon/entry/daemon_test.go
@@ -58,7 +58,7 @@
 	p := &stateProcess{listener: listener, service: state.NewService(machine, &singleNodeLog{machine: machine}, hclog.NewNullLogger())}
 	mux := link.NewMux()
 	p.service.Register(mux)
-	p.links = link.NewServer(link.Identity{Peer: link.Peer{Process: "state-1", DataCenter: "dakar-a"}, Keys: secret.Always([]byte(key))}, mux)
+	p.links = link.NewServer(link.Identity{Peer: link.Peer{Process: "state-1", DataCenter: "dakar-a"}, Keys: secret.StaticKeys([]byte(key))}, mux)
 	t.Cleanup(func() { p.service.Close(); listener.Close(); p.links.Close() })
 	return p
 }
--- a/daemon/entry/gateway.go
+++ b/daemon/entry/gateway.go
@@ -164,7 +164,7 @@
 // the platform itself where none of them knows it.
 func (g *gatewayRouter) followList(ctx context.Context) {
 	serverlist.NewUpdater(serverlist.NewStore(), serverlist.Options{
-		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListEvery.Duration,
+		Upstream: g.upstream, List: g.list, Every: g.daemon.settings.Gateway.ListInterval.Duration,
 		OnList: g.onList, Logger: g.logger,
 	}).Run(ctx)
 }
@@ -187,7 +187,7 @@
 
 func (g *gatewayRouter) followMembers(ctx context.Context) {
 	s := g.daemon.settings
-	self := settings.Peer{Name: s.Name, Address: s.LinkForOthers(), DataCenter: s.DataCenter}
+	self := settings.Peer{Name: s.Name, Address: s.AdvertisedLink(), DataCenter: s.DataCenter}
 	for {
 		asked, cancel := context.WithTimeout(ctx, membersInterval)
 		members, entries, err := g.daemon.state.Members(asked, self)
@@ -235,7 +235,7 @@
 		return errLeaving
 	case g.table.Load() == nil || g.daemon.entry.relay.View() == nil:
 		return errNoConfiguration
-	case g.table.Load().Keyed() && !g.KeysFresh():
+	case g.table.Load().RequiresKeys() && !g.KeysFresh():
 		return errKeysStale
 	}
 	return nil
--- a/daemon/entry/gossip.go
+++ b/daemon/entry/gossip.go
@@ -19,7 +19,7 @@
 func (d *Daemon) newGossip() *gossip.Gossip {
 	relay := d.entry.relay
 	return gossip.New(gossip.Options{
-		Self:         member.Peer{Name: d.settings.Name, Address: d.settings.LinkForOthers().Value, DataCenter: d.settings.DataCenter},
+		Self:         member.Peer{Name: d.settings.Name, Address: d.settings.AdvertisedLink().Value, DataCenter: d.settings.DataCenter},
 		Entries:      d.settings.Entries,
 		Interval:     d.settings.DigestInterval.Duration,
 		Dial:         d.dialer.dial,
--- a/daemon/entry/loads.go
+++ b/daemon/entry/loads.go
@@ -13,7 +13,7 @@
 // newLoads joins the policy core with the board of loads.
 func (d *Daemon) newLoads() *loadlink.Link {
 	return loadlink.New(loadlink.Options{
-		Self:    member.Peer{Name: d.settings.Name, Address: d.settings.LinkForOthers().Value, DataCenter: d.settings.DataCenter},
+		Self:    member.Peer{Name: d.settings.Name, Address: d.settings.AdvertisedLink().Value, DataCenter: d.settings.DataCenter},
 		Dial:    d.dialer.dial,
 		Own:     d.ownLoads,
 		OnLoads: func(word loadboard.Report) { d.entry.relay.Post(policy.PeerLoads{Report: word}) },
--- a/daemon/state/cluster_test.go
+++ b/daemon/state/cluster_test.go
@@ -86,7 +86,7 @@
 	}
 	machine := NewMachine(0, ledger.Limits{})
 	mux := link.NewMux()
-	id := link.Identity{Peer: link.Peer{Process: peer.Name, DataCenter: peer.DataCenter}, Keys: secret.Always(testKey)}
+	id := link.Identity{Peer: link.Peer{Process: peer.Name, DataCenter: peer.DataCenter}, Keys: secret.StaticKeys(testKey)}
 	log, err := OpenReplica(s, machine, mux, id, hclog.NewNullLogger(), prometheus.NewRegistry())
 	if err != nil {
 		listener.Close()
--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -135,7 +135,7 @@
 	}
 	return serverlist.NewUpdater(holder, serverlist.Options{
 		Upstream: upstream, List: control.List(d.settings.ServerList.Value, serverlist.NewClient()),
-		Every: d.settings.ListEvery.Duration, Logger: d.logger,
+		Every: d.settings.ListInterval.Duration, Logger: d.logger,
 	})
 }
 
@@ -217,7 +217,7 @@
 // Reload takes changed settings in: the seeds, which a process asks that belongs
 // to no group or was taken out. Other fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.State) error {
-	if err := s.SameProcess(&d.settings.Common); err != nil {
+	if err := s.ValidateReload(&d.settings.Common); err != nil {
 		return err
 	}
 	d.log.SetPeers(s.Peers)
--- a/daemon/state/fake_test.go
+++ b/daemon/state/fake_test.go
@@ -117,7 +117,7 @@
 		service := NewService(machine, log, hclog.NewNullLogger())
 		mux := link.NewMux()
 		service.Register(mux)
-		server := link.NewServer(link.Identity{Keys: secret.Always(testKey)}, mux)
+		server := link.NewServer(link.Identity{Keys: secret.StaticKeys(testKey)}, mux)
 		go server.Serve(listener)
 		name := string(rune('a' + i))
 		p := &process{peer: settings.Peer{Name: name, Address: settings.Address{Value: address}, DataCenter: "dc-" + name}, log: log, service: service, server: server}
@@ -155,7 +155,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if clients[address] == nil {
-			client := link.NewClient(address, link.Identity{Peer: link.Peer{Process: "entry"}, Keys: secret.Always(testKey)})
+			client := link.NewClient(address, link.Identity{Peer: link.Peer{Process: "entry"}, Keys: secret.StaticKeys(testKey)})
 			clients[address] = client
 			t.Cleanup(func() { client.Close() })
 		}
@@ -177,7 +177,7 @@
 	served := spreadlink.NewServer(w, hclog.NewNullLogger())
 	served.Register(mux, "entry")
 	traffic = &link.Traffic{}
-	server := link.NewServer(link.Identity{Keys: secret.Always(testKey), Traffic: traffic}, mux)
+	server := link.NewServer(link.Identity{Keys: secret.StaticKeys(testKey), Traffic: traffic}, mux)
 	go server.Serve(listener)
 	kill = func() {
 		served.Close()
--- a/daemon/state/replica.go
+++ b/daemon/state/replica.go
@@ -31,7 +31,7 @@
 	peers := replicaPeers(s.Peers)
 	transport := replicalink.New(func(address string) link.Caller { return link.NewClient(address, id) })
 	node, err := replica.Open(replica.Options{
-		Name: s.Name, Address: s.LinkForOthers().Value, DataCenter: s.DataCenter,
+		Name: s.Name, Address: s.AdvertisedLink().Value, DataCenter: s.DataCenter,
 		Peers: peers, Bootstrap: s.Bootstrap, AutoMembers: s.AutoMembers,
 		Heartbeat: s.Heartbeat.Duration, Election: s.Election.Duration,
 		Folder: folder, Machine: machine, Transport: transport,
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	replicalink.Handle(mux, node)
-	transport.Connect(otherVoters(node.Status().Members, s.LinkForOthers().Value))
+	transport.Connect(otherVoters(node.Status().Members, s.AdvertisedLink().Value))
 	return &replicaLog{node: node, transport: transport, name: s.Name, dc: s.DataCenter}, nil
 }
 
--- a/internal/capacity/size_bench_test.go
+++ b/internal/capacity/size_bench_test.go
@@ -67,7 +67,7 @@
 func BenchmarkViewHeap(b *testing.B) {
 	held := func(teams, servers int) func() any {
 		return func() any {
-			h := config.NewHolder()
+			h := config.NewFollower()
 			if err := h.Load(snapshot(teams, servers)); err != nil {
 				b.Fatal(err)
 			}
@@ -92,7 +92,7 @@
 func BenchmarkTeamChange(b *testing.B) {
 	for _, n := range teamSizes {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
-			h := config.NewHolder()
+			h := config.NewFollower()
 			if err := h.Load(snapshot(n, 0)); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -40,7 +40,7 @@
 	frozenUntil time.Duration
 	members     *member.Core
 	follower    *spread.Core
-	holder      *config.Holder
+	holder      *config.Follower
 	holding     lease.Grant
 	busy        map[string]bool
 	live        []string
@@ -95,7 +95,7 @@
 	}
 	e.life++
 	e.epoch++
-	e.members, e.follower, e.holder = member.NewCore(e.self, seeds), spread.NewCore(e.name), config.NewHolder()
+	e.members, e.follower, e.holder = member.NewCore(e.self, seeds), spread.NewCore(e.name), config.NewFollower()
 	e.holding, e.busy, e.live, e.known, e.knownAt = lease.Grant{}, map[string]bool{}, nil, 0, -time.Hour
 	life := e.life
 	for _, peer := range seeds {
@@ -247,8 +247,8 @@
 }
 
 func (e *entry) source(all *entries, target spread.Target) source {
-	if target.State() {
-		n := e.sim.nodes[(target.Turn+int(e.self.DataCenter[3]-'0'))%len(e.sim.nodes)]
+	if target.IsState() {
+		n := e.sim.nodes[(target.StateIndex+int(e.self.DataCenter[3]-'0'))%len(e.sim.nodes)]
 		return source{name: n.name, runs: func() bool { return n.runner != nil && e.sim.now >= n.frozenUntil },
 			since:  func(have uint64, limit int) ([]*lilacv1.Revision, bool) { return n.machine.Since(have, limit) },
 			config: func() *lilacv1.Snapshot { return n.machine.Config() }, revision: func() uint64 { return n.machine.Revision() },
@@ -289,7 +289,7 @@
 			}
 			e.known = max(e.known, newest, e.holder.Revision())
 			e.knownAt = max(e.knownAt, e.sim.now-age)
-			e.follow(all, spread.Heard{Target: target, Age: age})
+			e.follow(all, spread.UpdateReceived{Target: target, Age: age})
 			e.sim.after(pollEvery, func() {
 				if e.epoch == epoch {
 					e.poll(all, target, epoch)
@@ -303,7 +303,7 @@
 		}
 		e.epoch++
 		if e.runs() {
-			e.follow(all, spread.Broken{Target: target})
+			e.follow(all, spread.StreamFailed{Target: target})
 		}
 		// A frozen entry finds its stream broken when it wakes, by the tick.
 	})
--- a/internal/proof/entry_faults_test.go
+++ b/internal/proof/entry_faults_test.go
@@ -95,7 +95,7 @@
 func (all *entries) verify() {
 	v := all.sim.invariants
 	revisions, _ := all.sim.nodes[0].machine.Since(0, 1<<20)
-	holder := config.NewHolder()
+	holder := config.NewFollower()
 	for _, revision := range revisions {
 		err := holder.Apply([]*lilacv1.Revision{revision})
 		v.check(err == nil, "revisions follow each other", "%v", err)
--- a/process/logs/budget.go
+++ b/process/logs/budget.go
@@ -15,17 +15,17 @@
 	Success Kind = iota
 	// Failure is a request that failed or was refused.
 	Failure
-	// Belief is a change of what the process takes for true.
-	Belief
+	// StateChange is a change of what the process takes for true.
+	StateChange
 	kinds
 )
 
 // perSecond is how many lines of a kind go out in a second. An entry that serves
 // 36 requests a second, the size designed for, writes 80 lines of successes; the
 // budget leaves failures room when all requests fail at once.
-var perSecond = [kinds]int{Success: 200, Failure: 300, Belief: 100}
+var perSecond = [kinds]int{Success: 200, Failure: 300, StateChange: 100}
 
-var kindNames = [kinds]string{Success: "success", Failure: "failure", Belief: "belief"}
+var kindNames = [kinds]string{Success: "success", Failure: "failure", StateChange: "belief"}
 
 // Log writes lines within a budget for each kind.
 type Log struct {
--- a/process/logs/logs_test.go
+++ b/process/logs/logs_test.go
@@ -51,7 +51,7 @@
 	for range 10 * perSecond[Failure] {
 		l.Line(Failure, "refused")
 	}
-	l.Line(Belief, "document in force")
+	l.Line(StateChange, "document in force")
 	is.Equal(strings.Count(text.String(), `"refused"`), perSecond[Failure])
 	is.Equal(strings.Count(text.String(), "document in force"), 1)
 	now = now.Add(time.Second)
--- a/process/logs/story/story.go
+++ b/process/logs/story/story.go
@@ -32,8 +32,8 @@
 	place int
 }
 
-// Story holds the lines that were read.
-type Story struct {
+// Timeline holds the lines that were read.
+type Timeline struct {
 	lines []line
 	// Skipped counts lines that are no JSON.
 	Skipped int
@@ -41,7 +41,7 @@
 
 // Read takes in the lines of one reader. What stands before the first brace, such
 // as a collector's own time, is passed over.
-func (s *Story) Read(from io.Reader) error {
+func (s *Timeline) Read(from io.Reader) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -81,10 +81,10 @@
 	return id
 }
 
-// Tell writes the story of the request and tells whether there is one. Lines of
+// Print writes the story of the request and tells whether there is one. Lines of
 // one instance stand in the order in which it wrote them, whatever its clock did;
 // those of several are ordered by their clocks, which may disagree.
-func (s *Story) Tell(w io.Writer, request string) bool {
+func (s *Timeline) Print(w io.Writer, request string) bool {
 	var own []line
 	for _, l := range s.lines {
 		if l.request() == request {
@@ -115,7 +115,7 @@
 }
 
 // beliefs are the lines about no request that the same instances wrote meanwhile.
-func (s *Story) beliefs(own []line) []line {
+func (s *Timeline) beliefs(own []line) []line {
 	first, last := make(map[string]time.Time), make(map[string]time.Time)
 	for _, l := range own {
 		if at, ok := first[l.module]; !ok || l.at.Before(at) {
@@ -138,7 +138,7 @@
 // restarts are the first starts of the same instances after the request's last
 // line, where they came too late to count as belonging to it: a request without an
 // end may have gone down with its instance.
-func (s *Story) restarts(last map[string]time.Time) []line {
+func (s *Timeline) restarts(last map[string]time.Time) []line {
 	var found []line
 	seen := make(map[string]bool)
 	for _, l := range s.lines {
@@ -151,7 +151,7 @@
 	return found
 }
 
-func (s *Story) modules(own []line) int {
+func (s *Timeline) modules(own []line) int {
 	names := make(map[string]bool)
 	for _, l := range own {
 		names[l.module] = true
--- a/process/logs/story/story_test.go
+++ b/process/logs/story/story_test.go
@@ -20,15 +20,15 @@
 // clock jumped back in between; its lines must still stand in their order.
 func TestStoryOfOneRequest(t *testing.T) {
 	is := is.New(t)
-	s := &Story{}
+	s := &Timeline{}
 	is.NoErr(s.Read(strings.NewReader(lines)))
 	is.Equal(s.Skipped, 1)
 	var text strings.Builder
-	is.True(s.Tell(&text, "id1"))
+	is.True(s.Print(&text, "id1"))
 	told := strings.Split(strings.TrimSpace(text.String()), "\n")
 	is.Equal(len(told), 3)
 	is.True(strings.Contains(told[0], "document in force version=7"))
 	is.True(strings.HasPrefix(told[1], "*") && strings.Contains(told[1], `sent server="i-1"`))
 	is.True(strings.Contains(told[2], `attempt failed error="reset"`))
-	is.True(!s.Tell(&text, "id9"))
+	is.True(!s.Print(&text, "id9"))
 }
--- a/process/secret/keys.go
+++ b/process/secret/keys.go
@@ -44,9 +44,9 @@
 	return Open(file, ReadKeys)
 }
 
-// Has tells whether the key is one of them, in a time that does not depend on
+// Contains tells whether the key is one of them, in a time that does not depend on
 // the keys' bytes.
-func (k Keys) Has(key []byte) bool {
+func (k Keys) Contains(key []byte) bool {
 	found := 0
 	for _, own := range k {
 		found |= subtle.ConstantTimeCompare(own, key)
@@ -54,7 +54,7 @@
 	return found == 1
 }
 
-// Always returns a source of keys that never change.
-func Always(keys ...[]byte) func() Keys {
+// StaticKeys returns a source of keys that never change.
+func StaticKeys(keys ...[]byte) func() Keys {
 	return func() Keys { return keys }
 }
--- a/process/secret/secret.go
+++ b/process/secret/secret.go
@@ -85,9 +85,9 @@
 	return operators, nil
 }
 
-// Who returns the operator of a token. It compares with every operator, in a
+// ByToken returns the operator of a token. It compares with every operator, in a
 // time that does not depend on the token.
-func (o *Operators) Who(token string) (string, bool) {
+func (o *Operators) ByToken(token string) (string, bool) {
 	digest := sha256.Sum256([]byte(token))
 	who := ""
 	for name, want := range o.tokens {
--- a/process/settings/entry.go
+++ b/process/settings/entry.go
@@ -108,7 +108,7 @@
 		all = append(all, &Problem{Line: 1, Field: "policy.retry_share", Message: "must lie between 0 and 1"})
 	}
 	e.fill()
-	if e.Gateway != nil && e.Closing() < minClosing {
+	if e.Gateway != nil && e.CloseTimeout() < minClosing {
 		all = append(all, &Problem{Line: 1, Field: "gateway.grace", Message: fmt.Sprintf(
 			"is %v, and drain_lag and drain take %v of it; %v must be left, so shorten them or leave them out",
 			e.Gateway.Grace.Duration, e.DrainLag.Duration+e.Drain.Duration, 2*minClosing)})
@@ -116,9 +116,9 @@
 	return errors.Join(all...)
 }
 
-// Closing is how long listeners may take to close after the drain: half of what
+// CloseTimeout is how long listeners may take to close after the drain: half of what
 // is left of a gateway's grace time, the other half is for the process to end.
-func (e *Entry) Closing() time.Duration {
+func (e *Entry) CloseTimeout() time.Duration {
 	if e.Gateway == nil {
 		return defaultClosing
 	}
@@ -134,8 +134,8 @@
 	Readiness Address `yaml:"readiness"`
 	// ServerList is the address of the list of backend servers. No default.
 	ServerList Address `yaml:"server_list"`
-	// ListEvery is the pause between two readings of that list. Default 1s.
-	ListEvery Duration `yaml:"list_every"`
+	// ListInterval is the pause between two readings of that list. Default 1s.
+	ListInterval Duration `yaml:"list_every"`
 	// Revocation is how long after its acceptance a change that takes a key away
 	// may still be unknown to an instance; 0 means that there is no bound. Default 0.
 	Revocation Duration `yaml:"revocation"`
@@ -166,7 +166,7 @@
 )
 
 func (g *Gateway) fill() {
-	g.ListEvery.Duration = g.ListEvery.Or(defaultListEvery)
+	g.ListInterval.Duration = g.ListInterval.Or(defaultListEvery)
 	g.Grace.Duration = g.Grace.Or(defaultGrace)
 }
 
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -190,8 +190,8 @@
 	GCPercent int `yaml:"gc_percent"`
 }
 
-// LinkForOthers is the address at which the other processes reach this one.
-func (c *Common) LinkForOthers() Address {
+// AdvertisedLink is the address at which the other processes reach this one.
+func (c *Common) AdvertisedLink() Address {
 	if c.Advertise.Value != "" {
 		return c.Advertise
 	}
@@ -233,7 +233,7 @@
 // seedPeers are the state processes behind the seeds, but for this process. They
 // are named by their machines' addresses, as each names itself.
 func (c *Common) seedPeers() []Peer {
-	own, err := netip.ParseAddrPort(c.LinkForOthers().Value)
+	own, err := netip.ParseAddrPort(c.AdvertisedLink().Value)
 	if err != nil {
 		return nil
 	}
@@ -249,9 +249,9 @@
 	return peers
 }
 
-// SameProcess returns why the settings can't take the place of others while the
+// ValidateReload returns why the settings can't take the place of others while the
 // process runs; nil if they can.
-func (c *Common) SameProcess(old *Common) error {
+func (c *Common) ValidateReload(old *Common) error {
 	var all []error
 	same := func(before, after, field string) {
 		if before != after {
--- a/process/settings/settings_test.go
+++ b/process/settings/settings_test.go
@@ -89,7 +89,7 @@
 	is.NoErr(Parse("e.yaml", []byte(gatewayEntry), e))
 	is.Equal(len(e.State), 2)
 	is.Equal(e.State[1].Address.Value, "10.2.0.38:7340")
-	is.Equal(e.Gateway.ListEvery.Duration, time.Second)
+	is.Equal(e.Gateway.ListInterval.Duration, time.Second)
 	for _, missing := range []string{"  callers: 10.1.0.19:8227\n", "  readiness: 10.1.0.19:8220\n", "  server_list: 10.200.0.61:8223\n"} {
 		err := Parse("e.yaml", []byte(strings.Replace(gatewayEntry, missing, "", 1)), &Entry{})
 		field := strings.TrimSpace(strings.SplitN(missing, ":", 2)[0])
@@ -121,8 +121,8 @@
 	old, changed := &Entry{}, &Entry{}
 	is.NoErr(Parse("e.yaml", []byte(gatewayEntry), old))
 	is.NoErr(Parse("e.yaml", []byte(strings.Replace(gatewayEntry, "10.1.0.19:7340", "10.1.0.19:7341", 1)), changed))
-	is.NoErr(old.SameProcess(&old.Common))
-	err := changed.SameProcess(&old.Common)
+	is.NoErr(old.ValidateReload(&old.Common))
+	err := changed.ValidateReload(&old.Common)
 	is.True(err != nil && strings.Contains(err.Error(), "link") && strings.Contains(err.Error(), "restart"))
 }
 
@@ -135,7 +135,7 @@
 		is.NoErr(Parse("e.yaml", []byte(gatewayEntry+"  grace: "+grace.String()+"\n"), e))
 		// An answer may be cut off in the last sixth of the grace time only.
 		is.True(e.DrainLag.Duration+e.Drain.Duration > grace*5/6+grace/20)
-		is.True(e.DrainLag.Duration+e.Drain.Duration+e.Closing() < grace)
+		is.True(e.DrainLag.Duration+e.Drain.Duration+e.CloseTimeout() < grace)
 	}
 	err := Parse("e.yaml", []byte("drain_lag: 2s\ndrain: 6s\n"+gatewayEntry), &Entry{})
 	is.True(err != nil && strings.Contains(err.Error(), "gateway.grace"))
--- a/process/settings/state.go
+++ b/process/settings/state.go
@@ -27,8 +27,8 @@
 	// ServerList is the address of the platform's list of backend servers, which
 	// the leader reads for all. Default none.
 	ServerList Address `yaml:"server_list"`
-	// ListEvery is the pause between two readings of that list. Default 1s.
-	ListEvery Duration `yaml:"list_every"`
+	// ListInterval is the pause between two readings of that list. Default 1s.
+	ListInterval Duration `yaml:"list_every"`
 	// AutoMembers has the group take in every state process that asks, and let go
 	// of one that is lost while enough others remain. Default false: operators
 	// change the members.
@@ -56,7 +56,7 @@
 		// Only the seeds found the group; the other processes join it.
 		s.Bootstrap = s.Bootstrap && s.isSeed()
 	}
-	s.ListEvery.Duration = s.ListEvery.Or(defaultListEvery)
+	s.ListInterval.Duration = s.ListInterval.Or(defaultListEvery)
 	s.Heartbeat.Duration = s.Heartbeat.Or(defaultHeartbeat)
 	s.Election.Duration = s.Election.Or(defaultElection)
 	s.ClaimRetention.Duration = s.ClaimRetention.Or(defaultClaimRetention)
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -77,7 +77,7 @@
 // placeOf returns the class's position in the allocation of slots, by rank and then
 // by tier.
 func placeOf(class *lilacv1.Class) int {
-	return model.Place(int(class.GetTier()), int(class.GetRank()))
+	return model.Position(int(class.GetTier()), int(class.GetRank()))
 }
 
 // engineLevelOf returns the engine priority of the class's requests that can still
--- a/request/policy/demand_test.go
+++ b/request/policy/demand_test.go
@@ -58,7 +58,7 @@
 	c.Step(epoch, draft(1))
 	p := c.pools["llm"]
 	var work loadboard.PoolWork
-	work.Claims[model.Place(1, 0)] = 2 * p.capacity
+	work.Claims[model.Position(1, 0)] = 2 * p.capacity
 	c.Step(epoch, PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}, Work: loadboard.Work{loadboard.Key("llm"): work}, Instances: 193}})
 	c.Step(epoch.Add(slowTick), Tick{})
 	is.True(p.quota < p.capacity/10)
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -44,7 +44,7 @@
 
 func (c *core) startNext(now time.Time, p *pool) bool {
 	for _, late := range [...]bool{false, true} {
-		for place := range model.Places {
+		for place := range model.Positions {
 			if c.startRank(now, p, model.TierOf(place), model.RankOf(place), late) {
 				return true
 			}
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -274,7 +274,7 @@
 		}
 	}
 	is.Equal(late.Level, lateEngineLevel)
-	is.Equal(only[Start](t, c.Step(epoch.Add(5*time.Second), draft(2))).Level, model.Place(1, 0))
+	is.Equal(only[Start](t, c.Step(epoch.Add(5*time.Second), draft(2))).Level, model.Position(1, 0))
 }
 
 // One engine of a large pool holds the prompt. A random sample of the pool would miss it
--- a/request/policy/lanes_test.go
+++ b/request/policy/lanes_test.go
@@ -98,7 +98,7 @@
 	c.servers["a-0"].ownBacklog.add(0, 200000)
 	start := only[Start](t, c.Step(epoch, draft(2)))
 	is.True(c.requests[2].expectedLate)
-	is.Equal(start.Level, model.Place(1, 0))
+	is.Equal(start.Level, model.Position(1, 0))
 }
 
 // Sixty requests with different new prompts arrive between two load updates. All instances see
@@ -137,7 +137,7 @@
 	c := coreWithEngines("e1", 1, "a")
 	c.Step(epoch, draft(1))
 	p := c.pools[draft(1).Target]
-	is.Equal(p.lastLevel, model.Place(1, 0))
+	is.Equal(p.lastLevel, model.Position(1, 0))
 	cutoff := &lilacv1.PoolCutoff{Pool: p.name, AdmittedTier: model.Tiers, PlaceDemand: []uint32{0, 0, 0, 0, 0, 0, 0, 0, 0, 4}}
 	c.Step(epoch, PeerDigest{Digest: &lilacv1.Digest{Instance: "e2", Cutoffs: []*lilacv1.PoolCutoff{cutoff}}})
 	c.Step(epoch.Add(slowTick), Tick{})
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -66,7 +66,7 @@
 	openAt, progressAt, rejectedAt time.Time
 	// fullSince is since when requests of a place, or of those before it, have waited for a free
 	// slot; zero if none do.
-	fullSince [model.Places]time.Time
+	fullSince [model.Positions]time.Time
 	// queueBounds is how many requests of each level may wait while the pool is full; see
 	// full.go.
 	queueBounds [model.Levels]float64
@@ -151,7 +151,7 @@
 	demand := p.runningByPlace
 	for level := range model.Levels {
 		waiting, late := p.queue.LevelLen(level)
-		demand[model.PlaceOf(level)] += float64(waiting - late + min(late, lateSlots))
+		demand[model.PositionOf(level)] += float64(waiting - late + min(late, lateSlots))
 	}
 	return demand
 }
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -185,9 +185,9 @@
 // Before returns how many requests on time would start before the item if it
 // arrived now: those of its own place in the start order and of earlier places.
 func (q *Queue) Before(item *Item) int {
-	count, own := 0, model.Place(item.Tier, item.Rank)
+	count, own := 0, model.Position(item.Tier, item.Rank)
 	for i, l := range q.levels {
-		if model.PlaceOf(i) <= own {
+		if model.PositionOf(i) <= own {
 			count += l.count - l.late
 		}
 	}
--- a/request/relay/log.go
+++ b/request/relay/log.go
@@ -44,6 +44,6 @@
 
 // logLimit logs that a server started, changed or stopped stating a limit.
 func (r *Relay) logLimit(a policy.LimitChanged) {
-	r.Log.Line(logs.Belief, "server limit", "server", a.Server, "named", a.Advertised, "per_second", a.PerSecond,
+	r.Log.Line(logs.StateChange, "server limit", "server", a.Server, "named", a.Advertised, "per_second", a.PerSecond,
 		"source", string(a.Source), "age_ms", a.Age.Milliseconds(), "share", a.Share)
 }
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -45,7 +45,7 @@
 )
 
 // Demand is the number of requested slots by place.
-type Demand [model.Places]float64
+type Demand [model.Positions]float64
 
 // LastPlace returns the last place with any demand, or -1.
 func (d Demand) LastPlace() int {
@@ -77,7 +77,7 @@
 
 // Shares are the guaranteed shares of the capacity by place, 0 to 1 in total. Instances that
 // know different classes split slightly differently; servers' own limits hold regardless.
-type Shares [model.Places]float64
+type Shares [model.Positions]float64
 
 // peer is the last announcement of a peer.
 type peer struct {
@@ -152,7 +152,7 @@
 // report it by tier.
 func demandOf(cutoff *lilacv1.PoolCutoff) (demand Demand) {
 	for place, count := range cutoff.GetPlaceDemand() {
-		if place < model.Places {
+		if place < model.Positions {
 			demand[place] = float64(count)
 		}
 	}
@@ -161,7 +161,7 @@
 	}
 	for tier, count := range cutoff.GetDemand() {
 		if tier < model.Tiers {
-			demand[model.Place(tier, 0)] = float64(count)
+			demand[model.Position(tier, 0)] = float64(count)
 		}
 	}
 	return demand
--- a/version/config/config_test.go
+++ b/version/config/config_test.go
@@ -163,7 +163,7 @@
 // a dropped server included.
 func TestHolderEndsWhereTheMachineIs(t *testing.T) {
 	is := is.New(t)
-	m, h := NewMachine(0), NewHolder()
+	m, h := NewMachine(0), NewFollower()
 	is.NoErr(h.Load(m.Config()))
 	late := proposal("5", team("t2"))
 	late.ProposedUnixMs = 5000
@@ -202,7 +202,7 @@
 		for i := range teams {
 			m.Apply(proposal(fmt.Sprint("t", i), team(fmt.Sprint(i))))
 		}
-		h := NewHolder()
+		h := NewFollower()
 		if err := h.Load(m.Config()); err != nil {
 			b.Fatal(err)
 		}
@@ -228,7 +228,7 @@
 // routes and keys would go back without a change that says so.
 func TestSnapshotNeverTakesADocumentBack(t *testing.T) {
 	is := is.New(t)
-	h := NewHolder()
+	h := NewFollower()
 	is.NoErr(h.Load(&lilacv1.Snapshot{Revision: 3, Document: &lilacv1.Document{Version: 7}}))
 	for _, older := range []*lilacv1.Document{nil, {Version: 6}} {
 		err := h.Load(&lilacv1.Snapshot{Revision: 4, Document: older})
--- a/version/config/holder.go
+++ b/version/config/follower.go
@@ -10,9 +10,9 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Holder follows the revisions on one instance and gives the newest to readers.
+// Follower follows the revisions on one instance and gives the newest to readers.
 // It applies whole revisions in order and never goes back.
-type Holder struct {
+type Follower struct {
 	view atomic.Pointer[model.View]
 
 	mu     sync.Mutex
@@ -20,17 +20,17 @@
 	tail   *trail
 }
 
-// holderTail is how many revisions a Holder keeps to pass on to others.
+// holderTail is how many revisions a Follower keeps to pass on to others.
 const holderTail = 1024
 
-// NewHolder returns a Holder without any revision: Current is nil.
-func NewHolder() *Holder { return &Holder{tables: newTables(), tail: newTrail(holderTail)} }
+// NewFollower returns a Follower without any revision: Current is nil.
+func NewFollower() *Follower { return &Follower{tables: newTables(), tail: newTrail(holderTail)} }
 
 // Current returns the newest revision, or nil before the first one came.
-func (h *Holder) Current() *model.View { return h.view.Load() }
+func (h *Follower) Current() *model.View { return h.view.Load() }
 
 // Revision returns the number of the newest revision; 0 before the first.
-func (h *Holder) Revision() uint64 {
+func (h *Follower) Revision() uint64 {
 	if view := h.view.Load(); view != nil {
 		return view.Revision
 	}
@@ -44,7 +44,7 @@
 // It guards against configuration that reverts when a slow or replaced sender
 // gives an old snapshot: it would show as a statement that was in force and no
 // longer is. It holds because the number only grows under h.mu.
-func (h *Holder) Load(s *lilacv1.Snapshot) error {
+func (h *Follower) Load(s *lilacv1.Snapshot) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if current := h.view.Load(); current != nil && s.GetRevision() <= current.Revision {
@@ -66,7 +66,7 @@
 
 // Apply takes consecutive revisions into force, all at once. Those that are
 // held already are passed over; a gap is refused as a CONFLICT.
-func (h *Holder) Apply(revisions []*lilacv1.Revision) error {
+func (h *Follower) Apply(revisions []*lilacv1.Revision) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(revisions) > 0 && revisions[0].GetNumber() <= h.tables.revision {
@@ -94,7 +94,7 @@
 }
 
 // Since returns the revisions after have, as Machine.Since does.
-func (h *Holder) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
+func (h *Follower) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if have >= h.tables.revision {
@@ -107,7 +107,7 @@
 }
 
 // Config returns the whole configuration; the items must not be changed.
-func (h *Holder) Config() *lilacv1.Snapshot {
+func (h *Follower) Config() *lilacv1.Snapshot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.tables.snapshot()
--- a/version/config/recover_test.go
+++ b/version/config/recover_test.go
@@ -28,7 +28,7 @@
 // group's configuration, and must never hold its number 4 for another content.
 func TestEntryAheadOfTheRecoveredLogIsNotStuck(t *testing.T) {
 	is := is.New(t)
-	entry := NewHolder()
+	entry := NewFollower()
 	is.NoErr(entry.Load(machineWith(1, 4).Config()))
 
 	m := machineWith(1, 3)
--- a/version/config/tables.go
+++ b/version/config/tables.go
@@ -1,7 +1,7 @@
 // Package config is the deterministic state machine of the configuration: it
 // applies proposals, which become revisions, and keeps the audit trail.
 //
-// Machine runs on the state processes, Holder on every instance that follows
+// Machine runs on the state processes, Follower on every instance that follows
 // the revisions. Both change the same tables by the same code, so that a
 // revision means the same everywhere.
 package config
@@ -32,7 +32,7 @@
 	document *lilacv1.Document
 	// shares is the sum of the classes' shares, in permille.
 	shares uint32
-	// pools is the view's index of the servers, kept by a Holder until they change.
+	// pools is the view's index of the servers, kept by a Follower until they change.
 	pools map[string][]*lilacv1.Server
 }
 
--- a/version/model/view.go
+++ b/version/model/view.go
@@ -18,13 +18,13 @@
 // Level is the place of a tier's rank among them.
 func Level(tier, rank int) int { return tier*Ranks + min(rank, Ranks-1) }
 
-// Places is the number of ranks with their tiers.
-const Places = Tiers * Ranks
+// Positions is the number of ranks with their tiers.
+const Positions = Tiers * Ranks
 
-// Place is the order of urgency in which requests start, are given room and stay at
+// Position is the order of urgency in which requests start, are given room and stay at
 // engines: what all tiers ask
 // for in short urgent work goes before the bulk of any.
-func Place(tier, rank int) int { return min(rank, Ranks-1)*Tiers + tier }
+func Position(tier, rank int) int { return min(rank, Ranks-1)*Tiers + tier }
 
 // TierOf is the tier of a place.
 func TierOf(place int) int { return place % Tiers }
@@ -32,8 +32,8 @@
 // RankOf is the rank of a place.
 func RankOf(place int) int { return place / Tiers }
 
-// PlaceOf is the place of a level.
-func PlaceOf(level int) int { return Place(level/Ranks, level%Ranks) }
+// PositionOf is the place of a level.
+func PositionOf(level int) int { return Position(level/Ranks, level%Ranks) }
 
 // View is a revision as the request path reads it. It is never changed once
 // made, so any goroutine may read it without a lock.
--- a/version/routing/document.go
+++ b/version/routing/document.go
@@ -44,9 +44,9 @@
 	Kind       Kind
 	// Timeout is the longest time that a caller is kept waiting.
 	Timeout time.Duration
-	// Target is the time to the answer, or to the first event of a stream, within
+	// TargetLatency is the time to the answer, or to the first event of a stream, within
 	// which a request counts in full.
-	Target time.Duration
+	TargetLatency time.Duration
 	// EventGap is the longest pause between two events of a stream that is on
 	// time; 0 for routes without streams.
 	EventGap time.Duration
--- a/version/routing/routing_test.go
+++ b/version/routing/routing_test.go
@@ -12,7 +12,7 @@
 	return &Document{
 		Version: 7,
 		Routes: []Route{
-			{Name: "plans", Host: "a.example", PathPrefix: "/p/", Kind: Streaming, Timeout: time.Second, Target: 600 * time.Millisecond, EventGap: 300 * time.Millisecond, Priority: 1, Backends: []Backend{{"engines", 90}, {"desk", 10}}, MaxAttempts: 2, Resumable: true},
+			{Name: "plans", Host: "a.example", PathPrefix: "/p/", Kind: Streaming, Timeout: time.Second, TargetLatency: 600 * time.Millisecond, EventGap: 300 * time.Millisecond, Priority: 1, Backends: []Backend{{"engines", 90}, {"desk", 10}}, MaxAttempts: 2, Resumable: true},
 			{Name: "drafts", Host: "a.example", PathPrefix: "/p/drafts/", Kind: Streaming, Timeout: time.Second, Backends: []Backend{{"engines", 1}}},
 			{Name: "open", Host: "b.example", PathPrefix: "/", Timeout: time.Second, Backends: []Backend{{"desk", 1}}, Public: true},
 		},
@@ -61,8 +61,8 @@
 	is.Equal(table.Match("a.example", "/p"), nil)
 	is.Equal(table.Match("b.example", "/p/drafts/1").Name, "open")
 	is.Equal(table.Match("c.example", "/p/"), nil)
-	is.Equal(table.Holder("k2").Name, "north")
-	is.Equal(table.Holder("k9"), nil)
+	is.Equal(table.TeamByKey("k2").Name, "north")
+	is.Equal(table.TeamByKey("k9"), nil)
 }
 
 func TestWeightsSplitTheDraws(t *testing.T) {
--- a/version/routing/table.go
+++ b/version/routing/table.go
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// Keyed tells whether requests need a key where their route isn't public.
-func (t *Table) Keyed() bool { return len(t.Document.Teams) > 0 }
+// RequiresKeys tells whether requests need a key where their route isn't public.
+func (t *Table) RequiresKeys() bool { return len(t.Document.Teams) > 0 }
 
-// Holder returns the team that holds the key, or nil.
-func (t *Table) Holder(key string) *Team { return t.byKey[key] }
+// TeamByKey returns the team that holds the key, or nil.
+func (t *Table) TeamByKey(key string) *Team { return t.byKey[key] }
 
 // Service returns the service of that name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
--- a/version/routing/view.go
+++ b/version/routing/view.go
@@ -83,7 +83,7 @@
 func class(t *Table, r *Route, priority int) *lilacv1.Class {
 	c := &lilacv1.Class{
 		Name: ClassName(r, priority), Tier: uint32(min(max(priority, 0), model.Tiers-1)),
-		FirstTokenMs: uint32(r.Target.Milliseconds()), MaxAttempts: uint32(r.MaxAttempts),
+		FirstTokenMs: uint32(r.TargetLatency.Milliseconds()), MaxAttempts: uint32(r.MaxAttempts),
 		Rank:          uint32(min(max(r.Priority, 0), maxRank)),
 		SharePermille: uint32(max(1, shareOfAll/max(len(t.Document.Routes), 1))),
 		Late:          lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM,
--- a/version/spread/core.go
+++ b/version/spread/core.go
@@ -17,24 +17,24 @@
 
 // Timing says how soon an entry leaves a sender.
 type Timing struct {
-	// SignOfLife is how often a sender sends an update when nothing changes.
-	SignOfLife time.Duration
-	// Silence is how long a sender may say nothing before another is taken.
-	Silence time.Duration
-	// Behind is the age of a sender's knowledge above which another is taken.
-	Behind time.Duration
-	// Transfer is how long one update may take to arrive, as long as it goes on
+	// HeartbeatInterval is how often a sender sends an update when nothing changes.
+	HeartbeatInterval time.Duration
+	// SilenceTimeout is how long a sender may say nothing before another is taken.
+	SilenceTimeout time.Duration
+	// MaxAge is the age of a sender's knowledge above which another is taken.
+	MaxAge time.Duration
+	// TransferTimeout is how long one update may take to arrive, as long as it goes on
 	// arriving, before another sender is taken.
-	Transfer time.Duration
+	TransferTimeout time.Duration
 }
 
-// Usual keeps the signs of life of 1,100 entries cheap: changes are in force
+// DefaultTiming keeps the signs of life of 1,100 entries cheap: changes are in force
 // everywhere in 13 s.
-var Usual = Timing{SignOfLife: SignOfLife, Silence: silence, Behind: behindLimit, Transfer: transfer}
+var DefaultTiming = Timing{HeartbeatInterval: HeartbeatInterval, SilenceTimeout: silence, MaxAge: behindLimit, TransferTimeout: transfer}
 
-// Quick finds a silent sender soon enough for changes that must be in force
+// FastTiming finds a silent sender soon enough for changes that must be in force
 // everywhere within 3 s: 1 s of silence and the way to another sender.
-var Quick = Timing{SignOfLife: 300 * time.Millisecond, Silence: time.Second, Behind: 1500 * time.Millisecond, Transfer: transfer}
+var FastTiming = Timing{HeartbeatInterval: 300 * time.Millisecond, SilenceTimeout: time.Second, MaxAge: 1500 * time.Millisecond, TransferTimeout: transfer}
 
 const (
 	// Fanout is how many entries follow one entry directly.
@@ -51,19 +51,19 @@
 	avoidance = 10 * time.Second
 )
 
-// SignOfLife is how often a sender sends an update when nothing changes.
-const SignOfLife = time.Second
+// HeartbeatInterval is how often a sender sends an update when nothing changes.
+const HeartbeatInterval = time.Second
 
 // Target is whom to follow: an entry by name, or a state process where Entry is empty.
 type Target struct {
 	Entry string
-	// Turn tells which state process: the nearest one for 0, then the others in
+	// StateIndex tells which state process: the nearest one for 0, then the others in
 	// order of distance, and round again.
-	Turn int
+	StateIndex int
 }
 
-// State tells whether the target is a state process.
-func (t Target) State() bool { return t.Entry == "" }
+// IsState tells whether the target is a state process.
+func (t Target) IsState() bool { return t.Entry == "" }
 
 // Event is something that happened; see the types below.
 type Event interface{ event() }
@@ -72,8 +72,8 @@
 // in any order; the own name counts whether or not it is there.
 type Entries struct{ Names []string }
 
-// Heard tells that the target sent an update.
-type Heard struct {
+// UpdateReceived tells that the target sent an update.
+type UpdateReceived struct {
 	Target Target
 	// Age of the target's knowledge of the newest revision when it sent the update.
 	Age time.Duration
@@ -81,20 +81,20 @@
 	Delay time.Duration
 }
 
-// Receiving tells that more of an update came from the target, which is not whole yet.
-type Receiving struct{ Target Target }
+// UpdateProgress tells that more of an update came from the target, which is not whole yet.
+type UpdateProgress struct{ Target Target }
 
-// Broken tells that the stream from the target ended, or could not be opened.
-type Broken struct{ Target Target }
+// StreamFailed tells that the stream from the target ended, or could not be opened.
+type StreamFailed struct{ Target Target }
 
 // Tick lets time pass.
 type Tick struct{}
 
-func (Entries) event()   {}
-func (Heard) event()     {}
-func (Receiving) event() {}
-func (Broken) event()    {}
-func (Tick) event()      {}
+func (Entries) event()        {}
+func (UpdateReceived) event() {}
+func (UpdateProgress) event() {}
+func (StreamFailed) event()   {}
+func (Tick) event()           {}
 
 // Follow tells the shell to leave whom it follows and to follow the target.
 type Follow struct {
@@ -107,18 +107,18 @@
 type Reason string
 
 const (
-	// First is the first choice after the start.
-	First Reason = "start"
-	// Ranked is a change of the entries that are alive, or a sender that is no longer avoided.
-	Ranked Reason = "rank"
-	// Silent is a sender that said nothing for too long.
-	Silent Reason = "silent"
-	// SenderBehind is a sender whose own knowledge is too old.
-	SenderBehind Reason = "sender behind"
-	// Behind is an entry that is itself behind and goes to a state process.
-	Behind Reason = "behind"
-	// Ended is a stream that ended or could not be opened.
-	Ended Reason = "stream ended"
+	// ReasonStart is the first choice after the start.
+	ReasonStart Reason = "start"
+	// ReasonRank is a change of the entries that are alive, or a sender that is no longer avoided.
+	ReasonRank Reason = "rank"
+	// ReasonSilent is a sender that said nothing for too long.
+	ReasonSilent Reason = "silent"
+	// ReasonSenderBehind is a sender whose own knowledge is too old.
+	ReasonSenderBehind Reason = "sender behind"
+	// ReasonBehind is an entry that is itself behind and goes to a state process.
+	ReasonBehind Reason = "behind"
+	// ReasonStreamEnded is a stream that ended or could not be opened.
+	ReasonStreamEnded Reason = "stream ended"
 )
 
 // Core decides whom one entry follows. Calls must not overlap.
@@ -149,10 +149,10 @@
 }
 
 // NewCore returns the core of the entry named self, which follows nobody yet.
-func NewCore(self string) *Core { return NewTimedCore(self, Usual) }
+func NewCore(self string) *Core { return NewCoreWithTiming(self, DefaultTiming) }
 
-// NewTimedCore is NewCore with its own timing.
-func NewTimedCore(self string, timing Timing) *Core {
+// NewCoreWithTiming is NewCore with its own timing.
+func NewCoreWithTiming(self string, timing Timing) *Core {
 	return &Core{self: self, timing: timing, avoided: make(map[string]time.Time)}
 }
 
@@ -164,11 +164,11 @@
 	if c.sure.IsZero() {
 		c.sure = now
 	}
-	c.reason = Ranked
+	c.reason = ReasonRank
 	switch e := event.(type) {
 	case Entries:
 		c.setEntries(e.Names)
-	case Heard:
+	case UpdateReceived:
 		if e.Target != c.current {
 			return nil
 		}
@@ -176,20 +176,20 @@
 		if sure := now.Add(-e.Age - e.Delay); sure.After(c.sure) {
 			c.sure = sure
 		}
-		if e.Age > c.timing.Behind {
-			c.reason = SenderBehind
+		if e.Age > c.timing.MaxAge {
+			c.reason = ReasonSenderBehind
 			c.avoid(now)
 			c.leaveBehind(now)
 		}
-	case Receiving:
+	case UpdateProgress:
 		c.receive(now, e.Target)
-	case Broken:
+	case StreamFailed:
 		if e.Target != c.current {
 			return nil
 		}
-		c.reason = Ended
+		c.reason = ReasonStreamEnded
 		c.avoid(now)
-		if c.current.State() {
+		if c.current.IsState() {
 			c.turn++
 			c.direct = time.Time{}
 		}
@@ -202,7 +202,7 @@
 // receive keeps a sender while an update from it arrives, for up to Transfer: another
 // one would begin the same transfer anew.
 func (c *Core) receive(now time.Time, from Target) {
-	if from == c.current && now.Sub(c.whole) <= c.timing.Transfer {
+	if from == c.current && now.Sub(c.whole) <= c.timing.TransferTimeout {
 		c.heard, c.receiving = now, now
 	}
 }
@@ -211,16 +211,16 @@
 // behind goes to a state process at once: senders of lower rank may follow the same
 // failed one, and each would cost seconds.
 func (c *Core) tick(now time.Time) {
-	if c.following && now.Sub(c.heard) > c.timing.Silence {
-		c.reason = Silent
+	if c.following && now.Sub(c.heard) > c.timing.SilenceTimeout {
+		c.reason = ReasonSilent
 		c.avoid(now)
-		if c.current.State() {
+		if c.current.IsState() {
 			c.turn++
 		}
 	}
-	receives := now.Sub(c.receiving) <= c.timing.Silence
-	if !c.current.State() && !receives && now.Sub(c.sure) > c.timing.Behind && !now.Before(c.direct) {
-		c.reason = Behind
+	receives := now.Sub(c.receiving) <= c.timing.SilenceTimeout
+	if !c.current.IsState() && !receives && now.Sub(c.sure) > c.timing.MaxAge && !now.Before(c.direct) {
+		c.reason = ReasonBehind
 		c.avoid(now)
 		c.direct = now.Add(avoidance)
 	}
@@ -230,7 +230,7 @@
 // cut from which the nearest takes long to catch up. Each gets some time, since while
 // the cut lasts none is better than the nearest.
 func (c *Core) leaveBehind(now time.Time) {
-	if c.current.State() && now.Sub(c.turned) >= c.timing.Behind {
+	if c.current.IsState() && now.Sub(c.turned) >= c.timing.MaxAge {
 		c.turn++
 		c.turned = now
 	}
@@ -240,7 +240,7 @@
 
 // avoid passes the current target over for a while.
 func (c *Core) avoid(now time.Time) {
-	if !c.current.State() {
+	if !c.current.IsState() {
 		c.avoided[c.current.Entry] = now.Add(avoidance)
 	}
 }
@@ -255,15 +255,15 @@
 	if now.Before(c.direct) {
 		target = Target{}
 	}
-	if target.State() {
-		target.Turn = c.turn
+	if target.IsState() {
+		target.StateIndex = c.turn
 	}
 	if c.following && target == c.current {
 		return nil
 	}
 	reason := c.reason
 	if !c.following {
-		reason = First
+		reason = ReasonStart
 	}
 	c.current, c.following = target, true
 	c.heard, c.whole, c.receiving = now, now, time.Time{}
--- a/version/spread/random_test.go
+++ b/version/spread/random_test.go
@@ -63,19 +63,19 @@
 
 // receive gives one entry what its stream brings in a step.
 func (c *center) receive(f *follower) {
-	if f.target.State() {
+	if f.target.IsState() {
 		if c.now.Before(f.cut) {
-			c.apply(f, f.core.Step(c.now, Broken{f.target}))
+			c.apply(f, f.core.Step(c.now, StreamFailed{f.target}))
 			return
 		}
 		f.revision, f.sure = c.newest, c.now
-		c.apply(f, f.core.Step(c.now, Heard{Target: f.target, Age: 0}))
+		c.apply(f, f.core.Step(c.now, UpdateReceived{Target: f.target, Age: 0}))
 		return
 	}
 	parent := c.entries[f.target.Entry]
 	switch {
 	case c.now.Before(parent.dead), parent.revision == 0:
-		c.apply(f, f.core.Step(c.now, Broken{f.target}))
+		c.apply(f, f.core.Step(c.now, StreamFailed{f.target}))
 	case !c.now.Before(parent.hangs):
 		if parent.revision > f.revision {
 			f.revision = parent.revision
@@ -83,7 +83,7 @@
 		if parent.sure.After(f.sure) {
 			f.sure = parent.sure
 		}
-		c.apply(f, f.core.Step(c.now, Heard{Target: f.target, Age: c.now.Sub(parent.sure)}))
+		c.apply(f, f.core.Step(c.now, UpdateReceived{Target: f.target, Age: c.now.Sub(parent.sure)}))
 	}
 }
 
@@ -142,7 +142,7 @@
 			steps++
 			for _, name := range c.names {
 				f := c.entries[name]
-				if f.target.State() {
+				if f.target.IsState() {
 					direct++
 				}
 				lag := time.Duration(c.newest-f.revision) * time.Second
--- a/version/spread/spread_test.go
+++ b/version/spread/spread_test.go
@@ -42,7 +42,7 @@
 			for i, self := range all {
 				target := follows(t, NewCore(self).Step(start, Entries{all}))
 				children[target]++
-				is.True(target.State() || slices.Index(all, target.Entry) < i)
+				is.True(target.IsState() || slices.Index(all, target.Entry) < i)
 			}
 			is.Equal(children[Target{}], 1)
 			for _, count := range children {
@@ -59,9 +59,11 @@
 func TestFailedRelayIsReplaced(t *testing.T) {
 	all := names(6)
 	for name, fail := range map[string]func(c *Core, relay Target) []Follow{
-		"dies":    func(c *Core, relay Target) []Follow { return c.Step(start, Broken{relay}) },
-		"hangs":   func(c *Core, _ Target) []Follow { return c.Step(start.Add(silence+1), Tick{}) },
-		"behind":  func(c *Core, relay Target) []Follow { return c.Step(start, Heard{Target: relay, Age: behindLimit + 1}) },
+		"dies":  func(c *Core, relay Target) []Follow { return c.Step(start, StreamFailed{relay}) },
+		"hangs": func(c *Core, _ Target) []Follow { return c.Step(start.Add(silence+1), Tick{}) },
+		"behind": func(c *Core, relay Target) []Follow {
+			return c.Step(start, UpdateReceived{Target: relay, Age: behindLimit + 1})
+		},
 		"removed": func(c *Core, _ Target) []Follow { return c.Step(start, Entries{all[1:]}) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -72,14 +74,14 @@
 				is.Equal(relay, Target{Entry: all[0]})
 				next := follows(t, fail(c, relay))
 				if i == 0 {
-					is.True(next.State())
+					is.True(next.IsState())
 				} else {
 					is.Equal(next, Target{Entry: all[1]})
 				}
 				if name != "removed" {
 					// The next sender is in order; the relay is tried again all the same.
-					for now := start.Add(silence + 2); now.Before(start.Add(avoidance)); now = now.Add(SignOfLife) {
-						is.Equal(len(c.Step(now, Heard{Target: next, Age: 0})), 0)
+					for now := start.Add(silence + 2); now.Before(start.Add(avoidance)); now = now.Add(HeartbeatInterval) {
+						is.Equal(len(c.Step(now, UpdateReceived{Target: next, Age: 0})), 0)
 						is.Equal(len(c.Step(now, Tick{})), 0)
 					}
 					is.Equal(follows(t, c.Step(start.Add(silence+avoidance+2), Tick{})).Entry, all[0])
@@ -92,10 +94,10 @@
 func TestBrokenStateProcessIsFollowedAgain(t *testing.T) {
 	is := is.New(t)
 	c := NewCore("only")
-	is.True(follows(t, c.Step(start, Entries{})).State())
-	is.True(follows(t, c.Step(start, Broken{Target{}})).State())
-	is.Equal(len(c.Step(start, Broken{Target{Entry: "unknown"}})), 0)
-	is.True(follows(t, c.Step(start.Add(silence+1), Tick{})).State())
+	is.True(follows(t, c.Step(start, Entries{})).IsState())
+	is.True(follows(t, c.Step(start, StreamFailed{Target{}})).IsState())
+	is.Equal(len(c.Step(start, StreamFailed{Target{Entry: "unknown"}})), 0)
+	is.True(follows(t, c.Step(start.Add(silence+1), Tick{})).IsState())
 }
 
 // The sender of revisions falls silent, or knows nothing new for long. A document
@@ -103,14 +105,14 @@
 // left that sender long before.
 func TestQuickTimingLeavesSilentSendersInTime(t *testing.T) {
 	is := is.New(t)
-	c := NewTimedCore("only", Quick)
+	c := NewCoreWithTiming("only", FastTiming)
 	first := follows(t, c.Step(start, Entries{}))
-	c.Step(start, Heard{Target: first})
-	is.Equal(len(c.Step(start.Add(Quick.Silence), Tick{})), 0)
-	second := follows(t, c.Step(start.Add(Quick.Silence+1), Tick{}))
-	is.True(second.State() && second != first)
-	is.True(Quick.Silence+2*Quick.SignOfLife < 2*time.Second)
-	third := follows(t, c.Step(start.Add(2*time.Second), Heard{Target: second, Age: Quick.Behind + 1}))
+	c.Step(start, UpdateReceived{Target: first})
+	is.Equal(len(c.Step(start.Add(FastTiming.SilenceTimeout), Tick{})), 0)
+	second := follows(t, c.Step(start.Add(FastTiming.SilenceTimeout+1), Tick{}))
+	is.True(second.IsState() && second != first)
+	is.True(FastTiming.SilenceTimeout+2*FastTiming.HeartbeatInterval < 2*time.Second)
+	third := follows(t, c.Step(start.Add(2*time.Second), UpdateReceived{Target: second, Age: FastTiming.MaxAge + 1}))
 	is.True(third != second)
 }
 
@@ -198,13 +200,13 @@
 	c := NewCore("only")
 	now := start.Add(time.Minute)
 	first := follows(t, c.Step(now, Entries{}))
-	second := follows(t, c.Step(now, Heard{Target: first, Age: behindLimit + 1}))
-	is.True(second.State())
-	is.Equal(second.Turn, first.Turn+1)
-	is.Equal(len(c.Step(now.Add(behindLimit-1), Heard{Target: second, Age: behindLimit + 1})), 0)
-	third := follows(t, c.Step(now.Add(behindLimit), Heard{Target: second, Age: behindLimit + 1}))
-	is.Equal(third.Turn, second.Turn+1)
-	is.Equal(len(c.Step(now.Add(behindLimit), Heard{Target: third})), 0)
+	second := follows(t, c.Step(now, UpdateReceived{Target: first, Age: behindLimit + 1}))
+	is.True(second.IsState())
+	is.Equal(second.StateIndex, first.StateIndex+1)
+	is.Equal(len(c.Step(now.Add(behindLimit-1), UpdateReceived{Target: second, Age: behindLimit + 1})), 0)
+	third := follows(t, c.Step(now.Add(behindLimit), UpdateReceived{Target: second, Age: behindLimit + 1}))
+	is.Equal(third.StateIndex, second.StateIndex+1)
+	is.Equal(len(c.Step(now.Add(behindLimit), UpdateReceived{Target: third})), 0)
 }
 
 // Guards against a part of the configuration that a snapshot leaves out: an entry
@@ -271,19 +273,19 @@
 func TestSenderIsLeftThatStopsInTheMiddleOfAnUpdate(t *testing.T) {
 	is := is.New(t)
 	receive := func(stops, until time.Duration) *Core {
-		c := NewTimedCore("only", Quick)
+		c := NewCoreWithTiming("only", FastTiming)
 		first := follows(t, c.Step(start, Entries{}))
-		c.Step(start, Heard{Target: first})
+		c.Step(start, UpdateReceived{Target: first})
 		for at := step; at < until; at += step {
 			if at < stops {
-				c.Step(start.Add(at), Receiving{Target: first})
+				c.Step(start.Add(at), UpdateProgress{Target: first})
 			}
 			c.Step(start.Add(at), Tick{})
 		}
 		return c
 	}
 	is.Equal(receive(3*time.Second, 3*time.Second).Current(), Target{})
-	is.Equal(receive(3*time.Second, 3*time.Second+Quick.Silence+2*step).Current(), Target{Turn: 1})
-	is.Equal(receive(time.Minute, Quick.Transfer-step).Current(), Target{})
-	is.True(receive(time.Minute, Quick.Transfer+Quick.Silence+2*step).Current() != Target{})
+	is.Equal(receive(3*time.Second, 3*time.Second+FastTiming.SilenceTimeout+2*step).Current(), Target{StateIndex: 1})
+	is.Equal(receive(time.Minute, FastTiming.TransferTimeout-step).Current(), Target{})
+	is.True(receive(time.Minute, FastTiming.TransferTimeout+FastTiming.SilenceTimeout+2*step).Current() != Target{})
 }
