--- a/version/config/change.go
+++ b/version/config/change.go
@@ -6,19 +6,19 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// undo takes back one step of a revision.
+// undo reverts one change.
 type undo func()
 
-// put sets items[name], or drops it where item is nil, and returns the undo.
+// put sets items[name], or deletes it if item is nil, and returns the undo.
 func put[K comparable, T any](items map[K]*T, name K, item *T) undo {
-	old, had := items[name]
+	old, existed := items[name]
 	if item == nil {
 		delete(items, name)
 	} else {
 		items[name] = item
 	}
 	return func() {
-		if had {
+		if existed {
 			items[name] = old
 		} else {
 			delete(items, name)
@@ -26,8 +26,8 @@
 	}
 }
 
-// change applies one step that has been checked, and returns its undos.
-func (t *tables) change(c *lilacv1.Change) []undo {
+// apply applies a change that check has accepted, and returns its undos.
+func (t *tables) apply(c *lilacv1.Change) []undo {
 	switch op := c.GetOp().(type) {
 	case *lilacv1.Change_SetClass:
 		return t.putClass(op.SetClass.GetName(), op.SetClass)
@@ -57,11 +57,10 @@
 	return nil
 }
 
-// setDocument puts the document in force if its version is higher.
+// setDocument replaces the document if the new version is higher.
 //
-// It guards against an older change that arrives again, or late: the newer one
-// would go out of force. It shows as routes that come back. It holds because
-// every process compares the versions in the order of the log.
+// An older document that arrives late or again must not replace a newer one, which
+// would bring removed routes back. Every process compares the versions in log order.
 func (t *tables) setDocument(document *lilacv1.Document) undo {
 	old := t.document
 	if document.GetVersion() > old.GetVersion() {
@@ -76,7 +75,7 @@
 	return []undo{put(t.classes, name, class), func() { t.shares = shares }}
 }
 
-// dropServer drops the orders for the server too: they would never be carried out.
+// dropServer also drops the orders for the server, which could never be carried out.
 func (t *tables) dropServer(name string) []undo {
 	undos := []undo{put(t.servers, name, nil)}
 	for key := range t.orders {
@@ -96,8 +95,8 @@
 	return []undo{put(t.servers, server.GetName(), server)}
 }
 
-// setInstance keeps draining instances only: names of replaced instances would
-// pile up otherwise.
+// setInstance keeps only draining instances. Otherwise the names of replaced instances
+// would accumulate.
 func (t *tables) setInstance(state *lilacv1.InstanceState) undo {
 	if !state.GetDraining() {
 		return put(t.instances, state.GetName(), nil)
@@ -105,7 +104,8 @@
 	return put(t.instances, state.GetName(), state)
 }
 
-// dropExpired drops convictions whose time is over at the proposal's clock.
+// dropExpired drops convictions that have expired at nowUnixMs, the time of the
+// proposal.
 func (t *tables) dropExpired(nowUnixMs int64) []undo {
 	var undos []undo
 	for digest, conviction := range t.convictions {
@@ -116,7 +116,7 @@
 	return undos
 }
 
-func takeBack(undos []undo) {
+func rollBack(undos []undo) {
 	for i := len(undos) - 1; i >= 0; i-- {
 		undos[i]()
 	}
--- a/version/config/config_test.go
+++ b/version/config/config_test.go
@@ -40,22 +40,22 @@
 
 func TestInvalidChangesChangeNothing(t *testing.T) {
 	for name, changes := range map[string][]*lilacv1.Change{
-		"no change":             nil,
-		"unknown kind":          {{}},
-		"tier above 3":          {class("a", 4, 0)},
-		"shares above 1000":     {class("a", 0, 600), class("b", 0, 500)},
-		"share that wraps":      {class("a", 0, 600), class("b", 0, 4294967295)},
-		"class without name":    {class("", 0, 0)},
-		"class without target":  {{Op: &lilacv1.Change_SetClass{SetClass: &lilacv1.Class{Name: "a"}}}},
-		"drop of unknown class": {{Op: &lilacv1.Change_DropClass{DropClass: "none"}}},
-		"drop of unknown team":  {{Op: &lilacv1.Change_DropTeam{DropTeam: "none"}}},
-		"address by name":       {server("r1", "engine.example:80")},
-		"address without port":  {server("r1", "10.0.0.1")},
-		"drain of unknown":      {{Op: &lilacv1.Change_DrainServer{DrainServer: &lilacv1.ServerDrain{Server: "none"}}}},
-		"order to unknown":      {order("none", "m")},
-		"convict for ever":      {convict("d", 0)},
-		"lift of unknown":       {{Op: &lilacv1.Change_LiftConviction{LiftConviction: "none"}}},
-		"last of three wrong":   {team("x"), class("y", 1, 100), class("z", 9, 0)},
+		"no change":                 nil,
+		"unknown kind":              {{}},
+		"tier above 3":              {class("a", 4, 0)},
+		"shares above 1000":         {class("a", 0, 600), class("b", 0, 500)},
+		"share that overflows":      {class("a", 0, 600), class("b", 0, 4294967295)},
+		"class without name":        {class("", 0, 0)},
+		"class without target":      {{Op: &lilacv1.Change_SetClass{SetClass: &lilacv1.Class{Name: "a"}}}},
+		"drop of unknown class":     {{Op: &lilacv1.Change_DropClass{DropClass: "none"}}},
+		"drop of unknown team":      {{Op: &lilacv1.Change_DropTeam{DropTeam: "none"}}},
+		"address by name":           {server("r1", "engine.example:80")},
+		"address without port":      {server("r1", "10.0.0.1")},
+		"drain of unknown":          {{Op: &lilacv1.Change_DrainServer{DrainServer: &lilacv1.ServerDrain{Server: "none"}}}},
+		"order to unknown":          {order("none", "m")},
+		"conviction without expiry": {convict("d", 0)},
+		"lift of unknown":           {{Op: &lilacv1.Change_LiftConviction{LiftConviction: "none"}}},
+		"last of three wrong":       {team("x"), class("y", 1, 100), class("z", 9, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -69,10 +69,9 @@
 	}
 }
 
-// Two operators both look at revision 1 and both order a change with
-// IF REVISION 1. One must win, and the other must be told whose change, under
-// which number, came first, even when more changes followed.
-func TestEqualNumbersHaveOneWinner(t *testing.T) {
+// Two operators propose a change with IF REVISION 1 concurrently. One must succeed, and
+// the other must learn the author and number of that change, even after later changes.
+func TestConcurrentProposalsHaveOneWinner(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(0)
 	m.Apply(proposal("1", class("a", 0, 0)))
@@ -90,9 +89,9 @@
 	is.True(again.GetPropose().GetRepeatedCommand())
 }
 
-// Two operators both set an empty fleet up, each on condition that nobody did
-// before: IF REVISION 0. The second must not change what the first has made.
-func TestConditionOnAnEmptyConfigurationHasOneWinner(t *testing.T) {
+// Two operators set up an empty fleet concurrently with IF REVISION 0. The second
+// proposal must not change what the first created.
+func TestConditionOnEmptyConfigurationHasOneWinner(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(0)
 	first, second := proposal("1", class("a", 1, 0)), proposal("2", class("a", 2, 0))
@@ -102,11 +101,10 @@
 	is.Equal(m.Config().GetClasses()[0].GetTier(), uint32(1))
 }
 
-// An operator's answer is lost and the client sends the command again, in the
-// meantime another operator changed the same class. The resend must get its
-// first answer and must not undo the other's change, also after the process
-// restarted from a snapshot.
-func TestResentCommandGetsItsFirstAnswer(t *testing.T) {
+// A reply is lost and the client resends the command after another operator changed
+// the same class. The resend must return the first result and must not undo the other
+// change, also after a restart from a snapshot.
+func TestResentCommandReturnsFirstResult(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(0)
 	m.Apply(proposal("1", class("a", 0, 0)))
@@ -125,7 +123,7 @@
 	}
 }
 
-func TestRetentionBoundsTrailAndCommands(t *testing.T) {
+func TestRetentionBoundsAuditTrailAndCommands(t *testing.T) {
 	is := is.New(t)
 	m := NewMachine(10)
 	for i := range 30 {
@@ -158,13 +156,12 @@
 	is.Equal(m.Apply(p).GetPropose().GetRepeatedCommand(), false)
 }
 
-// The followers apply the same revisions as the machine and must end with the
-// same configuration: convictions that ran out, drained servers and orders for
-// a dropped server included.
-func TestHolderEndsWhereTheMachineIs(t *testing.T) {
+// A follower that applies the machine's revisions must end with the same configuration,
+// including expired convictions, drained servers and orders for a dropped server.
+func TestFollowerMatchesMachine(t *testing.T) {
 	is := is.New(t)
-	m, h := NewMachine(0), NewFollower()
-	is.NoErr(h.Load(m.Config()))
+	m, f := NewMachine(0), NewFollower()
+	is.NoErr(f.Load(m.Config()))
 	late := proposal("5", team("t2"))
 	late.ProposedUnixMs = 5000
 	for _, p := range []*lilacv1.Proposal{
@@ -176,34 +173,35 @@
 	} {
 		is.Equal(kindOf(m.Apply(p)), lilacv1.ErrorKind_ERROR_KIND_UNSPECIFIED)
 	}
-	held := h.Current()
+	before := f.Current()
 	revisions, _ := m.Since(0, 100)
-	is.NoErr(h.Apply(revisions[:2]))
-	is.NoErr(h.Apply(revisions))
-	is.True(proto.Equal(h.Config(), m.Config()))
-	is.Equal(len(held.Classes), 0)
-	view := h.Current()
+	is.NoErr(f.Apply(revisions[:2]))
+	is.NoErr(f.Apply(revisions))
+	is.True(proto.Equal(f.Config(), m.Config()))
+	is.Equal(len(before.Classes), 0)
+	view := f.Current()
 	is.Equal(len(view.Convictions), 1)
 	is.Equal(len(view.Orders), 1)
 	is.True(view.Servers["r2"].GetDraining())
 	is.Equal(len(view.Pools["redaction"]), 1)
 
-	is.True(fault.Is(h.Load(m.Config()), lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
+	is.True(fault.Is(f.Load(m.Config()), lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
 	gap := []*lilacv1.Revision{{Number: 9}}
-	is.True(fault.Is(h.Apply(gap), lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
-	is.Equal(h.Revision(), uint64(5))
+	is.True(fault.Is(f.Apply(gap), lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
+	is.Equal(f.Revision(), uint64(5))
 }
 
-// BenchmarkChange45000Teams shows that the cost of a change does not grow with
-// the teams on a state process, and what a follower pays.
+// BenchmarkChange45000Teams measures the cost of a change with few and with many teams,
+// on a state process and on a follower. On a state process it must not grow with the
+// number of teams.
 func BenchmarkChange45000Teams(b *testing.B) {
 	for _, teams := range []int{10, 45000} {
 		m := NewMachine(1000)
 		for i := range teams {
 			m.Apply(proposal(fmt.Sprint("t", i), team(fmt.Sprint(i))))
 		}
-		h := NewFollower()
-		if err := h.Load(m.Config()); err != nil {
+		f := NewFollower()
+		if err := f.Load(m.Config()); err != nil {
 			b.Fatal(err)
 		}
 		for kind, change := range map[string]*lilacv1.Change{"class": class("a", 0, 1), "team": team("1")} {
@@ -214,8 +212,8 @@
 			})
 			b.Run(fmt.Sprintf("holder/%s/teams=%d", kind, teams), func(b *testing.B) {
 				for range b.N {
-					r := &lilacv1.Revision{Number: h.Revision() + 1, Changes: []*lilacv1.Change{change}}
-					if err := h.Apply([]*lilacv1.Revision{r}); err != nil {
+					r := &lilacv1.Revision{Number: f.Revision() + 1, Changes: []*lilacv1.Change{change}}
+					if err := f.Apply([]*lilacv1.Revision{r}); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -224,18 +222,18 @@
 	}
 }
 
-// Guards against a newer snapshot that lacks the document, or holds an older one:
-// routes and keys would go back without a change that says so.
-func TestSnapshotNeverTakesADocumentBack(t *testing.T) {
+// A newer snapshot without the document, or with an older one, would revert routes and
+// keys without a change in the audit trail.
+func TestSnapshotNeverRevertsDocument(t *testing.T) {
 	is := is.New(t)
-	h := NewFollower()
-	is.NoErr(h.Load(&lilacv1.Snapshot{Revision: 3, Document: &lilacv1.Document{Version: 7}}))
+	f := NewFollower()
+	is.NoErr(f.Load(&lilacv1.Snapshot{Revision: 3, Document: &lilacv1.Document{Version: 7}}))
 	for _, older := range []*lilacv1.Document{nil, {Version: 6}} {
-		err := h.Load(&lilacv1.Snapshot{Revision: 4, Document: older})
+		err := f.Load(&lilacv1.Snapshot{Revision: 4, Document: older})
 		is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
-		is.Equal(h.Current().Document.GetVersion(), uint64(7))
+		is.Equal(f.Current().Document.GetVersion(), uint64(7))
 	}
-	is.NoErr(h.Load(&lilacv1.Snapshot{Revision: 4, Document: &lilacv1.Document{Version: 7}}))
-	// A recovery tells what was accepted.
-	is.NoErr(h.Load(&lilacv1.Snapshot{Revision: 9, Recoveries: 1, Document: &lilacv1.Document{Version: 6}}))
+	is.NoErr(f.Load(&lilacv1.Snapshot{Revision: 4, Document: &lilacv1.Document{Version: 7}}))
+	// After a recovery, the document of the recovered group is authoritative.
+	is.NoErr(f.Load(&lilacv1.Snapshot{Revision: 9, Recoveries: 1, Document: &lilacv1.Document{Version: 6}}))
 }
--- a/version/config/follower.go
+++ b/version/config/follower.go
@@ -10,113 +10,117 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Follower follows the revisions on one instance and gives the newest to readers.
-// It applies whole revisions in order and never goes back.
+// Follower holds the newest configuration that an instance has received. It applies
+// complete revisions in order and never returns to an older one. It is safe for
+// concurrent use; Current takes no lock.
 type Follower struct {
 	view atomic.Pointer[model.View]
 
+	// mu guards tables and recent.
 	mu     sync.Mutex
 	tables tables
-	tail   *trail
+	recent *history
 }
 
-// holderTail is how many revisions a Follower keeps to pass on to others.
-const holderTail = 1024
+// followerRetention is how many revisions a Follower keeps for its own followers.
+const followerRetention = 1024
 
-// NewFollower returns a Follower without any revision: Current is nil.
-func NewFollower() *Follower { return &Follower{tables: newTables(), tail: newTrail(holderTail)} }
+// NewFollower returns an empty Follower: Current returns nil.
+func NewFollower() *Follower {
+	return &Follower{tables: newTables(), recent: newHistory(followerRetention)}
+}
 
-// Current returns the newest revision, or nil before the first one came.
-func (h *Follower) Current() *model.View { return h.view.Load() }
+// Current returns the newest revision, or nil before the first.
+func (f *Follower) Current() *model.View { return f.view.Load() }
 
-// Revision returns the number of the newest revision; 0 before the first.
-func (h *Follower) Revision() uint64 {
-	if view := h.view.Load(); view != nil {
+// Revision returns the number of the newest revision, or 0 before the first.
+func (f *Follower) Revision() uint64 {
+	if view := f.view.Load(); view != nil {
 		return view.Revision
 	}
 	return 0
 }
 
-// Load takes a whole snapshot into force. One that is not newer, or whose document is
-// older, is refused as a CONFLICT and changes nothing; a group that was recovered from
-// a lost majority may overrule the document.
+// Load replaces the configuration by a snapshot. A snapshot that is not newer, or whose
+// document is older, is rejected with CONFLICT and changes nothing. A group that was
+// recovered after a majority was lost may bring an older document.
 //
-// It guards against configuration that reverts when a slow or replaced sender
-// gives an old snapshot: it would show as a statement that was in force and no
-// longer is. It holds because the number only grows under h.mu.
-func (h *Follower) Load(s *lilacv1.Snapshot) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if current := h.view.Load(); current != nil && s.GetRevision() <= current.Revision {
-		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d is not newer than %d; ask a sender that is up to date", s.GetRevision(), current.Revision)
-	}
-	if s.GetRecoveries() < h.tables.recoveries {
-		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d comes from a group of state processes that was replaced by a recovered one; stop the sender and move its data folder away", s.GetRevision())
-	}
-	held := h.tables.document.GetVersion()
-	if s.GetRecoveries() == h.tables.recoveries && s.GetDocument().GetVersion() < held {
-		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d holds document %d, and %d is in force; ask another sender", s.GetRevision(), s.GetDocument().GetVersion(), held)
-	}
-	h.tables = newTables()
-	h.tables.load(s)
-	h.tail = newTrail(holderTail)
-	h.view.Store(h.tables.view())
+// This prevents a slow or replaced sender from reverting the configuration with an old
+// snapshot, which would undo statements already in force. The revision number only
+// increases under f.mu.
+func (f *Follower) Load(s *lilacv1.Snapshot) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if current := f.view.Load(); current != nil && s.GetRevision() <= current.Revision {
+		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d is not newer than revision %d; use a sender that is up to date", s.GetRevision(), current.Revision)
+	}
+	if s.GetRecoveries() < f.tables.recoveries {
+		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d comes from a group of state processes that a recovered group has replaced; stop the sender and move its data folder away", s.GetRevision())
+	}
+	held := f.tables.document.GetVersion()
+	if s.GetRecoveries() == f.tables.recoveries && s.GetDocument().GetVersion() < held {
+		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "snapshot of revision %d holds document version %d, but version %d is in force; use another sender", s.GetRevision(), s.GetDocument().GetVersion(), held)
+	}
+	f.tables = newTables()
+	f.tables.load(s)
+	f.recent = newHistory(followerRetention)
+	f.view.Store(f.tables.view())
 	return nil
 }
 
-// Apply takes consecutive revisions into force, all at once. Those that are
-// held already are passed over; a gap is refused as a CONFLICT.
-func (h *Follower) Apply(revisions []*lilacv1.Revision) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for len(revisions) > 0 && revisions[0].GetNumber() <= h.tables.revision {
+// Apply applies consecutive revisions in one step for readers. Revisions that are
+// already applied are skipped; a gap is rejected with CONFLICT.
+func (f *Follower) Apply(revisions []*lilacv1.Revision) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for len(revisions) > 0 && revisions[0].GetNumber() <= f.tables.revision {
 		revisions = revisions[1:]
 	}
 	for i, revision := range revisions {
-		if revision.GetNumber() != h.tables.revision+1+uint64(i) {
-			return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "revision %d does not follow %d; start again from a snapshot", revision.GetNumber(), h.tables.revision+uint64(i))
+		if revision.GetNumber() != f.tables.revision+1+uint64(i) {
+			return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, "revision %d does not follow revision %d; request a snapshot", revision.GetNumber(), f.tables.revision+uint64(i))
 		}
 	}
-	if len(revisions) == 0 && h.view.Load() != nil {
+	if len(revisions) == 0 && f.view.Load() != nil {
 		return nil
 	}
-	h.tables.detach(revisions)
+	f.tables.copyChangedMaps(revisions)
 	for _, revision := range revisions {
-		h.tables.dropExpired(revision.GetProposedUnixMs())
+		f.tables.dropExpired(revision.GetProposedUnixMs())
 		for _, change := range revision.GetChanges() {
-			h.tables.change(change)
+			f.tables.apply(change)
 		}
-		h.tables.revision = revision.GetNumber()
-		h.tail.add(revision)
+		f.tables.revision = revision.GetNumber()
+		f.recent.add(revision)
 	}
-	h.view.Store(h.tables.view())
+	f.view.Store(f.tables.view())
 	return nil
 }
 
-// Since returns the revisions after have, as Machine.Since does.
-func (h *Follower) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if have >= h.tables.revision {
+// Since returns the revisions after have; see Machine.Since.
+func (f *Follower) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if have >= f.tables.revision {
 		return nil, true
 	}
-	if h.tail.newest().GetNumber() != h.tables.revision {
+	if f.recent.newest().GetNumber() != f.tables.revision {
 		return nil, false
 	}
-	return h.tail.since(have, limit)
+	return f.recent.since(have, limit)
 }
 
-// Config returns the whole configuration; the items must not be changed.
-func (h *Follower) Config() *lilacv1.Snapshot {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.tables.snapshot()
+// Config returns the whole configuration. The caller must not modify its items.
+func (f *Follower) Config() *lilacv1.Snapshot {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.tables.snapshot()
 }
 
-// detach clones the maps that the revisions change, since readers share them
-// through the views. The others stay shared: a change of a class does no work
-// for each team.
-func (t *tables) detach(revisions []*lilacv1.Revision) {
+// copyChangedMaps clones the maps that the revisions change, because views share them
+// with readers. The other maps stay shared, so that the cost of changing a class does
+// not grow with the number of teams.
+func (t *tables) copyChangedMaps(revisions []*lilacv1.Revision) {
 	t.convictions = maps.Clone(t.convictions)
 	var classes, teams, servers, instances bool
 	for _, revision := range revisions {
@@ -133,22 +137,23 @@
 			}
 		}
 	}
-	detachIf(classes, &t.classes)
-	detachIf(teams, &t.teams)
-	detachIf(servers, &t.servers)
+	cloneIf(classes, &t.classes)
+	cloneIf(teams, &t.teams)
+	cloneIf(servers, &t.servers)
 	if servers {
 		t.pools = nil
 	}
-	detachIf(instances, &t.instances)
+	cloneIf(instances, &t.instances)
 }
 
-func detachIf[M ~map[K]V, K comparable, V any](changed bool, items *M) {
+func cloneIf[M ~map[K]V, K comparable, V any](changed bool, items *M) {
 	if changed {
 		*items = maps.Clone(*items)
 	}
 }
 
-// view shares the tables' maps; detach clones them before the next change.
+// view returns a view that shares the maps of t; copyChangedMaps clones them before
+// the next change.
 func (t *tables) view() *model.View {
 	view := &model.View{
 		Revision:    t.revision,
@@ -158,7 +163,7 @@
 		Servers:     t.servers,
 		Instances:   t.instances,
 		Convictions: t.convictions,
-		Orders:      sortOrders(listed(t.orders)),
+		Orders:      sortOrders(values(t.orders)),
 		Pools:       t.pools,
 		Document:    t.document,
 	}
@@ -166,7 +171,7 @@
 		return view
 	}
 	view.Pools = make(map[string][]*lilacv1.Server)
-	for _, server := range byName(listed(t.servers)) {
+	for _, server := range sortByName(values(t.servers)) {
 		for _, name := range server.GetServes() {
 			view.Pools[name] = append(view.Pools[name], server)
 		}
--- a/version/config/history.go
+++ b/version/config/history.go
@@ -9,37 +9,38 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// trail keeps the last retention revisions. Their numbers are consecutive but
-// for the gap that a recovery leaves.
-type trail struct {
+// history holds the last retention revisions, oldest first. Their numbers are
+// consecutive except for the gap that a recovery leaves.
+type history struct {
 	retention int
 	revisions []*lilacv1.Revision
-	// documentBytes is the size of the documents that the revisions hold.
+	// documentBytes is the total size of the documents in revisions.
 	documentBytes int
-	commands      map[string]*lilacv1.Revision
+	// commands maps command ids to revisions.
+	commands map[string]*lilacv1.Revision
 }
 
-func newTrail(retention int) *trail {
-	return &trail{retention: retention, commands: make(map[string]*lilacv1.Revision)}
+func newHistory(retention int) *history {
+	return &history{retention: retention, commands: make(map[string]*lilacv1.Revision)}
 }
 
-func (t *trail) add(revision *lilacv1.Revision) {
-	t.revisions = append(t.revisions, revision)
-	t.commands[revision.GetCommandId()] = revision
-	t.documentBytes += documentBytes(revision)
-	for len(t.revisions) > t.retention || t.documentBytes > maxDocumentBytes && len(t.revisions) > 1 {
-		t.documentBytes -= documentBytes(t.revisions[0])
-		delete(t.commands, t.revisions[0].GetCommandId())
-		t.revisions[0] = nil
-		t.revisions = t.revisions[1:]
+func (h *history) add(revision *lilacv1.Revision) {
+	h.revisions = append(h.revisions, revision)
+	h.commands[revision.GetCommandId()] = revision
+	h.documentBytes += documentBytes(revision)
+	for len(h.revisions) > h.retention || h.documentBytes > maxHistoryDocumentBytes && len(h.revisions) > 1 {
+		h.documentBytes -= documentBytes(h.revisions[0])
+		delete(h.commands, h.revisions[0].GetCommandId())
+		h.revisions[0] = nil
+		h.revisions = h.revisions[1:]
 	}
 }
 
-// maxDocumentBytes bounds the documents of a trail: each may have a megabyte,
-// and hundreds may come in a day, on instances with some hundred MB of memory.
-const maxDocumentBytes = 2 << 20
+// maxHistoryDocumentBytes bounds the documents in a history. A document may have 1 MB
+// and hundreds may arrive in a day, on instances with a few hundred MB of memory.
+const maxHistoryDocumentBytes = 2 << 20
 
-// documentBytes is the size of the documents that the revision holds.
+// documentBytes returns the size of the documents in the revision.
 func documentBytes(revision *lilacv1.Revision) int {
 	size := 0
 	for _, change := range revision.GetChanges() {
@@ -50,44 +51,44 @@
 	return size
 }
 
-func (t *trail) byCommand(id string) (*lilacv1.Revision, bool) {
-	revision, ok := t.commands[id]
+func (h *history) byCommand(id string) (*lilacv1.Revision, bool) {
+	revision, ok := h.commands[id]
 	return revision, ok
 }
 
-func (t *trail) newest() *lilacv1.Revision {
-	if len(t.revisions) == 0 {
+func (h *history) newest() *lilacv1.Revision {
+	if len(h.revisions) == 0 {
 		return nil
 	}
-	return t.revisions[len(t.revisions)-1]
+	return h.revisions[len(h.revisions)-1]
 }
 
-func (t *trail) get(number uint64) (*lilacv1.Revision, bool) {
-	place, found := t.find(number)
+func (h *history) get(number uint64) (*lilacv1.Revision, bool) {
+	index, found := h.find(number)
 	if !found {
 		return nil, false
 	}
-	return t.revisions[place], true
+	return h.revisions[index], true
 }
 
-// find returns the place of the first revision that is not older than number,
-// and whether it has that number.
-func (t *trail) find(number uint64) (place int, found bool) {
-	return slices.BinarySearchFunc(t.revisions, number, func(r *lilacv1.Revision, number uint64) int {
+// find returns the index of the first revision whose number is at least number, and
+// whether it is equal.
+func (h *history) find(number uint64) (index int, found bool) {
+	return slices.BinarySearchFunc(h.revisions, number, func(r *lilacv1.Revision, number uint64) int {
 		return cmp.Compare(r.GetNumber(), number)
 	})
 }
 
-func (t *trail) since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
-	if t.newest().GetNumber() <= have {
+func (h *history) since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
+	if h.newest().GetNumber() <= have {
 		return nil, true
 	}
-	place, ok := t.find(have + 1)
+	index, ok := h.find(have + 1)
 	if !ok {
 		return nil, false
 	}
 	var next []*lilacv1.Revision
-	for _, revision := range t.revisions[place:] {
+	for _, revision := range h.revisions[index:] {
 		if len(next) == limit || revision.GetNumber() != have+1+uint64(len(next)) {
 			break
 		}
@@ -96,22 +97,23 @@
 	return next, true
 }
 
-func (t *trail) list(from uint64, limit int) []*lilacv1.Revision {
-	end := len(t.revisions)
-	if from != 0 && from < t.newest().GetNumber() {
-		end, _ = t.find(from + 1)
+func (h *history) list(from uint64, limit int) []*lilacv1.Revision {
+	end := len(h.revisions)
+	if from != 0 && from < h.newest().GetNumber() {
+		end, _ = h.find(from + 1)
 	}
-	found := slices.Clone(t.revisions[max(0, end-limit):end])
+	found := slices.Clone(h.revisions[max(0, end-limit):end])
 	slices.Reverse(found)
 	return found
 }
 
-func (t *trail) all() []*lilacv1.Revision {
-	return append([]*lilacv1.Revision(nil), t.revisions...)
+func (h *history) all() []*lilacv1.Revision {
+	return append([]*lilacv1.Revision(nil), h.revisions...)
 }
 
-// refusals keep the answers of the last refused proposals by command id.
+// refusals holds the results of the last refused proposals by command id.
 type refusals struct {
+	// order lists the command ids, oldest first.
 	order   []string
 	results map[string]*lilacv1.CommandResult
 }
@@ -129,14 +131,14 @@
 	}
 }
 
-func (r *refusals) answer(id string) *lilacv1.CommandResult {
+func (r *refusals) repeatedResult(id string) *lilacv1.CommandResult {
 	result, ok := r.results[id]
 	if !ok {
 		return nil
 	}
-	again := proto.CloneOf(result)
-	again.GetPropose().RepeatedCommand = true
-	return again
+	repeated := proto.CloneOf(result)
+	repeated.GetPropose().RepeatedCommand = true
+	return repeated
 }
 
 func (r *refusals) all() []*lilacv1.RefusedCommand {
--- a/version/config/recover_test.go
+++ b/version/config/recover_test.go
@@ -23,10 +23,10 @@
 	return m
 }
 
-// The lost majority gave number 4 to a change that only an entry behind a cut
-// link holds. The recovered group goes on. That entry must come to the new
-// group's configuration, and must never hold its number 4 for another content.
-func TestEntryAheadOfTheRecoveredLogIsNotStuck(t *testing.T) {
+// The lost majority assigned number 4 to a change that only a partitioned entry instance
+// holds. That instance must switch to the recovered group's configuration, and number
+// 4 must never be assigned to another change.
+func TestEntryAheadOfRecoveredLogCatchesUp(t *testing.T) {
 	is := is.New(t)
 	entry := NewFollower()
 	is.NoErr(entry.Load(machineWith(1, 4).Config()))
@@ -36,17 +36,17 @@
 	result := m.Apply(classProposal(9))
 	is.Equal(result.GetPropose().GetRevision(), uint64(3+RecoveryGap+1))
 	_, held := m.Since(entry.Revision(), 10)
-	is.True(!held) // A whole snapshot must follow, not revisions.
+	is.True(!held) // A snapshot is required; revisions do not suffice.
 	is.NoErr(entry.Load(m.Config()))
 	is.Equal(entry.Current().Recoveries, uint32(1))
 
-	// The old group's configuration never comes back, however high its number.
+	// The old group's configuration is rejected, however high its number.
 	old := machineWith(1, 4).Config()
 	old.Revision = 10 * RecoveryGap
 	is.True(fault.Is(entry.Load(old), lilacv1.ErrorKind_ERROR_KIND_CONFLICT))
 }
 
-func TestAuditTrailGoesOnAcrossTheGap(t *testing.T) {
+func TestAuditTrailContinuesAcrossRecoveryGap(t *testing.T) {
 	is := is.New(t)
 	m := machineWith(1, 3)
 	m.Recover(0, "awa", "RECOVER group g", "recovery-h", 1)
@@ -60,17 +60,17 @@
 	is.Equal(statements, []string{"SET CLASS class-9", "RECOVER group g", "SET CLASS class-3", "SET CLASS class-2", "SET CLASS class-1"})
 	is.Equal(restored.Audit(3+RecoveryGap, 2)[1].GetNumber(), uint64(3))
 	is.Equal(restored.Audit(5, 1)[0].GetNumber(), uint64(3))
-	upTo, held := restored.Since(1, 10)
+	revisions, held := restored.Since(1, 10)
 	is.True(held)
-	is.Equal(len(upTo), 2)
+	is.Equal(len(revisions), 2)
 	is.Equal(restored.Recoveries(), uint32(1))
-	// A command sent before the loss and sent again is not made a second time.
+	// A command accepted before the loss and resent is not applied again.
 	is.True(restored.Apply(classProposal(2)).GetPropose().GetRepeatedCommand())
 }
 
-// The survivor's own revision 3 was never accepted: number 3 stands for another
-// change, which an entry holds.
-func TestAdoptedConfigurationTakesThePlaceOfTheUnaccepted(t *testing.T) {
+// The survivor's own revision 3 was never accepted. The accepted revision 3 is another
+// change, which an entry instance holds.
+func TestAdoptReplacesUnacceptedRevisions(t *testing.T) {
 	is := is.New(t)
 	accepted := machineWith(1, 2)
 	accepted.Apply(classProposal(7))
--- a/version/config/tables.go
+++ b/version/config/tables.go
@@ -1,9 +1,9 @@
-// Package config is the deterministic state machine of the configuration: it
-// applies proposals, which become revisions, and keeps the audit trail.
+// Package config is the deterministic state machine of the configuration. It applies
+// proposals, which become numbered revisions, and keeps the audit trail.
 //
-// Machine runs on the state processes, Follower on every instance that follows
-// the revisions. Both change the same tables by the same code, so that a
-// revision means the same everywhere.
+// Machine runs on the state processes, Follower on every instance that receives the
+// revisions. Both change their tables with the same code, so that a revision has the
+// same effect everywhere.
 package config
 
 import (
@@ -14,11 +14,11 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// orderKey names what a ModelOrder is about.
+// orderKey identifies a ModelOrder.
 type orderKey struct{ server, model, adapter string }
 
-// tables hold one revision's items by name. Items are replaced, never changed
-// in place, so that readers may keep them.
+// tables holds the items of one revision by name. Items are replaced, never modified
+// in place, so that readers may keep references to them.
 type tables struct {
 	revision    uint64
 	recoveries  uint32
@@ -32,7 +32,7 @@
 	document *lilacv1.Document
 	// shares is the sum of the classes' shares, in permille.
 	shares uint32
-	// pools is the view's index of the servers, kept by a Follower until they change.
+	// pools caches the view's index of servers on a Follower; nil after a server change.
 	pools map[string][]*lilacv1.Server
 }
 
@@ -51,7 +51,7 @@
 	return orderKey{o.GetServer(), o.GetModel(), o.GetAdapter()}
 }
 
-// load adds the items of a snapshot.
+// load adds the items of a snapshot to empty tables.
 func (t *tables) load(s *lilacv1.Snapshot) {
 	t.revision, t.recoveries, t.document = s.GetRevision(), s.GetRecoveries(), s.GetDocument()
 	for _, item := range s.GetClasses() {
@@ -75,41 +75,41 @@
 	}
 }
 
-// snapshot lists all items in order of name.
-func (t *tables) snapshot() *lilacv1.Snapshot { return inOrder(t.capture()) }
+// snapshot returns all items sorted by name.
+func (t *tables) snapshot() *lilacv1.Snapshot { return sorted(t.capture()) }
 
-// capture lists all items in any order, which is quick.
+// capture returns all items unsorted, which is cheap; see Machine.Capture.
 func (t *tables) capture() *lilacv1.Snapshot {
 	return &lilacv1.Snapshot{
 		Revision:    t.revision,
 		Recoveries:  t.recoveries,
-		Classes:     listed(t.classes),
-		Teams:       listed(t.teams),
-		Servers:     listed(t.servers),
-		Instances:   listed(t.instances),
-		Convictions: listed(t.convictions),
-		Orders:      listed(t.orders),
+		Classes:     values(t.classes),
+		Teams:       values(t.teams),
+		Servers:     values(t.servers),
+		Instances:   values(t.instances),
+		Convictions: values(t.convictions),
+		Orders:      values(t.orders),
 		Document:    t.document,
 	}
 }
 
-func listed[K comparable, T any](items map[K]T) []T {
+func values[K comparable, T any](items map[K]T) []T {
 	return slices.AppendSeq(make([]T, 0, len(items)), maps.Values(items))
 }
 
-// inOrder sorts a captured snapshot by name, so that equal tables give equal
-// snapshots, byte for byte.
-func inOrder(s *lilacv1.Snapshot) *lilacv1.Snapshot {
-	byName(s.GetClasses())
-	byName(s.GetTeams())
-	byName(s.GetServers())
-	byName(s.GetInstances())
+// sorted sorts the lists of s in place and returns s. Equal tables then give snapshots
+// that are equal byte for byte.
+func sorted(s *lilacv1.Snapshot) *lilacv1.Snapshot {
+	sortByName(s.GetClasses())
+	sortByName(s.GetTeams())
+	sortByName(s.GetServers())
+	sortByName(s.GetInstances())
 	slices.SortFunc(s.GetConvictions(), func(a, b *lilacv1.Conviction) int { return cmp.Compare(a.GetDigest(), b.GetDigest()) })
 	sortOrders(s.GetOrders())
 	return s
 }
 
-func byName[T interface{ GetName() string }](list []T) []T {
+func sortByName[T interface{ GetName() string }](list []T) []T {
 	slices.SortFunc(list, func(a, b T) int { return cmp.Compare(a.GetName(), b.GetName()) })
 	return list
 }
--- a/version/config/validate.go
+++ b/version/config/validate.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// maxName is the longest name of an item, in bytes.
-	maxName = 128
-	// maxChanges is the most steps that one proposal may hold.
+	// maxNameBytes is the maximum length of an item's name.
+	maxNameBytes = 128
+	// maxChanges is the maximum number of changes in a proposal.
 	maxChanges = 10000
-	// maxProposalBytes keeps a revision within one message between processes.
+	// maxProposalBytes keeps a revision within one message on the link.
 	maxProposalBytes = 1 << 20
-	// wholeShare is what the shares of all classes may add up to, in permille.
-	wholeShare = 1000
-	// maxConvictions bounds what instances may add by themselves.
+	// maxTotalShare is the maximum sum of the shares of all classes, in permille.
+	maxTotalShare = 1000
+	// maxConvictions bounds the convictions, which instances add on their own.
 	maxConvictions = 10000
 )
 
@@ -27,54 +27,54 @@
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
-func checkName(what, name string) error {
-	if name == "" || len(name) > maxName {
-		return invalid("a %s needs a name of 1 to %d bytes", what, maxName)
+func checkName(kind, name string) error {
+	if name == "" || len(name) > maxNameBytes {
+		return invalid("the name of a %s must have 1 to %d bytes", kind, maxNameBytes)
 	}
 	return nil
 }
 
-func checkKnown[T any](items map[string]*T, what, name string) error {
+func checkExists[T any](items map[string]*T, kind, name string) error {
 	if _, ok := items[name]; !ok {
-		return invalid("there is no %s %q; SHOW lists those that there are", what, name)
+		return invalid("%s %q does not exist; SHOW lists the existing ones", kind, name)
 	}
 	return nil
 }
 
-// check tells why a step can't be applied to the tables as they stand.
+// check returns an error if the change is not valid for the current tables.
 func (t *tables) check(c *lilacv1.Change) error {
 	switch op := c.GetOp().(type) {
 	case *lilacv1.Change_SetClass:
 		return t.checkClass(op.SetClass)
 	case *lilacv1.Change_DropClass:
-		return checkKnown(t.classes, "class", op.DropClass)
+		return checkExists(t.classes, "class", op.DropClass)
 	case *lilacv1.Change_SetTeam:
 		return checkName("team", op.SetTeam.GetName())
 	case *lilacv1.Change_DropTeam:
-		return checkKnown(t.teams, "team", op.DropTeam)
+		return checkExists(t.teams, "team", op.DropTeam)
 	case *lilacv1.Change_SetServer:
 		return checkServer(op.SetServer)
 	case *lilacv1.Change_DropServer:
-		return checkKnown(t.servers, "server", op.DropServer)
+		return checkExists(t.servers, "server", op.DropServer)
 	case *lilacv1.Change_DrainServer:
-		return checkKnown(t.servers, "server", op.DrainServer.GetServer())
+		return checkExists(t.servers, "server", op.DrainServer.GetServer())
 	case *lilacv1.Change_SetInstance:
 		return checkName("instance", op.SetInstance.GetName())
 	case *lilacv1.Change_Convict:
 		return t.checkConviction(op.Convict)
 	case *lilacv1.Change_LiftConviction:
-		return checkKnown(t.convictions, "conviction", op.LiftConviction)
+		return checkExists(t.convictions, "conviction", op.LiftConviction)
 	case *lilacv1.Change_SetDocument:
 		if op.SetDocument.GetVersion() == 0 {
-			return invalid("the document has no version; number it from 1")
+			return invalid("the document has no version; versions start at 1")
 		}
 		return nil
 	case *lilacv1.Change_OrderModel:
 		return t.checkOrder(op.OrderModel)
 	case *lilacv1.Change_ForgetKeysBeforeUnixMs:
-		return nil // The ledger has checked it; see daemon/state.
+		return nil // Checked by the ledger; see daemon/state.
 	}
-	return invalid("a change of a kind that this version does not know; run one version on all instances")
+	return invalid("unknown kind of change; run the same version on all instances")
 }
 
 func (t *tables) checkClass(class *lilacv1.Class) error {
@@ -82,15 +82,15 @@
 		return err
 	}
 	if class.GetTier() >= model.Tiers {
-		return invalid("class %q has tier %d; write 0 (most urgent) to %d", class.GetName(), class.GetTier(), model.Tiers-1)
+		return invalid("class %q has tier %d; use 0 (most urgent) to %d", class.GetName(), class.GetTier(), model.Tiers-1)
 	}
 	if class.GetFirstTokenMs() == 0 {
-		return invalid("class %q has no target for the first token; write one in ms", class.GetName())
+		return invalid("class %q has no first-token target; set one in ms", class.GetName())
 	}
-	// In 64 bits, so that a huge share can't wrap round and pass.
+	// 64 bits, so that a huge share can't overflow and pass the check.
 	others := uint64(t.shares) - uint64(t.classes[class.GetName()].GetSharePermille())
-	if total := others + uint64(class.GetSharePermille()); total > wholeShare {
-		return invalid("the classes' shares would add up to %d permille; lower one, %d is all", total, wholeShare)
+	if total := others + uint64(class.GetSharePermille()); total > maxTotalShare {
+		return invalid("the shares of all classes would add up to %d permille; the maximum is %d", total, maxTotalShare)
 	}
 	return nil
 }
@@ -100,30 +100,30 @@
 		return err
 	}
 	if _, err := netip.ParseAddrPort(server.GetAddress()); err != nil {
-		return invalid("server %q has address %q; write an IP number with a port, such as 10.1.0.4:8000", server.GetName(), server.GetAddress())
+		return invalid("server %q has address %q; use an IP address with a port, such as 10.1.0.4:8000", server.GetName(), server.GetAddress())
 	}
 	if server.GetDataCenter() == "" {
-		return invalid("server %q has no data centre; name the one that it stands in", server.GetName())
+		return invalid("server %q has no data centre; set it", server.GetName())
 	}
 	kind := server.GetKind()
 	if kind != lilacv1.ServerKind_SERVER_KIND_ENGINE && kind != lilacv1.ServerKind_SERVER_KIND_SERVICE {
-		return invalid("server %q is neither engine nor service; say which", server.GetName())
+		return invalid("server %q is neither engine nor service; set its kind", server.GetName())
 	}
 	if len(server.GetServes()) == 0 {
-		return invalid("server %q serves nothing; name its models or services", server.GetName())
+		return invalid("server %q serves no model or service; name at least one", server.GetName())
 	}
 	return nil
 }
 
 func (t *tables) checkConviction(conviction *lilacv1.Conviction) error {
-	if err := checkName("conviction's digest", conviction.GetDigest()); err != nil {
+	if err := checkName("conviction (its digest)", conviction.GetDigest()); err != nil {
 		return err
 	}
 	if conviction.GetExpiresUnixMs() <= 0 {
-		return invalid("conviction %q has no expiry; give one", conviction.GetDigest())
+		return invalid("conviction %q has no expiry; set one", conviction.GetDigest())
 	}
 	if _, known := t.convictions[conviction.GetDigest()]; !known && len(t.convictions) >= maxConvictions {
-		return invalid("%d convictions stand already; lift some, or find what crashes the servers", maxConvictions)
+		return invalid("the limit of %d convictions is reached; lift some, or find what crashes the servers", maxConvictions)
 	}
 	return nil
 }
@@ -134,10 +134,10 @@
 	}
 	server, ok := t.servers[order.GetServer()]
 	if !ok {
-		return invalid("there is no server %q; SHOW servers lists those that there are", order.GetServer())
+		return invalid("server %q does not exist; SHOW servers lists the existing ones", order.GetServer())
 	}
 	if server.GetKind() != lilacv1.ServerKind_SERVER_KIND_ENGINE {
-		return invalid("server %q is no engine; only engines load models", order.GetServer())
+		return invalid("server %q is not an engine; only engines load models", order.GetServer())
 	}
 	return nil
 }
