--- a/version/spread/core.go
+++ b/version/spread/core.go
@@ -1,12 +1,12 @@
-// Package spread decides from whom an entry instance receives revisions, and
-// cuts snapshots into parts.
+// Package spread selects the sender from which an entry instance receives revisions,
+// and splits snapshots into parts.
 //
-// The entries of a data centre form a tree by rank: one of them, the relay,
-// follows a state process and the others follow each other below it, so that
-// each revision crosses into a data centre once. The rank is a hash of the
-// name, so that all entries agree on it without a message. An entry follows
-// only those of a rank above its own, which keeps the tree free of cycles also
-// while entries disagree about who lives.
+// The entry instances of a data centre form a tree by rank. The root, called the relay,
+// follows a state process and the others follow each other below it, so that each
+// revision crosses into a data centre once. The rank is a hash of the name, so all
+// instances agree on it without messages. An instance only follows instances of higher
+// rank, which keeps the tree free of cycles even while instances disagree on which of
+// them are alive.
 package spread
 
 import (
@@ -15,79 +15,80 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// Timing says how soon an entry leaves a sender.
+// Timing holds the intervals and limits after which an entry instance replaces its
+// sender.
 type Timing struct {
 	// HeartbeatInterval is how often a sender sends an update when nothing changes.
 	HeartbeatInterval time.Duration
-	// SilenceTimeout is how long a sender may say nothing before another is taken.
+	// SilenceTimeout is how long a sender may send nothing before it is replaced.
 	SilenceTimeout time.Duration
-	// MaxAge is the age of a sender's knowledge above which another is taken.
+	// MaxAge is the age of a sender's configuration above which it is replaced.
 	MaxAge time.Duration
-	// TransferTimeout is how long one update may take to arrive, as long as it goes on
-	// arriving, before another sender is taken.
+	// TransferTimeout limits the transfer of one update that is making progress. A
+	// sender that exceeds it is replaced.
 	TransferTimeout time.Duration
 }
 
-// DefaultTiming keeps the signs of life of 1,100 entries cheap: changes are in force
-// everywhere in 13 s.
-var DefaultTiming = Timing{HeartbeatInterval: HeartbeatInterval, SilenceTimeout: silence, MaxAge: behindLimit, TransferTimeout: transfer}
+// DefaultTiming limits the cost of heartbeats for 1,100 entry instances. Changes are in
+// force everywhere within 13 s.
+var DefaultTiming = Timing{HeartbeatInterval: HeartbeatInterval, SilenceTimeout: silenceTimeout, MaxAge: maxAge, TransferTimeout: transferTimeout}
 
-// FastTiming finds a silent sender soon enough for changes that must be in force
-// everywhere within 3 s: 1 s of silence and the way to another sender.
-var FastTiming = Timing{HeartbeatInterval: 300 * time.Millisecond, SilenceTimeout: time.Second, MaxAge: 1500 * time.Millisecond, TransferTimeout: transfer}
+// FastTiming is for changes that must be in force everywhere within 3 s: it detects a
+// silent sender after 1 s, which leaves time to switch to another one.
+var FastTiming = Timing{HeartbeatInterval: 300 * time.Millisecond, SilenceTimeout: time.Second, MaxAge: 1500 * time.Millisecond, TransferTimeout: transferTimeout}
 
 const (
-	// Fanout is how many entries follow one entry directly.
+	// Fanout is the number of entry instances that follow one instance directly.
 	Fanout = 8
-	// silence is how long a sender may say nothing before another is taken. A
-	// sender gives a sign of life each SignOfLife.
-	silence = 3 * time.Second
-	// behindLimit is the age of a sender's knowledge above which another is taken.
-	behindLimit = 5 * time.Second
-	// transfer is what 1 MB takes at 1 Mbit/s, with as much again for what else
-	// shares the link.
-	transfer = 16 * time.Second
-	// avoidance is how long a failed sender is passed over.
-	avoidance = 10 * time.Second
+	// silenceTimeout is three times HeartbeatInterval.
+	silenceTimeout = 3 * time.Second
+	maxAge         = 5 * time.Second
+	// transferTimeout is twice the time that 1 MB takes at 1 Mbit/s, to allow for other
+	// traffic on the link.
+	transferTimeout = 16 * time.Second
+	// avoidPeriod is how long a failed sender is not used.
+	avoidPeriod = 10 * time.Second
 )
 
-// HeartbeatInterval is how often a sender sends an update when nothing changes.
+// HeartbeatInterval is how often a sender sends an update when nothing changes, under
+// DefaultTiming.
 const HeartbeatInterval = time.Second
 
-// Target is whom to follow: an entry by name, or a state process where Entry is empty.
+// Target is a sender: an entry instance, or a state process if Entry is empty.
 type Target struct {
 	Entry string
-	// StateIndex tells which state process: the nearest one for 0, then the others in
-	// order of distance, and round again.
+	// StateIndex selects the state process: 0 is the nearest, followed by the others in
+	// order of distance. It grows without bound and wraps around the list.
 	StateIndex int
 }
 
-// IsState tells whether the target is a state process.
+// IsState reports whether the target is a state process.
 func (t Target) IsState() bool { return t.Entry == "" }
 
-// Event is something that happened; see the types below.
+// Event is an input to Core.Step.
 type Event interface{ event() }
 
-// Entries names the entries of the own data centre that are taken for alive,
-// in any order; the own name counts whether or not it is there.
+// Entries lists the entry instances of the data centre that are considered alive, in
+// any order. It need not contain the instance itself.
 type Entries struct{ Names []string }
 
-// UpdateReceived tells that the target sent an update.
+// UpdateReceived reports a complete update from the target.
 type UpdateReceived struct {
 	Target Target
-	// Age of the target's knowledge of the newest revision when it sent the update.
+	// Age is the age of the target's configuration when it sent the update.
 	Age time.Duration
-	// Delay is how long the update was on its way, which says nothing of the target.
+	// Delay is the transmission time of the update. It does not count against the
+	// target.
 	Delay time.Duration
 }
 
-// UpdateProgress tells that more of an update came from the target, which is not whole yet.
+// UpdateProgress reports that another part of an incomplete update arrived.
 type UpdateProgress struct{ Target Target }
 
-// StreamFailed tells that the stream from the target ended, or could not be opened.
+// StreamFailed reports that the stream from the target ended or could not be opened.
 type StreamFailed struct{ Target Target }
 
-// Tick lets time pass.
+// Tick reports the current time. It must be sent regularly.
 type Tick struct{}
 
 func (Entries) event()        {}
@@ -96,73 +97,81 @@
 func (StreamFailed) event()   {}
 func (Tick) event()           {}
 
-// Follow tells the shell to leave whom it follows and to follow the target.
+// Follow tells the caller of Step to close the current stream and to follow the target.
 type Follow struct {
 	Target Target
-	// Reason says why, for the log.
+	// Reason is for the log.
 	Reason Reason
 }
 
-// Reason is why an entry changes whom it follows.
+// Reason is why an entry instance changes its sender.
 type Reason string
 
 const (
-	// ReasonStart is the first choice after the start.
+	// ReasonStart is the first selection after a start.
 	ReasonStart Reason = "start"
-	// ReasonRank is a change of the entries that are alive, or a sender that is no longer avoided.
+	// ReasonRank is a change of the live entry instances, or the end of a sender's
+	// avoidance period.
 	ReasonRank Reason = "rank"
-	// ReasonSilent is a sender that said nothing for too long.
+	// ReasonSilent is a sender that exceeded SilenceTimeout.
 	ReasonSilent Reason = "silent"
-	// ReasonSenderBehind is a sender whose own knowledge is too old.
+	// ReasonSenderBehind is a sender whose configuration is older than MaxAge.
 	ReasonSenderBehind Reason = "sender behind"
-	// ReasonBehind is an entry that is itself behind and goes to a state process.
+	// ReasonBehind is an entry instance that is itself behind and switches to a state
+	// process.
 	ReasonBehind Reason = "behind"
 	// ReasonStreamEnded is a stream that ended or could not be opened.
 	ReasonStreamEnded Reason = "stream ended"
 )
 
-// Core decides whom one entry follows. Calls must not overlap.
+// Core selects the sender of one entry instance. It does no I/O and is not safe for
+// concurrent use.
 type Core struct {
 	self   string
 	timing Timing
-	// above holds the entries of a rank above the own, best rank first, with
-	// all positions counted in the data centre.
-	above   []string
+	// higherRanked lists the live entry instances of the data centre that rank above
+	// self, highest first.
+	higherRanked []string
+	// avoided maps failed senders to the end of their avoidance period.
 	avoided map[string]time.Time
 	current Target
 	// following is false until the first Follow.
 	following bool
-	heard     time.Time
-	// whole is when the last update came or the target was first followed,
-	// receiving when more of the next one last came.
-	whole, receiving time.Time
-	// sure is when the own revision was surely the newest.
-	sure time.Time
-	// turn counts the state processes that were left, turned is when one was left
-	// for being behind.
-	turn   int
-	turned time.Time
-	// direct is until when a state process is followed whatever the rank.
-	direct time.Time
-	// reason is why the sender followed last was left.
+	// lastActivity is when anything last arrived from the current target.
+	lastActivity time.Time
+	// lastUpdate is when the last complete update arrived or the target was selected,
+	// lastProgress when the last part of an incomplete one arrived.
+	lastUpdate, lastProgress time.Time
+	// currentAsOf is the last time at which this instance's revision is known to have
+	// been the newest.
+	currentAsOf time.Time
+	// stateIndex is the StateIndex of the next state process to follow. stateChangedAt
+	// is when it last changed because a state process was behind.
+	stateIndex     int
+	stateChangedAt time.Time
+	// stateUntil is the time until which a state process is followed regardless of rank.
+	stateUntil time.Time
+	// reason is the reason for a change of sender in the current step.
 	reason Reason
 }
 
-// NewCore returns the core of the entry named self, which follows nobody yet.
+// NewCore returns the Core of the entry instance self with DefaultTiming. It has no
+// sender until the first Step.
 func NewCore(self string) *Core { return NewCoreWithTiming(self, DefaultTiming) }
 
-// NewCoreWithTiming is NewCore with its own timing.
+// NewCoreWithTiming is like NewCore with the given timing.
 func NewCoreWithTiming(self string, timing Timing) *Core {
 	return &Core{self: self, timing: timing, avoided: make(map[string]time.Time)}
 }
 
-// Current returns whom the entry follows.
+// Current returns the current sender.
 func (c *Core) Current() Target { return c.current }
 
-// Step takes one event and returns whom to follow from now on, or nil for no change.
+// Step processes one event. It returns the sender to follow from now on, or nil if the
+// sender does not change.
 func (c *Core) Step(now time.Time, event Event) []Follow {
-	if c.sure.IsZero() {
-		c.sure = now
+	if c.currentAsOf.IsZero() {
+		c.currentAsOf = now
 	}
 	c.reason = ReasonRank
 	switch e := event.(type) {
@@ -172,17 +181,17 @@
 		if e.Target != c.current {
 			return nil
 		}
-		c.heard, c.whole = now, now
-		if sure := now.Add(-e.Age - e.Delay); sure.After(c.sure) {
-			c.sure = sure
+		c.lastActivity, c.lastUpdate = now, now
+		if asOf := now.Add(-e.Age - e.Delay); asOf.After(c.currentAsOf) {
+			c.currentAsOf = asOf
 		}
 		if e.Age > c.timing.MaxAge {
 			c.reason = ReasonSenderBehind
 			c.avoid(now)
-			c.leaveBehind(now)
+			c.skipStaleState(now)
 		}
 	case UpdateProgress:
-		c.receive(now, e.Target)
+		c.recordProgress(now, e.Target)
 	case StreamFailed:
 		if e.Target != c.current {
 			return nil
@@ -190,73 +199,75 @@
 		c.reason = ReasonStreamEnded
 		c.avoid(now)
 		if c.current.IsState() {
-			c.turn++
-			c.direct = time.Time{}
+			c.stateIndex++
+			c.stateUntil = time.Time{}
 		}
 	case Tick:
 		c.tick(now)
 	}
-	return c.choose(now)
+	return c.chooseTarget(now)
 }
 
-// receive keeps a sender while an update from it arrives, for up to Transfer: another
-// one would begin the same transfer anew.
-func (c *Core) receive(now time.Time, from Target) {
-	if from == c.current && now.Sub(c.whole) <= c.timing.TransferTimeout {
-		c.heard, c.receiving = now, now
+// recordProgress counts progress of an update as activity for up to TransferTimeout,
+// because another sender would start the same transfer from the beginning.
+func (c *Core) recordProgress(now time.Time, from Target) {
+	if from == c.current && now.Sub(c.lastUpdate) <= c.timing.TransferTimeout {
+		c.lastActivity, c.lastProgress = now, now
 	}
 }
 
-// tick looks for silence and for a configuration that has grown old. An entry that is
-// behind goes to a state process at once: senders of lower rank may follow the same
-// failed one, and each would cost seconds.
+// tick checks for a silent sender and for an outdated configuration. An entry instance
+// that is behind switches directly to a state process: the next senders by rank may
+// follow the same failed sender, and each attempt would take seconds.
 func (c *Core) tick(now time.Time) {
-	if c.following && now.Sub(c.heard) > c.timing.SilenceTimeout {
+	if c.following && now.Sub(c.lastActivity) > c.timing.SilenceTimeout {
 		c.reason = ReasonSilent
 		c.avoid(now)
 		if c.current.IsState() {
-			c.turn++
+			c.stateIndex++
 		}
 	}
-	receives := now.Sub(c.receiving) <= c.timing.SilenceTimeout
-	if !c.current.IsState() && !receives && now.Sub(c.sure) > c.timing.MaxAge && !now.Before(c.direct) {
+	receiving := now.Sub(c.lastProgress) <= c.timing.SilenceTimeout
+	if !c.current.IsState() && !receiving && now.Sub(c.currentAsOf) > c.timing.MaxAge && !now.Before(c.stateUntil) {
 		c.reason = ReasonBehind
 		c.avoid(now)
-		c.direct = now.Add(avoidance)
+		c.stateUntil = now.Add(avoidPeriod)
 	}
 }
 
-// leaveBehind goes from a state process that is behind to the next one, as after a
-// cut from which the nearest takes long to catch up. Each gets some time, since while
-// the cut lasts none is better than the nearest.
-func (c *Core) leaveBehind(now time.Time) {
-	if c.current.IsState() && now.Sub(c.turned) >= c.timing.MaxAge {
-		c.turn++
-		c.turned = now
+// skipStaleState moves from a state process that is behind to the next one, for example
+// when the nearest is slow to catch up after a network partition. It moves at most once
+// per MaxAge, because during the partition no other state process is better.
+func (c *Core) skipStaleState(now time.Time) {
+	if c.current.IsState() && now.Sub(c.stateChangedAt) >= c.timing.MaxAge {
+		c.stateIndex++
+		c.stateChangedAt = now
 	}
 }
 
-func (c *Core) setEntries(names []string) { c.above = member.HigherRanked(c.self, names) }
+func (c *Core) setEntries(names []string) { c.higherRanked = member.HigherRanked(c.self, names) }
 
-// avoid passes the current target over for a while.
+// avoid excludes the current target for avoidPeriod if it is an entry instance.
 func (c *Core) avoid(now time.Time) {
 	if !c.current.IsState() {
-		c.avoided[c.current.Entry] = now.Add(avoidance)
+		c.avoided[c.current.Entry] = now.Add(avoidPeriod)
 	}
 }
 
-func (c *Core) choose(now time.Time) []Follow {
+// chooseTarget selects the sender and returns a Follow if it differs from the current
+// one.
+func (c *Core) chooseTarget(now time.Time) []Follow {
 	for name, until := range c.avoided {
 		if !now.Before(until) {
 			delete(c.avoided, name)
 		}
 	}
 	target := c.parent()
-	if now.Before(c.direct) {
+	if now.Before(c.stateUntil) {
 		target = Target{}
 	}
 	if target.IsState() {
-		target.StateIndex = c.turn
+		target.StateIndex = c.stateIndex
 	}
 	if c.following && target == c.current {
 		return nil
@@ -266,18 +277,18 @@
 		reason = ReasonStart
 	}
 	c.current, c.following = target, true
-	c.heard, c.whole, c.receiving = now, now, time.Time{}
+	c.lastActivity, c.lastUpdate, c.lastProgress = now, now, time.Time{}
 	return []Follow{{Target: target, Reason: reason}}
 }
 
-// parent is the place above the own one in a tree of Fanout by rank, over the
-// entries that are not avoided.
+// parent returns the parent of self in a tree with Fanout children per node, built by
+// rank from the entry instances that are not avoided.
 func (c *Core) parent() Target {
 	if len(c.avoided) == 0 {
-		return Target{Entry: member.Parent(c.above, Fanout)}
+		return Target{Entry: member.Parent(c.higherRanked, Fanout)}
 	}
-	usable := make([]string, 0, len(c.above))
-	for _, name := range c.above {
+	usable := make([]string, 0, len(c.higherRanked))
+	for _, name := range c.higherRanked {
 		if _, avoided := c.avoided[name]; !avoided {
 			usable = append(usable, name)
 		}
--- a/version/spread/parts.go
+++ b/version/spread/parts.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// partItems is the number of teams in one part; a part stays far below the
-	// largest frame between processes.
-	partItems = 2000
-	// maxPartBytes bounds what a part may grow to when it is decompressed.
+	// itemsPerPart is the number of items of a long list in one part. It keeps a part far
+	// below the maximum frame size of the link.
+	itemsPerPart = 2000
+	// maxPartBytes limits the decompressed size of a part.
 	maxPartBytes = 16 << 20
-	// maxParts bounds what a sender may announce.
+	// maxParts limits the number of parts that a sender may announce.
 	maxParts = 100000
 )
 
-// Split cuts a snapshot into parts: first all but the lists that may be long, then
-// these lists. Equal snapshots give equal parts, so that a broken transfer goes on
-// where it stopped.
+// Split splits a snapshot into compressed parts. The first part holds everything but the
+// long lists, the following ones hold these lists. Equal snapshots give equal parts, so
+// that an interrupted transfer can be resumed.
 func Split(s *lilacv1.Snapshot) ([]*lilacv1.SnapshotPart, error) {
 	pieces := pieces(s)
 	parts := make([]*lilacv1.SnapshotPart, 0, len(pieces))
@@ -41,28 +41,28 @@
 func pieces(s *lilacv1.Snapshot) []*lilacv1.Snapshot {
 	all := []*lilacv1.Snapshot{withoutLongLists(s)}
 	for servers := s.GetServers(); len(servers) > 0; {
-		n := min(partItems, len(servers))
+		n := min(itemsPerPart, len(servers))
 		all = append(all, &lilacv1.Snapshot{Revision: s.GetRevision(), Servers: servers[:n]})
 		servers = servers[n:]
 	}
 	for convictions := s.GetConvictions(); len(convictions) > 0; {
-		n := min(partItems, len(convictions))
+		n := min(itemsPerPart, len(convictions))
 		all = append(all, &lilacv1.Snapshot{Revision: s.GetRevision(), Convictions: convictions[:n]})
 		convictions = convictions[n:]
 	}
 	for teams := s.GetTeams(); len(teams) > 0; {
-		n := min(partItems, len(teams))
+		n := min(itemsPerPart, len(teams))
 		all = append(all, &lilacv1.Snapshot{Revision: s.GetRevision(), Teams: teams[:n]})
 		teams = teams[n:]
 	}
 	return all
 }
 
-// longLists are the fields of a snapshot that are cut into pieces of their own.
+// longLists are the fields of a snapshot that are split into separate pieces.
 var longLists = map[protoreflect.Name]bool{"servers": true, "convictions": true, "teams": true}
 
-// withoutLongLists shares all fields but the long lists with s. It leaves fields
-// out by name, so that one that is added later is carried too.
+// withoutLongLists returns a snapshot that shares all fields with s but the long lists.
+// These are excluded by name, so that fields added later are included.
 func withoutLongLists(s *lilacv1.Snapshot) *lilacv1.Snapshot {
 	piece := &lilacv1.Snapshot{}
 	s.ProtoReflect().Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -93,52 +93,52 @@
 	return buffer.Bytes(), nil
 }
 
-// Assembly puts the parts of one snapshot together again.
+// Assembly reassembles a snapshot from its parts. The zero value is ready to use.
 type Assembly struct {
 	revision uint64
 	parts    uint32
 	next     uint32
-	whole    *lilacv1.Snapshot
+	snapshot *lilacv1.Snapshot
 }
 
-// Resume returns the revision and the first part that is still missing; 0 and 0
-// before the first part.
+// Resume returns the revision and the number of the next missing part; 0 and 0 before
+// the first part.
 func (a *Assembly) Resume() (revision uint64, part uint32) { return a.revision, a.next }
 
-// Add takes the next part. It returns the whole snapshot with the last part,
-// and nil before. Part 0 of any revision begins anew.
+// Add adds the next part. It returns the snapshot after the last part and nil before.
+// Part 0 of any revision starts over.
 func (a *Assembly) Add(part *lilacv1.SnapshotPart) (*lilacv1.Snapshot, error) {
 	if part.GetPart() == 0 {
 		*a = Assembly{revision: part.GetRevision(), parts: part.GetParts()}
 	}
 	if a.parts == 0 || part.GetRevision() != a.revision || part.GetPart() != a.next || part.GetParts() != a.parts || a.parts > maxParts {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "part %d of revision %d does not follow part %d of revision %d; begin the transfer anew", part.GetPart(), part.GetRevision(), a.next, a.revision)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "unexpected part %d of revision %d, want part %d of revision %d; restart the transfer", part.GetPart(), part.GetRevision(), a.next, a.revision)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(part.GetData())), maxPartBytes))
 	if err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "part of a snapshot does not decompress; begin the transfer anew")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "cannot decompress part of a snapshot; restart the transfer")
 	}
 	piece := &lilacv1.Snapshot{}
 	if err := proto.Unmarshal(raw, piece); err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "part of a snapshot does not decode; begin the transfer anew")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BROKEN_STREAM, "cannot decode part of a snapshot; restart the transfer")
 	}
-	a.take(piece)
+	a.appendPiece(piece)
 	a.next++
 	if a.next < a.parts {
 		return nil, nil
 	}
-	whole := a.whole
+	snapshot := a.snapshot
 	*a = Assembly{}
-	return whole, nil
+	return snapshot, nil
 }
 
-// take adds a piece: the first holds everything but the long lists.
-func (a *Assembly) take(piece *lilacv1.Snapshot) {
-	if a.whole == nil {
-		a.whole = piece
+// appendPiece merges a piece; the first one holds everything but the long lists.
+func (a *Assembly) appendPiece(piece *lilacv1.Snapshot) {
+	if a.snapshot == nil {
+		a.snapshot = piece
 		return
 	}
-	a.whole.Teams = append(a.whole.Teams, piece.GetTeams()...)
-	a.whole.Servers = append(a.whole.Servers, piece.GetServers()...)
-	a.whole.Convictions = append(a.whole.Convictions, piece.GetConvictions()...)
+	a.snapshot.Teams = append(a.snapshot.Teams, piece.GetTeams()...)
+	a.snapshot.Servers = append(a.snapshot.Servers, piece.GetServers()...)
+	a.snapshot.Convictions = append(a.snapshot.Convictions, piece.GetConvictions()...)
 }
--- a/version/spread/random_test.go
+++ b/version/spread/random_test.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// step is how often the simulated entries receive and tick.
-	step = 250 * time.Millisecond
-	// inForce is the longest that a change may take to reach an entry that works,
+	// tickInterval is how often the simulated instances receive updates and tick.
+	tickInterval = 250 * time.Millisecond
+	// maxLag is the longest that a change may take to reach an instance without faults
 	// while others fail.
-	inForce = 13 * time.Second
+	maxLag = 13 * time.Second
 )
 
-// follower is a simulated entry: a core and the revision that it holds.
+// follower is a simulated entry instance.
 type follower struct {
 	core     *Core
 	target   Target
 	revision int
-	// sure is when the revision was surely the newest.
-	sure time.Time
-	// Faults, until a time: dead ones answer nobody and restart empty, hanging
-	// ones keep streams open in silence, cut ones don't reach the state processes.
-	dead, hangs, cut time.Time
-	// works is since when nothing is wrong with the entry itself.
-	works time.Time
+	// currentAsOf is the last time at which revision is known to have been the newest.
+	currentAsOf time.Time
+	// Each fault lasts until the given time. A dead instance does not answer and restarts
+	// empty. A hung one keeps its streams open but sends nothing. A partitioned one can't
+	// reach the state processes.
+	dead, hung, partitioned time.Time
+	// faultFreeSince is the end of the last fault of this instance.
+	faultFreeSince time.Time
 }
 
-// center is one data centre below a state process that accepts a change each second.
-type center struct {
+// simulation is a data centre whose state process accepts a change each second.
+type simulation struct {
 	random  *rand.Rand
 	now     time.Time
 	names   []string
@@ -40,118 +41,118 @@
 	newest  int
 }
 
-func newCenter(seed uint64, n int) *center {
-	c := &center{random: rand.New(rand.NewPCG(seed, 2)), now: start, names: names(n), entries: make(map[string]*follower)}
-	for _, name := range c.names {
-		c.entries[name] = &follower{works: start}
-		c.restart(name)
+func newSimulation(seed uint64, n int) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 2)), now: start, names: rankedNames(n), entries: make(map[string]*follower)}
+	for _, name := range s.names {
+		s.entries[name] = &follower{faultFreeSince: start}
+		s.restart(name)
 	}
-	return c
+	return s
 }
 
-func (c *center) restart(name string) {
-	f := c.entries[name]
-	f.core, f.revision, f.sure = NewCore(name), 0, time.Time{}
-	c.apply(f, f.core.Step(c.now, Entries{c.names}))
+func (s *simulation) restart(name string) {
+	f := s.entries[name]
+	f.core, f.revision, f.currentAsOf = NewCore(name), 0, time.Time{}
+	s.apply(f, f.core.Step(s.now, Entries{s.names}))
 }
 
-func (c *center) apply(f *follower, actions []Follow) {
+func (s *simulation) apply(f *follower, actions []Follow) {
 	for _, a := range actions {
 		f.target = a.Target
 	}
 }
 
-// receive gives one entry what its stream brings in a step.
-func (c *center) receive(f *follower) {
+// receive delivers what the stream of f brings in one interval.
+func (s *simulation) receive(f *follower) {
 	if f.target.IsState() {
-		if c.now.Before(f.cut) {
-			c.apply(f, f.core.Step(c.now, StreamFailed{f.target}))
+		if s.now.Before(f.partitioned) {
+			s.apply(f, f.core.Step(s.now, StreamFailed{f.target}))
 			return
 		}
-		f.revision, f.sure = c.newest, c.now
-		c.apply(f, f.core.Step(c.now, UpdateReceived{Target: f.target, Age: 0}))
+		f.revision, f.currentAsOf = s.newest, s.now
+		s.apply(f, f.core.Step(s.now, UpdateReceived{Target: f.target, Age: 0}))
 		return
 	}
-	parent := c.entries[f.target.Entry]
+	parent := s.entries[f.target.Entry]
 	switch {
-	case c.now.Before(parent.dead), parent.revision == 0:
-		c.apply(f, f.core.Step(c.now, StreamFailed{f.target}))
-	case !c.now.Before(parent.hangs):
+	case s.now.Before(parent.dead), parent.revision == 0:
+		s.apply(f, f.core.Step(s.now, StreamFailed{f.target}))
+	case !s.now.Before(parent.hung):
 		if parent.revision > f.revision {
 			f.revision = parent.revision
 		}
-		if parent.sure.After(f.sure) {
-			f.sure = parent.sure
+		if parent.currentAsOf.After(f.currentAsOf) {
+			f.currentAsOf = parent.currentAsOf
 		}
-		c.apply(f, f.core.Step(c.now, UpdateReceived{Target: f.target, Age: c.now.Sub(parent.sure)}))
+		s.apply(f, f.core.Step(s.now, UpdateReceived{Target: f.target, Age: s.now.Sub(parent.currentAsOf)}))
 	}
 }
 
-// spoil breaks an entry, the best in rank more often than others.
-func (c *center) spoil() {
-	name := c.names[min(c.random.IntN(len(c.names)), c.random.IntN(len(c.names)), c.random.IntN(len(c.names)))]
-	f := c.entries[name]
-	until := c.now.Add(time.Duration(2+c.random.IntN(28)) * time.Second)
-	switch c.random.IntN(3) {
+// injectFault adds a fault to a random instance, preferring those of high rank.
+func (s *simulation) injectFault() {
+	name := s.names[min(s.random.IntN(len(s.names)), s.random.IntN(len(s.names)), s.random.IntN(len(s.names)))]
+	f := s.entries[name]
+	until := s.now.Add(time.Duration(2+s.random.IntN(28)) * time.Second)
+	switch s.random.IntN(3) {
 	case 0:
 		f.dead = until
 	case 1:
-		f.hangs = until
+		f.hung = until
 	case 2:
-		f.cut = until
+		f.partitioned = until
 	}
-	if until.After(f.works) {
-		f.works = until
+	if until.After(f.faultFreeSince) {
+		f.faultFreeSince = until
 	}
 }
 
-func (c *center) advance() {
-	c.now = c.now.Add(step)
-	if c.now.Sub(start)%time.Second == 0 {
-		c.newest++
+func (s *simulation) advance() {
+	s.now = s.now.Add(tickInterval)
+	if s.now.Sub(start)%time.Second == 0 {
+		s.newest++
 	}
-	for _, name := range c.names {
-		f := c.entries[name]
-		if c.now.Before(f.dead) {
+	for _, name := range s.names {
+		f := s.entries[name]
+		if s.now.Before(f.dead) {
 			continue
 		}
 		if !f.dead.IsZero() {
 			f.dead = time.Time{}
-			c.restart(name)
+			s.restart(name)
 		}
-		if c.now.Before(f.hangs) {
+		if s.now.Before(f.hung) {
 			continue
 		}
-		c.receive(f)
-		c.apply(f, f.core.Step(c.now, Tick{}))
+		s.receive(f)
+		s.apply(f, f.core.Step(s.now, Tick{}))
 	}
 }
 
-// Entries of a data centre die, hang and lose their way to the state processes,
-// the relay and its heirs above all, several at once and again right after. Each
-// entry that works itself must hold every change within 13 s.
+// Instances of a data centre crash, hang and are partitioned from the state processes,
+// often the relay and its successors, several at once and repeatedly. Each instance
+// without faults must receive every change within 13 s.
 func TestChangesArriveWhileEntriesFail(t *testing.T) {
 	worst, direct, steps := time.Duration(0), 0, 0
 	for seed := range uint64(30) {
-		c := newCenter(seed, 60)
-		for range int(3 * time.Minute / step) {
-			if c.random.IntN(6) == 0 {
-				c.spoil()
+		s := newSimulation(seed, 60)
+		for range int(3 * time.Minute / tickInterval) {
+			if s.random.IntN(6) == 0 {
+				s.injectFault()
 			}
-			c.advance()
+			s.advance()
 			steps++
-			for _, name := range c.names {
-				f := c.entries[name]
+			for _, name := range s.names {
+				f := s.entries[name]
 				if f.target.IsState() {
 					direct++
 				}
-				lag := time.Duration(c.newest-f.revision) * time.Second
-				if c.now.Sub(f.works) < inForce || c.now.Sub(start) < inForce {
+				lag := time.Duration(s.newest-f.revision) * time.Second
+				if s.now.Sub(f.faultFreeSince) < maxLag || s.now.Sub(start) < maxLag {
 					continue
 				}
 				worst = max(worst, lag)
-				if lag > inForce {
-					t.Fatalf("seed %d: %s lags by %s at %s, follows %v", seed, name, lag, c.now.Sub(start), f.target)
+				if lag > maxLag {
+					t.Fatalf("seed %d: %s lags by %s at %s, follows %v", seed, name, lag, s.now.Sub(start), f.target)
 				}
 			}
 		}
@@ -159,8 +160,8 @@
 	t.Logf("worst lag %s, on average %.1f of 60 entries follow a state process", worst, float64(direct)/float64(steps))
 }
 
-func TestNamesAreRankedTheSameEverywhere(t *testing.T) {
-	all := names(20)
+func TestRankIsIndependentOfOrder(t *testing.T) {
+	all := rankedNames(20)
 	shuffled := slices.Clone(all)
 	slices.Reverse(shuffled)
 	a, b := NewCore("x"), NewCore("x")
--- a/version/spread/spread_test.go
+++ b/version/spread/spread_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1_764_700_000, 0)
 
-func names(n int) []string {
+func rankedNames(n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprint("entry-", i)
@@ -25,7 +25,8 @@
 	return all
 }
 
-func follows(t *testing.T, actions []Follow) Target {
+// onlyTarget returns the target of the only action.
+func onlyTarget(t *testing.T, actions []Follow) Target {
 	t.Helper()
 	if len(actions) != 1 {
 		t.Fatalf("want one Follow, got %v", actions)
@@ -37,10 +38,10 @@
 	for _, n := range []int{1, 2, 9, 10, 220} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			is := is.New(t)
-			all := names(n)
+			all := rankedNames(n)
 			children := make(map[Target]int)
 			for i, self := range all {
-				target := follows(t, NewCore(self).Step(start, Entries{all}))
+				target := onlyTarget(t, NewCore(self).Step(start, Entries{all}))
 				children[target]++
 				is.True(target.IsState() || slices.Index(all, target.Entry) < i)
 			}
@@ -52,17 +53,16 @@
 	}
 }
 
-// The relay of a data centre dies, hangs, or is cut off from the state
-// processes without noticing. The entries below it would stand still with an old
-// configuration. Each must go to the next in rank, and the first of them to a
-// state process; later the relay is tried again.
+// The relay of a data centre crashes, hangs, falls behind or is removed. The instances
+// below it would keep an old configuration. Each must switch to the next by rank, and
+// the highest of them to a state process. The relay is tried again later.
 func TestFailedRelayIsReplaced(t *testing.T) {
-	all := names(6)
+	all := rankedNames(6)
 	for name, fail := range map[string]func(c *Core, relay Target) []Follow{
 		"dies":  func(c *Core, relay Target) []Follow { return c.Step(start, StreamFailed{relay}) },
-		"hangs": func(c *Core, _ Target) []Follow { return c.Step(start.Add(silence+1), Tick{}) },
+		"hangs": func(c *Core, _ Target) []Follow { return c.Step(start.Add(silenceTimeout+1), Tick{}) },
 		"behind": func(c *Core, relay Target) []Follow {
-			return c.Step(start, UpdateReceived{Target: relay, Age: behindLimit + 1})
+			return c.Step(start, UpdateReceived{Target: relay, Age: maxAge + 1})
 		},
 		"removed": func(c *Core, _ Target) []Follow { return c.Step(start, Entries{all[1:]}) },
 	} {
@@ -70,53 +70,53 @@
 			is := is.New(t)
 			for i, self := range all[1:] {
 				c := NewCore(self)
-				relay := follows(t, c.Step(start, Entries{all}))
+				relay := onlyTarget(t, c.Step(start, Entries{all}))
 				is.Equal(relay, Target{Entry: all[0]})
-				next := follows(t, fail(c, relay))
+				next := onlyTarget(t, fail(c, relay))
 				if i == 0 {
 					is.True(next.IsState())
 				} else {
 					is.Equal(next, Target{Entry: all[1]})
 				}
 				if name != "removed" {
-					// The next sender is in order; the relay is tried again all the same.
-					for now := start.Add(silence + 2); now.Before(start.Add(avoidance)); now = now.Add(HeartbeatInterval) {
+					// The new sender works; the relay is tried again nevertheless.
+					for now := start.Add(silenceTimeout + 2); now.Before(start.Add(avoidPeriod)); now = now.Add(HeartbeatInterval) {
 						is.Equal(len(c.Step(now, UpdateReceived{Target: next, Age: 0})), 0)
 						is.Equal(len(c.Step(now, Tick{})), 0)
 					}
-					is.Equal(follows(t, c.Step(start.Add(silence+avoidance+2), Tick{})).Entry, all[0])
+					is.Equal(onlyTarget(t, c.Step(start.Add(silenceTimeout+avoidPeriod+2), Tick{})).Entry, all[0])
 				}
 			}
 		})
 	}
 }
 
-func TestBrokenStateProcessIsFollowedAgain(t *testing.T) {
+func TestFailedStateProcessIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := NewCore("only")
-	is.True(follows(t, c.Step(start, Entries{})).IsState())
-	is.True(follows(t, c.Step(start, StreamFailed{Target{}})).IsState())
+	is.True(onlyTarget(t, c.Step(start, Entries{})).IsState())
+	is.True(onlyTarget(t, c.Step(start, StreamFailed{Target{}})).IsState())
 	is.Equal(len(c.Step(start, StreamFailed{Target{Entry: "unknown"}})), 0)
-	is.True(follows(t, c.Step(start.Add(silence+1), Tick{})).IsState())
+	is.True(onlyTarget(t, c.Step(start.Add(silenceTimeout+1), Tick{})).IsState())
 }
 
-// The sender of revisions falls silent, or knows nothing new for long. A document
-// must be in force everywhere within 3 s, so an entry with quick timing must have
-// left that sender long before.
-func TestQuickTimingLeavesSilentSendersInTime(t *testing.T) {
+// The sender of revisions becomes silent or falls behind. A document must be in force
+// everywhere within 3 s, so an instance with FastTiming must replace the sender well
+// before that.
+func TestFastTimingReplacesSilentSenders(t *testing.T) {
 	is := is.New(t)
 	c := NewCoreWithTiming("only", FastTiming)
-	first := follows(t, c.Step(start, Entries{}))
+	first := onlyTarget(t, c.Step(start, Entries{}))
 	c.Step(start, UpdateReceived{Target: first})
 	is.Equal(len(c.Step(start.Add(FastTiming.SilenceTimeout), Tick{})), 0)
-	second := follows(t, c.Step(start.Add(FastTiming.SilenceTimeout+1), Tick{}))
+	second := onlyTarget(t, c.Step(start.Add(FastTiming.SilenceTimeout+1), Tick{}))
 	is.True(second.IsState() && second != first)
 	is.True(FastTiming.SilenceTimeout+2*FastTiming.HeartbeatInterval < 2*time.Second)
-	third := follows(t, c.Step(start.Add(2*time.Second), UpdateReceived{Target: second, Age: FastTiming.MaxAge + 1}))
+	third := onlyTarget(t, c.Step(start.Add(2*time.Second), UpdateReceived{Target: second, Age: FastTiming.MaxAge + 1}))
 	is.True(third != second)
 }
 
-func large(revision uint64, teams int) *lilacv1.Snapshot {
+func largeSnapshot(revision uint64, teams int) *lilacv1.Snapshot {
 	s := &lilacv1.Snapshot{Revision: revision, Classes: []*lilacv1.Class{{Name: "alerts"}}}
 	for i := range teams {
 		s.Teams = append(s.Teams, &lilacv1.Team{Name: fmt.Sprint("team-", i), TokensPerSecond: uint64(i)})
@@ -124,16 +124,16 @@
 	return s
 }
 
-// A transfer of a large snapshot breaks in the middle. The receiver goes on from
-// the part that it lacks; a sender that has moved on gives a newer snapshot from
-// its beginning. Nothing half is ever taken into force.
-func TestBrokenTransferResumes(t *testing.T) {
+// The transfer of a large snapshot is interrupted. The receiver must resume at the first
+// missing part; if the sender has a newer snapshot, the transfer starts over. An
+// incomplete snapshot must never be returned.
+func TestInterruptedTransferResumes(t *testing.T) {
 	is := is.New(t)
-	whole := large(7, 5000)
-	parts, err := Split(whole)
+	snapshot := largeSnapshot(7, 5000)
+	parts, err := Split(snapshot)
 	is.NoErr(err)
 	is.Equal(len(parts), 4)
-	again, err := Split(whole)
+	sameParts, err := Split(snapshot)
 	is.NoErr(err)
 	a := &Assembly{}
 	for _, part := range parts[:2] {
@@ -146,13 +146,13 @@
 	_, err = a.Add(parts[3])
 	is.True(err != nil)
 	var got *lilacv1.Snapshot
-	for _, part := range again[next:] {
+	for _, part := range sameParts[next:] {
 		got, err = a.Add(part)
 		is.NoErr(err)
 	}
-	is.True(proto.Equal(got, whole))
+	is.True(proto.Equal(got, snapshot))
 
-	newer, err := Split(large(9, 1))
+	newer, err := Split(largeSnapshot(9, 1))
 	is.NoErr(err)
 	_, err = a.Add(parts[0])
 	is.NoErr(err)
@@ -165,12 +165,12 @@
 	is.True(err != nil)
 }
 
-// BenchmarkSnapshot gives the bytes and the processor time of a whole snapshot
-// at the start of an entry.
+// BenchmarkSnapshot measures the bytes and the processor time of the snapshot that an
+// entry instance receives at its start.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, teams := range []int{10, 1000, 10000, 45000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
-			s := large(1, teams)
+			s := largeSnapshot(1, teams)
 			bytes := 0
 			for b.Loop() {
 				parts, err := Split(s)
@@ -192,60 +192,60 @@
 	}
 }
 
-// A data centre was cut off, and its state process takes long to catch up. The
-// entries that follow it must go to the next one after a while, and not in turn
-// without end while all of them are behind.
-func TestStateProcessThatIsBehindIsLeft(t *testing.T) {
+// A data centre was partitioned and its state process is slow to catch up. Instances that
+// follow it must move to the next one, but must not switch continuously while all of
+// them are behind.
+func TestStaleStateProcessIsReplaced(t *testing.T) {
 	is := is.New(t)
 	c := NewCore("only")
 	now := start.Add(time.Minute)
-	first := follows(t, c.Step(now, Entries{}))
-	second := follows(t, c.Step(now, UpdateReceived{Target: first, Age: behindLimit + 1}))
+	first := onlyTarget(t, c.Step(now, Entries{}))
+	second := onlyTarget(t, c.Step(now, UpdateReceived{Target: first, Age: maxAge + 1}))
 	is.True(second.IsState())
 	is.Equal(second.StateIndex, first.StateIndex+1)
-	is.Equal(len(c.Step(now.Add(behindLimit-1), UpdateReceived{Target: second, Age: behindLimit + 1})), 0)
-	third := follows(t, c.Step(now.Add(behindLimit), UpdateReceived{Target: second, Age: behindLimit + 1}))
+	is.Equal(len(c.Step(now.Add(maxAge-1), UpdateReceived{Target: second, Age: maxAge + 1})), 0)
+	third := onlyTarget(t, c.Step(now.Add(maxAge), UpdateReceived{Target: second, Age: maxAge + 1}))
 	is.Equal(third.StateIndex, second.StateIndex+1)
-	is.Equal(len(c.Step(now.Add(behindLimit), UpdateReceived{Target: third})), 0)
+	is.Equal(len(c.Step(now.Add(maxAge), UpdateReceived{Target: third})), 0)
 }
 
-// Guards against a part of the configuration that a snapshot leaves out: an entry
-// that takes one would hold the newest revision without it, for good.
+// A field that is missing from the parts would be lost permanently on an instance that
+// receives a snapshot, although it holds the newest revision.
 func TestSnapshotPartsCarryEveryField(t *testing.T) {
 	is := is.New(t)
-	whole := &lilacv1.Snapshot{}
-	fields := whole.ProtoReflect().Descriptor().Fields()
+	snapshot := &lilacv1.Snapshot{}
+	fields := snapshot.ProtoReflect().Descriptor().Fields()
 	for i := range fields.Len() {
-		fill(whole.ProtoReflect(), fields.Get(i))
+		fill(snapshot.ProtoReflect(), fields.Get(i))
 	}
-	parts, err := Split(whole)
+	parts, err := Split(snapshot)
 	is.NoErr(err)
 	assembly := Assembly{}
-	var again *lilacv1.Snapshot
+	var assembled *lilacv1.Snapshot
 	for _, part := range parts {
-		again, err = assembly.Add(part)
+		assembled, err = assembly.Add(part)
 		is.NoErr(err)
 	}
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		t.Run(string(field.Name()), func(t *testing.T) {
 			is := is.New(t)
-			is.True(whole.ProtoReflect().Has(field))
-			is.True(again.ProtoReflect().Get(field).Equal(whole.ProtoReflect().Get(field)))
+			is.True(snapshot.ProtoReflect().Has(field))
+			is.True(assembled.ProtoReflect().Get(field).Equal(snapshot.ProtoReflect().Get(field)))
 		})
 	}
 }
 
-// fill gives the field a value that is not its default.
+// fill sets the field to a non-default value.
 func fill(m protoreflect.Message, field protoreflect.FieldDescriptor) {
 	value := func() protoreflect.Value {
 		switch field.Kind() {
 		case protoreflect.MessageKind:
-			made := m.NewField(field)
+			message := m.NewField(field)
 			if field.IsList() {
-				made = made.List().NewElement()
+				message = message.List().NewElement()
 			}
-			inner := made.Message()
+			inner := message.Message()
 			for i := range inner.Descriptor().Fields().Len() {
 				if one := inner.Descriptor().Fields().Get(i); one.Kind() == protoreflect.StringKind && !one.IsList() {
 					inner.Set(one, protoreflect.ValueOfString("x"))
@@ -254,7 +254,7 @@
 			if one := inner.Descriptor().Fields().ByName("content"); one != nil {
 				inner.Set(one, protoreflect.ValueOfBytes([]byte("text")))
 			}
-			return made
+			return message
 		case protoreflect.Uint32Kind:
 			return protoreflect.ValueOfUint32(3)
 		default:
@@ -268,16 +268,16 @@
 	m.Set(field, value)
 }
 
-// Guards against an entry that stays with a sender which stops in the middle of an
-// update, or which takes for ever to send it.
-func TestSenderIsLeftThatStopsInTheMiddleOfAnUpdate(t *testing.T) {
+// A sender stops in the middle of an update, or keeps sending it without ever finishing.
+// Both must be replaced.
+func TestStalledSenderIsReplaced(t *testing.T) {
 	is := is.New(t)
-	receive := func(stops, until time.Duration) *Core {
+	receive := func(stopAt, until time.Duration) *Core {
 		c := NewCoreWithTiming("only", FastTiming)
-		first := follows(t, c.Step(start, Entries{}))
+		first := onlyTarget(t, c.Step(start, Entries{}))
 		c.Step(start, UpdateReceived{Target: first})
-		for at := step; at < until; at += step {
-			if at < stops {
+		for at := tickInterval; at < until; at += tickInterval {
+			if at < stopAt {
 				c.Step(start.Add(at), UpdateProgress{Target: first})
 			}
 			c.Step(start.Add(at), Tick{})
@@ -285,7 +285,7 @@
 		return c
 	}
 	is.Equal(receive(3*time.Second, 3*time.Second).Current(), Target{})
-	is.Equal(receive(3*time.Second, 3*time.Second+FastTiming.SilenceTimeout+2*step).Current(), Target{StateIndex: 1})
-	is.Equal(receive(time.Minute, FastTiming.TransferTimeout-step).Current(), Target{})
-	is.True(receive(time.Minute, FastTiming.TransferTimeout+FastTiming.SilenceTimeout+2*step).Current() != Target{})
+	is.Equal(receive(3*time.Second, 3*time.Second+FastTiming.SilenceTimeout+2*tickInterval).Current(), Target{StateIndex: 1})
+	is.Equal(receive(time.Minute, FastTiming.TransferTimeout-tickInterval).Current(), Target{})
+	is.True(receive(time.Minute, FastTiming.TransferTimeout+FastTiming.SilenceTimeout+2*tickInterval).Current() != Target{})
 }
