--- a/daemon/state/daemon.go
+++ b/daemon/state/daemon.go
@@ -141,7 +141,7 @@
 	}
 	return serverlist.NewUpdater(holder, serverlist.Options{
 		Upstream: upstream, List: control.List(d.settings.ServerList.Value, serverlist.NewClient()),
-		Every: d.settings.ListEvery.Duration, Logger: d.logger,
+		Every: d.settings.ListInterval.Duration, Logger: d.logger,
 	})
 }
 
@@ -227,7 +227,7 @@
 // Reload applies changed seeds, which this process contacts to find a group if it is a
 // member of none. All other fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.State) error {
-	if err := s.SameProcess(&d.settings.Common); err != nil {
+	if err := s.ValidateReload(&d.settings.Common); err != nil {
 		return err
 	}
 	d.log.SetPeers(s.Peers)
