--- a/cmd/lilacbench/main.go
+++ b/cmd/lilacbench/main.go
@@ -14,7 +14,7 @@
 func main() {
 	var request bench.Request
 	var folder string
-	var details bool
+	var byClass bool
 	command := &cobra.Command{
 		Use:           "lilacbench",
 		Short:         "Measure the policy against baselines on the same seeded arrivals",
@@ -22,7 +22,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			return run(request, folder, details)
+			return run(request, folder, byClass)
 		},
 	}
 	flags := command.Flags()
@@ -31,7 +31,7 @@
 	flags.StringVar(&request.Policy, "policy", "", "one policy (default all)")
 	flags.Uint64Var(&request.Seed, "seed", 1, "seed of arrivals and chance")
 	flags.IntVar(&request.Workers, "workers", 0, "runs at once (default 3)")
-	flags.BoolVar(&details, "classes", true, "print the rows by class")
+	flags.BoolVar(&byClass, "classes", true, "print the rows by class")
 	flags.StringVar(&folder, "out", "out", "folder for bench.csv and bench.png; empty writes none")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lilacbench:", err)
@@ -39,12 +39,12 @@
 	}
 }
 
-func run(request bench.Request, folder string, details bool) error {
+func run(request bench.Request, folder string, byClass bool) error {
 	results, err := bench.Run(request)
 	if err != nil {
 		return err
 	}
-	if details {
+	if byClass {
 		bench.WriteTable(os.Stdout, results)
 	}
 	bench.WriteSummary(os.Stdout, results)
@@ -52,10 +52,10 @@
 	if folder == "" {
 		return nil
 	}
-	return write(folder, results)
+	return writeFiles(folder, results)
 }
 
-func write(folder string, results []*bench.Result) error {
+func writeFiles(folder string, results []*bench.Result) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
--- a/cmd/lilacctl/apply.go
+++ b/cmd/lilacctl/apply.go
@@ -53,5 +53,5 @@
 	if err != nil {
 		return err
 	}
-	return print(os.Stdout, g.output, reply)
+	return printReply(os.Stdout, g.output, reply)
 }
--- a/cmd/lilacctl/exec.go
+++ b/cmd/lilacctl/exec.go
@@ -60,5 +60,5 @@
 	if err != nil {
 		return err
 	}
-	return print(os.Stdout, g.output, reply)
+	return printReply(os.Stdout, g.output, reply)
 }
--- a/cmd/lilacctl/print.go
+++ b/cmd/lilacctl/print.go
@@ -14,7 +14,7 @@
 
 const cellPadding = 2
 
-func print(w io.Writer, format string, reply *operator.Reply) error {
+func printReply(w io.Writer, format string, reply *operator.Reply) error {
 	switch format {
 	case "json":
 		encoder := json.NewEncoder(w)
--- a/cmd/lilacctl/watch.go
+++ b/cmd/lilacctl/watch.go
@@ -40,7 +40,7 @@
 			return err
 		}
 		fmt.Println(time.Now().Format(time.RFC3339), statement)
-		if err := print(os.Stdout, g.output, reply); err != nil {
+		if err := printReply(os.Stdout, g.output, reply); err != nil {
 			return err
 		}
 		if shown == times {
--- a/cmd/lilacload/changes.go
+++ b/cmd/lilacload/changes.go
@@ -72,7 +72,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, o.duration)
 	defer cancel()
-	log := loadgen.MakeChanges(ctx, client, o.plan)
+	log := loadgen.ApplyChanges(ctx, client, o.plan)
 	data, err := json.Marshal(log)
 	if err != nil {
 		return err
@@ -81,9 +81,9 @@
 		return err
 	}
 	fmt.Fprintf(command.OutOrStdout(), "accepted %d refused %v unknown %d longest_gap_ms %d disorder %d\n",
-		len(log.Accepted), log.Refused, len(log.Unknown), log.LongestGapMS, len(log.Disorder))
-	if len(log.Disorder) > 0 {
-		return errBroken
+		len(log.Accepted), log.Refused, len(log.Unknown), log.MaxGapMS, len(log.OutOfOrder))
+	if len(log.OutOfOrder) > 0 {
+		return errViolation
 	}
 	return nil
 }
@@ -113,25 +113,25 @@
 	if len(log.Accepted) == 0 {
 		return errors.New("the record holds no accepted change: nothing can be verified")
 	}
-	all := make(map[string]bool)
-	silent := 0
+	lostTeams := make(map[string]bool)
+	unreachable := 0
 	for _, endpoint := range o.endpoints {
 		client, err := o.client(endpoint)
 		if err != nil {
 			return err
 		}
-		lost, err := loadgen.Verify(command.Context(), client, log, o.within)
+		lost, err := loadgen.VerifyChanges(command.Context(), client, log, o.within)
 		if err != nil {
-			silent++
+			unreachable++
 			fmt.Fprintf(command.ErrOrStderr(), "%s: %v\n", endpoint, err)
 		}
 		for _, team := range lost {
-			all[team] = true
+			lostTeams[team] = true
 		}
 	}
-	fmt.Fprintf(command.OutOrStdout(), "accepted %d lost %d silent %d\n", len(log.Accepted), len(all), silent)
-	if len(all)+silent > 0 {
-		return errBroken
+	fmt.Fprintf(command.OutOrStdout(), "accepted %d lost %d silent %d\n", len(log.Accepted), len(lostTeams), unreachable)
+	if len(lostTeams)+unreachable > 0 {
+		return errViolation
 	}
 	return nil
 }
--- a/cmd/lilacload/claims.go
+++ b/cmd/lilacload/claims.go
@@ -53,18 +53,18 @@
 	}
 	var ledgers []loadgen.Ledger
 	for i := range o.instances {
-		ledgers = append(ledgers, o.instance(command.Context(), fmt.Sprint("lilacload-", i), keys.Get))
+		ledgers = append(ledgers, o.newLedger(command.Context(), fmt.Sprint("lilacload-", i), keys.Get))
 	}
-	counts := loadgen.MakeClaims(command.Context(), ledgers, o.plan)
-	fmt.Fprintf(command.OutOrStdout(), "ended %d failed %d skipped %d in %.2f s\n", counts.Ended, counts.Failed, counts.Skipped, counts.Took.Seconds())
+	counts := loadgen.RunClaims(command.Context(), ledgers, o.plan)
+	fmt.Fprintf(command.OutOrStdout(), "ended %d failed %d skipped %d in %.2f s\n", counts.Completed, counts.Failed, counts.Skipped, counts.Elapsed.Seconds())
 	if counts.Failed+counts.Skipped > 0 {
-		return errTooFew
+		return errBelowMinimum
 	}
 	return nil
 }
 
 // instance is one entry's way to the state processes.
-func (o *claimOptions) instance(ctx context.Context, name string, keys func() secret.Keys) *stateclient.Client {
+func (o *claimOptions) newLedger(ctx context.Context, name string, keys func() secret.Keys) *stateclient.Client {
 	id := link.Identity{Peer: link.Peer{Process: name}, Keys: keys}
 	callers := make(map[string]*link.Client)
 	var peers []settings.Peer
--- a/cmd/lilacload/main.go
+++ b/cmd/lilacload/main.go
@@ -17,8 +17,8 @@
 
 // The ends of a run that is not as it must be.
 var (
-	errBroken = errors.New("a promise was broken")
-	errTooFew = errors.New("too few")
+	errViolation    = errors.New("a promise was broken")
+	errBelowMinimum = errors.New("too few")
 )
 
 func main() {
@@ -35,7 +35,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
-	if errors.Is(err, errBroken) || errors.Is(err, errTooFew) {
+	if errors.Is(err, errViolation) || errors.Is(err, errBelowMinimum) {
 		os.Exit(1)
 	}
 	os.Exit(settings.ExitCode)
--- a/cmd/lilacload/run.go
+++ b/cmd/lilacload/run.go
@@ -17,15 +17,15 @@
 )
 
 type runOptions struct {
-	planFile  string
-	fleetFile string
-	keyFile   string
-	jsonFile  string
-	entries   []string
-	seed      uint64
-	duration  time.Duration
-	noCuts    bool
-	minWhole  float64
+	planFile          string
+	fleetFile         string
+	keyFile           string
+	jsonFile          string
+	entries           []string
+	seed              uint64
+	duration          time.Duration
+	forbidInterrupted bool
+	minComplete       float64
 	// minAttainment by class, and the error kinds that a class must not get.
 	minAttainment map[string]string
 	forbid        map[string]string
@@ -47,8 +47,8 @@
 	flags.StringSliceVar(&o.entries, "entry", nil, "address of an entry, more than once")
 	flags.Uint64Var(&o.seed, "seed", 0, "seed instead of the plan's")
 	flags.DurationVar(&o.duration, "duration", 0, "duration instead of the plan's")
-	flags.BoolVar(&o.noCuts, "no-cuts", false, "an answer that breaks off is a broken promise")
-	flags.Float64Var(&o.minWhole, "min-whole", 0, "least share of each class's requests that must get a whole answer")
+	flags.BoolVar(&o.forbidInterrupted, "no-cuts", false, "an answer that breaks off is a broken promise")
+	flags.Float64Var(&o.minComplete, "min-whole", 0, "least share of each class's requests that must get a whole answer")
 	flags.StringToStringVar(&o.minAttainment, "min-attainment", nil, "least attainment of a class, such as alerts=0.9")
 	flags.StringToStringVar(&o.forbid, "forbid", nil, "kind of error that a class must not get, such as alerts=overloaded")
 	for _, name := range []string{"plan", "fleet", "key-file", "entry"} {
@@ -78,7 +78,7 @@
 	return backends
 }
 
-func readFleet(file string) (*fleet.Fleet, error) {
+func loadFleet(file string) (*fleet.Fleet, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := readFleet(o.fleetFile)
+	file, err := loadFleet(o.fleetFile)
 	if err != nil {
 		return err
 	}
@@ -119,44 +119,44 @@
 	}
 	caller := loadgen.NewCaller(urls, func(team string) string { return secret.CallerToken(key, team) })
 	requests := loadgen.Arrivals(plan, len(urls))
-	before := loadgen.Ask(command.Context(), backends(file))
+	before := loadgen.FetchStats(command.Context(), backends(file))
 	outcomes := loadgen.Run(command.Context(), plan, requests, caller)
-	after := loadgen.Ask(command.Context(), backends(file))
-	report := loadgen.Judge(plan, targets(file), outcomes, after.Since(before))
+	after := loadgen.FetchStats(command.Context(), backends(file))
+	report := loadgen.Evaluate(plan, targets(file), outcomes, after.Since(before))
 	report.Print(command.OutOrStdout())
 	if err := o.writeJSON(report); err != nil {
 		return err
 	}
-	return o.verdict(report)
+	return o.checkReport(report)
 }
 
-func (o *runOptions) verdict(report *loadgen.Report) error {
-	if report.Broken() > 0 || (o.noCuts && report.Cut > 0) {
-		return errBroken
+func (o *runOptions) checkReport(report *loadgen.Report) error {
+	if report.Violations() > 0 || (o.forbidInterrupted && report.Interrupted > 0) {
+		return errViolation
 	}
 	for _, class := range report.Classes {
-		if err := o.classVerdict(class); err != nil {
+		if err := o.checkClass(class); err != nil {
 			return err
 		}
-		if stayed := class.Requests - class.Canceled; float64(class.Whole) < o.minWhole*float64(stayed) {
-			return fmt.Errorf("class %s: %d whole answers of %d: %w", class.Class, class.Whole, stayed, errTooFew)
+		if notCanceled := class.Requests - class.Canceled; float64(class.Complete) < o.minComplete*float64(notCanceled) {
+			return fmt.Errorf("class %s: %d whole answers of %d: %w", class.Class, class.Complete, notCanceled, errBelowMinimum)
 		}
 	}
 	return nil
 }
 
-func (o *runOptions) classVerdict(class loadgen.ClassReport) error {
+func (o *runOptions) checkClass(class loadgen.ClassReport) error {
 	if text, ok := o.minAttainment[class.Class]; ok {
-		least, err := strconv.ParseFloat(text, 64)
+		minimum, err := strconv.ParseFloat(text, 64)
 		if err != nil {
 			return fmt.Errorf("min-attainment of %s: %w", class.Class, err)
 		}
-		if class.Attainment < least {
-			return fmt.Errorf("class %s: attainment %.3f is below %s: %w", class.Class, class.Attainment, text, errTooFew)
+		if class.Attainment < minimum {
+			return fmt.Errorf("class %s: attainment %.3f is below %s: %w", class.Class, class.Attainment, text, errBelowMinimum)
 		}
 	}
 	if kind := o.forbid[class.Class]; kind != "" && class.Errors[kind] > 0 {
-		return fmt.Errorf("class %s got %d times %s: %w", class.Class, class.Errors[kind], kind, errBroken)
+		return fmt.Errorf("class %s got %d times %s: %w", class.Class, class.Errors[kind], kind, errViolation)
 	}
 	return nil
 }
--- a/faultsoak/fleet_test.go
+++ b/faultsoak/fleet_test.go
@@ -200,17 +200,17 @@
 
 // serveList is the platform's list of backend servers.
 func (f *fleet) serveList(w http.ResponseWriter, _ *http.Request) {
-	var list []standin.Listed
+	var list []standin.ListedServer
 	f.mu.Lock()
 	for i, s := range f.servers {
-		list = append(list, standin.Listed{
+		list = append(list, standin.ListedServer{
 			Identity: s.Identity, Service: []string{"desk", "engines"}[i%2], Address: s.Address(),
 			DataCenter: fmt.Sprintf("dc-%d", i/2%3), Slots: 8, Leaving: !f.leaving[s.Identity].IsZero(),
 		})
 	}
 	f.mu.Unlock()
 	// A reader that is gone asks again.
-	_ = standin.WriteList(w, list)
+	_ = standin.WriteServerList(w, list)
 }
 
 // leave is a time in which the list said that a server leaves.
--- a/faultsoak/judge_test.go
+++ b/faultsoak/judge_test.go
@@ -52,8 +52,8 @@
 	for _, l := range r.fleet.left {
 		if l.server == server {
 			known := l.from.Add(drainBound + slack)
-			r.check(one.Begun.Before(known) || one.Begun.After(l.to), "leaving servers",
-				"%s began at %s %v after it began to leave", one.AttemptID, server, one.Begun.Sub(l.from))
+			r.check(one.Started.Before(known) || one.Started.After(l.to), "leaving servers",
+				"%s began at %s %v after it began to leave", one.AttemptID, server, one.Started.Sub(l.from))
 		}
 	}
 }
@@ -71,7 +71,7 @@
 // hurt tells whether servers broke answers off themselves while the call ran.
 func (r *run) hurt(c *call) bool {
 	for _, s := range r.fleet.servers {
-		if s.Spoiled(c.sent.Add(-callTimeout), c.ended) {
+		if s.FaultActive(c.sent.Add(-callTimeout), c.ended) {
 			return true
 		}
 	}
--- a/faultsoak/plan_test.go
+++ b/faultsoak/plan_test.go
@@ -92,7 +92,7 @@
 }
 
 func entryFault(random *rand.Rand, at, lasts time.Duration, i, server int) step {
-	serverFault := standin.Fault(random.IntN(int(standin.Hangs) + 1))
+	serverFault := standin.Fault(random.IntN(int(standin.Hang) + 1))
 	faults := []struct {
 		what string
 		do   func(r *run, p *process)
@@ -175,14 +175,14 @@
 func (r *run) spoil(server int, fault standin.Fault, lasts time.Duration) {
 	r.later(func() {
 		s := r.fleet.servers[server]
-		s.SetNext(func(n int) standin.Fault {
+		s.SetFaults(func(n int) standin.Fault {
 			if n%2 == 0 {
 				return fault
 			}
 			return standin.None
 		})
 		r.sleep(lasts)
-		s.SetNext(nil)
+		s.SetFaults(nil)
 	})
 }
 
--- a/faultsoak/run_test.go
+++ b/faultsoak/run_test.go
@@ -318,7 +318,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	want := standin.Answer(c.id)
+	want := standin.ResponseBody(c.id)
 	if c.route == "plan" || c.route == "review" {
 		want = ""
 		for number := range 8 {
--- a/loadgen/arrivals.go
+++ b/loadgen/arrivals.go
@@ -15,7 +15,7 @@
 	defaultGrace       = 30 * time.Second
 	defaultResendAfter = 100 * time.Millisecond
 	// cancelAfter is the number of tokens after which an impatient caller leaves.
-	cancelAfter = 5
+	cancelAfterTokens = 5
 )
 
 // Request is one thing that a caller wants; it may be sent more than once.
@@ -48,23 +48,23 @@
 
 // Arrivals returns the requests of the plan in order of time.
 func Arrivals(plan *Plan, entries int) []*Request {
-	var all []*Request
+	var requests []*Request
 	for i := range plan.Flows {
 		flow := &plan.Flows[i]
-		source := &source{
+		source := &arrivalSource{
 			plan:    plan,
 			flow:    flow,
 			index:   i,
 			random:  rand.New(rand.NewPCG(plan.Seed, uint64(i))),
-			entries: flow.entriesOf(entries),
+			entries: flow.usableEntries(entries),
 		}
-		all = append(all, source.all()...)
+		requests = append(requests, source.generate()...)
 	}
-	slices.SortStableFunc(all, func(a, b *Request) int { return cmp.Compare(a.At, b.At) })
-	return all
+	slices.SortStableFunc(requests, func(a, b *Request) int { return cmp.Compare(a.At, b.At) })
+	return requests
 }
 
-func (f *Flow) entriesOf(entries int) []int {
+func (f *Flow) usableEntries(entries int) []int {
 	var usable []int
 	for _, entry := range f.Entries {
 		if entry >= 0 && entry < entries {
@@ -78,23 +78,23 @@
 }
 
 // rateAt returns the rate, a second, and the time of its next change.
-func (f *Flow) rateAt(at, end time.Duration) (rate float64, until time.Duration) {
-	rate, until = f.Rate, end
+func (f *Flow) rateAt(at, end time.Duration) (rate float64, nextChange time.Duration) {
+	rate, nextChange = f.Rate, end
 	for _, burst := range f.Bursts {
-		for _, edge := range []time.Duration{burst.From.Duration, burst.To.Duration} {
-			if edge > at && edge < until {
-				until = edge
+		for _, boundary := range []time.Duration{burst.From.Duration, burst.To.Duration} {
+			if boundary > at && boundary < nextChange {
+				nextChange = boundary
 			}
 		}
 		if at >= burst.From.Duration && at < burst.To.Duration {
 			rate *= burst.Factor
 		}
 	}
-	return rate, until
+	return rate, nextChange
 }
 
 // source draws the arrivals of one flow, a Poisson process.
-type source struct {
+type arrivalSource struct {
 	plan    *Plan
 	flow    *Flow
 	index   int
@@ -102,37 +102,37 @@
 	entries []int
 }
 
-func (s *source) all() []*Request {
-	var all []*Request
+func (s *arrivalSource) generate() []*Request {
+	var requests []*Request
 	end := s.plan.Duration.Duration
 	for at := time.Duration(0); at < end && len(s.entries) > 0; {
-		rate, until := s.flow.rateAt(at, end)
+		rate, nextChange := s.flow.rateAt(at, end)
 		if rate <= 0 {
-			at = until
+			at = nextChange
 			continue
 		}
 		next := at + time.Duration(s.random.ExpFloat64()/rate*float64(time.Second))
 		// A Poisson process has no memory: a draw past a change of rate is
 		// drawn again from there.
-		if next >= until {
-			at = until
+		if next >= nextChange {
+			at = nextChange
 			continue
 		}
 		at = next
-		all = append(all, s.request(at, len(all)))
+		requests = append(requests, s.request(at, len(requests)))
 	}
-	return all
+	return requests
 }
 
-func (s *source) request(at time.Duration, number int) *Request {
+func (s *arrivalSource) request(at time.Duration, number int) *Request {
 	flow := s.flow
 	r := &Request{
 		Ref:    fmt.Sprintf("%d-%d-%d", s.plan.Seed, s.index, number),
 		At:     at,
 		Flow:   flow,
-		Team:   s.team(),
+		Team:   s.pickTeam(),
 		Stream: flow.Kind == KindChat && s.random.Float64() < flow.StreamShare,
-		Sends:  []Send{{At: at, Entry: s.entry()}},
+		Sends:  []Send{{At: at, Entry: s.pickEntry()}},
 	}
 	keyed := s.random.Float64() < flow.KeyedShare
 	resent := s.random.Float64() < flow.ResendShare
@@ -141,18 +141,18 @@
 		r.Key = "key-" + r.Ref
 	}
 	if keyed && resent {
-		r.Sends = append(r.Sends, Send{At: at + flow.ResendAfter.Duration, Entry: s.entry()})
+		r.Sends = append(r.Sends, Send{At: at + flow.ResendAfter.Duration, Entry: s.pickEntry()})
 	}
 	if canceled && r.Stream && !keyed {
-		r.CancelAfter = cancelAfter
+		r.CancelAfter = cancelAfterTokens
 	}
-	r.Text = s.text(r)
+	r.Text = s.requestText(r)
 	return r
 }
 
-func (s *source) entry() int { return s.entries[s.random.IntN(len(s.entries))] }
+func (s *arrivalSource) pickEntry() int { return s.entries[s.random.IntN(len(s.entries))] }
 
-func (s *source) team() string {
+func (s *arrivalSource) pickTeam() string {
 	if s.flow.FixedText != "" {
 		return s.plan.Teams[0].Name
 	}
@@ -170,7 +170,7 @@
 	return s.plan.Teams[len(s.plan.Teams)-1].Name
 }
 
-func (s *source) text(r *Request) string {
+func (s *arrivalSource) requestText(r *Request) string {
 	if s.flow.FixedText != "" {
 		return s.flow.FixedText
 	}
@@ -178,9 +178,9 @@
 	for i := range s.flow.SharedWords {
 		words = append(words, fmt.Sprintf("%s%d", r.Team, i))
 	}
-	words = append(words, standin.RefWord+r.Ref)
+	words = append(words, standin.RefPrefix+r.Ref)
 	if s.flow.MedianTokens > 0 {
-		words = append(words, fmt.Sprintf("%s%d", standin.MedianWord, s.flow.MedianTokens))
+		words = append(words, fmt.Sprintf("%s%d", standin.MedianPrefix, s.flow.MedianTokens))
 	}
 	for range s.flow.OwnWords {
 		words = append(words, fmt.Sprintf("w%d", s.random.IntN(10000)))
--- a/loadgen/backend.go
+++ b/loadgen/backend.go
@@ -21,17 +21,17 @@
 	// Runs by request, over all servers.
 	Runs map[string]int
 	// TokensMade and TokensSaved sum over all engines.
-	TokensMade  int
-	TokensSaved int
+	TokensGenerated int
+	TokensAvoided   int
 	// Silent names the servers that did not answer: their counts are lacking.
-	Silent []string
+	Unreachable []string
 }
 
 type backendStats struct {
-	Runs        map[string]int `json:"runs"`
-	Refs        map[string]int `json:"refs"`
-	TokensMade  int            `json:"tokens_made"`
-	TokensSaved int            `json:"tokens_saved"`
+	Runs            map[string]int `json:"runs"`
+	Refs            map[string]int `json:"refs"`
+	TokensGenerated int            `json:"tokens_made"`
+	TokensAvoided   int            `json:"tokens_saved"`
 }
 
 // runs returns the runs by request; services count keys apart from them.
@@ -49,11 +49,11 @@
 const statsTimeout = 2 * time.Second
 
 // Ask asks all backend servers for their counts.
-func Ask(ctx context.Context, backends []Backend) Snapshot {
+func FetchStats(ctx context.Context, backends []Backend) Snapshot {
 	answers := make([]*backendStats, len(backends))
 	var calls sync.WaitGroup
 	for i, backend := range backends {
-		calls.Go(func() { answers[i] = ask(ctx, backend.Address) })
+		calls.Go(func() { answers[i] = fetchStats(ctx, backend.Address) })
 	}
 	calls.Wait()
 	snapshot := make(Snapshot, len(backends))
@@ -68,35 +68,35 @@
 func (s Snapshot) Since(before Snapshot) Counts {
 	counts := Counts{Runs: make(map[string]int)}
 	for _, name := range slices.Sorted(maps.Keys(s)) {
-		now, then := s[name], before[name]
-		if now == nil {
-			counts.Silent = append(counts.Silent, name)
+		later, earlier := s[name], before[name]
+		if later == nil {
+			counts.Unreachable = append(counts.Unreachable, name)
 			continue
 		}
-		if then == nil || now.total() < then.total() {
-			then = &backendStats{}
+		if earlier == nil || later.total() < earlier.total() {
+			earlier = &backendStats{}
 		}
-		for ref, n := range now.runs() {
-			if n -= then.runs()[ref]; n > 0 {
+		for ref, n := range later.runs() {
+			if n -= earlier.runs()[ref]; n > 0 {
 				counts.Runs[ref] += n
 			}
 		}
-		counts.TokensMade += now.TokensMade - then.TokensMade
-		counts.TokensSaved += now.TokensSaved - then.TokensSaved
+		counts.TokensGenerated += later.TokensGenerated - earlier.TokensGenerated
+		counts.TokensAvoided += later.TokensAvoided - earlier.TokensAvoided
 	}
 	return counts
 }
 
 // total only grows in the life of a server.
 func (s *backendStats) total() int {
-	sum := s.TokensMade
+	sum := s.TokensGenerated
 	for _, n := range s.runs() {
 		sum += n
 	}
 	return sum
 }
 
-func ask(ctx context.Context, address string) *backendStats {
+func fetchStats(ctx context.Context, address string) *backendStats {
 	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/stats", nil)
--- a/loadgen/caller.go
+++ b/loadgen/caller.go
@@ -24,12 +24,12 @@
 	// Client makes the calls.
 	Client *http.Client
 
-	mu   sync.Mutex
-	down map[int]time.Time
+	mu          sync.Mutex
+	unavailable map[int]time.Time
 }
 
 // downFor is how long the balancer leaves out an entry that took no connection.
-const downFor = time.Second
+const unavailableFor = time.Second
 
 // NewCaller returns a Caller that makes a connection for each request.
 func NewCaller(entries []string, token func(string) string) *Caller {
@@ -40,61 +40,61 @@
 		DisableCompression: true,
 		DialContext:        (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 	}
-	return &Caller{Entries: entries, Token: token, Client: &http.Client{Transport: transport}, down: make(map[int]time.Time)}
+	return &Caller{Entries: entries, Token: token, Client: &http.Client{Transport: transport}, unavailable: make(map[int]time.Time)}
 }
 
 // Do sends the request once. Where an entry takes no connection, or refuses
 // because it drains, nothing ran there: the next entry is tried.
 func (c *Caller) Do(ctx context.Context, r *Request, send Send) *Outcome {
 	o := &Outcome{}
-	for try := range len(c.Entries) {
-		entry := (send.Entry + try) % len(c.Entries)
-		if try < len(c.Entries)-1 && c.isDown(entry) {
+	for offset := range len(c.Entries) {
+		entry := (send.Entry + offset) % len(c.Entries)
+		if offset < len(c.Entries)-1 && c.isUnavailable(entry) {
 			continue
 		}
-		o = c.once(ctx, r, c.Entries[entry])
-		o.Moved = try
-		leaving := o.Kind == "draining" && o.NotRun == "true" && o.Tokens == 0
-		if o.Kind != KindConnect && !leaving {
+		o = c.attempt(ctx, r, c.Entries[entry])
+		o.Failovers = offset
+		draining := o.Kind == "draining" && o.NotRun == "true" && o.Tokens == 0
+		if o.Kind != KindConnect && !draining {
 			return o
 		}
-		c.setDown(entry)
+		c.markUnavailable(entry)
 	}
 	return o
 }
 
-func (c *Caller) isDown(entry int) bool {
+func (c *Caller) isUnavailable(entry int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.down[entry])
+	return time.Now().Before(c.unavailable[entry])
 }
 
-func (c *Caller) setDown(entry int) {
+func (c *Caller) markUnavailable(entry int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down[entry] = time.Now().Add(downFor)
+	c.unavailable[entry] = time.Now().Add(unavailableFor)
 }
 
 // callCtx is a call's context, which the caller may leave.
-type callCtx struct {
+type streamContext struct {
 	context.Context
-	leave context.CancelFunc
+	disconnect context.CancelFunc
 }
 
-func (c *Caller) once(ctx context.Context, r *Request, base string) *Outcome {
-	call, leave := context.WithCancel(ctx)
-	defer leave()
+func (c *Caller) attempt(ctx context.Context, r *Request, base string) *Outcome {
+	call, disconnect := context.WithCancel(ctx)
+	defer disconnect()
 	o := &Outcome{Request: r}
 	start := time.Now()
 	defer func() { o.Total = time.Since(start) }()
-	request, err := c.build(call, r, base)
+	request, err := c.newRequest(call, r, base)
 	if err != nil {
 		o.Problem = err.Error()
 		return o
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		o.Kind = kindOf(ctx, err)
+		o.Kind = transportErrorKind(ctx, err)
 		return o
 	}
 	defer response.Body.Close()
@@ -103,14 +103,14 @@
 	o.Instance = response.Header.Get("X-Lilac-Instance")
 	o.Server = response.Header.Get("X-Lilac-Server")
 	if r.Stream && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		readStream(&callCtx{Context: ctx, leave: leave}, o, response.Body, start)
+		readStream(&streamContext{Context: ctx, disconnect: disconnect}, o, response.Body, start)
 		return o
 	}
-	readWhole(ctx, o, response.Body, start)
+	readBody(ctx, o, response.Body, start)
 	return o
 }
 
-func (c *Caller) build(ctx context.Context, r *Request, base string) (*http.Request, error) {
+func (c *Caller) newRequest(ctx context.Context, r *Request, base string) (*http.Request, error) {
 	url, body := base+"/services/"+r.Flow.Target+r.Flow.Path, []byte(r.Text)
 	contentType := "text/plain"
 	if r.Flow.Kind == KindChat {
@@ -144,7 +144,7 @@
 }
 
 // kindOf tells a connection that was never made from one that broke.
-func kindOf(ctx context.Context, err error) string {
+func transportErrorKind(ctx context.Context, err error) string {
 	var op *net.OpError
 	switch {
 	case ctx.Err() != nil:
@@ -152,25 +152,25 @@
 	case errors.As(err, &op) && op.Op == "dial", errors.Is(err, syscall.ECONNREFUSED):
 		return KindConnect
 	}
-	return KindCut
+	return KindInterrupted
 }
 
-func readWhole(ctx context.Context, o *Outcome, body io.Reader, start time.Time) {
+func readBody(ctx context.Context, o *Outcome, body io.Reader, start time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		o.Kind = kindOf(ctx, err)
+		o.Kind = transportErrorKind(ctx, err)
 		return
 	}
 	o.FirstToken = time.Since(start)
 	if o.Status != http.StatusOK {
-		if !o.takeError(data) {
+		if !o.parseError(data) {
 			o.Kind = "status_" + strconv.Itoa(o.Status)
 			o.Problem = "error is not typed: " + string(data)
 		}
 		return
 	}
 	if o.Request.Flow.Kind == KindService {
-		o.Problem = compare(o.Request, string(data))
+		o.Problem = checkAnswer(o.Request, string(data))
 		return
 	}
 	var answer chunk
@@ -180,5 +180,5 @@
 	}
 	text := answer.Choices[0].Message.Content
 	o.Tokens = len(strings.Fields(text))
-	o.Problem = compare(o.Request, text)
+	o.Problem = checkAnswer(o.Request, text)
 }
--- a/loadgen/changes.go
+++ b/loadgen/changes.go
@@ -27,9 +27,9 @@
 	// Unknown are the teams of changes whose answer never came.
 	Unknown []string `json:"unknown"`
 	// LongestGapMS is the longest time from one accepted change to the next.
-	LongestGapMS int64 `json:"longest_gap_ms"`
+	MaxGapMS int64 `json:"longest_gap_ms"`
 	// Disorder names accepted changes whose revision is not above the one before.
-	Disorder []string `json:"disorder"`
+	OutOfOrder []string `json:"disorder"`
 }
 
 // ChangePlan says which changes are given.
@@ -45,28 +45,28 @@
 }
 
 // MakeChanges gives one change after the other.
-func MakeChanges(ctx context.Context, client *operator.Client, plan ChangePlan) *ChangeLog {
+func ApplyChanges(ctx context.Context, client *operator.Client, plan ChangePlan) *ChangeLog {
 	log := &ChangeLog{Refused: make(map[string]int)}
 	last := time.Now()
 	for n := 1; (plan.Count == 0 || n <= plan.Count) && ctx.Err() == nil; n++ {
 		team := fmt.Sprintf("%s-%d", plan.Prefix, n)
-		revision, err := changeOnce(client, plan, team)
-		log.take(team, revision, err)
+		revision, err := submitChange(client, plan, team)
+		log.record(team, revision, err)
 		if err == nil {
-			log.LongestGapMS = max(log.LongestGapMS, time.Since(last).Milliseconds())
+			log.MaxGapMS = max(log.MaxGapMS, time.Since(last).Milliseconds())
 			last = time.Now()
 		}
 		waitUntil(ctx, time.Now().Add(plan.Interval))
 	}
-	log.LongestGapMS = max(log.LongestGapMS, time.Since(last).Milliseconds())
+	log.MaxGapMS = max(log.MaxGapMS, time.Since(last).Milliseconds())
 	return log
 }
 
 // changeOnce sends a change until its fate is known. It does not end with the
 // writer's context, so that a stop leaves no change open.
-func changeOnce(client *operator.Client, plan ChangePlan, team string) (uint64, error) {
+func submitChange(client *operator.Client, plan ChangePlan, team string) (uint64, error) {
 	request := &operator.StatementRequest{Statement: "SET TEAM " + team + " WEIGHT 1", CommandID: uuid.NewString()}
-	until := time.Now().Add(plan.Resend)
+	giveUp := time.Now().Add(plan.Resend)
 	for {
 		reply, err := client.Statement(context.Background(), request)
 		if err == nil && reply.Change != nil {
@@ -75,14 +75,14 @@
 		if err == nil {
 			return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the answer to a change holds no change")
 		}
-		if !mayPass(err) || time.Now().After(until) {
+		if !mayTakeEffect(err) || time.Now().After(giveUp) {
 			return 0, err
 		}
 	}
 }
 
 // mayPass tells whether a change may still be, or become, in force.
-func mayPass(err error) bool {
+func mayTakeEffect(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT,
 		lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER:
@@ -91,14 +91,14 @@
 	return false
 }
 
-func (l *ChangeLog) take(team string, revision uint64, err error) {
+func (l *ChangeLog) record(team string, revision uint64, err error) {
 	switch {
 	case err == nil:
 		if n := len(l.Accepted); n > 0 && revision <= l.Accepted[n-1].Revision {
-			l.Disorder = append(l.Disorder, fmt.Sprintf("%s got revision %d after %d", team, revision, l.Accepted[n-1].Revision))
+			l.OutOfOrder = append(l.OutOfOrder, fmt.Sprintf("%s got revision %d after %d", team, revision, l.Accepted[n-1].Revision))
 		}
 		l.Accepted = append(l.Accepted, Change{Team: team, Revision: revision})
-	case mayPass(err):
+	case mayTakeEffect(err):
 		l.Unknown = append(l.Unknown, team)
 	default:
 		l.Refused[fault.Name(fault.KindOf(err))]++
@@ -106,22 +106,22 @@
 }
 
 // verifyPause is the time between two looks at an endpoint.
-const verifyPause = 100 * time.Millisecond
+const verifyInterval = 100 * time.Millisecond
 
 // Verify asks an endpoint until all accepted changes are in force there, or
 // the time is over, and returns the teams of those that are not.
-func Verify(ctx context.Context, client *operator.Client, log *ChangeLog, within time.Duration) (lost []string, err error) {
+func VerifyChanges(ctx context.Context, client *operator.Client, log *ChangeLog, within time.Duration) (lost []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
-		lost, err = missing(client, log)
-		if (err == nil && len(lost) == 0) || !waitUntil(ctx, time.Now().Add(verifyPause)) {
+		lost, err = missingTeams(client, log)
+		if (err == nil && len(lost) == 0) || !waitUntil(ctx, time.Now().Add(verifyInterval)) {
 			return lost, err
 		}
 	}
 }
 
-func missing(client *operator.Client, log *ChangeLog) ([]string, error) {
+func missingTeams(client *operator.Client, log *ChangeLog) ([]string, error) {
 	reply, err := client.Statement(context.Background(), &operator.StatementRequest{Statement: "SHOW TEAMS"})
 	if err != nil {
 		return nil, err
@@ -133,13 +133,13 @@
 	if team < 0 {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the table of teams has no column team")
 	}
-	there := make(map[string]bool)
+	present := make(map[string]bool)
 	for _, row := range reply.Table.Rows {
-		there[row[team]] = true
+		present[row[team]] = true
 	}
 	lost := []string{}
 	for _, change := range log.Accepted {
-		if !there[change.Team] {
+		if !present[change.Team] {
 			lost = append(lost, change.Team)
 		}
 	}
--- a/loadgen/changes_test.go
+++ b/loadgen/changes_test.go
@@ -31,13 +31,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			given := 0
+			sent := 0
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				request := &operator.StatementRequest{}
 				_ = json.NewDecoder(r.Body).Decode(request)
 				if strings.HasPrefix(request.Statement, "SET") {
-					_ = json.NewEncoder(w).Encode(operator.Reply{Change: &operator.Change{Revision: c.revisions[given]}})
-					given++
+					_ = json.NewEncoder(w).Encode(operator.Reply{Change: &operator.Change{Revision: c.revisions[sent]}})
+					sent++
 					return
 				}
 				shown := &table.Table{Columns: []string{"team", "weight"}}
@@ -48,10 +48,10 @@
 			}))
 			defer server.Close()
 			client := &operator.Client{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, Token: "t"}
-			log := MakeChanges(context.Background(), client, ChangePlan{Prefix: "p", Count: 3})
+			log := ApplyChanges(context.Background(), client, ChangePlan{Prefix: "p", Count: 3})
 			i.Equal(len(log.Accepted), 3)
-			i.Equal(len(log.Disorder), c.disorder)
-			lost, err := Verify(context.Background(), client, log, time.Millisecond)
+			i.Equal(len(log.OutOfOrder), c.disorder)
+			lost, err := VerifyChanges(context.Background(), client, log, time.Millisecond)
 			i.NoErr(err)
 			i.Equal(len(lost), c.lost)
 		})
--- a/loadgen/check.go
+++ b/loadgen/check.go
@@ -10,36 +10,36 @@
 )
 
 // want returns the whole answer of a request, byte for byte.
-func want(r *Request) string {
+func expectedAnswer(r *Request) string {
 	if r.Flow.Kind == KindService {
-		return string(standin.AnswerOf("POST", r.Flow.Path, []byte(r.Text)))
+		return string(standin.ServiceBody("POST", r.Flow.Path, []byte(r.Text)))
 	}
 	return strings.Join(standin.Answer(r.Flow.Target, r.Messages(), r.Flow.MaxTokens), "")
 }
 
 // compare names what is wrong with an answer that claims to be whole.
-func compare(r *Request, got string) string {
-	right := want(r)
+func checkAnswer(r *Request, got string) string {
+	expected := expectedAnswer(r)
 	switch {
-	case got == right:
+	case got == expected:
 		return ""
-	case strings.HasPrefix(right, got):
-		return fmt.Sprintf("answer looks whole and is cut: %d of %d bytes", len(got), len(right))
-	case strings.HasPrefix(got, right):
-		return fmt.Sprintf("answer goes on after its end: %d bytes for %d", len(got), len(right))
+	case strings.HasPrefix(expected, got):
+		return fmt.Sprintf("answer looks whole and is cut: %d of %d bytes", len(got), len(expected))
+	case strings.HasPrefix(got, expected):
+		return fmt.Sprintf("answer goes on after its end: %d bytes for %d", len(got), len(expected))
 	}
-	return fmt.Sprintf("answer is not this request's own: differs at byte %d", differsAt(got, right))
+	return fmt.Sprintf("answer is not this request's own: differs at byte %d", firstDifference(got, expected))
 }
 
 // comparePart checks the part of an answer that ended with an error.
-func comparePart(r *Request, got string) string {
-	if right := want(r); !strings.HasPrefix(right, got) {
-		return fmt.Sprintf("part of an answer is not this request's own: differs at byte %d", differsAt(got, right))
+func checkPartialAnswer(r *Request, got string) string {
+	if expected := expectedAnswer(r); !strings.HasPrefix(expected, got) {
+		return fmt.Sprintf("part of an answer is not this request's own: differs at byte %d", firstDifference(got, expected))
 	}
 	return ""
 }
 
-func differsAt(a, b string) int {
+func firstDifference(a, b string) int {
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
 			return i
@@ -60,7 +60,7 @@
 }
 
 // takeError reads a typed error into the outcome; false where data holds none.
-func (o *Outcome) takeError(data []byte) bool {
+func (o *Outcome) parseError(data []byte) bool {
 	var body typedError
 	if json.Unmarshal(data, &body) != nil || body.Error == nil {
 		return false
--- a/loadgen/claims.go
+++ b/loadgen/claims.go
@@ -34,54 +34,54 @@
 // ClaimCounts tells what became of the claims of a plan.
 type ClaimCounts struct {
 	// Ended claims were granted and their outcome recorded.
-	Ended int64
+	Completed int64
 	// Failed ones got an error or no grant.
 	Failed int64
 	// Skipped ones were not made, since too many were under way.
 	Skipped int64
 	// Took is the time until the last one ended.
-	Took time.Duration
+	Elapsed time.Duration
 }
 
 // claimStep is how often claims are begun, all of the step at once.
-const claimStep = 10 * time.Millisecond
+const issueInterval = 10 * time.Millisecond
 
 // MakeClaims claims requests of fresh keys in turn at the ledgers, at the plan's
 // pace whatever the answers take, and waits for those under way.
-func MakeClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
+func RunClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
 	var ended, failed, skipped atomic.Int64
-	var work sync.WaitGroup
-	free := make(chan struct{}, plan.InFlight)
+	var group sync.WaitGroup
+	inFlight := make(chan struct{}, plan.InFlight)
 	answer := &lilacv1.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, plan.AnswerBytes)}
-	begun := time.Now()
-	one := func(i int) {
-		defer func() { <-free }()
-		if claimAndEnd(ctx, ledgers[i%len(ledgers)], timedKey(time.Now(), fmt.Sprint("claim ", begun, i)), answer) {
+	start := time.Now()
+	runClaim := func(i int) {
+		defer func() { <-inFlight }()
+		if claimAndComplete(ctx, ledgers[i%len(ledgers)], timedKey(time.Now(), fmt.Sprint("claim ", start, i)), answer) {
 			ended.Add(1)
 			return
 		}
 		failed.Add(1)
 	}
-	ticker := time.NewTicker(claimStep)
+	ticker := time.NewTicker(issueInterval)
 	defer ticker.Stop()
-	made := 0
-	for ctx.Err() == nil && time.Since(begun) < plan.Duration {
+	issued := 0
+	for ctx.Err() == nil && time.Since(start) < plan.Duration {
 		<-ticker.C
-		for due := int(time.Since(begun).Seconds() * float64(plan.PerSecond)); made < due; made++ {
-			i := made
+		for target := int(time.Since(start).Seconds() * float64(plan.PerSecond)); issued < target; issued++ {
+			i := issued
 			select {
-			case free <- struct{}{}:
-				work.Go(func() { one(i) })
+			case inFlight <- struct{}{}:
+				group.Go(func() { runClaim(i) })
 			default:
 				skipped.Add(1)
 			}
 		}
 	}
-	work.Wait()
-	return ClaimCounts{Ended: ended.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Took: time.Since(begun)}
+	group.Wait()
+	return ClaimCounts{Completed: ended.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Elapsed: time.Since(start)}
 }
 
-func claimAndEnd(ctx context.Context, ledger Ledger, key string, answer *lilacv1.StoredAnswer) bool {
+func claimAndComplete(ctx context.Context, ledger Ledger, key string, answer *lilacv1.StoredAnswer) bool {
 	const team = "cooperative-1"
 	digest := sha256.Sum256([]byte(key))
 	claim := &lilacv1.ClaimRequest{Team: team, Key: key, Digest: digest[:]}
--- a/loadgen/keys.go
+++ b/loadgen/keys.go
@@ -9,7 +9,7 @@
 
 // stampKeys replaces the requests' keys by UUIDs of version 7 that carry the
 // time at which each request is made.
-func stampKeys(requests []*Request, start time.Time) {
+func assignTimedKeys(requests []*Request, start time.Time) {
 	for _, r := range requests {
 		if r.Key != "" {
 			r.Key = timedKey(start.Add(r.At), r.Ref)
--- a/loadgen/keys_test.go
+++ b/loadgen/keys_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	start := time.UnixMilli(1_764_700_000_000)
 	requests := []*Request{{Ref: "1-0-1", Key: "key-1", At: 1500 * time.Millisecond}, {Ref: "1-0-2", Key: "key-2", At: 1500 * time.Millisecond}, {Ref: "1-0-3"}}
-	stampKeys(requests, start)
+	assignTimedKeys(requests, start)
 	id, err := uuid.Parse(requests[0].Key)
 	is.NoErr(err)
 	is.Equal(id.Version(), uuid.Version(7))
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -27,13 +27,13 @@
   - {class: registration, kind: service, target: desk, path: /registrations, rate: 20, keyed_share: 1, resend_share: 0.5}
 `
 
-func planOf(t *testing.T, text string) *Plan {
+func parsePlan(t *testing.T, text string) *Plan {
 	plan := &Plan{}
 	is.New(t).NoErr(settings.Parse("load.yaml", []byte(text), plan))
 	return plan
 }
 
-func flat(requests []*Request) string {
+func dump(requests []*Request) string {
 	var out strings.Builder
 	for _, r := range requests {
 		fmt.Fprintln(&out, r.Ref, r.At, r.Team, r.Stream, r.Key, r.Sends, r.CancelAfter, r.Text)
@@ -43,18 +43,18 @@
 
 func TestSameSeedSameArrivals(t *testing.T) {
 	i := is.New(t)
-	first := Arrivals(planOf(t, planText), 7)
-	again := Arrivals(planOf(t, planText), 7)
-	i.Equal(flat(first), flat(again))
-	other := planOf(t, planText)
-	other.Seed = 2
-	i.True(flat(first) != flat(Arrivals(other, 7)))
+	first := Arrivals(parsePlan(t, planText), 7)
+	again := Arrivals(parsePlan(t, planText), 7)
+	i.Equal(dump(first), dump(again))
+	otherTokens := parsePlan(t, planText)
+	otherTokens.Seed = 2
+	i.True(dump(first) != dump(Arrivals(otherTokens, 7)))
 }
 
 func TestArrivalsKeepTheRatesOfThePlan(t *testing.T) {
 	i := is.New(t)
 	inBurst, outside, large := 0, 0, 0
-	for _, r := range Arrivals(planOf(t, planText), 7) {
+	for _, r := range Arrivals(parsePlan(t, planText), 7) {
 		if r.Team == "large" {
 			large++
 		}
@@ -73,7 +73,7 @@
 }
 
 func TestPlanIsReadStrictly(t *testing.T) {
-	for _, c := range []struct{ name, text, want string }{
+	for _, c := range []struct{ name, text, expectedAnswer string }{
 		{"unknown field", "duration: 5s\nrat: 4\n", "load.yaml:2: field rat not found"},
 		{"no unit", "duration: 5\n", "load.yaml:1: \"5\" is no duration"},
 		{"no teams", "duration: 5s\n", "load.yaml:1: teams: missing"},
@@ -83,7 +83,7 @@
 			i := is.New(t)
 			err := settings.Parse("load.yaml", []byte(c.text), &Plan{})
 			i.True(err != nil)
-			i.True(strings.Contains(err.Error(), c.want))
+			i.True(strings.Contains(err.Error(), c.expectedAnswer))
 		})
 	}
 }
@@ -103,7 +103,7 @@
 
 const doneEvent = "data: [DONE]\n\n"
 
-func answerWith(t *testing.T, r *Request, status int, contentType, body string) *Outcome {
+func serveAnswer(t *testing.T, r *Request, status int, contentType, body string) *Outcome {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", contentType)
 		w.WriteHeader(status)
@@ -119,35 +119,35 @@
 // cut short, a token doubled or lost, ended without its mark.
 func TestCheckerOfStreams(t *testing.T) {
 	r := chatRequest(true)
-	own := strings.SplitAfter(want(r), " ")
+	ownTokens := strings.SplitAfter(expectedAnswer(r), " ")
 	swapped := chatRequest(true)
 	swapped.Text = "median=12 ref:r2"
-	other := strings.SplitAfter(want(swapped), " ")
+	otherTokens := strings.SplitAfter(expectedAnswer(swapped), " ")
 	const broken = "data: {\"error\":{\"type\":\"broken_stream\",\"not_run\":false}}\n\n"
 	for _, c := range []struct {
 		name, body, kind, problem string
 	}{
-		{"own", events(own, doneEvent), "", ""},
-		{"swapped", events(other, doneEvent), "", "not this request's own"},
-		{"cut", events(own[:3], doneEvent), "", "looks whole and is cut"},
+		{"own", events(ownTokens, doneEvent), "", ""},
+		{"swapped", events(otherTokens, doneEvent), "", "not this request's own"},
+		{"cut", events(ownTokens[:3], doneEvent), "", "looks whole and is cut"},
 		{"empty", doneEvent, "", "looks whole and is cut"},
-		{"token doubled", events(slices.Concat(own[:2], own[1:]), doneEvent), "", "not this request's own"},
-		{"token lost", events(slices.Delete(slices.Clone(own), 1, 2), doneEvent), "", "not this request's own"},
-		{"goes on", events(append(slices.Clone(own), " x"), doneEvent), "", "goes on after its end"},
-		{"no mark", events(own, ""), KindCut, "ends without [DONE]"},
-		{"typed error", events(own[:3], broken), "broken_stream", ""},
-		{"typed error after another's part", events(other[:3], broken), "broken_stream", "not this request's own"},
-		{"error and mark", events(own[:3], broken+doneEvent), "broken_stream", "with an error and with [DONE]"},
+		{"token doubled", events(slices.Concat(ownTokens[:2], ownTokens[1:]), doneEvent), "", "not this request's own"},
+		{"token lost", events(slices.Delete(slices.Clone(ownTokens), 1, 2), doneEvent), "", "not this request's own"},
+		{"goes on", events(append(slices.Clone(ownTokens), " x"), doneEvent), "", "goes on after its end"},
+		{"no mark", events(ownTokens, ""), KindInterrupted, "ends without [DONE]"},
+		{"typed error", events(ownTokens[:3], broken), "broken_stream", ""},
+		{"typed error after another's part", events(otherTokens[:3], broken), "broken_stream", "not this request's own"},
+		{"error and mark", events(ownTokens[:3], broken+doneEvent), "broken_stream", "with an error and with [DONE]"},
 		{"untyped error", "data: {\"error\":{\"message\":\"oh\"}}\n\n", "", "error is not typed"},
 		{"no JSON", "data: oh\n\n", "", "event is no chunk"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			o := answerWith(t, r, http.StatusOK, "text/event-stream", c.body)
+			o := serveAnswer(t, r, http.StatusOK, "text/event-stream", c.body)
 			i.Equal(o.Kind, c.kind)
 			i.True(strings.Contains(o.Problem, c.problem))
 			i.Equal(o.Problem == "", c.problem == "")
-			i.Equal(o.Whole(), c.name == "own")
+			i.Equal(o.Complete(), c.name == "own")
 		})
 	}
 }
@@ -166,16 +166,16 @@
 		kind    string
 		problem string
 	}{
-		{"chat", chat, 200, completion(want(chat)), "", ""},
-		{"chat cut", chat, 200, completion(want(chat)[:9]), "", "looks whole and is cut"},
-		{"service", service, 200, want(service), "", ""},
+		{"chat", chat, 200, completion(expectedAnswer(chat)), "", ""},
+		{"chat cut", chat, 200, completion(expectedAnswer(chat)[:9]), "", "looks whole and is cut"},
+		{"service", service, 200, expectedAnswer(service), "", ""},
 		{"service swapped", service, 200, "{}", "", "not this request's own"},
 		{"refused", chat, 429, `{"error":{"type":"overloaded","not_run":true,"retry_after_ms":40}}`, "overloaded", ""},
 		{"refused without type", chat, 503, `gone`, "status_503", "not typed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			o := answerWith(t, c.request, c.status, "application/json", c.body)
+			o := serveAnswer(t, c.request, c.status, "application/json", c.body)
 			i.Equal(o.Kind, c.kind)
 			i.True(strings.Contains(o.Problem, c.problem))
 			i.Equal(o.Problem == "", c.problem == "")
@@ -183,7 +183,7 @@
 	}
 }
 
-func outcomeOf(key, kind, notRun string) *Outcome {
+func newOutcome(key, kind, notRun string) *Outcome {
 	r := chatRequest(false)
 	r.Key = key
 	return &Outcome{Request: r, Kind: kind, NotRun: notRun, FirstToken: time.Millisecond}
@@ -193,24 +193,24 @@
 // not: the answers look right, only the servers' own counts show it.
 func TestJudgeHoldsAnswersAgainstRuns(t *testing.T) {
 	for _, c := range []struct {
-		name               string
-		outcomes           []*Outcome
-		runs               int
-		double, falsePromo int
+		name                    string
+		outcomes                []*Outcome
+		runs                    int
+		doubleRuns, falseNotRun int
 	}{
-		{"ran once", []*Outcome{outcomeOf("k", "", "")}, 1, 0, 0},
-		{"ran twice", []*Outcome{outcomeOf("k", "", "")}, 2, 1, 0},
-		{"twice without key", []*Outcome{outcomeOf("", "", "")}, 2, 0, 0},
-		{"refused and not run", []*Outcome{outcomeOf("k", "overloaded", "true")}, 0, 0, 0},
-		{"refused and ran", []*Outcome{outcomeOf("k", "overloaded", "true")}, 1, 0, 1},
-		{"unknown and ran", []*Outcome{outcomeOf("k", "outcome_unknown", "unknown")}, 1, 0, 0},
+		{"ran once", []*Outcome{newOutcome("k", "", "")}, 1, 0, 0},
+		{"ran twice", []*Outcome{newOutcome("k", "", "")}, 2, 1, 0},
+		{"twice without key", []*Outcome{newOutcome("", "", "")}, 2, 0, 0},
+		{"refused and not run", []*Outcome{newOutcome("k", "overloaded", "true")}, 0, 0, 0},
+		{"refused and ran", []*Outcome{newOutcome("k", "overloaded", "true")}, 1, 0, 1},
+		{"unknown and ran", []*Outcome{newOutcome("k", "outcome_unknown", "unknown")}, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			report := Judge(planOf(t, planText), Targets{}, c.outcomes, Counts{Runs: map[string]int{"r1": c.runs}})
-			i.Equal(len(report.DoubleRuns), c.double)
-			i.Equal(len(report.FalseNotRun), c.falsePromo)
-			i.Equal(report.Broken() > 0, c.double+c.falsePromo > 0)
+			report := Evaluate(parsePlan(t, planText), Targets{}, c.outcomes, Counts{Runs: map[string]int{"r1": c.runs}})
+			i.Equal(len(report.DoubleRuns), c.doubleRuns)
+			i.Equal(len(report.FalseNotRun), c.falseNotRun)
+			i.Equal(report.Violations() > 0, c.doubleRuns+c.falseNotRun > 0)
 		})
 	}
 }
@@ -220,12 +220,12 @@
 	target := Target{FirstToken: 100 * time.Millisecond, BetweenTokens: 10 * time.Millisecond}
 	gaps := slices.Repeat([]time.Duration{5 * time.Millisecond}, 95)
 	slow := slices.Repeat([]time.Duration{20 * time.Millisecond}, 5)
-	i.True((&Outcome{Streamed: true, FirstToken: 100 * time.Millisecond, Gaps: slices.Concat(gaps, slow)}).Met(target))
-	i.True(!(&Outcome{Streamed: true, FirstToken: 100 * time.Millisecond, Gaps: slices.Concat(gaps[1:], slow, slow[:1])}).Met(target))
-	i.True(!(&Outcome{FirstToken: 101 * time.Millisecond}).Met(target))
-	i.True(!(&Outcome{Kind: "overloaded"}).Met(target))
-	i.True((&Outcome{FirstToken: 190 * time.Millisecond, Tokens: 10}).Met(target)) // not streamed: 100 + 9 x 10
-	i.True(!(&Outcome{FirstToken: 191 * time.Millisecond, Tokens: 10}).Met(target))
+	i.True((&Outcome{Streamed: true, FirstToken: 100 * time.Millisecond, Gaps: slices.Concat(gaps, slow)}).MeetsTargets(target))
+	i.True(!(&Outcome{Streamed: true, FirstToken: 100 * time.Millisecond, Gaps: slices.Concat(gaps[1:], slow, slow[:1])}).MeetsTargets(target))
+	i.True(!(&Outcome{FirstToken: 101 * time.Millisecond}).MeetsTargets(target))
+	i.True(!(&Outcome{Kind: "overloaded"}).MeetsTargets(target))
+	i.True((&Outcome{FirstToken: 190 * time.Millisecond, Tokens: 10}).MeetsTargets(target)) // not streamed: 100 + 9 x 10
+	i.True(!(&Outcome{FirstToken: 191 * time.Millisecond, Tokens: 10}).MeetsTargets(target))
 }
 
 func TestCallerTriesTheNextEntryOnlyWhereNothingRan(t *testing.T) {
@@ -237,15 +237,15 @@
 	defer draining.Close()
 	r := chatRequest(false)
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(map[string]any{"choices": []any{map[string]any{"message": map[string]string{"content": want(r)}}}})
+		_ = json.NewEncoder(w).Encode(map[string]any{"choices": []any{map[string]any{"message": map[string]string{"content": expectedAnswer(r)}}}})
 	}))
 	defer good.Close()
 	dead := httptest.NewServer(nil)
 	dead.Close()
 	caller := NewCaller([]string{dead.URL, draining.URL, good.URL}, func(string) string { return "t" })
 	o := caller.Do(context.Background(), r, Send{})
-	i.True(o.Whole())
-	i.Equal(o.Moved, 2)
+	i.True(o.Complete())
+	i.Equal(o.Failovers, 2)
 }
 
 // In a run with killed servers the sums after it are below those before; the
@@ -253,17 +253,17 @@
 func TestCountsAreTakenServerByServer(t *testing.T) {
 	i := is.New(t)
 	before := Snapshot{
-		"stays":     {TokensMade: 100, Runs: map[string]int{"a": 1}},
-		"restarted": {TokensMade: 500, Runs: map[string]int{"b": 3}},
-		"killed":    {TokensMade: 900},
+		"stays":     {TokensGenerated: 100, Runs: map[string]int{"a": 1}},
+		"restarted": {TokensGenerated: 500, Runs: map[string]int{"b": 3}},
+		"killed":    {TokensGenerated: 900},
 	}
 	after := Snapshot{
-		"stays":     {TokensMade: 130, Runs: map[string]int{"a": 1, "c": 1}},
-		"restarted": {TokensMade: 20, Runs: map[string]int{"b": 1}},
+		"stays":     {TokensGenerated: 130, Runs: map[string]int{"a": 1, "c": 1}},
+		"restarted": {TokensGenerated: 20, Runs: map[string]int{"b": 1}},
 		"killed":    nil,
 	}
 	counts := after.Since(before)
-	i.Equal(counts.TokensMade, 50)
+	i.Equal(counts.TokensGenerated, 50)
 	i.Equal(counts.Runs, map[string]int{"b": 1, "c": 1})
-	i.Equal(counts.Silent, []string{"killed"})
+	i.Equal(counts.Unreachable, []string{"killed"})
 }
--- a/loadgen/outcome.go
+++ b/loadgen/outcome.go
@@ -32,7 +32,7 @@
 	Server    string
 	Instance  string
 	// Moved counts the entries that were tried before, as a balancer does.
-	Moved int
+	Failovers int
 }
 
 // The kinds of outcomes that no typed error names.
@@ -40,13 +40,13 @@
 	// KindConnect means that no entry took the connection.
 	KindConnect = "connect"
 	// KindCut means that the connection broke before the end of the answer.
-	KindCut = "cut"
+	KindInterrupted = "cut"
 	// KindTimeout means that the answer was not there in the plan's grace.
 	KindTimeout = "no_answer"
 )
 
 // Whole tells whether the caller got its own whole answer.
-func (o *Outcome) Whole() bool { return o.Kind == "" && o.Problem == "" && !o.Canceled }
+func (o *Outcome) Complete() bool { return o.Kind == "" && o.Problem == "" && !o.Canceled }
 
 // Target is a class's latency targets; 0 means none.
 type Target struct {
@@ -60,8 +60,8 @@
 
 // Met tells whether a whole answer kept the targets. An answer of many tokens
 // that is not streamed has the time that its tokens would have as a stream.
-func (o *Outcome) Met(target Target) bool {
-	if !o.Whole() {
+func (o *Outcome) MeetsTargets(target Target) bool {
+	if !o.Complete() {
 		return false
 	}
 	if !o.Streamed && o.Tokens > 1 {
@@ -73,11 +73,11 @@
 	if target.BetweenTokens <= 0 || len(o.Gaps) == 0 {
 		return true
 	}
-	kept := 0
+	withinTarget := 0
 	for _, gap := range o.Gaps {
 		if gap <= target.BetweenTokens {
-			kept++
+			withinTarget++
 		}
 	}
-	return float64(kept) >= gapShare*float64(len(o.Gaps))
+	return float64(withinTarget) >= gapShare*float64(len(o.Gaps))
 }
--- a/loadgen/plan.go
+++ b/loadgen/plan.go
@@ -84,23 +84,23 @@
 
 // Validate checks the fields and fills in defaults.
 func (p *Plan) Validate() error {
-	var all []error
-	wrong := func(line int, field, format string, args ...any) {
-		all = append(all, &settings.Problem{Line: max(line, 1), Field: field, Message: fmt.Sprintf(format, args...)})
+	var problems []error
+	addProblem := func(line int, field, format string, args ...any) {
+		problems = append(problems, &settings.Problem{Line: max(line, 1), Field: field, Message: fmt.Sprintf(format, args...)})
 	}
 	if p.Duration.Duration <= 0 {
-		wrong(p.Duration.Line, "duration", "missing; write one such as 10s")
+		addProblem(p.Duration.Line, "duration", "missing; write one such as 10s")
 	}
 	if len(p.Teams) == 0 {
-		wrong(1, "teams", "missing; name at least one team")
+		addProblem(1, "teams", "missing; name at least one team")
 	}
 	for i := range p.Flows {
 		if problem := p.Flows[i].problem(); problem != "" {
-			wrong(1, fmt.Sprintf("flows[%d]", i), "%s", problem)
+			addProblem(1, fmt.Sprintf("flows[%d]", i), "%s", problem)
 		}
 	}
-	p.fill()
-	return errors.Join(all...)
+	p.setDefaults()
+	return errors.Join(problems...)
 }
 
 func (f *Flow) problem() string {
@@ -122,7 +122,7 @@
 	return ""
 }
 
-func (p *Plan) fill() {
+func (p *Plan) setDefaults() {
 	if p.Seed == 0 {
 		p.Seed = 1
 	}
--- a/loadgen/print.go
+++ b/loadgen/print.go
@@ -10,7 +10,7 @@
 )
 
 // shownPromises bounds the broken promises that are printed one by one.
-const shownPromises = 10
+const maxListed = 10
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) {
@@ -18,14 +18,14 @@
 	fmt.Fprintln(table, "class\ttier\tsent\twhole\tmet\tattainment\tgoodput t/s\twasted t\tfirst p50\tp95\tp99 ms\tgap p50\tp95\tp99 ms\tlongest ms\terrors\t")
 	for _, c := range r.Classes {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.0f\t%d\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.1f\t%.0f\t%s\t\n",
-			c.Class, c.Tier, c.Sends, c.Whole, c.Met, c.Attainment, c.Goodput, c.Wasted,
-			c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99, c.Gap.P50, c.Gap.P95, c.Gap.P99, c.LongestMS, errorsOf(c.Errors))
+			c.Class, c.Tier, c.Sends, c.Complete, c.MetTargets, c.Attainment, c.Goodput, c.Wasted,
+			c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99, c.Gap.P50, c.Gap.P95, c.Gap.P99, c.MaxLatencyMS, formatErrors(c.Errors))
 	}
 	_ = table.Flush()
 	fmt.Fprintf(w, "tokens: %d made, %d delivered in whole answers, %d saved by cancelling; moved by the balancer: %d; cut: %d\n",
-		r.TokensMade, r.TokensDelivered, r.TokensSaved, r.Moved, r.Cut)
-	if len(r.Silent) > 0 {
-		fmt.Fprintf(w, "no counts from: %s (what ran there is not in these figures)\n", strings.Join(r.Silent, " "))
+		r.TokensGenerated, r.TokensDelivered, r.TokensAvoided, r.Failovers, r.Interrupted)
+	if len(r.Unreachable) > 0 {
+		fmt.Fprintf(w, "no counts from: %s (what ran there is not in these figures)\n", strings.Join(r.Unreachable, " "))
 	}
 	printList(w, "double run", r.DoubleRuns)
 	printList(w, "said not_run and ran", r.FalseNotRun)
@@ -33,7 +33,7 @@
 	fmt.Fprintf(w, "promises: %d double runs, %d false not_run, %d broken answers\n", len(r.DoubleRuns), len(r.FalseNotRun), len(r.Problems))
 }
 
-func errorsOf(kinds map[string]int) string {
+func formatErrors(kinds map[string]int) string {
 	if len(kinds) == 0 {
 		return "-"
 	}
@@ -44,12 +44,12 @@
 	return strings.Join(parts, ",")
 }
 
-func printList(w io.Writer, title string, all []string) {
-	for i, one := range all {
-		if i == shownPromises {
-			fmt.Fprintf(w, "%s: and %d more\n", title, len(all)-i)
+func printList(w io.Writer, title string, lines []string) {
+	for i, line := range lines {
+		if i == maxListed {
+			fmt.Fprintf(w, "%s: and %d more\n", title, len(lines)-i)
 			return
 		}
-		fmt.Fprintf(w, "%s: %s\n", title, one)
+		fmt.Fprintf(w, "%s: %s\n", title, line)
 	}
 }
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -25,9 +25,9 @@
 	Requests int `json:"requests"`
 	Sends    int `json:"sends"`
 	// Whole is the number of requests with their own whole answer.
-	Whole int `json:"whole"`
+	Complete int `json:"whole"`
 	// Met is the number of those within the class's targets.
-	Met int `json:"met"`
+	MetTargets int `json:"met"`
 	// Attainment is Met over the requests whose callers stayed, 0 to 1.
 	Attainment float64 `json:"attainment"`
 	// Goodput is tokens a second of the answers within their targets.
@@ -42,7 +42,7 @@
 	FirstToken Percentiles `json:"first_token"`
 	Gap        Percentiles `json:"between_tokens"`
 	// LongestMS is the longest time to any whole answer, in milliseconds.
-	LongestMS float64 `json:"longest_answer_ms"`
+	MaxLatencyMS float64 `json:"longest_answer_ms"`
 }
 
 // Report is what the callers got, by class, and the promises that were broken.
@@ -50,12 +50,12 @@
 	Seed    uint64        `json:"seed"`
 	Classes []ClassReport `json:"classes"`
 	// TokensMade by the engines, TokensDelivered in whole answers.
-	TokensMade      int `json:"tokens_made"`
+	TokensGenerated int `json:"tokens_made"`
 	TokensDelivered int `json:"tokens_delivered"`
-	TokensSaved     int `json:"tokens_saved_by_cancel"`
+	TokensAvoided   int `json:"tokens_saved_by_cancel"`
 	// Moved is the number of sends that the balancer took to another entry.
-	Moved int `json:"moved"`
-	Cut   int `json:"cut"`
+	Failovers   int `json:"moved"`
+	Interrupted int `json:"cut"`
 	// DoubleRuns are keyed requests that ran more than once.
 	DoubleRuns []string `json:"double_runs"`
 	// FalseNotRun are requests that ran although every answer said not_run.
@@ -63,68 +63,68 @@
 	// Problems are answers that were not whole or not the request's own.
 	Problems []string `json:"problems"`
 	// Silent are the backend servers whose counts are lacking.
-	Silent []string `json:"silent"`
+	Unreachable []string `json:"silent"`
 }
 
 // Broken is the number of broken promises.
-func (r *Report) Broken() int { return len(r.DoubleRuns) + len(r.FalseNotRun) + len(r.Problems) }
+func (r *Report) Violations() int { return len(r.DoubleRuns) + len(r.FalseNotRun) + len(r.Problems) }
 
 // Targets are the targets of each class.
 type Targets map[string]Target
 
 // Judge makes the report.
-func Judge(plan *Plan, targets Targets, outcomes []*Outcome, counts Counts) *Report {
-	report := &Report{Seed: plan.Seed, TokensMade: counts.TokensMade, TokensSaved: counts.TokensSaved, Silent: counts.Silent}
-	sends := bySends(outcomes)
+func Evaluate(plan *Plan, targets Targets, outcomes []*Outcome, counts Counts) *Report {
+	report := &Report{Seed: plan.Seed, TokensGenerated: counts.TokensGenerated, TokensAvoided: counts.TokensAvoided, Unreachable: counts.Unreachable}
+	groups := groupByRequest(outcomes)
 	byClass := make(map[string][][]*Outcome)
-	for _, all := range sends {
-		class := all[0].Request.Flow.Class
-		byClass[class] = append(byClass[class], all)
-		report.judgeRuns(all, counts.Runs[all[0].Request.Ref])
+	for _, sends := range groups {
+		class := sends[0].Request.Flow.Class
+		byClass[class] = append(byClass[class], sends)
+		report.checkRuns(sends, counts.Runs[sends[0].Request.Ref])
 	}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
-		report.Classes = append(report.Classes, judgeClass(plan, class, targets[class], byClass[class]))
+		report.Classes = append(report.Classes, classReport(plan, class, targets[class], byClass[class]))
 	}
 	slices.SortStableFunc(report.Classes, func(a, b ClassReport) int { return cmp.Compare(a.Tier, b.Tier) })
-	report.sum(outcomes)
+	report.addTotals(outcomes)
 	return report
 }
 
 // bySends groups the outcomes of each request, in the order of the requests.
-func bySends(outcomes []*Outcome) [][]*Outcome {
+func groupByRequest(outcomes []*Outcome) [][]*Outcome {
 	grouped := make(map[*Request][]*Outcome)
 	for _, o := range outcomes {
 		grouped[o.Request] = append(grouped[o.Request], o)
 	}
-	sends := slices.Collect(maps.Values(grouped))
-	slices.SortFunc(sends, func(a, b []*Outcome) int {
+	groups := slices.Collect(maps.Values(grouped))
+	slices.SortFunc(groups, func(a, b []*Outcome) int {
 		return cmp.Or(cmp.Compare(a[0].Request.At, b[0].Request.At), cmp.Compare(a[0].Request.Ref, b[0].Request.Ref))
 	})
-	return sends
+	return groups
 }
 
 // judgeRuns holds what the callers were told against what the servers ran.
-func (r *Report) judgeRuns(all []*Outcome, runs int) {
-	request := all[0].Request
+func (r *Report) checkRuns(sends []*Outcome, runs int) {
+	request := sends[0].Request
 	if request.Key != "" && runs > 1 {
 		r.DoubleRuns = append(r.DoubleRuns, fmt.Sprintf("%s ran %d times", request.Ref, runs))
 	}
-	mayHaveRun := slices.ContainsFunc(all, func(o *Outcome) bool { return o.NotRun != "true" })
+	mayHaveRun := slices.ContainsFunc(sends, func(o *Outcome) bool { return o.NotRun != "true" })
 	if !mayHaveRun && runs > 0 {
-		r.FalseNotRun = append(r.FalseNotRun, fmt.Sprintf("%s ran %d times, told %s", request.Ref, runs, all[0].Kind))
+		r.FalseNotRun = append(r.FalseNotRun, fmt.Sprintf("%s ran %d times, told %s", request.Ref, runs, sends[0].Kind))
 	}
 }
 
-func (r *Report) sum(outcomes []*Outcome) {
+func (r *Report) addTotals(outcomes []*Outcome) {
 	for _, o := range outcomes {
-		if o.Whole() {
+		if o.Complete() {
 			r.TokensDelivered += o.Tokens
 		}
-		if o.Moved > 0 {
-			r.Moved++
+		if o.Failovers > 0 {
+			r.Failovers++
 		}
-		if o.Kind == KindCut {
-			r.Cut++
+		if o.Kind == KindInterrupted {
+			r.Interrupted++
 		}
 		if o.Problem != "" {
 			r.Problems = append(r.Problems, fmt.Sprintf("%s (%s at %s): %s", o.Request.Ref, o.RequestID, o.Instance, o.Problem))
@@ -133,49 +133,49 @@
 	slices.Sort(r.Problems)
 }
 
-func judgeClass(plan *Plan, class string, target Target, requests [][]*Outcome) ClassReport {
+func classReport(plan *Plan, class string, target Target, requests [][]*Outcome) ClassReport {
 	report := ClassReport{Class: class, Tier: target.Tier, Requests: len(requests), Errors: make(map[string]int)}
 	first, gaps := newHistogram(), newHistogram()
-	good, longest := 0, time.Duration(0)
-	for _, all := range requests {
-		report.Sends += len(all)
-		best := report.take(all)
+	goodTokens, maxLatency := 0, time.Duration(0)
+	for _, sends := range requests {
+		report.Sends += len(sends)
+		best := report.addRequest(sends)
 		if best == nil {
 			continue
 		}
-		report.Whole++
-		longest = max(longest, best.Total)
+		report.Complete++
+		maxLatency = max(maxLatency, best.Total)
 		if best.Streamed || best.Request.Flow.Kind == KindService {
 			record(first, best.FirstToken)
 		}
 		for _, gap := range best.Gaps {
 			record(gaps, gap)
 		}
-		if best.Met(target) {
-			report.Met++
-			good += best.Tokens
+		if best.MeetsTargets(target) {
+			report.MetTargets++
+			goodTokens += best.Tokens
 		}
 	}
-	if stayed := report.Requests - report.Canceled; stayed > 0 {
-		report.Attainment = float64(report.Met) / float64(stayed)
+	if notCanceled := report.Requests - report.Canceled; notCanceled > 0 {
+		report.Attainment = float64(report.MetTargets) / float64(notCanceled)
 	}
-	report.Goodput = float64(good) / plan.Duration.Seconds()
+	report.Goodput = float64(goodTokens) / plan.Duration.Seconds()
 	report.FirstToken, report.Gap = percentiles(first), percentiles(gaps)
-	report.LongestMS = float64(longest.Microseconds()) / 1000
+	report.MaxLatencyMS = float64(maxLatency.Microseconds()) / 1000
 	return report
 }
 
 // take counts one request's sends and returns its first whole answer, if any.
-func (c *ClassReport) take(all []*Outcome) *Outcome {
+func (c *ClassReport) addRequest(sends []*Outcome) *Outcome {
 	var best *Outcome
-	for _, o := range all {
+	for _, o := range sends {
 		if o.Kind != "" {
 			c.Errors[o.Kind]++
 		}
 		if o.Canceled {
 			c.Canceled++
 		}
-		if !o.Whole() {
+		if !o.Complete() {
 			c.Wasted += o.Tokens
 			continue
 		}
@@ -187,14 +187,16 @@
 }
 
 const (
-	longestUS = int64(10 * time.Minute / time.Microsecond)
-	digits    = 3
+	maxLatencyUS      = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestUS, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyUS, significantDigits)
+}
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), longestUS))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxLatencyUS))
 }
 
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
--- a/loadgen/run.go
+++ b/loadgen/run.go
@@ -15,7 +15,7 @@
 	defer cancel()
 	start := time.Now()
 	if plan.TimedKeys {
-		stampKeys(requests, start)
+		assignTimedKeys(requests, start)
 	}
 	var outcomes []*Outcome
 	var mu sync.Mutex
--- a/loadgen/stream.go
+++ b/loadgen/stream.go
@@ -19,10 +19,10 @@
 	} `json:"choices"`
 }
 
-const doneMark = "[DONE]"
+const doneMarker = "[DONE]"
 
 // readStream reads server-sent events up to [DONE], a typed error, or a break.
-func readStream(call *callCtx, o *Outcome, body io.Reader, start time.Time) {
+func readStream(call *streamContext, o *Outcome, body io.Reader, start time.Time) {
 	o.Streamed = true
 	var text strings.Builder
 	last := start
@@ -30,7 +30,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			endOfStream(call, o, text.String(), err)
+			finishInterrupted(call, o, text.String(), err)
 			return
 		}
 		data, ok := strings.CutPrefix(strings.TrimRight(line, "\r\n"), "data:")
@@ -38,15 +38,15 @@
 			continue
 		}
 		data = strings.TrimSpace(data)
-		if data == doneMark {
-			o.Problem = compare(o.Request, text.String())
+		if data == doneMarker {
+			o.Problem = checkAnswer(o.Request, text.String())
 			return
 		}
-		if o.takeError([]byte(data)) {
-			finishBroken(o, reader, text.String())
+		if o.parseError([]byte(data)) {
+			finishWithError(o, reader, text.String())
 			return
 		}
-		content, ok := contentOf(data)
+		content, ok := chunkContent(data)
 		if !ok {
 			o.Problem = "event is no chunk: " + data
 			return
@@ -55,18 +55,18 @@
 			continue
 		}
 		now := time.Now()
-		o.token(now, start, last)
+		o.recordToken(now, start, last)
 		last = now
 		text.WriteString(content)
 		if o.Request.CancelAfter > 0 && o.Tokens >= o.Request.CancelAfter {
 			o.Canceled = true
-			call.leave()
+			call.disconnect()
 			return
 		}
 	}
 }
 
-func (o *Outcome) token(now, start, last time.Time) {
+func (o *Outcome) recordToken(now, start, last time.Time) {
 	o.Tokens++
 	if o.Tokens == 1 {
 		o.FirstToken = now.Sub(start)
@@ -75,7 +75,7 @@
 	o.Gaps = append(o.Gaps, now.Sub(last))
 }
 
-func contentOf(data string) (string, bool) {
+func chunkContent(data string) (string, bool) {
 	var event chunk
 	if json.Unmarshal([]byte(data), &event) != nil {
 		return "", false
@@ -87,25 +87,25 @@
 }
 
 // finishBroken checks that a stream that ended with an error does not look whole.
-func finishBroken(o *Outcome, rest io.Reader, text string) {
+func finishWithError(o *Outcome, rest io.Reader, text string) {
 	if o.Problem == "" {
-		o.Problem = comparePart(o.Request, text)
+		o.Problem = checkPartialAnswer(o.Request, text)
 	}
 	tail, _ := io.ReadAll(rest)
-	if strings.Contains(string(tail), doneMark) {
-		o.Problem = "stream ends with an error and with " + doneMark
+	if strings.Contains(string(tail), doneMarker) {
+		o.Problem = "stream ends with an error and with " + doneMarker
 	}
 }
 
 // endOfStream judges a stream that stopped without [DONE] and without an error.
-func endOfStream(call *callCtx, o *Outcome, text string, err error) {
-	o.Problem = comparePart(o.Request, text)
+func finishInterrupted(call *streamContext, o *Outcome, text string, err error) {
+	o.Problem = checkPartialAnswer(o.Request, text)
 	if err == io.EOF {
-		o.Kind = KindCut
+		o.Kind = KindInterrupted
 		if o.Problem == "" {
-			o.Problem = "stream ends without " + doneMark + " and without an error"
+			o.Problem = "stream ends without " + doneMarker + " and without an error"
 		}
 		return
 	}
-	o.Kind = kindOf(call, err)
+	o.Kind = transportErrorKind(call, err)
 }
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -14,17 +14,17 @@
 const (
 	// MedianWord before a number, as one word of the prompt, sets the median
 	// length of the answer in tokens. The router knows nothing of it.
-	MedianWord = "median="
+	MedianPrefix = "median="
 	// RefWord before a name, as one word of a prompt or body, lets GET /stats
 	// count how often that request ran.
-	RefWord = "ref:"
+	RefPrefix = "ref:"
 
-	defaultMedian = 40
+	defaultMedianTokens = 40
 	// sigma is the spread of the logarithm of lengths: one in twenty answers is
 	// longer than 3.7 times the median.
-	sigma = 0.8
+	lengthSigma = 0.8
 	// longest bounds an answer, in medians.
-	longest = 8
+	maxMedians = 8
 )
 
 // Message is one turn of a conversation.
@@ -58,7 +58,7 @@
 // Answer returns the tokens that a model answers to the messages; joined they
 // are the text. maxTokens bounds their number; 0 means no bound.
 func Answer(model string, messages []Message, maxTokens int) []string {
-	tokens := wholeAnswer(model, messages)
+	tokens := fullAnswer(model, messages)
 	if maxTokens > 0 && len(tokens) > maxTokens {
 		return tokens[:maxTokens]
 	}
@@ -69,7 +69,7 @@
 // As with real engines, maxTokens bounds only the tokens still to come.
 func Continue(model string, messages []Message, maxTokens int) []string {
 	last := len(messages) - 1
-	tokens := wholeAnswer(model, messages[:last])
+	tokens := fullAnswer(model, messages[:last])
 	done := min(len(strings.Fields(string(messages[last].Content))), len(tokens))
 	tokens = tokens[done:]
 	if maxTokens > 0 && len(tokens) > maxTokens {
@@ -78,19 +78,19 @@
 	return tokens
 }
 
-func wholeAnswer(model string, messages []Message) []string {
+func fullAnswer(model string, messages []Message) []string {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(model)
-	median := defaultMedian
+	median := defaultMedianTokens
 	for _, message := range messages {
 		_, _ = hash.WriteString("\x00" + message.Role + "\x00" + string(message.Content))
-		if stated, ok := wordAfter(string(message.Content), MedianWord); ok {
-			median = atoiOr(stated, median)
+		if medianText, ok := wordAfter(string(message.Content), MedianPrefix); ok {
+			median = positiveOr(medianText, median)
 		}
 	}
 	random := rand.New(rand.NewPCG(hash.Sum64(), 0))
-	length := float64(median) * math.Exp(sigma*random.NormFloat64())
-	length = math.Min(math.Max(length, 1), float64(longest*median))
+	length := float64(median) * math.Exp(lengthSigma*random.NormFloat64())
+	length = math.Min(math.Max(length, 1), float64(maxMedians*median))
 	tokens := make([]string, int(length))
 	for i := range tokens {
 		tokens[i] = fmt.Sprintf(" %s%02x", syllables[random.IntN(len(syllables))], random.IntN(256))
@@ -110,10 +110,10 @@
 	return "", false
 }
 
-func atoiOr(text string, byDefault int) int {
+func positiveOr(text string, fallback int) int {
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 1 {
-		return byDefault
+		return fallback
 	}
 	return number
 }
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -12,7 +12,7 @@
 const blockWords = prefix.BlockWords
 
 // blocks returns the hash of each whole block of the prompt.
-func blocks(words []string) []uint64 { return prefix.Blocks(words...) }
+func blockHashes(words []string) []uint64 { return prefix.Blocks(words...) }
 
 func promptWords(messages []Message) []string {
 	var words []string
@@ -34,69 +34,69 @@
 // cache is a prefix cache that drops the blocks used longest ago.
 type cache struct {
 	capacity int
-	order    *list.List
-	elements map[uint64]*list.Element
+	lru      *list.List
+	byHash   map[uint64]*list.Element
 	sequence uint64
 	events   []CacheEvent
 	// gap makes every gap-th event vanish; 0 means none.
-	gap uint64
+	lossInterval uint64
 }
 
 // keptEvents bounds the events held for late readers.
-const keptEvents = 4096
+const maxEvents = 4096
 
-func newCache(capacity int, gap uint64) *cache {
-	return &cache{capacity: capacity, gap: gap, order: list.New(), elements: make(map[uint64]*list.Element)}
+func newCache(capacity int, lossInterval uint64) *cache {
+	return &cache{capacity: capacity, lossInterval: lossInterval, lru: list.New(), byHash: make(map[uint64]*list.Element)}
 }
 
 // use counts the leading words that are cached, then stores the whole prompt.
-func (c *cache) use(hashes []uint64, now time.Time) (cachedWords int) {
+func (c *cache) insert(hashes []uint64, now time.Time) (cachedWords int) {
 	for _, hash := range hashes {
-		if _, ok := c.elements[hash]; !ok {
+		if _, ok := c.byHash[hash]; !ok {
 			break
 		}
 		cachedWords += blockWords
 	}
 	event := CacheEvent{at: now}
 	for _, hash := range hashes {
-		if element, ok := c.elements[hash]; ok {
-			c.order.MoveToFront(element)
+		if element, ok := c.byHash[hash]; ok {
+			c.lru.MoveToFront(element)
 			continue
 		}
-		c.elements[hash] = c.order.PushFront(hash)
+		c.byHash[hash] = c.lru.PushFront(hash)
 		event.Stored = append(event.Stored, fmt.Sprintf("%016x", hash))
 	}
-	for len(c.elements) > c.capacity {
-		oldest := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.elements, oldest)
+	for len(c.byHash) > c.capacity {
+		oldest := c.lru.Remove(c.lru.Back()).(uint64)
+		delete(c.byHash, oldest)
 		event.Dropped = append(event.Dropped, fmt.Sprintf("%016x", oldest))
 	}
-	c.publish(event)
+	c.appendEvent(event)
 	return cachedWords
 }
 
-func (c *cache) publish(event CacheEvent) {
+func (c *cache) appendEvent(event CacheEvent) {
 	if len(event.Stored)+len(event.Dropped) == 0 {
 		return
 	}
 	c.sequence++
 	event.Sequence = c.sequence
-	if c.gap > 0 && c.sequence%c.gap == 0 {
+	if c.lossInterval > 0 && c.sequence%c.lossInterval == 0 {
 		return
 	}
 	c.events = append(c.events, event)
-	if len(c.events) > keptEvents {
-		c.events = c.events[len(c.events)-keptEvents:]
+	if len(c.events) > maxEvents {
+		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
 
 // since returns the events after a sequence number that are old enough to be told.
 func (c *cache) since(after uint64, newest time.Time) []CacheEvent {
-	told := []CacheEvent{}
+	visible := []CacheEvent{}
 	for _, event := range c.events {
 		if event.Sequence > after && !event.at.After(newest) {
-			told = append(told, event)
+			visible = append(visible, event)
 		}
 	}
-	return told
+	return visible
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -19,7 +19,7 @@
 	// PerToken is the gap between tokens of a batch of one.
 	PerToken time.Duration
 	// BatchCost is the share by which each further sequence lengthens the gap.
-	BatchCost float64
+	BatchSlowdown float64
 	// PrefillPerWord is the time added to the first token by each word not cached.
 	PrefillPerWord time.Duration
 	// CacheBlocks is the size of the prefix cache.
@@ -29,7 +29,7 @@
 	// ReportLag is how late the load report and the cache events are.
 	ReportLag time.Duration
 	// EventGap makes every so many-th cache event vanish; 0 means none.
-	EventGap uint64
+	EventLossInterval uint64
 	// IgnoreFencing makes the engine take orders with old fencing numbers.
 	IgnoreFencing bool
 	// ResumeWindow is how long a sequence without a reader is kept.
@@ -41,7 +41,7 @@
 // Fault is what POST /fault sets; absent fields mean no fault.
 type Fault struct {
 	// Straggle multiplies all times; 0 means 1.
-	Straggle float64 `json:"straggle,omitempty"`
+	Slowdown float64 `json:"straggle,omitempty"`
 	// Crash ends the process now.
 	Crash bool `json:"crash,omitempty"`
 	// CrashWord crashes the process when a prompt with this word begins to run.
@@ -59,15 +59,15 @@
 	// Continued counts continuations and imports.
 	Continued int `json:"continued"`
 	// TokensMade counts all tokens made.
-	TokensMade int `json:"tokens_made"`
+	TokensGenerated int `json:"tokens_made"`
 	// TokensCanceled counts those made for sequences that were then canceled.
 	TokensCanceled int `json:"tokens_canceled"`
 	// TokensSaved counts those not made since the sequence was canceled.
-	TokensSaved int `json:"tokens_saved"`
+	TokensAvoided int `json:"tokens_saved"`
 	// WordsCached counts prompt words found in the prefix cache.
-	WordsCached int `json:"words_cached"`
+	PromptWordsCached int `json:"words_cached"`
 	// WordsRead counts all prompt words.
-	WordsRead int `json:"words_read"`
+	PromptWordsTotal int `json:"words_read"`
 }
 
 // Load is an engine's report on itself.
@@ -90,7 +90,7 @@
 	running  []*sequence
 	byID     map[string]*sequence
 	cache    *cache
-	orders   orderBook
+	orders   loadState
 	stats    Stats
 	reports  []Load
 	reported time.Time
@@ -102,8 +102,8 @@
 		config: config,
 		wake:   make(chan struct{}, 1),
 		byID:   make(map[string]*sequence),
-		cache:  newCache(config.CacheBlocks, config.EventGap),
-		orders: newOrderBook(config.Models, config.IgnoreFencing),
+		cache:  newCache(config.CacheBlocks, config.EventLossInterval),
+		orders: newLoadState(config.Models, config.IgnoreFencing),
 		stats:  Stats{Runs: make(map[string]int)},
 	}
 }
@@ -116,10 +116,10 @@
 	measure := time.NewTicker(reportInterval)
 	defer measure.Stop()
 	for ctx.Err() == nil {
-		gap, busy := e.begin(time.Now())
+		stepTime, busy := e.startStep(time.Now())
 		if busy {
-			sleep(ctx, gap)
-			e.finish(time.Now())
+			sleep(ctx, stepTime)
+			e.finishStep(time.Now())
 			continue
 		}
 		select {
@@ -140,27 +140,27 @@
 }
 
 // begin admits what waits and returns how long the next step of the batch lasts.
-func (e *Engine) begin(now time.Time) (gap time.Duration, busy bool) {
+func (e *Engine) startStep(now time.Time) (stepTime time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropUnread(now)
-	e.admit(now)
+	e.cancelAbandoned(now)
+	e.admitWaiting(now)
 	e.measure(now)
 	if len(e.running) == 0 {
 		return 0, false
 	}
-	cost := 1 + e.config.BatchCost*float64(len(e.running)-1)
-	return e.slowed(time.Duration(float64(e.config.PerToken) * cost)), true
+	cost := 1 + e.config.BatchSlowdown*float64(len(e.running)-1)
+	return e.scaled(time.Duration(float64(e.config.PerToken) * cost)), true
 }
 
-func (e *Engine) slowed(d time.Duration) time.Duration {
-	if e.fault.Straggle > 0 {
-		return time.Duration(float64(d) * e.fault.Straggle)
+func (e *Engine) scaled(d time.Duration) time.Duration {
+	if e.fault.Slowdown > 0 {
+		return time.Duration(float64(d) * e.fault.Slowdown)
 	}
 	return d
 }
 
-func (e *Engine) admit(now time.Time) {
+func (e *Engine) admitWaiting(now time.Time) {
 	for len(e.running) < e.config.Slots && len(e.waiting) > 0 {
 		s := e.takeMostUrgent()
 		e.running = append(e.running, s)
@@ -168,11 +168,11 @@
 			s.ready = now
 			continue
 		}
-		cached := e.cache.use(blocks(s.words), now)
-		e.stats.WordsCached += cached
-		e.stats.WordsRead += len(s.words)
-		toRead := time.Duration(len(s.words) - cached)
-		s.ready = now.Add(e.slowed(e.config.FirstToken + toRead*e.config.PrefillPerWord))
+		cached := e.cache.insert(blockHashes(s.words), now)
+		e.stats.PromptWordsCached += cached
+		e.stats.PromptWordsTotal += len(s.words)
+		uncached := time.Duration(len(s.words) - cached)
+		s.ready = now.Add(e.scaled(e.config.FirstToken + uncached*e.config.PrefillPerWord))
 		e.countRun(s)
 	}
 }
@@ -201,33 +201,33 @@
 }
 
 // finish ends a step: every sequence that has read its prompt makes one token.
-func (e *Engine) finish(now time.Time) {
+func (e *Engine) finishStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	still := e.running[:0]
+	unfinished := e.running[:0]
 	for _, s := range e.running {
 		if s.ready.After(now) {
-			still = append(still, s)
+			unfinished = append(unfinished, s)
 			continue
 		}
-		if e.fault.CrashWord != "" && s.has(e.fault.CrashWord) {
+		if e.fault.CrashWord != "" && s.hasWord(e.fault.CrashWord) {
 			e.config.Crash()
 			return
 		}
-		if s.made < len(s.tokens) {
-			s.made++
-			e.stats.TokensMade++
+		if s.generated < len(s.tokens) {
+			s.generated++
+			e.stats.TokensGenerated++
 		}
-		s.announce()
-		if s.made < len(s.tokens) {
-			still = append(still, s)
+		s.notify()
+		if s.generated < len(s.tokens) {
+			unfinished = append(unfinished, s)
 			continue
 		}
 		s.done = true
-		e.forgetLater(s)
+		e.forgetAfterWindow(s)
 	}
-	clear(e.running[len(still):])
-	e.running = still
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 }
 
 // measure keeps reports long enough that a late one can be given.
@@ -238,7 +238,7 @@
 	e.reported = now
 	words := 0
 	for _, s := range e.running {
-		words += len(s.words) + s.made
+		words += len(s.words) + s.generated
 	}
 	e.reports = append(e.reports, Load{
 		Running:        len(e.running),
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -18,21 +18,21 @@
 
 // Routes adds the engine's protocol to an HTTP server.
 func (e *Engine) Routes(server *khttp.Server) {
-	server.HandleFunc("/v1/chat/completions", echoing(e.serveChat))
-	server.HandleFunc("/v1/models", echoing(e.serveModels))
-	server.HandleFunc("/v1/resume", echoing(e.serveResume))
-	server.HandleFunc("/v1/cancel", echoing(e.serveCancel))
-	server.HandleFunc("/v1/kv/export", echoing(e.serveExport))
-	server.HandleFunc("/v1/kv/import", echoing(e.serveImport))
-	server.HandleFunc("/load", echoing(e.serveLoad))
-	server.HandleFunc("/cache/events", echoing(e.serveEvents))
-	server.HandleFunc("/orders", echoing(e.serveOrders))
-	server.HandleFunc("/fault", echoing(e.serveFault))
-	server.HandleFunc("/stats", echoing(e.serveStats))
+	server.HandleFunc("/v1/chat/completions", withRequestID(e.serveChat))
+	server.HandleFunc("/v1/models", withRequestID(e.serveModels))
+	server.HandleFunc("/v1/resume", withRequestID(e.serveResume))
+	server.HandleFunc("/v1/cancel", withRequestID(e.serveCancel))
+	server.HandleFunc("/v1/kv/export", withRequestID(e.serveExport))
+	server.HandleFunc("/v1/kv/import", withRequestID(e.serveImport))
+	server.HandleFunc("/load", withRequestID(e.serveLoad))
+	server.HandleFunc("/cache/events", withRequestID(e.serveEvents))
+	server.HandleFunc("/orders", withRequestID(e.serveOrders))
+	server.HandleFunc("/fault", withRequestID(e.serveFault))
+	server.HandleFunc("/stats", withRequestID(e.serveStats))
 }
 
 // echoing has every answer carry the id of its call, errors included.
-func echoing(serve http.HandlerFunc) http.HandlerFunc {
+func withRequestID(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if id := r.Header.Get(requestIDHeader); id != "" {
 			w.Header().Set(requestIDHeader, id)
@@ -58,16 +58,16 @@
 // sequence makes the sequence that answers the request.
 func (c *chatRequest) sequence(id string, priority int) *sequence {
 	answer := Answer
-	bare := c.Messages
+	prompt := c.Messages
 	if c.ContinueFinal {
 		answer = Continue
-		bare = c.Messages[:len(c.Messages)-1]
+		prompt = c.Messages[:len(c.Messages)-1]
 	}
 	s := &sequence{id: id, model: c.Model, priority: priority, continued: c.ContinueFinal, words: promptWords(c.Messages)}
 	s.tokens = answer(c.Model, c.Messages, c.maxTokens())
-	s.cut = len(s.tokens) < len(answer(c.Model, c.Messages, 0))
-	for _, message := range bare {
-		if ref, ok := wordAfter(string(message.Content), RefWord); ok {
+	s.truncated = len(s.tokens) < len(answer(c.Model, c.Messages, 0))
+	for _, message := range prompt {
+		if ref, ok := wordAfter(string(message.Content), RefPrefix); ok {
 			s.ref = ref
 		}
 	}
@@ -80,7 +80,7 @@
 		writeError(w, http.StatusBadRequest, "body is no chat completion request")
 		return
 	}
-	if !e.has(chat.Model) {
+	if !e.loaded(chat.Model) {
 		writeError(w, http.StatusNotFound, "model "+chat.Model+" is not loaded")
 		return
 	}
@@ -101,13 +101,13 @@
 	}
 	defer e.detach(s)
 	if chat.Stream {
-		e.stream(w, r, s, 0, chat.StreamOptions.IncludeUsage)
+		e.writeStream(w, r, s, 0, chat.StreamOptions.IncludeUsage)
 		return
 	}
-	e.whole(w, r, s)
+	e.writeCompletion(w, r, s)
 }
 
-func (e *Engine) has(model string) bool {
+func (e *Engine) loaded(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Contains(e.orders.loaded.Models, model)
@@ -128,33 +128,33 @@
 	writeJSON(w, map[string]any{"object": "list", "data": data})
 }
 
-type byRequest struct {
+type requestRef struct {
 	RequestID   string `json:"request_id"`
 	AfterTokens int    `json:"after_tokens"`
 }
 
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
-	var by byRequest
-	if err := json.NewDecoder(r.Body).Decode(&by); err != nil {
+	var ref requestRef
+	if err := json.NewDecoder(r.Body).Decode(&ref); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	s := e.attach(by.RequestID)
+	s := e.attach(ref.RequestID)
 	if s == nil {
 		writeError(w, http.StatusNotFound, "no such request here")
 		return
 	}
 	defer e.detach(s)
-	e.stream(w, r, s, by.AfterTokens, false)
+	e.writeStream(w, r, s, ref.AfterTokens, false)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
-	var by byRequest
-	if err := json.NewDecoder(r.Body).Decode(&by); err != nil {
+	var ref requestRef
+	if err := json.NewDecoder(r.Body).Decode(&ref); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !e.cancel(by.RequestID) {
+	if !e.cancel(ref.RequestID) {
 		writeError(w, http.StatusNotFound, "no such request here")
 		return
 	}
@@ -162,12 +162,12 @@
 }
 
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
-	var by byRequest
-	if err := json.NewDecoder(r.Body).Decode(&by); err != nil {
+	var ref requestRef
+	if err := json.NewDecoder(r.Body).Decode(&ref); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	data, ok := e.export(by.RequestID)
+	data, ok := e.exportSequence(ref.RequestID)
 	if !ok {
 		writeError(w, http.StatusNotFound, "no such request here")
 		return
@@ -177,11 +177,11 @@
 }
 
 // maxKV bounds an imported sequence, in bytes.
-const maxKV = 16 << 20
+const maxImportBytes = 16 << 20
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxKV))
-	if err != nil || !e.importKV(data) {
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxImportBytes))
+	if err != nil || !e.importSequence(data) {
 		writeError(w, http.StatusBadRequest, "not taken over")
 		return
 	}
@@ -209,7 +209,7 @@
 			writeError(w, http.StatusBadRequest, err.Error())
 			return
 		}
-		if !e.orders.take(order) {
+		if !e.orders.apply(order) {
 			writeError(w, http.StatusConflict, "fencing number is old")
 			return
 		}
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -38,7 +38,7 @@
 
 func (s *sequence) finishReason() *string {
 	reason := "stop"
-	if s.cut {
+	if s.truncated {
 		reason = "length"
 	}
 	return &reason
@@ -50,18 +50,18 @@
 
 // stream writes one event for each token from the given one on; the last one
 // carries the reason of the end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, sent int, withUsage bool) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *sequence, sent int, withUsage bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush(w)
 	for {
-		made, done, gone, changed := e.state(s)
-		for ; sent < len(made); sent++ {
-			e.breakIfTold(sent)
+		generated, done, canceled, changed := e.progress(s)
+		for ; sent < len(generated); sent++ {
+			e.injectBreak(sent)
 			writeEvent(w, s.chunk(sent, done && sent == len(s.tokens)-1))
 			flush(w)
 		}
-		if gone {
+		if canceled {
 			panic(http.ErrAbortHandler)
 		}
 		if done {
@@ -84,7 +84,7 @@
 }
 
 // breakIfTold cuts the connection in the middle of the answer.
-func (e *Engine) breakIfTold(sent int) {
+func (e *Engine) injectBreak(sent int) {
 	e.mu.Lock()
 	after := e.fault.BreakAfter
 	e.mu.Unlock()
@@ -118,11 +118,11 @@
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
 // whole waits for all tokens and answers once.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, s *sequence) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
-		made, done, gone, changed := e.state(s)
-		e.breakIfTold(len(made))
-		if gone {
+		generated, done, canceled, changed := e.progress(s)
+		e.injectBreak(len(generated))
+		if canceled {
 			panic(http.ErrAbortHandler)
 		}
 		if done {
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -17,15 +17,15 @@
 	"github.com/matryer/is"
 )
 
-type bench struct {
+type testEngine struct {
 	*is.I
 	url    string
 	engine *Engine
 	crash  chan struct{}
 }
 
-func newBench(t *testing.T, change func(*EngineConfig)) *bench {
-	b := &bench{I: is.New(t), crash: make(chan struct{}, 1)}
+func newTestEngine(t *testing.T, change func(*EngineConfig)) *testEngine {
+	b := &testEngine{I: is.New(t), crash: make(chan struct{}, 1)}
 	config := EngineConfig{
 		Models: []string{"m"}, Slots: 4, MaxWaiting: 8, FirstToken: time.Millisecond, PerToken: time.Millisecond,
 		CacheBlocks: 64, KVWords: 1000, ResumeWindow: time.Minute,
@@ -55,7 +55,7 @@
 	return listener.URL
 }
 
-func (b *bench) post(path, id string, body any) *http.Response {
+func (b *testEngine) post(path, id string, body any) *http.Response {
 	data, ok := body.([]byte)
 	if !ok {
 		var err error
@@ -86,32 +86,32 @@
 	return all, false
 }
 
-func chatOf(text string, stream bool) map[string]any {
+func chatBody(text string, stream bool) map[string]any {
 	return map[string]any{"model": "m", "stream": stream, "messages": []Message{{Role: "user", Content: Content(text)}}}
 }
 
-func wantOf(text string) []string {
+func expectedTokens(text string) []string {
 	return Answer("m", []Message{{Role: "user", Content: Content(text)}}, 0)
 }
 
 func TestEngineAnswersWhatTheRequestSays(t *testing.T) {
 	long := "median=60 tell all"
-	want := wantOf(long)
+	want := expectedTokens(long)
 	prefix := Message{Role: "assistant", Content: Content(strings.Join(want[:7], ""))}
 	cases := []struct {
 		name string
 		body map[string]any
 		want []string
 	}{
-		{"whole answer", chatOf(long, true), want},
-		{"another answer", chatOf("median=5 other", true), wantOf("median=5 other")},
+		{"whole answer", chatBody(long, true), want},
+		{"another answer", chatBody("median=5 other", true), expectedTokens("median=5 other")},
 		{"bounded", map[string]any{"model": "m", "stream": true, "max_tokens": 3, "messages": []Message{{Role: "user", Content: Content(long)}}}, want[:3]},
 		{"continued", map[string]any{"model": "m", "stream": true, "continue_final_message": true, "add_generation_prompt": false,
 			"messages": []Message{{Role: "user", Content: Content(long)}, prefix}}, want[7:]},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newTestEngine(t, nil)
 			response := b.post("/v1/chat/completions", fmt.Sprint(i), c.body)
 			defer response.Body.Close()
 			got, done := tokens(response.Body)
@@ -122,12 +122,12 @@
 }
 
 func TestEngineWholeAnswerWithoutStream(t *testing.T) {
-	b := newBench(t, nil)
-	response := b.post("/v1/chat/completions", "1", chatOf("median=9 say", false))
+	b := newTestEngine(t, nil)
+	response := b.post("/v1/chat/completions", "1", chatBody("median=9 say", false))
 	defer response.Body.Close()
 	var got completion
 	b.NoErr(json.NewDecoder(response.Body).Decode(&got))
-	b.Equal(got.Choices[0].Message.Content, strings.Join(wantOf("median=9 say"), ""))
+	b.Equal(got.Choices[0].Message.Content, strings.Join(expectedTokens("median=9 say"), ""))
 	b.Equal(*got.Choices[0].FinishReason, "stop")
 }
 
@@ -135,31 +135,31 @@
 // and engine broke, while the engine goes on. The router then asks for the
 // rest under the same id, and the two parts make the whole answer.
 func TestEngineResumesABrokenStream(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestEngine(t, nil)
 	b.post("/fault", "", Fault{BreakAfter: 4}).Body.Close()
-	response := b.post("/v1/chat/completions", "r1-1", chatOf("median=40 go on", true))
+	response := b.post("/v1/chat/completions", "r1-1", chatBody("median=40 go on", true))
 	first, done := tokens(response.Body)
 	response.Body.Close()
 	b.True(!done)
 	b.True(len(first) <= 4)
 	b.post("/fault", "", Fault{}).Body.Close()
-	response = b.post("/v1/resume", "", byRequest{RequestID: "r1-1", AfterTokens: len(first)})
+	response = b.post("/v1/resume", "", requestRef{RequestID: "r1-1", AfterTokens: len(first)})
 	defer response.Body.Close()
 	rest, done := tokens(response.Body)
 	b.True(done)
-	b.Equal(append(first, rest...), wantOf("median=40 go on"))
+	b.Equal(append(first, rest...), expectedTokens("median=40 go on"))
 }
 
 // A server is drained while an answer grows there. Its state moves to another
 // engine, which makes the rest without making any token twice.
 func TestEngineMovesAnAnswerByKV(t *testing.T) {
-	from := newBench(t, func(c *EngineConfig) { c.PerToken = 5 * time.Millisecond })
-	to := newBench(t, nil)
-	response := from.post("/v1/chat/completions", "r2-1", chatOf("median=80 move", true))
+	from := newTestEngine(t, func(c *EngineConfig) { c.PerToken = 5 * time.Millisecond })
+	to := newTestEngine(t, nil)
+	response := from.post("/v1/chat/completions", "r2-1", chatBody("median=80 move", true))
 	first := make([]byte, 1)
 	_, err := response.Body.Read(first)
 	from.NoErr(err)
-	exportReply := from.post("/v1/kv/export", "", byRequest{RequestID: "r2-1"})
+	exportReply := from.post("/v1/kv/export", "", requestRef{RequestID: "r2-1"})
 	kv, err := io.ReadAll(exportReply.Body)
 	from.NoErr(err)
 	exportReply.Body.Close()
@@ -169,21 +169,21 @@
 	from.True(!done) // the stream at the old engine never looks complete
 
 	to.post("/v1/kv/import", "", kv).Body.Close()
-	response = to.post("/v1/resume", "", byRequest{RequestID: "r2-1"})
+	response = to.post("/v1/resume", "", requestRef{RequestID: "r2-1"})
 	defer response.Body.Close()
 	got, done := tokens(response.Body)
 	to.True(done)
-	to.Equal(got, wantOf("median=80 move"))
-	total := from.engine.stats.TokensMade + to.engine.stats.TokensMade
+	to.Equal(got, expectedTokens("median=80 move"))
+	total := from.engine.stats.TokensGenerated + to.engine.stats.TokensGenerated
 	to.Equal(total, len(got))
 }
 
 func TestEngineCancelFreesTheSlot(t *testing.T) {
-	b := newBench(t, func(c *EngineConfig) { c.Slots, c.PerToken = 1, 20*time.Millisecond })
-	long := b.post("/v1/chat/completions", "long-1", chatOf("median=500 long", true))
+	b := newTestEngine(t, func(c *EngineConfig) { c.Slots, c.PerToken = 1, 20*time.Millisecond })
+	long := b.post("/v1/chat/completions", "long-1", chatBody("median=500 long", true))
 	defer long.Body.Close()
-	b.post("/v1/cancel", "", byRequest{RequestID: "long-1"}).Body.Close()
-	short := b.post("/v1/chat/completions", "short-1", chatOf("median=1 short", true))
+	b.post("/v1/cancel", "", requestRef{RequestID: "long-1"}).Body.Close()
+	short := b.post("/v1/chat/completions", "short-1", chatBody("median=1 short", true))
 	defer short.Body.Close()
 	_, done := tokens(short.Body)
 	b.True(done)
@@ -206,17 +206,17 @@
 
 func TestEngineFaults(t *testing.T) {
 	t.Run("refuse", func(t *testing.T) {
-		b := newBench(t, nil)
+		b := newTestEngine(t, nil)
 		b.post("/fault", "", Fault{Refuse: true}).Body.Close()
-		response := b.post("/v1/chat/completions", "1", chatOf("no", true))
+		response := b.post("/v1/chat/completions", "1", chatBody("no", true))
 		response.Body.Close()
 		b.Equal(response.StatusCode, http.StatusTooManyRequests)
 		b.Equal(response.Header.Get("Retry-After"), "1")
 	})
 	t.Run("crash word", func(t *testing.T) {
-		b := newBench(t, nil)
+		b := newTestEngine(t, nil)
 		b.post("/fault", "", Fault{CrashWord: "poison"}).Body.Close()
-		body, err := json.Marshal(chatOf("take poison now", true))
+		body, err := json.Marshal(chatBody("take poison now", true))
 		b.NoErr(err)
 		go func() {
 			response, err := http.Post(b.url+"/v1/chat/completions", "application/json", bytes.NewReader(body))
@@ -227,7 +227,7 @@
 		<-b.crash
 	})
 	t.Run("unknown field", func(t *testing.T) {
-		b := newBench(t, nil)
+		b := newTestEngine(t, nil)
 		response := b.post("/fault", "", map[string]any{"explode": true})
 		response.Body.Close()
 		b.Equal(response.StatusCode, http.StatusBadRequest)
@@ -245,7 +245,7 @@
 		{"ignores the number", true, http.StatusOK, []string{"m"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, func(config *EngineConfig) { config.IgnoreFencing = c.ignore })
+			b := newTestEngine(t, func(config *EngineConfig) { config.IgnoreFencing = c.ignore })
 			b.post("/orders", "", Order{Kind: "load", Model: "b", Fencing: 5}).Body.Close()
 			response := b.post("/orders", "", Order{Kind: "unload", Model: "b", Fencing: 4})
 			response.Body.Close()
@@ -259,9 +259,9 @@
 	i := is.New(t)
 	start := time.Unix(100, 0)
 	c := newCache(2, 2)
-	i.Equal(c.use([]uint64{1, 2}, start), 0)
-	i.Equal(c.use([]uint64{1, 2, 3}, start.Add(time.Second)), 2*blockWords) // event 2 is lost
-	i.Equal(c.use([]uint64{9}, start.Add(2*time.Second)), 0)
+	i.Equal(c.insert([]uint64{1, 2}, start), 0)
+	i.Equal(c.insert([]uint64{1, 2, 3}, start.Add(time.Second)), 2*blockWords) // event 2 is lost
+	i.Equal(c.insert([]uint64{9}, start.Add(2*time.Second)), 0)
 	i.Equal(len(c.since(0, start.Add(-time.Second))), 0)
 	events := c.since(0, start.Add(time.Minute))
 	i.Equal(len(events), 2)
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -19,20 +19,20 @@
 	Fencing  uint64   `json:"fencing"`
 }
 
-type orderBook struct {
+type loadState struct {
 	loaded        Loaded
 	ignoreFencing bool
 }
 
-func newOrderBook(models []string, ignoreFencing bool) orderBook {
-	return orderBook{
+func newLoadState(models []string, ignoreFencing bool) loadState {
+	return loadState{
 		loaded:        Loaded{Models: slices.Clone(models), Adapters: []string{}},
 		ignoreFencing: ignoreFencing,
 	}
 }
 
 // take carries an order out; false where its fencing number is old.
-func (b *orderBook) take(order Order) bool {
+func (b *loadState) apply(order Order) bool {
 	if order.Fencing < b.loaded.Fencing && !b.ignoreFencing {
 		return false
 	}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -25,7 +25,7 @@
 	Instances []Instance `json:"instances"`
 }
 
-type listVersion struct {
+type versionedList struct {
 	list InstanceList
 	at   time.Time
 }
@@ -34,7 +34,7 @@
 type Platform struct {
 	lag      time.Duration
 	mu       sync.Mutex
-	versions []listVersion
+	versions []versionedList
 }
 
 // NewPlatform makes a list whose changes show after the lag.
@@ -42,7 +42,7 @@
 	if first.Instances == nil {
 		first.Instances = []Instance{}
 	}
-	return &Platform{lag: lag, versions: []listVersion{{list: first}}}
+	return &Platform{lag: lag, versions: []versionedList{{list: first}}}
 }
 
 // Routes adds the list to an HTTP server.
@@ -52,7 +52,7 @@
 
 func (p *Platform) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		writeJSON(w, p.shown(time.Now()))
+		writeJSON(w, p.visible(time.Now()))
 		return
 	}
 	var list InstanceList
@@ -67,10 +67,10 @@
 func (p *Platform) set(list InstanceList, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.versions = append(p.versions, listVersion{list: list, at: now})
+	p.versions = append(p.versions, versionedList{list: list, at: now})
 }
 
-func (p *Platform) shown(now time.Time) InstanceList {
+func (p *Platform) visible(now time.Time) InstanceList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.versions) > 1 && now.Sub(p.versions[1].at) >= p.lag {
--- a/standin/sequence.go
+++ b/standin/sequence.go
@@ -15,25 +15,25 @@
 	priority int
 	// tokens are those this sequence makes; made of them are done.
 	tokens    []string
-	made      int
-	cut       bool
+	generated int
+	truncated bool
 	continued bool
 	imported  bool
 	ready     time.Time
 	done      bool
-	gone      bool
+	canceled  bool
 	readers   int
-	unread    time.Time
+	lastRead  time.Time
 	// changed is closed and replaced whenever made, done or gone change.
 	changed chan struct{}
 }
 
-func (s *sequence) announce() {
+func (s *sequence) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *sequence) has(word string) bool { return slices.Contains(s.words, word) }
+func (s *sequence) hasWord(word string) bool { return slices.Contains(s.words, word) }
 
 // submit queues a sequence; false where the queue is full or the id is in use.
 func (e *Engine) submit(s *sequence) bool {
@@ -43,7 +43,7 @@
 		return false
 	}
 	s.changed = make(chan struct{})
-	s.unread = time.Now()
+	s.lastRead = time.Now()
 	e.byID[s.id] = s
 	e.enqueue(s)
 	return true
@@ -73,15 +73,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers--
-	s.unread = time.Now()
+	s.lastRead = time.Now()
 }
 
 // state returns the tokens made so far, whether no more will come, whether the
 // sequence was canceled, and a channel that closes at the next change.
-func (e *Engine) state(s *sequence) (made []string, done, gone bool, changed <-chan struct{}) {
+func (e *Engine) progress(s *sequence) (generated []string, done, canceled bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return s.tokens[:s.made], s.done, s.gone, s.changed
+	return s.tokens[:s.generated], s.done, s.canceled, s.changed
 }
 
 // cancel frees the slot of a sequence at once.
@@ -93,33 +93,33 @@
 		return false
 	}
 	if !s.done {
-		e.stats.TokensCanceled += s.made
-		e.stats.TokensSaved += len(s.tokens) - s.made
+		e.stats.TokensCanceled += s.generated
+		e.stats.TokensAvoided += len(s.tokens) - s.generated
 	}
 	e.remove(s)
 	return true
 }
 
 func (e *Engine) remove(s *sequence) {
-	same := func(other *sequence) bool { return other == s }
-	e.waiting = slices.DeleteFunc(e.waiting, same)
-	e.running = slices.DeleteFunc(e.running, same)
+	isSequence := func(other *sequence) bool { return other == s }
+	e.waiting = slices.DeleteFunc(e.waiting, isSequence)
+	e.running = slices.DeleteFunc(e.running, isSequence)
 	delete(e.byID, s.id)
-	s.gone = !s.done
-	s.announce()
+	s.canceled = !s.done
+	s.notify()
 }
 
 // dropUnread cancels the sequences whose reader left and did not come back.
-func (e *Engine) dropUnread(now time.Time) {
+func (e *Engine) cancelAbandoned(now time.Time) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
-		if s.readers == 0 && now.Sub(s.unread) > e.config.ResumeWindow {
-			e.stats.TokensCanceled += s.made
+		if s.readers == 0 && now.Sub(s.lastRead) > e.config.ResumeWindow {
+			e.stats.TokensCanceled += s.generated
 			e.remove(s)
 		}
 	}
 }
 
-func (e *Engine) forgetLater(s *sequence) {
+func (e *Engine) forgetAfterWindow(s *sequence) {
 	time.AfterFunc(e.config.ResumeWindow, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -130,36 +130,36 @@
 }
 
 // exported is the opaque form in which a sequence moves to another engine.
-type exported struct {
-	ID       string   `json:"id"`
-	Model    string   `json:"model"`
-	Words    []string `json:"words"`
-	Priority int      `json:"priority"`
-	Tokens   []string `json:"tokens"`
-	Made     int      `json:"made"`
-	Cut      bool     `json:"cut"`
+type exportedSequence struct {
+	ID        string   `json:"id"`
+	Model     string   `json:"model"`
+	Words     []string `json:"words"`
+	Priority  int      `json:"priority"`
+	Tokens    []string `json:"tokens"`
+	Generated int      `json:"made"`
+	Truncated bool     `json:"cut"`
 }
 
 // export stops a sequence here and returns it for import elsewhere.
-func (e *Engine) export(id string) ([]byte, bool) {
+func (e *Engine) exportSequence(id string) ([]byte, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.byID[id]
 	if !ok || s.done {
 		return nil, false
 	}
-	data, err := json.Marshal(exported{ID: s.id, Model: s.model, Words: s.words, Priority: s.priority, Tokens: s.tokens, Made: s.made, Cut: s.cut})
+	data, err := json.Marshal(exportedSequence{ID: s.id, Model: s.model, Words: s.words, Priority: s.priority, Tokens: s.tokens, Generated: s.generated, Truncated: s.truncated})
 	e.remove(s)
 	return data, err == nil
 }
 
 // importKV takes a sequence over; it goes on at once.
-func (e *Engine) importKV(data []byte) bool {
-	var x exported
-	if json.Unmarshal(data, &x) != nil || x.ID == "" || x.Made > len(x.Tokens) {
+func (e *Engine) importSequence(data []byte) bool {
+	var in exportedSequence
+	if json.Unmarshal(data, &in) != nil || in.ID == "" || in.Generated > len(in.Tokens) {
 		return false
 	}
-	s := &sequence{id: x.ID, model: x.Model, words: x.Words, priority: x.Priority, tokens: x.Tokens, made: x.Made, cut: x.Cut, continued: true, imported: true}
+	s := &sequence{id: in.ID, model: in.Model, words: in.Words, priority: in.Priority, tokens: in.Tokens, generated: in.Generated, truncated: in.Truncated, continued: true, imported: true}
 	if !e.submit(s) {
 		return false
 	}
--- a/standin/service.go
+++ b/standin/service.go
@@ -43,7 +43,7 @@
 }
 
 // ServiceAnswer is what a service answers to a call.
-type ServiceAnswer struct {
+type ServiceResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	// Digest is SHA-256 of method, path and body, in hexadecimal.
@@ -51,9 +51,9 @@
 }
 
 // AnswerOf returns the answer to a call, in JSON.
-func AnswerOf(method, path string, body []byte) []byte {
+func ServiceBody(method, path string, body []byte) []byte {
 	digest := sha256.Sum256([]byte(method + "\x00" + path + "\x00" + string(body)))
-	answer, _ := json.Marshal(ServiceAnswer{Method: method, Path: path, Digest: hex.EncodeToString(digest[:])})
+	answer, _ := json.Marshal(ServiceResponse{Method: method, Path: path, Digest: hex.EncodeToString(digest[:])})
 	return answer
 }
 
@@ -64,10 +64,10 @@
 
 // Routes adds the service's calls to an HTTP server.
 func (s *Service) Routes(server *khttp.Server) {
-	server.HandleFunc("/stats", echoing(s.serveStats))
-	server.HandleFunc("/load", echoing(s.serveLoad))
-	server.HandleFunc("/fault", echoing(s.serveFault))
-	server.HandlePrefix("/", echoing(s.serveCall))
+	server.HandleFunc("/stats", withRequestID(s.serveStats))
+	server.HandleFunc("/load", withRequestID(s.serveLoad))
+	server.HandleFunc("/fault", withRequestID(s.serveFault))
+	server.HandlePrefix("/", withRequestID(s.serveCall))
 }
 
 func (s *Service) serveStats(w http.ResponseWriter, _ *http.Request) {
@@ -110,12 +110,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	latency := s.config.Latency
-	if fault.Straggle > 0 {
-		latency = time.Duration(float64(latency) * fault.Straggle)
+	if fault.Slowdown > 0 {
+		latency = time.Duration(float64(latency) * fault.Slowdown)
 	}
 	sleep(r.Context(), latency)
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(AnswerOf(r.Method, r.URL.Path, body))
+	_, _ = w.Write(ServiceBody(r.Method, r.URL.Path, body))
 }
 
 func (s *Service) currentFault() Fault {
@@ -132,7 +132,7 @@
 	if key != "" {
 		s.stats.Runs[key]++
 	}
-	if ref, ok := wordAfter(body, RefWord); ok {
+	if ref, ok := wordAfter(body, RefPrefix); ok {
 		s.stats.Refs[ref]++
 	}
 }
--- a/standin/service_test.go
+++ b/standin/service_test.go
@@ -24,7 +24,7 @@
 		body, err := io.ReadAll(response.Body)
 		i.NoErr(err)
 		response.Body.Close()
-		i.Equal(string(body), string(AnswerOf(http.MethodPost, "/book", []byte("ref:a berth 4"))))
+		i.Equal(string(body), string(ServiceBody(http.MethodPost, "/book", []byte("ref:a berth 4"))))
 	}
 	response, err := http.Get(url + "/stats")
 	i.NoErr(err)
@@ -40,6 +40,6 @@
 	start := time.Unix(100, 0)
 	platform := NewPlatform(30*time.Second, InstanceList{})
 	platform.set(InstanceList{Instances: []Instance{{Name: "r1", State: "leaving"}}}, start)
-	i.Equal(len(platform.shown(start.Add(29*time.Second)).Instances), 0)
-	i.Equal(platform.shown(start.Add(30 * time.Second)).Instances[0].Name, "r1")
+	i.Equal(len(platform.visible(start.Add(29*time.Second)).Instances), 0)
+	i.Equal(platform.visible(start.Add(30 * time.Second)).Instances[0].Name, "r1")
 }
