--- a/faultsoak/judge_test.go
+++ b/faultsoak/checks_test.go
@@ -8,32 +8,32 @@
 )
 
 // judge checks what only the end of a run shows.
-func (r *run) judge() {
+func (r *run) checkResults() {
 	runs := make(map[string][]standin.Run)
 	for _, s := range r.fleet.servers {
 		for _, one := range s.Runs() {
 			runs[one.AttemptID] = append(runs[one.AttemptID], one)
-			r.judgeLeaving(s.Identity, one)
+			r.checkDraining(s.Identity, one)
 		}
 	}
-	r.judgeLimits()
+	r.checkLimits()
 	for id, list := range runs {
-		r.judgeRuns(r.calls[id], list)
+		r.checkRuns(r.calls[id], list)
 	}
 	for _, c := range r.calls {
 		if c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests {
 			mayRun := c.route == "look" || c.route == "review"
 			r.check(mayRun || len(runs[c.id]) == 0, "not run is true", "%s on %s was answered %d and ran", c.id, c.route, c.status)
 		}
-		r.check(c.status != http.StatusNotFound || c.sent.Before(c.deniedUntil), "documents in force",
-			"%s on %s was answered 404 by %s %v after an entry had to know the route", c.id, c.route, c.entry.name, c.sent.Sub(c.deniedUntil))
-		r.judgeStop(c, len(runs[c.id]) > 0)
+		r.check(c.status != http.StatusNotFound || c.sent.Before(c.routeKnownBy), "documents in force",
+			"%s on %s was answered 404 by %s %v after an entry had to know the route", c.id, c.route, c.entry.name, c.sent.Sub(c.routeKnownBy))
+		r.checkStop(c, len(runs[c.id]) > 0)
 	}
 }
 
-func (r *run) judgeRuns(c *call, list []standin.Run) {
+func (r *run) checkRuns(c *call, list []standin.Run) {
 	if c == nil {
-		r.broken("own requests", "a server ran %s, which nobody sent", list[0].AttemptID)
+		r.violation("own requests", "a server ran %s, which nobody sent", list[0].AttemptID)
 		return
 	}
 	if c.route == "book" || c.route == "plan" {
@@ -48,8 +48,8 @@
 }
 
 // judgeLeaving: a leaving server gets no new work once all must know that it leaves.
-func (r *run) judgeLeaving(server string, one standin.Run) {
-	for _, l := range r.fleet.left {
+func (r *run) checkDraining(server string, one standin.Run) {
+	for _, l := range r.fleet.drains {
 		if l.server == server {
 			known := l.from.Add(drainBound + slack)
 			r.check(one.Started.Before(known) || one.Started.After(l.to), "leaving servers",
@@ -59,17 +59,17 @@
 }
 
 // judgeStop: a graceful stop cuts off no request that a server had begun.
-func (r *run) judgeStop(c *call, ran bool) {
+func (r *run) checkStop(c *call, ran bool) {
 	for _, stop := range r.stops {
 		within := c.sent.Before(stop.at) && c.ended.After(stop.at) && c.ended.Before(stop.at.Add(4*time.Second))
 		if c.entry == stop.entry && within && ran && c.status != 0 {
-			r.check(!c.cut || r.hurt(c), "graceful stop", "%s was cut off while %s stopped", c.id, c.entry.name)
+			r.check(!c.interrupted || r.serverFaultDuring(c), "graceful stop", "%s was cut off while %s stopped", c.id, c.entry.name)
 		}
 	}
 }
 
 // hurt tells whether servers broke answers off themselves while the call ran.
-func (r *run) hurt(c *call) bool {
+func (r *run) serverFaultDuring(c *call) bool {
 	for _, s := range r.fleet.servers {
 		if s.FaultActive(c.sent.Add(-callTimeout), c.ended) {
 			return true
--- a/faultsoak/fleet_test.go
+++ b/faultsoak/fleet_test.go
@@ -65,7 +65,7 @@
 
 // end signals the process and waits until it has ended; one that takes too long is
 // killed, which the answer tells.
-func (p *process) end(s syscall.Signal, patience time.Duration) (inTime bool) {
+func (p *process) terminate(s syscall.Signal, timeout time.Duration) (inTime bool) {
 	p.signal(s)
 	p.mu.Lock()
 	done := p.done
@@ -76,7 +76,7 @@
 	select {
 	case <-done:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		p.signal(syscall.SIGKILL)
 		<-done
 		return false
@@ -93,8 +93,8 @@
 	mu sync.Mutex
 	// leaving holds since when the list says that a server leaves, left the times
 	// in which it said so before.
-	leaving map[string]time.Time
-	left    []leave
+	drainingSince map[string]time.Time
+	drains        []drainPeriod
 }
 
 // ports of a fleet, the same on each of its addresses.
@@ -116,7 +116,7 @@
 
 // newFleet writes the settings of all processes and starts the stand-ins.
 func newFleet(folder string, states, entries, servers int) (*fleet, error) {
-	f := &fleet{folder: folder, leaving: make(map[string]time.Time)}
+	f := &fleet{folder: folder, drainingSince: make(map[string]time.Time)}
 	at, err := freePorts()
 	if err != nil {
 		return nil, err
@@ -136,18 +136,18 @@
 	go func() { _ = http.Serve(list, http.HandlerFunc(f.serveList)) }()
 	seeds := ""
 	for i := range min(states, 3) {
-		seeds += fmt.Sprintf("  - \"%s:%d\"\n", advertised("state", i), at.control)
+		seeds += fmt.Sprintf("  - \"%s:%d\"\n", advertisedAddress("state", i), at.control)
 	}
 	for i := range states + entries {
-		kind, number := "state", i
+		role, number := "state", i
 		if i >= states {
-			kind, number = "entry", i-states
+			role, number = "entry", i-states
 		}
-		p, err := f.write(kind, number, at, seeds, list.Addr().String())
+		p, err := f.writeSettings(role, number, at, seeds, list.Addr().String())
 		if err != nil {
 			return nil, err
 		}
-		if kind == "state" {
+		if role == "state" {
 			f.states = append(f.states, p)
 		} else {
 			f.entries = append(f.entries, p)
@@ -159,39 +159,39 @@
 // Loopback addresses: a process listens on one and is known by another, behind
 // which its proxy stands. Each soak has a block of addresses of its own, or two
 // beside each other could meet on a port that is free on other addresses only.
-func listening(kind string, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", block(), octet(kind)+1, number+1)
+func listenAddress(role string, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", addressBlock(), octet(role)+1, number+1)
 }
-func advertised(kind string, number int) string {
-	return fmt.Sprintf("127.%d.%d.%d", block(), octet(kind), number+1)
+func advertisedAddress(role string, number int) string {
+	return fmt.Sprintf("127.%d.%d.%d", addressBlock(), octet(role), number+1)
 }
 
-func block() int { return 2 + os.Getpid()%250 }
+func addressBlock() int { return 2 + os.Getpid()%250 }
 
-func octet(kind string) int {
-	if kind == "state" {
+func octet(role string) int {
+	if role == "state" {
 		return 10
 	}
 	return 20
 }
 
-func (f *fleet) write(kind string, number int, at ports, seeds, list string) (*process, error) {
-	own, known := listening(kind, number), advertised(kind, number)
+func (f *fleet) writeSettings(role string, number int, at ports, seeds, list string) (*process, error) {
+	ownHost, advertisedHost := listenAddress(role, number), advertisedAddress(role, number)
 	p := &process{
-		name: fmt.Sprintf("%s-%d", kind, number), program: "lilacbridge-" + kind,
-		log: filepath.Join(f.folder, fmt.Sprintf("%s-%d.log", kind, number)), settings: filepath.Join(f.folder, fmt.Sprintf("%s-%d.yaml", kind, number)),
-		callers: fmt.Sprintf("%s:%d", own, at.callers), control: fmt.Sprintf("%s:%d", own, at.control),
+		name: fmt.Sprintf("%s-%d", role, number), program: "lilacbridge-" + role,
+		log: filepath.Join(f.folder, fmt.Sprintf("%s-%d.log", role, number)), settings: filepath.Join(f.folder, fmt.Sprintf("%s-%d.yaml", role, number)),
+		callers: fmt.Sprintf("%s:%d", ownHost, at.callers), control: fmt.Sprintf("%s:%d", ownHost, at.control),
 	}
 	text := fmt.Sprintf("name: %q\ndata_center: dc-%d\nlink: %s:%d\nadvertise: %s:%d\nadmin: %s:%d\nlink_key: key-of-the-fault-soak\nseeds:\n%s",
-		known, number%3, own, at.link, known, at.link, own, at.admin, seeds)
-	if kind == "state" {
+		advertisedHost, number%3, ownHost, at.link, advertisedHost, at.link, ownHost, at.admin, seeds)
+	if role == "state" {
 		p.data = filepath.Join(f.folder, p.name+"-data")
 		text += fmt.Sprintf("control: %s\nserver_list: %s\ndata: %s\nbootstrap: true\nauto_members: true\naudit_retention: 3\nheartbeat: 120ms\nelection: 600ms\n", p.control, list, p.data)
 	} else {
-		text += fmt.Sprintf("drain_lag: 500ms\ndrain: 5s\ngateway:\n  callers: %s\n  readiness: %s:%d\n  server_list: %s\n  revocation: 5s\n  applied_within: 3s\n", p.callers, own, at.ready, list)
+		text += fmt.Sprintf("drain_lag: 500ms\ndrain: 5s\ngateway:\n  callers: %s\n  readiness: %s:%d\n  server_list: %s\n  revocation: 5s\n  applied_within: 3s\n", p.callers, ownHost, at.ready, list)
 	}
 	var err error
-	p.proxy, err = newProxy(fmt.Sprintf("%s:%d", known, at.link), fmt.Sprintf("%s:%d", own, at.link))
+	p.proxy, err = newProxy(fmt.Sprintf("%s:%d", advertisedHost, at.link), fmt.Sprintf("%s:%d", ownHost, at.link))
 	if err != nil {
 		return nil, err
 	}
@@ -205,7 +205,7 @@
 	for i, s := range f.servers {
 		list = append(list, standin.ListedServer{
 			Identity: s.Identity, Service: []string{"desk", "engines"}[i%2], Address: s.Address(),
-			DataCenter: fmt.Sprintf("dc-%d", i/2%3), Slots: 8, Leaving: !f.leaving[s.Identity].IsZero(),
+			DataCenter: fmt.Sprintf("dc-%d", i/2%3), Slots: 8, Leaving: !f.drainingSince[s.Identity].IsZero(),
 		})
 	}
 	f.mu.Unlock()
@@ -214,23 +214,23 @@
 }
 
 // leave is a time in which the list said that a server leaves.
-type leave struct {
+type drainPeriod struct {
 	server   string
 	from, to time.Time
 }
 
 // drain has the list say that a server leaves, or that it stays. Where two drains
 // overlap, the first to end ends both.
-func (f *fleet) drain(identity string, leaves bool) {
+func (f *fleet) setDraining(identity string, draining bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	since, already := f.leaving[identity]
+	since, wasDraining := f.drainingSince[identity]
 	switch {
-	case leaves && !already:
-		f.leaving[identity] = time.Now()
-	case !leaves && already:
-		f.left = append(f.left, leave{identity, since, time.Now()})
-		delete(f.leaving, identity)
+	case draining && !wasDraining:
+		f.drainingSince[identity] = time.Now()
+	case !draining && wasDraining:
+		f.drains = append(f.drains, drainPeriod{identity, since, time.Now()})
+		delete(f.drainingSince, identity)
 	}
 }
 
@@ -242,7 +242,7 @@
 func (f *fleet) close() {
 	for _, p := range f.processes() {
 		p.signal(syscall.SIGCONT)
-		p.end(syscall.SIGKILL, time.Minute)
+		p.terminate(syscall.SIGKILL, time.Minute)
 		p.proxy.listener.Close()
 		p.proxy.reset()
 	}
--- a/faultsoak/limit_test.go
+++ b/faultsoak/limit_test.go
@@ -11,13 +11,13 @@
 
 const (
 	// limitSettles is how long after a server first named its limit all must keep to it.
-	limitSettles = 4 * time.Second
+	limitSettleTime = 4 * time.Second
 	// limitSpan is the span in which a server counts what it gets.
-	limitSpan = 4 * time.Second
+	limitWindow = 4 * time.Second
 )
 
 // limitTime is a time in which a server named a limit.
-type limitTime struct {
+type limitPeriod struct {
 	server    *standin.Server
 	perSecond float64
 	from, to  time.Time
@@ -27,84 +27,84 @@
 func limitSteps(seed uint64, length time.Duration, servers int) []step {
 	random := rand.New(rand.NewPCG(seed, 78))
 	var steps []step
-	for at := healthyStart; at < length; at += time.Duration(2+random.IntN(6)) * time.Second {
-		server, perSecond, lasts := random.IntN(servers), float64(5+random.IntN(100))/10, time.Duration(6+random.IntN(5))*time.Second
-		steps = append(steps, step{at, fmt.Sprintf("server %d names a limit of %v a second for %v", server, perSecond, lasts), func(r *run) {
-			r.limit(server, perSecond, lasts)
+	for at := warmUp; at < length; at += time.Duration(2+random.IntN(6)) * time.Second {
+		server, perSecond, duration := random.IntN(servers), float64(5+random.IntN(100))/10, time.Duration(6+random.IntN(5))*time.Second
+		steps = append(steps, step{at, fmt.Sprintf("server %d names a limit of %v a second for %v", server, perSecond, duration), func(r *run) {
+			r.advertiseLimit(server, perSecond, duration)
 		}})
 	}
 	return steps
 }
 
 // limit has a server name a limit for a while, one at a time.
-func (r *run) limit(server int, perSecond float64, lasts time.Duration) {
+func (r *run) advertiseLimit(server int, perSecond float64, duration time.Duration) {
 	s := r.fleet.servers[server]
 	r.mu.Lock()
-	taken := r.needy[s]
-	r.needy[s] = true
+	inUse := r.limited[s]
+	r.limited[s] = true
 	r.mu.Unlock()
-	if taken {
+	if inUse {
 		return
 	}
-	r.later(func() {
+	r.background(func() {
 		from := time.Now()
 		s.SetLimit(strconv.FormatFloat(perSecond, 'f', 1, 64))
-		r.sleep(lasts)
+		r.sleep(duration)
 		s.SetLimit("")
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.needy, s)
-		r.limits = append(r.limits, limitTime{s, perSecond, from, time.Now()})
+		delete(r.limited, s)
+		r.limits = append(r.limits, limitPeriod{s, perSecond, from, time.Now()})
 	})
 }
 
 // judgeLimits: entries keep to a server's limit together, but for those that were down, paused
 // or cut off shortly before.
-func (r *run) judgeLimits() {
+func (r *run) checkLimits() {
 	for _, l := range r.limits {
 		var counted []time.Time
 		for _, a := range l.server.Arrivals() {
 			c := r.calls[a.AttemptID]
-			if c != nil && a.At.After(l.from.Add(limitSettles)) && a.At.Before(l.to) && r.mustKnow(c.entry, a.At) {
+			if c != nil && a.At.After(l.from.Add(limitSettleTime)) && a.At.Before(l.to) && r.mustHonorLimits(c.entry, a.At) {
 				counted = append(counted, a.At)
 			}
 		}
-		allowed := int(1.5*l.perSecond*limitSpan.Seconds() + 5)
+		allowed := int(1.5*l.perSecond*limitWindow.Seconds() + 5)
 		for i := range counted {
 			most := 0
 			for _, at := range counted[:i+1] {
-				if counted[i].Sub(at) < limitSpan {
+				if counted[i].Sub(at) < limitWindow {
 					most++
 				}
 			}
-			r.check(most <= allowed, "limits", "%s named %v a second and got %d in %v", l.server.Identity, l.perSecond, most, limitSpan)
+			r.check(most <= allowed, "limits", "%s named %v a second and got %d in %v", l.server.Identity, l.perSecond, most, limitWindow)
 		}
 	}
 }
 
 // hurt is a time in which a process was down, paused or cut off; to is zero while it lasts.
-type hurt struct {
+type outage struct {
 	entry    *process
 	from, to time.Time
 }
 
 // hurting notes that a fault of the process begins; the answer notes its end.
-func (r *run) hurting(p *process) (ended func()) {
-	h := &hurt{entry: p, from: time.Now()}
+func (r *run) beginOutage(p *process) (ended func()) {
+	o := &outage{entry: p, from: time.Now()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hurts = append(r.hurts, h)
+	r.outages = append(r.outages, o)
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		h.to = time.Now()
+		o.to = time.Now()
 	}
 }
 
 // mustKnow tells whether the entry had no fault for so long that it knows the limits.
-func (r *run) mustKnow(entry *process, at time.Time) bool {
-	for _, f := range r.hurts {
-		if f.entry == entry && at.After(f.from) && (f.to.IsZero() || at.Before(f.to.Add(limitSettles+limitSpan))) {
+func (r *run) mustHonorLimits(entry *process, at time.Time) bool {
+	for _, o := range r.outages {
+		if o.entry == entry && at.After(o.from) && (o.to.IsZero() || at.Before(o.to.Add(limitSettleTime+limitWindow))) {
 			return false
 		}
 	}
--- a/faultsoak/logs_test.go
+++ b/faultsoak/logs_test.go
@@ -11,9 +11,9 @@
 
 const (
 	// lossAround is how long before a start of an entry its lines may be lost with it.
-	lossAround = 6 * time.Second
+	restartLossWindow = 6 * time.Second
 	// leftOutAround is how soon an entry says that it left lines out.
-	leftOutAround = 2 * time.Second
+	suppressionWindow = 2 * time.Second
 )
 
 // logLine is what the checks read of a log line.
@@ -27,19 +27,19 @@
 
 // entryLog is what an entry wrote in one run.
 type entryLog struct {
-	own map[string][]logLine
+	byRequest map[string][]logLine
 	// holes are the times about which lines may be missing, and say so.
-	holes []hole
+	gaps []logGap
 }
 
-type hole struct{ from, to time.Time }
+type logGap struct{ from, to time.Time }
 
 func readLog(path string, since time.Time) (*entryLog, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	read := &entryLog{own: make(map[string][]logLine)}
+	read := &entryLog{byRequest: make(map[string][]logLine)}
 	scanner := bufio.NewScanner(bytes.NewReader(text))
 	scanner.Buffer(nil, 1<<20)
 	for scanner.Scan() {
@@ -49,11 +49,11 @@
 		}
 		switch {
 		case l.Request != "":
-			read.own[l.Request] = append(read.own[l.Request], l)
+			read.byRequest[l.Request] = append(read.byRequest[l.Request], l)
 		case l.Message == "started":
-			read.holes = append(read.holes, hole{l.At.Add(-lossAround), l.At})
+			read.gaps = append(read.gaps, logGap{l.At.Add(-restartLossWindow), l.At})
 		case l.Message == "log lines left out, the budget of their kind was spent":
-			read.holes = append(read.holes, hole{l.At.Add(-leftOutAround), l.At})
+			read.gaps = append(read.gaps, logGap{l.At.Add(-suppressionWindow), l.At})
 		}
 	}
 	return read, scanner.Err()
@@ -61,13 +61,13 @@
 
 // explains tells whether the lines give a reason for the failure of the call.
 func (e *entryLog) explains(c *call) bool {
-	for _, l := range e.own[c.id] {
+	for _, l := range e.byRequest[c.id] {
 		if l.Error != "" || l.Kind != "" {
 			return true
 		}
 	}
-	for _, h := range e.holes {
-		if c.ended.After(h.from) && c.sent.Before(h.to) {
+	for _, gap := range e.gaps {
+		if c.ended.After(gap.from) && c.sent.Before(gap.to) {
 			return true
 		}
 	}
@@ -75,11 +75,11 @@
 }
 
 // judgeLogs: each failed answer is explained by its entry's lines.
-func (r *run) judgeLogs() {
+func (r *run) checkLogs() {
 	for _, entry := range r.fleet.entries {
-		read, err := readLog(entry.log, r.begun)
+		read, err := readLog(entry.log, r.started)
 		if err != nil {
-			r.broken("harness", "%v", err)
+			r.violation("harness", "%v", err)
 			continue
 		}
 		for _, c := range r.calls {
--- a/faultsoak/plan_test.go
+++ b/faultsoak/plan_test.go
@@ -14,21 +14,21 @@
 
 // step is one thing that happens in a run.
 type step struct {
-	at   time.Duration
-	what string
-	do   func(r *run)
+	at          time.Duration
+	description string
+	do          func(r *run)
 }
 
-func (s step) String() string { return fmt.Sprintf("%6.1fs %s", s.at.Seconds(), s.what) }
+func (s step) String() string { return fmt.Sprintf("%6.1fs %s", s.at.Seconds(), s.description) }
 
 const (
 	// healthyStart lets a run begin with a fleet that serves, settle ends it so.
-	healthyStart = 2 * time.Second
-	settle       = 12 * time.Second
+	warmUp     = 2 * time.Second
+	settleTime = 12 * time.Second
 	// startPatience bounds the first start of a whole fleet.
-	startPatience = 60 * time.Second
+	startTimeout = 60 * time.Second
 	// stopPatience is drain lag, drain and the closing of a process.
-	stopPatience = 20 * time.Second
+	stopTimeout = 20 * time.Second
 )
 
 // plan draws what happens from the seed. At most one state process of three is
@@ -36,16 +36,16 @@
 func plan(seed uint64, length time.Duration, states, entries, servers int) []step {
 	random := rand.New(rand.NewPCG(seed, 77))
 	var steps []step
-	stateFree := time.Duration(0)
-	for at := healthyStart; at < length; at += time.Duration(300+random.IntN(1500)) * time.Millisecond {
+	nextStateFault := time.Duration(0)
+	for at := warmUp; at < length; at += time.Duration(300+random.IntN(1500)) * time.Millisecond {
 		for range 1 + random.IntN(2) {
-			lasts := time.Duration(500+random.IntN(3000)) * time.Millisecond
-			if random.IntN(3) == 0 && at >= stateFree {
-				stateFree = at + lasts + 4*time.Second
-				steps = append(steps, stateFault(random, at, lasts, random.IntN(states)))
+			duration := time.Duration(500+random.IntN(3000)) * time.Millisecond
+			if random.IntN(3) == 0 && at >= nextStateFault {
+				nextStateFault = at + duration + 4*time.Second
+				steps = append(steps, stateFault(random, at, duration, random.IntN(states)))
 				continue
 			}
-			steps = append(steps, entryFault(random, at, lasts, random.IntN(entries), random.IntN(servers)))
+			steps = append(steps, entryFault(random, at, duration, random.IntN(entries), random.IntN(servers)))
 		}
 		if random.IntN(2) == 0 {
 			steps = append(steps, step{at, "change of the document", (*run).change})
@@ -55,7 +55,7 @@
 		}
 	}
 	if random.IntN(2) == 0 {
-		steps = append(steps, step{length, "all are killed after a change", (*run).darken})
+		steps = append(steps, step{length, "all are killed after a change", (*run).killAll})
 	}
 	// Drawn apart, so that seeds that failed once go on meaning the same faults.
 	steps = append(steps, limitSteps(seed, length, servers)...)
@@ -65,115 +65,115 @@
 
 // darken has a change acknowledged and kills every process: nothing that comes
 // later makes good what one of them does not find again.
-func (r *run) darken() {
+func (r *run) killAll() {
 	r.faults.Wait()
 	r.put(func(*documentState) {})
 	for _, p := range r.fleet.processes() {
-		r.down(p, syscall.SIGKILL, time.Second)
+		r.stopAndRestart(p, syscall.SIGKILL, time.Second)
 	}
 }
 
-func stateFault(random *rand.Rand, at, lasts time.Duration, i int) step {
+func stateFault(random *rand.Rand, at, duration time.Duration, i int) step {
 	faults := []struct {
-		what string
-		do   func(r *run, p *process)
+		description string
+		do          func(r *run, p *process)
 	}{
-		{"killed", func(r *run, p *process) { r.down(p, syscall.SIGKILL, lasts) }},
-		{"stopped", func(r *run, p *process) { r.down(p, syscall.SIGTERM, lasts) }},
-		{"emptied", func(r *run, p *process) { r.empty(p, lasts) }},
-		{"paused", func(r *run, p *process) { r.pause(p, lasts) }},
-		{"silent", func(r *run, p *process) { r.through(p, silent, 0, lasts) }},
-		{"deaf", func(r *run, p *process) { r.through(p, deaf, 0, lasts) }},
-		{"delayed", func(r *run, p *process) { r.through(p, delaying, 150*time.Millisecond, lasts) }},
+		{"killed", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGKILL, duration) }},
+		{"stopped", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGTERM, duration) }},
+		{"emptied", func(r *run, p *process) { r.wipe(p, duration) }},
+		{"paused", func(r *run, p *process) { r.pause(p, duration) }},
+		{"silent", func(r *run, p *process) { r.applyProxyMode(p, blackhole, 0, duration) }},
+		{"deaf", func(r *run, p *process) { r.applyProxyMode(p, dropInbound, 0, duration) }},
+		{"delayed", func(r *run, p *process) { r.applyProxyMode(p, delaying, 150*time.Millisecond, duration) }},
 		{"reset", func(_ *run, p *process) { p.proxy.reset() }},
 	}
 	f := faults[random.IntN(len(faults))]
-	return step{at, fmt.Sprintf("state-%d %s for %v", i, f.what, lasts), func(r *run) { f.do(r, r.fleet.states[i]) }}
+	return step{at, fmt.Sprintf("state-%d %s for %v", i, f.description, duration), func(r *run) { f.do(r, r.fleet.states[i]) }}
 }
 
-func entryFault(random *rand.Rand, at, lasts time.Duration, i, server int) step {
+func entryFault(random *rand.Rand, at, duration time.Duration, i, server int) step {
 	serverFault := standin.Fault(random.IntN(int(standin.Hang) + 1))
 	faults := []struct {
-		what string
-		do   func(r *run, p *process)
+		description string
+		do          func(r *run, p *process)
 	}{
-		{"killed", func(r *run, p *process) { r.down(p, syscall.SIGKILL, lasts) }},
-		{"stopped", func(r *run, p *process) { r.down(p, syscall.SIGTERM, lasts) }},
-		{"paused", func(r *run, p *process) { r.pause(p, lasts) }},
-		{"silent", func(r *run, p *process) { r.through(p, silent, 0, lasts) }},
+		{"killed", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGKILL, duration) }},
+		{"stopped", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGTERM, duration) }},
+		{"paused", func(r *run, p *process) { r.pause(p, duration) }},
+		{"silent", func(r *run, p *process) { r.applyProxyMode(p, blackhole, 0, duration) }},
 		{"signalled", func(_ *run, p *process) { p.signal(syscall.SIGHUP) }},
 	}
 	choice := random.IntN(len(faults) + 2)
 	switch choice - len(faults) {
 	case 0:
-		return step{at, fmt.Sprintf("server %d fault %d for %v", server, serverFault, lasts), func(r *run) { r.spoil(server, serverFault, lasts) }}
+		return step{at, fmt.Sprintf("server %d fault %d for %v", server, serverFault, duration), func(r *run) { r.injectServerFault(server, serverFault, duration) }}
 	case 1:
-		return step{at, fmt.Sprintf("server %d drains for %v", server, lasts+6*time.Second), func(r *run) { r.drain(server, lasts+6*time.Second) }}
+		return step{at, fmt.Sprintf("server %d drains for %v", server, duration+6*time.Second), func(r *run) { r.drain(server, duration+6*time.Second) }}
 	}
 	f := faults[choice]
-	return step{at, fmt.Sprintf("entry-%d %s for %v", i, f.what, lasts), func(r *run) { f.do(r, r.fleet.entries[i]) }}
+	return step{at, fmt.Sprintf("entry-%d %s for %v", i, f.description, duration), func(r *run) { f.do(r, r.fleet.entries[i]) }}
 }
 
 // down ends the process and starts it again later.
-func (r *run) down(p *process, s syscall.Signal, lasts time.Duration) {
-	if !r.busy(p) {
+func (r *run) stopAndRestart(p *process, s syscall.Signal, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		defer r.hurting(p)()
+	r.background(func() {
+		defer r.release(p)
+		defer r.beginOutage(p)()
 		if s == syscall.SIGTERM {
-			r.stopping(p)
+			r.recordStop(p)
 		}
-		if !p.end(s, stopPatience) {
-			r.broken("stop", "%s did not end %v after SIGTERM", p.name, stopPatience)
+		if !p.terminate(s, stopTimeout) {
+			r.violation("stop", "%s did not end %v after SIGTERM", p.name, stopTimeout)
 		}
-		r.sleep(lasts)
+		r.sleep(duration)
 		r.restart(p)
 	})
 }
 
 // empty kills a state process and takes its disk: it comes back as a new member.
-func (r *run) empty(p *process, lasts time.Duration) {
-	if !r.busy(p) {
+func (r *run) wipe(p *process, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		p.end(syscall.SIGKILL, stopPatience)
+	r.background(func() {
+		defer r.release(p)
+		p.terminate(syscall.SIGKILL, stopTimeout)
 		if err := os.RemoveAll(p.data); err != nil {
-			r.broken("harness", "%v", err)
+			r.violation("harness", "%v", err)
 		}
-		r.sleep(lasts)
+		r.sleep(duration)
 		r.restart(p)
 	})
 }
 
-func (r *run) pause(p *process, lasts time.Duration) {
-	if !r.busy(p) {
+func (r *run) pause(p *process, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		defer r.hurting(p)()
+	r.background(func() {
+		defer r.release(p)
+		defer r.beginOutage(p)()
 		p.signal(syscall.SIGSTOP)
-		r.sleep(lasts)
+		r.sleep(duration)
 		p.signal(syscall.SIGCONT)
 	})
 }
 
-func (r *run) through(p *process, mode proxyMode, delay, lasts time.Duration) {
-	r.later(func() {
-		defer r.hurting(p)()
+func (r *run) applyProxyMode(p *process, mode proxyMode, delay, duration time.Duration) {
+	r.background(func() {
+		defer r.beginOutage(p)()
 		p.proxy.set(mode, delay)
-		r.sleep(lasts)
+		r.sleep(duration)
 		p.proxy.set(passing, 0)
 	})
 }
 
 // spoil has every second request of a server go wrong for a while.
-func (r *run) spoil(server int, fault standin.Fault, lasts time.Duration) {
-	r.later(func() {
+func (r *run) injectServerFault(server int, fault standin.Fault, duration time.Duration) {
+	r.background(func() {
 		s := r.fleet.servers[server]
 		s.SetFaults(func(n int) standin.Fault {
 			if n%2 == 0 {
@@ -181,16 +181,16 @@
 			}
 			return standin.None
 		})
-		r.sleep(lasts)
+		r.sleep(duration)
 		s.SetFaults(nil)
 	})
 }
 
-func (r *run) drain(server int, lasts time.Duration) {
-	r.later(func() {
+func (r *run) drain(server int, duration time.Duration) {
+	r.background(func() {
 		identity := r.fleet.servers[server].Identity
-		r.fleet.drain(identity, true)
-		r.sleep(lasts)
-		r.fleet.drain(identity, false)
+		r.fleet.setDraining(identity, true)
+		r.sleep(duration)
+		r.fleet.setDraining(identity, false)
 	})
 }
--- a/faultsoak/proxy_test.go
+++ b/faultsoak/proxy_test.go
@@ -15,9 +15,9 @@
 	// delaying holds each piece back for a while.
 	delaying
 	// silent passes nothing and closes nothing.
-	silent
+	blackhole
 	// deaf passes answers only: what is sent to the process is lost.
-	deaf
+	dropInbound
 )
 
 // proxy stands before one process. The others know its address only.
@@ -58,20 +58,20 @@
 		return
 	}
 	defer to.Close()
-	p.hold(from, true)
-	p.hold(to, true)
-	defer p.hold(from, false)
-	defer p.hold(to, false)
+	p.track(from, true)
+	p.track(to, true)
+	defer p.track(from, false)
+	defer p.track(to, false)
 	done := make(chan struct{}, 2)
 	go func() { p.copy(to, from, true); done <- struct{}{} }()
 	go func() { p.copy(from, to, false); done <- struct{}{} }()
 	<-done
 }
 
-func (p *proxy) hold(conn net.Conn, held bool) {
+func (p *proxy) track(conn net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if held {
+	if open {
 		p.conns[conn] = true
 	} else {
 		delete(p.conns, conn)
@@ -103,9 +103,9 @@
 	switch mode {
 	case delaying:
 		time.Sleep(delay)
-	case silent:
+	case blackhole:
 		return p.waitForReset()
-	case deaf:
+	case dropInbound:
 		return !inward || p.waitForReset()
 	}
 	return true
@@ -117,7 +117,7 @@
 		p.mu.Lock()
 		mode := p.mode
 		p.mu.Unlock()
-		if mode != silent && mode != deaf {
+		if mode != blackhole && mode != dropInbound {
 			return false
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -130,7 +130,7 @@
 	was := p.mode
 	p.mode, p.delay = mode, delay
 	p.mu.Unlock()
-	if was == silent || was == deaf {
+	if was == blackhole || was == dropInbound {
 		p.reset()
 	}
 }
--- a/faultsoak/run_test.go
+++ b/faultsoak/run_test.go
@@ -25,7 +25,7 @@
 	// appliedWithin is the bound in the settings on documents that entries don't have.
 	appliedWithin = 3 * time.Second
 	// largeRoutes are as many as operators add at once, thrice.
-	largeRoutes = 4200
+	fillerRoutes = 4200
 	// callTimeout is the longest time that a caller waits.
 	callTimeout = 3 * time.Second
 )
@@ -33,27 +33,27 @@
 // run is one seeded run of the soak.
 type run struct {
 	fleet   *fleet
-	begun   time.Time
+	started time.Time
 	checked atomic.Int64
-	serial  atomic.Int64
+	lastID  atomic.Int64
 	stop    chan struct{}
 	callers sync.WaitGroup
 	faults  sync.WaitGroup
 
 	mu       sync.Mutex
 	problems []string
-	held     map[*process]bool
+	busy     map[*process]bool
 	calls    map[string]*call
-	stops    []stopTime
+	stops    []gracefulStop
 	document documentState
 	// needy are the servers that name a limit now, limits the times in which some did.
-	needy  map[*standin.Server]bool
-	limits []limitTime
-	hurts  []*hurt
+	limited map[*standin.Server]bool
+	limits  []limitPeriod
+	outages []*outage
 }
 
 // stopTime is a graceful stop of an entry.
-type stopTime struct {
+type gracefulStop struct {
 	entry *process
 	at    time.Time
 }
@@ -64,9 +64,9 @@
 	entry          *process
 	sent, ended    time.Time
 	status         int
-	cut            bool
+	interrupted    bool
 	// deniedUntil is until when an entry may not know the route.
-	deniedUntil time.Time
+	routeKnownBy time.Time
 }
 
 // documentState is what the operator sent and what was acknowledged.
@@ -84,18 +84,18 @@
 }
 
 func newRun(f *fleet) *run {
-	added := make([]string, largeRoutes)
-	source := rand.New(rand.NewPCG(1, largeRoutes))
+	added := make([]string, fillerRoutes)
+	source := rand.New(rand.NewPCG(1, fillerRoutes))
 	for i := range added {
 		added[i] = strconv.FormatUint(source.Uint64(), 36)
 	}
 	return &run{
-		fleet: f, begun: time.Now(), stop: make(chan struct{}), held: make(map[*process]bool), needy: make(map[*standin.Server]bool), calls: make(map[string]*call),
+		fleet: f, started: time.Now(), stop: make(chan struct{}), busy: make(map[*process]bool), limited: make(map[*standin.Server]bool), calls: make(map[string]*call),
 		document: documentState{keys: []string{"key-0", "key-1", "key-2", "key-3"}, revoked: make(map[string]time.Time), added: added},
 	}
 }
 
-func (r *run) broken(check, format string, args ...any) {
+func (r *run) violation(check, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.problems = append(r.problems, check+": "+fmt.Sprintf(format, args...))
@@ -105,28 +105,28 @@
 func (r *run) check(holds bool, name, format string, args ...any) {
 	r.checked.Add(1)
 	if !holds {
-		r.broken(name, format, args...)
+		r.violation(name, format, args...)
 	}
 }
 
 // busy takes a process for one fault at a time; false while another has it.
-func (r *run) busy(p *process) bool {
+func (r *run) acquire(p *process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held[p] {
+	if r.busy[p] {
 		return false
 	}
-	r.held[p] = true
+	r.busy[p] = true
 	return true
 }
 
-func (r *run) free(p *process) {
+func (r *run) release(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.held, p)
+	delete(r.busy, p)
 }
 
-func (r *run) later(do func()) {
+func (r *run) background(do func()) {
 	r.faults.Add(1)
 	go func() {
 		defer r.faults.Done()
@@ -143,14 +143,14 @@
 
 func (r *run) restart(p *process) {
 	if err := p.start(r.fleet.folder); err != nil {
-		r.broken("harness", "%s does not start: %v", p.name, err)
+		r.violation("harness", "%s does not start: %v", p.name, err)
 	}
 }
 
-func (r *run) stopping(p *process) {
+func (r *run) recordStop(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stops = append(r.stops, stopTime{p, time.Now()})
+	r.stops = append(r.stops, gracefulStop{p, time.Now()})
 }
 
 // text is the document of the moment. The list of teams may come in any order, so
@@ -164,11 +164,11 @@
 }
 
 // change sends a new version of the document until it is acknowledged.
-func (r *run) change() { r.later(func() { r.put(func(*documentState) {}) }) }
+func (r *run) change() { r.background(func() { r.put(func(*documentState) {}) }) }
 
 // revoke takes the last key but one away.
 func (r *run) revoke() {
-	r.later(func() {
+	r.background(func() {
 		taken := ""
 		r.put(func(d *documentState) {
 			if n := len(d.keys); n > 1 {
@@ -183,12 +183,12 @@
 	})
 }
 
-var putting sync.Mutex
+var putMu sync.Mutex
 
 // put sends one version to the state processes in turn, as an operator does.
 func (r *run) put(edit func(*documentState)) {
-	putting.Lock()
-	defer putting.Unlock()
+	putMu.Lock()
+	defer putMu.Unlock()
 	r.mu.Lock()
 	edit(&r.document)
 	r.document.version += 1 + uint64(rand.IntN(3))
@@ -197,7 +197,7 @@
 	text, err := r.document.text()
 	r.mu.Unlock()
 	if err != nil {
-		r.broken("harness", "%v", err)
+		r.violation("harness", "%v", err)
 		return
 	}
 	client := &http.Client{Timeout: time.Second}
@@ -251,7 +251,7 @@
 }
 
 // callFrom sends requests to one entry over kept connections until the run ends.
-func (r *run) callFrom(entry *process, pause time.Duration) {
+func (r *run) sendRequests(entry *process, pause time.Duration) {
 	defer r.callers.Done()
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true}}
 	routes := []string{"book", "look", "plan", "review"}
@@ -261,24 +261,24 @@
 			return
 		case <-time.After(pause):
 		}
-		r.one(client, entry, r.routeOf(routes[rand.IntN(len(routes))]))
+		r.sendOne(client, entry, r.pickRoute(routes[rand.IntN(len(routes))]))
 	}
 }
 
 // routeOf gives the route, or now and then the one that was added last.
-func (r *run) routeOf(usual string) string {
+func (r *run) pickRoute(usual string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.document.newest == "" || rand.IntN(newestEvery) != 0 {
+	if r.document.newest == "" || rand.IntN(newestRouteInterval) != 0 {
 		return usual
 	}
 	return r.document.newest
 }
 
 // newestEvery is how many requests come for one on the newest route.
-const newestEvery = 8
+const newestRouteInterval = 8
 
-func (r *run) one(client *http.Client, entry *process, route string) {
+func (r *run) sendOne(client *http.Client, entry *process, route string) {
 	r.mu.Lock()
 	key := r.document.keys[0]
 	// Now and then a key that was taken away, to see that it runs nowhere.
@@ -287,15 +287,15 @@
 			key = taken
 		}
 	}
-	denied := r.document.ackedAt.Add(appliedWithin + slack)
+	routeKnownBy := r.document.ackedAt.Add(appliedWithin + slack)
 	r.mu.Unlock()
-	c := &call{id: fmt.Sprintf("id-%d", r.serial.Add(1)), route: route, deniedUntil: denied, key: key, entry: entry, sent: time.Now()}
+	c := &call{id: fmt.Sprintf("id-%d", r.lastID.Add(1)), route: route, routeKnownBy: routeKnownBy, key: key, entry: entry, sent: time.Now()}
 	r.mu.Lock()
 	r.calls[c.id] = c
 	r.mu.Unlock()
 	req, err := standin.NewRequest(entry.callers, route, c.id, key, route == "plan" || route == "review")
 	if err != nil {
-		r.broken("harness", "%v", err)
+		r.violation("harness", "%v", err)
 		return
 	}
 	resp, err := client.Do(req)
@@ -310,7 +310,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c.cut, c.ended = err != nil, time.Now()
+	c.interrupted, c.ended = err != nil, time.Now()
 }
 
 // checkAnswer: each caller gets its own, whole answer.
@@ -329,18 +329,18 @@
 }
 
 // recovered waits until nearly all requests are served again.
-func (r *run) recovered() {
-	end := time.Now().Add(settle * 2)
+func (r *run) waitForRecovery() {
+	end := time.Now().Add(settleTime * 2)
 	for time.Now().Before(end) {
 		time.Sleep(500 * time.Millisecond)
-		if r.servedLately() {
+		if r.servingRecently() {
 			return
 		}
 	}
-	r.broken("recovery", "less than 9 in 10 requests are served %v after the last fault", settle*2)
+	r.violation("recovery", "less than 9 in 10 requests are served %v after the last fault", settleTime*2)
 }
 
-func (r *run) servedLately() bool {
+func (r *run) servingRecently() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asked, served := 0, 0
@@ -348,7 +348,7 @@
 		_, revoked := r.document.revoked[c.key]
 		if !revoked && !c.ended.IsZero() && time.Since(c.sent) < 2*time.Second {
 			asked++
-			if c.status == http.StatusOK && !c.cut {
+			if c.status == http.StatusOK && !c.interrupted {
 				served++
 			}
 		}
--- a/faultsoak/soak_test.go
+++ b/faultsoak/soak_test.go
@@ -30,7 +30,7 @@
 }
 
 // programs builds the real programs into a folder.
-func programs(t *testing.T, folder string) {
+func buildPrograms(t *testing.T, folder string) {
 	for _, name := range []string{"lilacbridge-entry", "lilacbridge-state"} {
 		out, err := exec.Command("go", "build", "-o", filepath.Join(folder, name), "../cmd/"+name).CombinedOutput()
 		if err != nil {
@@ -47,7 +47,7 @@
 	if folder == "" {
 		folder = t.TempDir()
 	}
-	programs(t, folder)
+	buildPrograms(t, folder)
 	list := make([]uint64, 0, *seeds)
 	for i := range *seeds {
 		list = append(list, *seed+i)
@@ -57,7 +57,7 @@
 	}
 	checks := int64(0)
 	for _, one := range list {
-		r := soak(t, folder, one)
+		r := runSeed(t, folder, one)
 		checks += r.checked.Load()
 		for _, problem := range r.problems {
 			t.Errorf("seed %d: %s", one, problem)
@@ -73,10 +73,10 @@
 // documents and a graceful restart. make demo FLEET=platform shows it.
 func TestPlatformDemo(t *testing.T) {
 	folder := t.TempDir()
-	programs(t, folder)
-	r := play(t, folder, []step{
+	buildPrograms(t, folder)
+	r := runSteps(t, folder, []step{
 		{time.Second, "change of the document", (*run).change},
-		{2 * time.Second, "entry-1 is restarted", func(r *run) { r.down(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
+		{2 * time.Second, "entry-1 is restarted", func(r *run) { r.stopAndRestart(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
 		{3 * time.Second, "change of the document", (*run).change},
 	})
 	for _, problem := range r.problems {
@@ -84,7 +84,7 @@
 	}
 	served := 0
 	for _, c := range r.calls {
-		if c.status == http.StatusOK && !c.cut {
+		if c.status == http.StatusOK && !c.interrupted {
 			served++
 		}
 	}
@@ -94,12 +94,12 @@
 	}
 }
 
-func soak(t *testing.T, programs string, seed uint64) *run {
-	return play(t, programs, plan(seed, *length, *states, *entries, *servers))
+func runSeed(t *testing.T, programs string, seed uint64) *run {
+	return runSteps(t, programs, plan(seed, *length, *states, *entries, *servers))
 }
 
 // play starts a fleet, has the steps happen and judges what was seen.
-func play(t *testing.T, programs string, steps []step) *run {
+func runSteps(t *testing.T, programs string, steps []step) *run {
 	is := is.New(t)
 	f, err := newFleet(programs, *states, *entries, *servers)
 	is.NoErr(err)
@@ -113,28 +113,28 @@
 	for _, entry := range f.entries {
 		for range 3 {
 			r.callers.Add(1)
-			go r.callFrom(entry, 15*time.Millisecond)
+			go r.sendRequests(entry, 15*time.Millisecond)
 		}
 	}
-	end := time.Now().Add(startPatience)
-	for !r.servedLately() {
+	end := time.Now().Add(startTimeout)
+	for !r.servingRecently() {
 		if time.Now().After(end) {
-			t.Fatalf("the fleet does not serve %v after its start", startPatience)
+			t.Fatalf("the fleet does not serve %v after its start", startTimeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	begun := time.Now()
+	started := time.Now()
 	for _, s := range steps {
-		time.Sleep(s.at - time.Since(begun))
+		time.Sleep(s.at - time.Since(started))
 		t.Log(s)
 		s.do(r)
 		r.readBack(f.states[int(s.at/time.Millisecond)%len(f.states)])
 	}
 	r.faults.Wait()
-	r.recovered()
+	r.waitForRecovery()
 	close(r.stop)
 	r.callers.Wait()
-	r.judge()
-	r.judgeLogs()
+	r.checkResults()
+	r.checkLogs()
 	return r
 }
