--- a/cmd/lilacbench/main.go
+++ b/cmd/lilacbench/main.go
@@ -1,4 +1,4 @@
-// Command lilacbench measures the policy against baselines in virtual time.
+// Command lilacbench compares the routing policy with baseline policies in simulated time.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	var byClass bool
 	command := &cobra.Command{
 		Use:           "lilacbench",
-		Short:         "Measure the policy against baselines on the same seeded arrivals",
+		Short:         "Compare the routing policy with baselines on the same seeded arrivals",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -26,13 +26,13 @@
 		},
 	}
 	flags := command.Flags()
-	flags.StringVar(&request.Fleet, "fleet", "", "agence or madryn (default both)")
-	flags.StringVar(&request.Scenario, "scenario", "", "one scenario (default all)")
-	flags.StringVar(&request.Policy, "policy", "", "one policy (default all)")
-	flags.Uint64Var(&request.Seed, "seed", 1, "seed of arrivals and chance")
-	flags.IntVar(&request.Workers, "workers", 0, "runs at once (default 3)")
-	flags.BoolVar(&byClass, "classes", true, "print the rows by class")
-	flags.StringVar(&folder, "out", "out", "folder for bench.csv and bench.png; empty writes none")
+	flags.StringVar(&request.Fleet, "fleet", "", "fleet to simulate, agence or madryn (default both)")
+	flags.StringVar(&request.Scenario, "scenario", "", "scenario to run (default all)")
+	flags.StringVar(&request.Policy, "policy", "", "policy to run (default all)")
+	flags.Uint64Var(&request.Seed, "seed", 1, "seed of the arrivals and all other random choices")
+	flags.IntVar(&request.Workers, "workers", 0, "number of concurrent runs (default 3)")
+	flags.BoolVar(&byClass, "classes", true, "print a row for each class")
+	flags.StringVar(&folder, "out", "out", "folder for bench.csv and bench.png; if empty, no files are written")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "lilacbench:", err)
 		os.Exit(1)
--- a/cmd/lilacbridge-entry/main.go
+++ b/cmd/lilacbridge-entry/main.go
@@ -1,5 +1,5 @@
-// Command lilacbridge-entry runs an entry instance: callers' requests in,
-// backend servers' answers out.
+// Command lilacbridge-entry runs an entry instance, which forwards callers' requests to
+// backend servers.
 package main
 
 import (
--- a/cmd/lilacbridge-state/main.go
+++ b/cmd/lilacbridge-state/main.go
@@ -1,5 +1,5 @@
-// Command lilacbridge-state runs a state process: a member of the replicated
-// log that holds configuration, request ledger and leases.
+// Command lilacbridge-state runs a state process, a member of the replicated state machine
+// that holds the configuration, the request ledger and the leases.
 package main
 
 import (
--- a/cmd/lilaccapacity/main.go
+++ b/cmd/lilaccapacity/main.go
@@ -1,5 +1,6 @@
-// Command lilaccapacity reads the output of the size benchmarks from standard
-// input and prints what each role costs at the size to design for.
+// Command lilaccapacity reads the output of the scaling benchmarks from standard input and
+// prints the projected cost of each role at the design size. It exits with 1 if a
+// benchmark has too few samples and with 2 if the input can't be read.
 package main
 
 import (
--- a/cmd/lilacctl/apply.go
+++ b/cmd/lilacctl/apply.go
@@ -17,7 +17,7 @@
 	var ifRevision uint64
 	cmd := &cobra.Command{
 		Use:   "apply -f FILE",
-		Short: "Bring classes, teams and servers to those of a file, as one revision",
+		Short: "Apply the classes, teams and servers of a file as one revision",
 		Args:  usageArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if cmd.Flags().Changed(ifRevisionFlag) {
@@ -26,12 +26,12 @@
 			return runApply(cmd, g, file, request)
 		},
 	}
-	cmd.Flags().StringVarP(&file, "file", "f", "", "the fleet file")
-	cmd.Flags().StringVar(&request.CommandID, "command-id", "", "id of an earlier try, to learn what became of it")
-	cmd.Flags().Uint64Var(&ifRevision, ifRevisionFlag, 0, "refuse unless this is the current revision; 0 is an empty configuration")
-	cmd.Flags().BoolVar(&request.DryRun, "dry-run", false, "show the difference without making it")
-	cmd.Flags().BoolVar(&request.Prune, "prune", false, "drop what the file lacks")
-	// It fails for a flag that is not defined, and this one is, above.
+	cmd.Flags().StringVarP(&file, "file", "f", "", "fleet file to apply")
+	cmd.Flags().StringVar(&request.CommandID, "command-id", "", "id of an earlier attempt, to repeat it safely and learn its outcome")
+	cmd.Flags().Uint64Var(&ifRevision, ifRevisionFlag, 0, "apply only if this is the current revision; 0 is an empty configuration")
+	cmd.Flags().BoolVar(&request.DryRun, "dry-run", false, "show the difference without applying it")
+	cmd.Flags().BoolVar(&request.Prune, "prune", false, "delete items that are not in the file")
+	// It fails only for an undefined flag.
 	_ = cmd.MarkFlagRequired("file")
 	return cmd
 }
--- a/cmd/lilacctl/check.go
+++ b/cmd/lilacctl/check.go
@@ -24,7 +24,7 @@
 	targets := map[string]settings.Validator{"entry": &settings.Entry{}, "state": &settings.State{}}
 	target, ok := targets[kind]
 	if !ok {
-		return usageError{fmt.Errorf("%q is no kind of process; write entry or state", kind)}
+		return usageError{fmt.Errorf("unknown kind of process %q; use entry or state", kind)}
 	}
 	if err := settings.Load(file, target); err != nil {
 		return usageError{err}
--- a/cmd/lilacctl/exec.go
+++ b/cmd/lilacctl/exec.go
@@ -22,8 +22,8 @@
 			return runStatement(cmd, g, request)
 		},
 	}
-	cmd.Flags().StringVar(&request.CommandID, "command-id", "", "id of an earlier try, to learn what became of it")
-	cmd.Flags().BoolVar(&request.DryRun, "dry-run", false, "check the change without making it")
+	cmd.Flags().StringVar(&request.CommandID, "command-id", "", "id of an earlier attempt, to repeat it safely and learn its outcome")
+	cmd.Flags().BoolVar(&request.DryRun, "dry-run", false, "check the change without applying it")
 	return cmd
 }
 
--- a/cmd/lilacctl/explain.go
+++ b/cmd/lilacctl/explain.go
@@ -9,14 +9,15 @@
 	"github.com/lilacbridge/lilacbridge/process/logs/story"
 )
 
-// newExplain tells a request's story from log files or standard input.
+// newExplain returns the command that reconstructs a request's history from log files or
+// standard input.
 func newExplain() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain REQUEST [LOG...]",
-		Short: "Tell what became of a request, from the logs of all instances",
+		Short: "Show the history of a request from the logs of all instances",
 		Args: func(_ *cobra.Command, args []string) error {
 			if len(args) == 0 {
-				return usageError{fmt.Errorf("explain needs the request's id; callers send it with each attempt, and each line on it holds it in field request")}
+				return usageError{fmt.Errorf("explain needs the id of a request, which callers send with each attempt; log lines about a request carry it in field request")}
 			}
 			return nil
 		},
@@ -33,7 +34,7 @@
 				}
 			}
 			if !s.Tell(command.OutOrStdout(), args[0]) {
-				return fmt.Errorf("no line on request %q (%d lines are no JSON); give the logs of all entries from the minute of the request, and look for \"log lines\" that were dropped or left out", args[0], s.Skipped)
+				return fmt.Errorf("no log line about request %q (%d lines are not JSON); pass the logs of all entries from the time of the request, and search them for messages about dropped or omitted \"log lines\"", args[0], s.Skipped)
 			}
 			return nil
 		},
--- a/cmd/lilacctl/global.go
+++ b/cmd/lilacctl/global.go
@@ -12,7 +12,7 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Exit codes, by what became of the command.
+// Exit codes.
 const (
 	exitRefused     = 1
 	exitUsage       = 2
@@ -56,10 +56,10 @@
 
 func (g *globalFlags) register(root *cobra.Command) {
 	flags := root.PersistentFlags()
-	flags.StringSliceVar(&g.endpoints, "endpoint", fromEnvironment(endpointVariable), "host:port of an entry's operators' address; several are tried in turn ($"+endpointVariable+")")
-	flags.StringVar(&g.tokenFile, "token-file", os.Getenv(tokenFileVariable), "file that holds the operator's token ($"+tokenFileVariable+")")
-	flags.StringVarP(&g.output, "output", "o", "table", "table, json or yaml")
-	// It fails for a flag that is not defined, and this one is, above.
+	flags.StringSliceVar(&g.endpoints, "endpoint", fromEnvironment(endpointVariable), "host:port of the operators' listener of an entry; several are tried in turn ($"+endpointVariable+")")
+	flags.StringVar(&g.tokenFile, "token-file", os.Getenv(tokenFileVariable), "file with the operator's token ($"+tokenFileVariable+")")
+	flags.StringVarP(&g.output, "output", "o", "table", "output format: table, json or yaml")
+	// It fails only for an undefined flag.
 	_ = root.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json", "yaml"}, cobra.ShellCompDirectiveNoFileComp))
 }
 
@@ -73,7 +73,7 @@
 
 func (g *globalFlags) client() (*operator.Client, error) {
 	if len(g.endpoints) == 0 || g.tokenFile == "" {
-		return nil, usageError{errors.New("name the fleet with --endpoint and --token-file")}
+		return nil, usageError{errors.New("--endpoint and --token-file are required")}
 	}
 	data, err := os.ReadFile(g.tokenFile)
 	if err != nil {
@@ -81,9 +81,9 @@
 	}
 	fields := strings.Fields(string(data))
 	if len(fields) == 0 {
-		return nil, usageError{errors.New(g.tokenFile + " holds no token")}
+		return nil, usageError{errors.New(g.tokenFile + " contains no token")}
 	}
-	// A file of "name token" lines works as well: the first line's token is used.
+	// A file of "NAME TOKEN" lines is accepted too; the first line's token is used.
 	token := fields[0]
 	if len(fields) > 1 {
 		token = fields[1]
--- a/cmd/lilacctl/main.go
+++ b/cmd/lilacctl/main.go
@@ -1,5 +1,5 @@
-// Command lilacctl is the operators' client of lilacbridge: it sends
-// statements, applies fleet files, checks settings and reads data folders.
+// Command lilacctl is the operators' command-line client of lilacbridge. It runs
+// statements, applies fleet files, validates settings and inspects and recovers data folders.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	flags := &globalFlags{}
 	root := &cobra.Command{
 		Use:           "lilacctl",
-		Short:         "Ask and order a lilacbridge fleet",
+		Short:         "Query and control a lilacbridge fleet",
 		Version:       build.Version,
 		SilenceUsage:  true,
 		SilenceErrors: true,
--- a/cmd/lilacctl/print.go
+++ b/cmd/lilacctl/print.go
@@ -25,10 +25,10 @@
 	case "table":
 		return printTable(w, reply)
 	}
-	return usageError{fmt.Errorf("%q is no output format; write table, json or yaml", format)}
+	return usageError{fmt.Errorf("unknown output format %q; use table, json or yaml", format)}
 }
 
-// printYAML goes by way of JSON, so that both formats have the same names.
+// printYAML converts from JSON, so that both formats use the same names.
 func printYAML(w io.Writer, reply *operator.Reply) error {
 	data, err := json.Marshal(reply)
 	if err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if reply.Omitted > 0 {
-		fmt.Fprintf(w, "%d more rows match; narrow the query by WHERE, or by a smaller LIMIT\n", reply.Omitted)
+		fmt.Fprintf(w, "%d more rows match; narrow the query with WHERE or a smaller LIMIT\n", reply.Omitted)
 	}
 	for _, missing := range reply.Missing {
 		fmt.Fprintf(w, "no answer from %s (%s): %s\n", missing.Instance, missing.DataCenter, missing.Reason)
@@ -69,14 +69,14 @@
 		fmt.Fprintln(w, line)
 	}
 	for _, line := range change.Effect {
-		fmt.Fprintln(w, "concerns", line)
+		fmt.Fprintln(w, "affects", line)
 	}
 	state := "accepted as"
 	switch {
 	case change.DryRun:
-		state = "not made; would be"
+		state = "dry run; would be"
 	case change.Repeated:
-		state = "was accepted before as"
+		state = "already accepted as"
 	}
 	fmt.Fprintf(w, "%s revision %d (command %s)\n", state, change.Revision, change.CommandID)
 }
--- a/cmd/lilacctl/token.go
+++ b/cmd/lilacctl/token.go
@@ -12,7 +12,7 @@
 	var keyFile string
 	cmd := &cobra.Command{
 		Use:   "token TEAM",
-		Short: "Make the token by which a team's callers show who they are",
+		Short: "Print the token that authenticates callers of a team",
 		Args:  usageArgs(cobra.ExactArgs(1)),
 		RunE: func(_ *cobra.Command, args []string) error {
 			key, err := secret.ReadKey(keyFile)
@@ -23,8 +23,8 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&keyFile, "key-file", "", "the callers' key file of the entries' settings")
-	// It fails for a flag that is not defined, and this one is, above.
+	cmd.Flags().StringVar(&keyFile, "key-file", "", "file with the callers' key, as in the entries' settings")
+	// It fails only for an undefined flag.
 	_ = cmd.MarkFlagRequired("key-file")
 	return cmd
 }
--- a/cmd/lilacctl/watch.go
+++ b/cmd/lilacctl/watch.go
@@ -18,14 +18,14 @@
 	var times int
 	cmd := &cobra.Command{
 		Use:   "watch SUBJECT [WHERE …]",
-		Short: "Run a SHOW statement again and again",
+		Short: "Run a SHOW statement periodically",
 		Args:  usageArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runWatch(cmd, g, "SHOW "+strings.Join(args, " "), interval, times)
 		},
 	}
-	cmd.Flags().DurationVar(&interval, "interval", defaultInterval, "time between two queries")
-	cmd.Flags().IntVar(&times, "times", 0, "stop after so many; 0 means never")
+	cmd.Flags().DurationVar(&interval, "interval", defaultInterval, "time between queries")
+	cmd.Flags().IntVar(&times, "times", 0, "number of queries; 0 means no limit")
 	return cmd
 }
 
--- a/cmd/lilacload/changes.go
+++ b/cmd/lilacload/changes.go
@@ -28,11 +28,11 @@
 
 func (o *changeOptions) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringSliceVar(&o.endpoints, "endpoint", nil, "operators' address of an entry, more than once")
+	flags.StringSliceVar(&o.endpoints, "endpoint", nil, "operators' address of an entry, repeatable")
 	flags.StringVar(&o.tokenFile, "token-file", "", "file with the operator's token")
-	flags.StringVar(&o.record, "record", "", "file with the accepted changes")
+	flags.StringVar(&o.record, "record", "", "file that records the accepted changes")
 	for _, name := range []string{"endpoint", "token-file", "record"} {
-		// It fails for a flag that is not defined, and these are, above.
+		// It fails only for an undefined flag.
 		_ = command.MarkFlagRequired(name)
 	}
 }
@@ -49,17 +49,17 @@
 	var o changeOptions
 	command := &cobra.Command{
 		Use:   "changes",
-		Short: "Give changes one after the other and record those that were accepted",
+		Short: "Submit changes one after the other and record the accepted ones",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.change(command) },
 	}
 	o.register(command)
 	flags := command.Flags()
-	flags.StringVar(&o.plan.Prefix, "prefix", "probe", "beginning of the names of the teams that are made")
-	flags.IntVar(&o.plan.Count, "count", 0, "number of changes; 0 for as many as the duration allows")
+	flags.StringVar(&o.plan.Prefix, "prefix", "probe", "prefix of the names of the created teams")
+	flags.IntVar(&o.plan.Count, "count", 0, "number of changes; 0 means no limit")
 	flags.DurationVar(&o.plan.Interval, "interval", 50*time.Millisecond, "pause between changes")
-	flags.DurationVar(&o.plan.Resend, "resend", 40*time.Second, "how long a change without an answer is sent again")
-	flags.DurationVar(&o.duration, "duration", time.Hour, "when to stop; SIGTERM stops as well")
+	flags.DurationVar(&o.plan.Resend, "resend", 40*time.Second, "how long to retry a change without a final response")
+	flags.DurationVar(&o.duration, "duration", time.Hour, "time after which to stop; SIGTERM also stops")
 	return command
 }
 
@@ -92,12 +92,12 @@
 	var o changeOptions
 	command := &cobra.Command{
 		Use:   "verify",
-		Short: "Check that every accepted change is in force at every endpoint",
+		Short: "Verify that every accepted change is in force at every endpoint",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.verify(command) },
 	}
 	o.register(command)
-	command.Flags().DurationVar(&o.within, "within", 13*time.Second, "how long each endpoint may take")
+	command.Flags().DurationVar(&o.within, "within", 13*time.Second, "time within which each endpoint must show all changes")
 	return command
 }
 
@@ -111,7 +111,7 @@
 		return err
 	}
 	if len(log.Accepted) == 0 {
-		return errors.New("the record holds no accepted change: nothing can be verified")
+		return errors.New("the record contains no accepted change to verify")
 	}
 	lostTeams := make(map[string]bool)
 	unreachable := 0
--- a/cmd/lilacload/claims.go
+++ b/cmd/lilacload/claims.go
@@ -14,7 +14,7 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// claimsInFlight is how many claims may be under way.
+// claimsInFlight limits the number of concurrent claims.
 const claimsInFlight = 4096
 
 type claimOptions struct {
@@ -28,19 +28,19 @@
 	o := claimOptions{plan: loadgen.ClaimPlan{InFlight: claimsInFlight}}
 	command := &cobra.Command{
 		Use:   "claims",
-		Short: "Claim non-idempotent requests straight at the state processes, and record their ends",
+		Short: "Claim non-idempotent requests directly at the state processes and record their outcomes",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.run(command) },
 	}
 	flags := command.Flags()
-	flags.StringSliceVar(&o.states, "state", nil, "link address of a state process, more than once")
+	flags.StringSliceVar(&o.states, "state", nil, "link address of a state process, repeatable")
 	flags.StringVar(&o.keyFile, "link-key-file", "", "file with the key of the links")
-	flags.IntVar(&o.instances, "instances", 8, "number of entries that claim, each over links of its own")
-	flags.IntVar(&o.plan.PerSecond, "rate", 100, "claims a second")
-	flags.DurationVar(&o.plan.Duration, "duration", 10*time.Second, "how long")
-	flags.IntVar(&o.plan.AnswerBytes, "answer-bytes", 256, "size of the answer that each outcome records")
+	flags.IntVar(&o.instances, "instances", 8, "number of simulated entries, each with its own links")
+	flags.IntVar(&o.plan.PerSecond, "rate", 100, "claims per second")
+	flags.DurationVar(&o.plan.Duration, "duration", 10*time.Second, "duration of the load")
+	flags.IntVar(&o.plan.AnswerBytes, "answer-bytes", 256, "size of the answer recorded with each outcome, in bytes")
 	for _, name := range []string{"state", "link-key-file"} {
-		// It fails for a flag that is not defined, and these are, above.
+		// It fails only for an undefined flag.
 		_ = command.MarkFlagRequired(name)
 	}
 	return command
@@ -63,7 +63,8 @@
 	return nil
 }
 
-// instance is one entry's way to the state processes.
+// newLedger returns a client of the state processes with its own links. It runs until
+// the context ends.
 func (o *claimOptions) newLedger(ctx context.Context, name string, keys func() secret.Keys) *stateclient.Client {
 	id := link.Identity{Peer: link.Peer{Process: name}, Keys: keys}
 	callers := make(map[string]*link.Client)
--- a/cmd/lilacload/main.go
+++ b/cmd/lilacload/main.go
@@ -1,4 +1,5 @@
-// Command lilacload makes load for a lilacbridge fleet and checks every answer.
+// Command lilacload generates load for a lilacbridge fleet and checks every answer. It
+// exits with 1 if a guarantee is violated or a result is below its minimum.
 package main
 
 import (
@@ -15,16 +16,16 @@
 	"github.com/lilacbridge/lilacbridge/process/settings"
 )
 
-// The ends of a run that is not as it must be.
+// Errors of a run whose results are unacceptable. They set exit status 1.
 var (
-	errViolation    = errors.New("a promise was broken")
-	errBelowMinimum = errors.New("too few")
+	errViolation    = errors.New("guarantee violated")
+	errBelowMinimum = errors.New("below minimum")
 )
 
 func main() {
 	root := &cobra.Command{
 		Use:           "lilacload",
-		Short:         "Load a lilacbridge fleet and check every answer",
+		Short:         "Generate load for a lilacbridge fleet and check every answer",
 		Version:       build.Version,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -49,14 +50,15 @@
 		RunE: func(command *cobra.Command, args []string) error {
 			var n int
 			if _, err := fmt.Sscan(args[0], &n); err != nil {
-				return fmt.Errorf("%q is no number of ports", args[0])
+				return fmt.Errorf("invalid number of ports %q", args[0])
 			}
 			return printPorts(command, n)
 		},
 	}
 }
 
-// printPorts holds all listeners until the last is open, so that no port comes twice.
+// printPorts keeps all listeners open until the last port is printed, so that no port is
+// printed twice.
 func printPorts(command *cobra.Command, n int) error {
 	for range n {
 		listener, err := loopback.ListenBelowClients()
@@ -73,7 +75,7 @@
 	var keyFile string
 	command := &cobra.Command{
 		Use:   "token TEAM",
-		Short: "Print a caller's token for a team",
+		Short: "Print the token that authenticates callers of a team",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			key, err := secret.ReadKey(keyFile)
@@ -85,7 +87,7 @@
 		},
 	}
 	command.Flags().StringVar(&keyFile, "key-file", "", "file with the callers' key")
-	// It fails for a flag that is not defined, and this one is, above.
+	// It fails only for an undefined flag.
 	_ = command.MarkFlagRequired("key-file")
 	return command
 }
--- a/cmd/lilacload/run.go
+++ b/cmd/lilacload/run.go
@@ -26,7 +26,7 @@
 	duration          time.Duration
 	forbidInterrupted bool
 	minComplete       float64
-	// minAttainment by class, and the error kinds that a class must not get.
+	// minAttainment is a number for each class, forbid an error kind for each class.
 	minAttainment map[string]string
 	forbid        map[string]string
 }
@@ -35,24 +35,24 @@
 	var o runOptions
 	command := &cobra.Command{
 		Use:   "run",
-		Short: "Send the load of a plan and print what the callers got",
+		Short: "Send the load of a plan and print a report of the results",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.run(command) },
 	}
 	flags := command.Flags()
-	flags.StringVar(&o.planFile, "plan", "", "YAML file with the load")
+	flags.StringVar(&o.planFile, "plan", "", "YAML file with the load plan")
 	flags.StringVar(&o.fleetFile, "fleet", "", "YAML file with the fleet's classes and servers")
 	flags.StringVar(&o.keyFile, "key-file", "", "file with the callers' key")
 	flags.StringVar(&o.jsonFile, "json", "", "also write the report as JSON to this file")
-	flags.StringSliceVar(&o.entries, "entry", nil, "address of an entry, more than once")
-	flags.Uint64Var(&o.seed, "seed", 0, "seed instead of the plan's")
-	flags.DurationVar(&o.duration, "duration", 0, "duration instead of the plan's")
-	flags.BoolVar(&o.forbidInterrupted, "no-cuts", false, "an answer that breaks off is a broken promise")
-	flags.Float64Var(&o.minComplete, "min-whole", 0, "least share of each class's requests that must get a whole answer")
-	flags.StringToStringVar(&o.minAttainment, "min-attainment", nil, "least attainment of a class, such as alerts=0.9")
-	flags.StringToStringVar(&o.forbid, "forbid", nil, "kind of error that a class must not get, such as alerts=overloaded")
+	flags.StringSliceVar(&o.entries, "entry", nil, "address of an entry, repeatable")
+	flags.Uint64Var(&o.seed, "seed", 0, "seed, overrides the plan's")
+	flags.DurationVar(&o.duration, "duration", 0, "duration, overrides the plan's")
+	flags.BoolVar(&o.forbidInterrupted, "no-cuts", false, "treat an interrupted answer as a violation")
+	flags.Float64Var(&o.minComplete, "min-whole", 0, "minimum share of each class's requests that must get a complete answer")
+	flags.StringToStringVar(&o.minAttainment, "min-attainment", nil, "minimum attainment of a class, such as alerts=0.9")
+	flags.StringToStringVar(&o.forbid, "forbid", nil, "error kind that a class must not get, such as alerts=overloaded")
 	for _, name := range []string{"plan", "fleet", "key-file", "entry"} {
-		// It fails for a flag that is not defined, and these are, above.
+		// It fails only for an undefined flag.
 		_ = command.MarkFlagRequired(name)
 	}
 	return command
@@ -139,7 +139,7 @@
 			return err
 		}
 		if notCanceled := class.Requests - class.Canceled; float64(class.Complete) < o.minComplete*float64(notCanceled) {
-			return fmt.Errorf("class %s: %d whole answers of %d: %w", class.Class, class.Complete, notCanceled, errBelowMinimum)
+			return fmt.Errorf("class %s: %d complete answers of %d requests: %w", class.Class, class.Complete, notCanceled, errBelowMinimum)
 		}
 	}
 	return nil
@@ -152,11 +152,11 @@
 			return fmt.Errorf("min-attainment of %s: %w", class.Class, err)
 		}
 		if class.Attainment < minimum {
-			return fmt.Errorf("class %s: attainment %.3f is below %s: %w", class.Class, class.Attainment, text, errBelowMinimum)
+			return fmt.Errorf("class %s: attainment %.3f of %s: %w", class.Class, class.Attainment, text, errBelowMinimum)
 		}
 	}
 	if kind := o.forbid[class.Class]; kind != "" && class.Errors[kind] > 0 {
-		return fmt.Errorf("class %s got %d times %s: %w", class.Class, class.Errors[kind], kind, errViolation)
+		return fmt.Errorf("class %s: got %d errors of forbidden kind %s: %w", class.Class, class.Errors[kind], kind, errViolation)
 	}
 	return nil
 }
