--- a/cmd/lilacload/run.go
+++ b/cmd/lilacload/run.go
@@ -139,7 +139,7 @@
 			return err
 		}
 		if notCanceled := class.Requests - class.Canceled; float64(class.Complete) < o.minComplete*float64(notCanceled) {
-			return fmt.Errorf("class %s: %d complete answers of %d requests: %w", class.Class, class.Complete, notCanceled, errBelowMinimum)
+			return fmt.Errorf("class %s: %d of %d requests got complete answers: %w", class.Class, class.Complete, notCanceled, errBelowMinimum)
 		}
 	}
 	return nil
@@ -152,7 +152,7 @@
 			return fmt.Errorf("min-attainment of %s: %w", class.Class, err)
 		}
 		if class.Attainment < minimum {
-			return fmt.Errorf("class %s: attainment %.3f of %s: %w", class.Class, class.Attainment, text, errBelowMinimum)
+			return fmt.Errorf("class %s: attainment %.3f, required %s: %w", class.Class, class.Attainment, text, errBelowMinimum)
 		}
 	}
 	if kind := o.forbid[class.Class]; kind != "" && class.Errors[kind] > 0 {
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// MedianWord before a number, as one word of the prompt, sets the median
-	// length of the answer in tokens. The router knows nothing of it.
+	// MedianPrefix, followed by a number in one word of the prompt, sets the median length
+	// of the answer in tokens. The router does not interpret it.
 	MedianPrefix = "median="
-	// RefWord before a name, as one word of a prompt or body, lets GET /stats
-	// count how often that request ran.
+	// RefPrefix, followed by a name in one word of a prompt or body, makes GET /stats count
+	// the runs of that request.
 	RefPrefix = "ref:"
 
 	defaultMedianTokens = 40
-	// sigma is the spread of the logarithm of lengths: one in twenty answers is
-	// longer than 3.7 times the median.
+	// lengthSigma is the standard deviation of the logarithm of answer lengths: one in
+	// twenty answers is longer than 3.7 times the median.
 	lengthSigma = 0.8
-	// longest bounds an answer, in medians.
+	// maxMedians bounds the length of an answer, as a multiple of the median.
 	maxMedians = 8
 )
 
@@ -33,10 +33,10 @@
 	Content Content `json:"content"`
 }
 
-// Content is the text of a message. In JSON it may be a string or text parts.
+// Content is the text of a message. In JSON it is a string or a list of text parts.
 type Content string
 
-// UnmarshalJSON reads a string, null or a list of text parts.
+// UnmarshalJSON accepts a string, null or a list of text parts.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err == nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// Answer returns the tokens that a model answers to the messages; joined they
-// are the text. maxTokens bounds their number; 0 means no bound.
+// Answer returns the tokens of a model's answer to the messages. Concatenated they are its
+// text. maxTokens bounds their number; 0 means no bound.
 func Answer(model string, messages []Message, maxTokens int) []string {
 	tokens := fullAnswer(model, messages)
 	if maxTokens > 0 && len(tokens) > maxTokens {
@@ -65,8 +65,8 @@
 	return tokens
 }
 
-// Continue returns the rest of an answer whose beginning is the last message.
-// As with real engines, maxTokens bounds only the tokens still to come.
+// Continue returns the rest of an answer whose beginning is the last message. As in real
+// engines, maxTokens bounds only the returned tokens.
 func Continue(model string, messages []Message, maxTokens int) []string {
 	last := len(messages) - 1
 	tokens := fullAnswer(model, messages[:last])
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -11,7 +11,7 @@
 
 const blockWords = prefix.BlockWords
 
-// blocks returns the hash of each whole block of the prompt.
+// blockHashes returns the hash of each complete block of the prompt.
 func blockHashes(words []string) []uint64 { return prefix.Blocks(words...) }
 
 func promptWords(messages []Message) []string {
@@ -22,7 +22,7 @@
 	return words
 }
 
-// CacheEvent tells which prefix blocks were stored and dropped.
+// CacheEvent reports the hashes of prefix blocks that were stored and evicted.
 type CacheEvent struct {
 	Sequence uint64   `json:"seq"`
 	Stored   []string `json:"stored"`
@@ -31,25 +31,25 @@
 	at       time.Time
 }
 
-// cache is a prefix cache that drops the blocks used longest ago.
+// cache is a prefix cache with LRU eviction.
 type cache struct {
 	capacity int
 	lru      *list.List
 	byHash   map[uint64]*list.Element
 	sequence uint64
 	events   []CacheEvent
-	// gap makes every gap-th event vanish; 0 means none.
+	// lossInterval N drops every N-th event; 0 drops none.
 	lossInterval uint64
 }
 
-// keptEvents bounds the events held for late readers.
+// maxEvents bounds the number of events retained for readers.
 const maxEvents = 4096
 
 func newCache(capacity int, lossInterval uint64) *cache {
 	return &cache{capacity: capacity, lossInterval: lossInterval, lru: list.New(), byHash: make(map[uint64]*list.Element)}
 }
 
-// use counts the leading words that are cached, then stores the whole prompt.
+// insert returns the number of leading words that were cached and stores the whole prompt.
 func (c *cache) insert(hashes []uint64, now time.Time) (cachedWords int) {
 	for _, hash := range hashes {
 		if _, ok := c.byHash[hash]; !ok {
@@ -90,7 +90,7 @@
 	}
 }
 
-// since returns the events after a sequence number that are old enough to be told.
+// since returns the events after a sequence number that occurred no later than until.
 func (c *cache) since(after uint64, newest time.Time) []CacheEvent {
 	visible := []CacheEvent{}
 	for _, event := range c.events {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -6,71 +6,72 @@
 	"time"
 )
 
-// EngineConfig holds the settings of a stand-in engine.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
-	// Models that it has loaded at start.
+	// Models are loaded at start.
 	Models []string
-	// Slots is how many sequences it runs at once.
+	// Slots is the number of sequences that run concurrently.
 	Slots int
-	// MaxWaiting is the length of its queue beyond which it answers 429.
+	// MaxWaiting is the queue length at which requests are answered with 429.
 	MaxWaiting int
-	// FirstToken is the time from slot to first token of a prompt that is all cached.
+	// FirstToken is the time from admission to the first token of a fully cached prompt.
 	FirstToken time.Duration
-	// PerToken is the gap between tokens of a batch of one.
+	// PerToken is the time between tokens with a single running sequence.
 	PerToken time.Duration
-	// BatchCost is the share by which each further sequence lengthens the gap.
+	// BatchSlowdown is the fraction by which each further sequence lengthens PerToken.
 	BatchSlowdown float64
-	// PrefillPerWord is the time added to the first token by each word not cached.
+	// PrefillPerWord is added to FirstToken for each uncached word of the prompt.
 	PrefillPerWord time.Duration
-	// CacheBlocks is the size of the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache, in blocks.
 	CacheBlocks int
-	// KVWords is the size of the KV cache, for the load report.
+	// KVWords is the capacity of the KV cache in words, for the load report.
 	KVWords int
-	// ReportLag is how late the load report and the cache events are.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// EventGap makes every so many-th cache event vanish; 0 means none.
+	// EventLossInterval N drops every N-th cache event; 0 drops none.
 	EventLossInterval uint64
-	// IgnoreFencing makes the engine take orders with old fencing numbers.
+	// IgnoreFencing makes the engine accept orders with outdated fencing numbers.
 	IgnoreFencing bool
 	// ResumeWindow is how long a sequence without a reader is kept.
 	ResumeWindow time.Duration
-	// Crash ends the process, at once.
+	// Crash ends the process immediately.
 	Crash func()
 }
 
-// Fault is what POST /fault sets; absent fields mean no fault.
+// Fault is the body of POST /fault. Absent fields mean no fault.
 type Fault struct {
-	// Straggle multiplies all times; 0 means 1.
+	// Slowdown multiplies all durations; 0 means 1.
 	Slowdown float64 `json:"straggle,omitempty"`
 	// Crash ends the process now.
 	Crash bool `json:"crash,omitempty"`
-	// CrashWord crashes the process when a prompt with this word begins to run.
+	// CrashWord crashes the process when a prompt with this word starts to run.
 	CrashWord string `json:"crash_word,omitempty"`
-	// BreakAfter cuts the connection of each stream after so many tokens; 0 means never.
+	// BreakAfter closes the connection of each answer after this number of tokens; 0 means
+	// never.
 	BreakAfter int `json:"break_after,omitempty"`
-	// Refuse answers all new requests with 429.
+	// Refuse makes all new requests get 429.
 	Refuse bool `json:"refuse,omitempty"`
 }
 
-// Stats counts what an engine did.
+// Stats holds an engine's counters.
 type Stats struct {
-	// Runs by the word after RefWord; continuations do not count.
+	// Runs is the number of runs by the name after RefPrefix, without continuations.
 	Runs map[string]int `json:"runs"`
-	// Continued counts continuations and imports.
+	// Continued is the number of continuations and imports.
 	Continued int `json:"continued"`
-	// TokensMade counts all tokens made.
+	// TokensGenerated is the number of all generated tokens.
 	TokensGenerated int `json:"tokens_made"`
-	// TokensCanceled counts those made for sequences that were then canceled.
+	// TokensCanceled is the number of tokens generated for sequences canceled later.
 	TokensCanceled int `json:"tokens_canceled"`
-	// TokensSaved counts those not made since the sequence was canceled.
+	// TokensAvoided is the number of tokens not generated because of cancellation.
 	TokensAvoided int `json:"tokens_saved"`
-	// WordsCached counts prompt words found in the prefix cache.
+	// PromptWordsCached is the number of prompt words found in the prefix cache.
 	PromptWordsCached int `json:"words_cached"`
-	// WordsRead counts all prompt words.
+	// PromptWordsTotal is the number of all prompt words.
 	PromptWordsTotal int `json:"words_read"`
 }
 
-// Load is an engine's report on itself.
+// Load is the load report of an engine or service.
 type Load struct {
 	Running        int     `json:"running"`
 	Waiting        int     `json:"waiting"`
@@ -79,11 +80,12 @@
 	MeasuredUnixMS int64   `json:"measured_unix_ms"`
 }
 
-// Engine is a stand-in model engine. One lock guards all of it.
+// Engine is a stand-in model engine.
 type Engine struct {
 	config EngineConfig
 	wake   chan struct{}
 
+	// mu guards the fields below and all sequences.
 	mu       sync.Mutex
 	fault    Fault
 	waiting  []*sequence
@@ -96,7 +98,7 @@
 	reported time.Time
 }
 
-// NewEngine makes an engine; Run makes it work.
+// NewEngine returns an engine, which generates tokens only while Run runs.
 func NewEngine(config EngineConfig) *Engine {
 	return &Engine{
 		config: config,
@@ -108,10 +110,10 @@
 	}
 }
 
-// reportInterval is how often the engine measures itself.
+// reportInterval is the time between two load reports.
 const reportInterval = 50 * time.Millisecond
 
-// Run works off the sequences until the context ends.
+// Run processes sequences until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	measure := time.NewTicker(reportInterval)
 	defer measure.Stop()
@@ -139,7 +141,8 @@
 	}
 }
 
-// begin admits what waits and returns how long the next step of the batch lasts.
+// startStep admits waiting sequences and returns the duration of the next step of the
+// batch. busy is false if no sequence runs.
 func (e *Engine) startStep(now time.Time) (stepTime time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -187,7 +190,8 @@
 	}
 }
 
-// takeMostUrgent removes the earliest of the most urgent priority.
+// takeMostUrgent removes and returns the waiting sequence with the lowest priority value;
+// among equals, the one that arrived first.
 func (e *Engine) takeMostUrgent() *sequence {
 	best := 0
 	for i, s := range e.waiting {
@@ -200,7 +204,7 @@
 	return s
 }
 
-// finish ends a step: every sequence that has read its prompt makes one token.
+// finishStep generates one token for each sequence whose prompt is processed.
 func (e *Engine) finishStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,7 +234,8 @@
 	e.running = unfinished
 }
 
-// measure keeps reports long enough that a late one can be given.
+// measure records a load report and drops those not needed for ReportLag. The caller
+// holds e.mu.
 func (e *Engine) measure(now time.Time) {
 	if now.Sub(e.reported) < reportInterval {
 		return
@@ -252,7 +257,8 @@
 	}
 }
 
-// report returns the newest load report that is at least ReportLag old.
+// report returns the newest load report that is at least ReportLag old, or the oldest one
+// if none is.
 func (e *Engine) report(now time.Time) Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -13,10 +13,10 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// requestIDHeader names the request in both directions.
+// requestIDHeader carries the request id in requests and responses.
 const requestIDHeader = "X-Request-Id"
 
-// Routes adds the engine's protocol to an HTTP server.
+// Routes registers the engine's handlers.
 func (e *Engine) Routes(server *khttp.Server) {
 	server.HandleFunc("/v1/chat/completions", withRequestID(e.serveChat))
 	server.HandleFunc("/v1/models", withRequestID(e.serveModels))
@@ -31,7 +31,7 @@
 	server.HandleFunc("/stats", withRequestID(e.serveStats))
 }
 
-// echoing has every answer carry the id of its call, errors included.
+// withRequestID echoes the request id in every response, including errors.
 func withRequestID(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if id := r.Header.Get(requestIDHeader); id != "" {
@@ -55,7 +55,7 @@
 
 func (c *chatRequest) maxTokens() int { return max(c.MaxTokens, c.MaxCompletionTokens) }
 
-// sequence makes the sequence that answers the request.
+// sequence returns a new sequence that generates the answer.
 func (c *chatRequest) sequence(id string, priority int) *sequence {
 	answer := Answer
 	prompt := c.Messages
@@ -77,7 +77,7 @@
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var chat chatRequest
 	if err := json.NewDecoder(r.Body).Decode(&chat); err != nil || len(chat.Messages) == 0 {
-		writeError(w, http.StatusBadRequest, "body is no chat completion request")
+		writeError(w, http.StatusBadRequest, "body is not a chat completion request")
 		return
 	}
 	if !e.loaded(chat.Model) {
@@ -176,13 +176,13 @@
 	_, _ = w.Write(data)
 }
 
-// maxKV bounds an imported sequence, in bytes.
+// maxImportBytes bounds the size of an imported sequence.
 const maxImportBytes = 16 << 20
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxImportBytes))
 	if err != nil || !e.importSequence(data) {
-		writeError(w, http.StatusBadRequest, "not taken over")
+		writeError(w, http.StatusBadRequest, "sequence can't be imported")
 		return
 	}
 	writeJSON(w, struct{}{})
@@ -210,7 +210,7 @@
 			return
 		}
 		if !e.orders.apply(order) {
-			writeError(w, http.StatusConflict, "fencing number is old")
+			writeError(w, http.StatusConflict, "fencing number is outdated")
 			return
 		}
 	}
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// created stands in every answer, since answers are pure functions.
+// created is a constant, since answers are pure functions of their requests.
 const created = 1700000000
 
 type delta struct {
@@ -48,8 +48,8 @@
 	return &usage{PromptTokens: len(s.words), CompletionTokens: len(s.tokens), TotalTokens: len(s.words) + len(s.tokens)}
 }
 
-// stream writes one event for each token from the given one on; the last one
-// carries the reason of the end.
+// writeStream writes an event for each token after the first sent ones. The last event
+// carries the finish reason.
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *sequence, sent int, withUsage bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -83,7 +83,8 @@
 	flush(w)
 }
 
-// breakIfTold cuts the connection in the middle of the answer.
+// injectBreak closes the connection once the number of tokens of the BreakAfter fault is
+// reached.
 func (e *Engine) injectBreak(sent int) {
 	e.mu.Lock()
 	after := e.fault.BreakAfter
@@ -117,7 +118,7 @@
 
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
-// whole waits for all tokens and answers once.
+// writeCompletion waits for all tokens and writes a single response.
 func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
 		generated, done, canceled, changed := e.progress(s)
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -70,7 +70,7 @@
 	return response
 }
 
-// tokens reads a stream and tells whether it ended with [DONE].
+// tokens reads a stream and reports whether it ended with [DONE].
 func tokens(r io.Reader) (all []string, done bool) {
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
@@ -94,7 +94,7 @@
 	return Answer("m", []Message{{Role: "user", Content: Content(text)}}, 0)
 }
 
-func TestEngineAnswersWhatTheRequestSays(t *testing.T) {
+func TestEngineStreamsExpectedAnswer(t *testing.T) {
 	long := "median=60 tell all"
 	want := expectedTokens(long)
 	prefix := Message{Role: "assistant", Content: Content(strings.Join(want[:7], ""))}
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestEngineWholeAnswerWithoutStream(t *testing.T) {
+func TestEngineAnswerWithoutStream(t *testing.T) {
 	b := newTestEngine(t, nil)
 	response := b.post("/v1/chat/completions", "1", chatBody("median=9 say", false))
 	defer response.Body.Close()
@@ -131,10 +131,9 @@
 	b.Equal(*got.Choices[0].FinishReason, "stop")
 }
 
-// A caller sees its answer stop in the middle: the connection between router
-// and engine broke, while the engine goes on. The router then asks for the
-// rest under the same id, and the two parts make the whole answer.
-func TestEngineResumesABrokenStream(t *testing.T) {
+// Guards against lost or repeated tokens on resumption: the connection breaks in the middle
+// of an answer while the engine keeps generating, and the reader resumes under the same id.
+func TestEngineResumesBrokenStream(t *testing.T) {
 	b := newTestEngine(t, nil)
 	b.post("/fault", "", Fault{BreakAfter: 4}).Body.Close()
 	response := b.post("/v1/chat/completions", "r1-1", chatBody("median=40 go on", true))
@@ -150,9 +149,9 @@
 	b.Equal(append(first, rest...), expectedTokens("median=40 go on"))
 }
 
-// A server is drained while an answer grows there. Its state moves to another
-// engine, which makes the rest without making any token twice.
-func TestEngineMovesAnAnswerByKV(t *testing.T) {
+// Guards against tokens that are generated twice when an unfinished answer is transferred
+// from a draining engine to another one.
+func TestEngineTransfersUnfinishedAnswer(t *testing.T) {
 	from := newTestEngine(t, func(c *EngineConfig) { c.PerToken = 5 * time.Millisecond })
 	to := newTestEngine(t, nil)
 	response := from.post("/v1/chat/completions", "r2-1", chatBody("median=80 move", true))
@@ -166,7 +165,7 @@
 	from.Equal(exportReply.StatusCode, http.StatusOK)
 	_, done := tokens(response.Body)
 	response.Body.Close()
-	from.True(!done) // the stream at the old engine never looks complete
+	from.True(!done) // the stream of the old engine must not look complete
 
 	to.post("/v1/kv/import", "", kv).Body.Close()
 	response = to.post("/v1/resume", "", requestRef{RequestID: "r2-1"})
@@ -178,7 +177,7 @@
 	to.Equal(total, len(got))
 }
 
-func TestEngineCancelFreesTheSlot(t *testing.T) {
+func TestEngineCancelFreesSlot(t *testing.T) {
 	b := newTestEngine(t, func(c *EngineConfig) { c.Slots, c.PerToken = 1, 20*time.Millisecond })
 	long := b.post("/v1/chat/completions", "long-1", chatBody("median=500 long", true))
 	defer long.Body.Close()
@@ -191,7 +190,7 @@
 	b.True(!done)
 }
 
-func TestEngineQueueHonoursPriority(t *testing.T) {
+func TestEngineAdmitsByPriority(t *testing.T) {
 	i := is.New(t)
 	engine := NewEngine(EngineConfig{Slots: 1, MaxWaiting: 8, CacheBlocks: 8, ResumeWindow: time.Minute})
 	for n, priority := range []int{3, 1, 0, 1} {
@@ -241,7 +240,7 @@
 		status int
 		models []string
 	}{
-		{"refuses an old number", false, http.StatusConflict, []string{"m", "b"}},
+		{"refuses an outdated number", false, http.StatusConflict, []string{"m", "b"}},
 		{"ignores the number", true, http.StatusOK, []string{"m"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -255,7 +254,7 @@
 	}
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLossy(t *testing.T) {
 	i := is.New(t)
 	start := time.Unix(100, 0)
 	c := newCache(2, 2)
@@ -268,7 +267,7 @@
 	i.Equal([]uint64{events[0].Sequence, events[1].Sequence}, []uint64{1, 3})
 }
 
-func TestLoadReportIsLate(t *testing.T) {
+func TestLoadReportIsDelayed(t *testing.T) {
 	i := is.New(t)
 	engine := NewEngine(EngineConfig{Slots: 1, MaxWaiting: 8, ReportLag: time.Second, ResumeWindow: time.Minute})
 	start := time.Unix(100, 0)
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -12,7 +12,7 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// Loaded is what an engine has loaded and the newest fencing number that it took.
+// Loaded lists what an engine has loaded, and the highest fencing number it has accepted.
 type Loaded struct {
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
@@ -31,7 +31,7 @@
 	}
 }
 
-// take carries an order out; false where its fencing number is old.
+// apply carries out an order. It returns false if the order's fencing number is outdated.
 func (b *loadState) apply(order Order) bool {
 	if order.Fencing < b.loaded.Fencing && !b.ignoreFencing {
 		return false
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -9,7 +9,7 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// Instance is one line of the platform's list.
+// Instance is an entry of the platform's list of instances.
 type Instance struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"`
@@ -20,7 +20,7 @@
 	State string `json:"state"`
 }
 
-// InstanceList is the platform's list.
+// InstanceList is the JSON form of the platform's list of instances.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
@@ -30,14 +30,16 @@
 	at   time.Time
 }
 
-// Platform is a stand-in for the platform's list of instances.
+// Platform serves the platform's list of instances. Changes become visible after a lag.
 type Platform struct {
-	lag      time.Duration
-	mu       sync.Mutex
+	lag time.Duration
+
+	mu sync.Mutex
+	// versions are in order of time; the first is visible. Guarded by mu.
 	versions []versionedList
 }
 
-// NewPlatform makes a list whose changes show after the lag.
+// NewPlatform returns a Platform with an initial list that is visible at once.
 func NewPlatform(lag time.Duration, first InstanceList) *Platform {
 	if first.Instances == nil {
 		first.Instances = []Instance{}
@@ -45,7 +47,7 @@
 	return &Platform{lag: lag, versions: []versionedList{{list: first}}}
 }
 
-// Routes adds the list to an HTTP server.
+// Routes registers the handler of the list: GET returns it, POST replaces it.
 func (p *Platform) Routes(server *khttp.Server) {
 	server.HandleFunc("/instances", p.serve)
 }
--- a/standin/sequence.go
+++ b/standin/sequence.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// sequence is one answer in the making.
+// sequence is an answer that is being generated. Engine.mu guards it.
 type sequence struct {
 	id       string
 	model    string
 	ref      string
 	words    []string
 	priority int
-	// tokens are those this sequence makes; made of them are done.
+	// tokens are all tokens of the answer, of which the first generated ones are available.
 	tokens    []string
 	generated int
 	truncated bool
@@ -24,7 +24,7 @@
 	canceled  bool
 	readers   int
 	lastRead  time.Time
-	// changed is closed and replaced whenever made, done or gone change.
+	// changed is closed and replaced whenever generated, done or canceled changes.
 	changed chan struct{}
 }
 
@@ -35,7 +35,8 @@
 
 func (s *sequence) hasWord(word string) bool { return slices.Contains(s.words, word) }
 
-// submit queues a sequence; false where the queue is full or the id is in use.
+// submit enqueues a sequence. It returns false if requests are refused, the queue is full
+// or the id is in use.
 func (e *Engine) submit(s *sequence) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,7 +58,8 @@
 	}
 }
 
-// attach finds a sequence for a reader, which must detach later.
+// attach registers a reader of a sequence, which must call detach. It returns nil if there
+// is no such sequence.
 func (e *Engine) attach(id string) *sequence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,15 +78,15 @@
 	s.lastRead = time.Now()
 }
 
-// state returns the tokens made so far, whether no more will come, whether the
-// sequence was canceled, and a channel that closes at the next change.
+// progress returns the tokens generated so far, whether the answer is complete, whether it
+// was canceled, and a channel that is closed at the next change.
 func (e *Engine) progress(s *sequence) (generated []string, done, canceled bool, changed <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.tokens[:s.generated], s.done, s.canceled, s.changed
 }
 
-// cancel frees the slot of a sequence at once.
+// cancel removes a sequence and frees its slot immediately.
 func (e *Engine) cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,7 +111,7 @@
 	s.notify()
 }
 
-// dropUnread cancels the sequences whose reader left and did not come back.
+// cancelAbandoned cancels the sequences that have had no reader for ResumeWindow.
 func (e *Engine) cancelAbandoned(now time.Time) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.readers == 0 && now.Sub(s.lastRead) > e.config.ResumeWindow {
@@ -129,7 +131,8 @@
 	})
 }
 
-// exported is the opaque form in which a sequence moves to another engine.
+// exportedSequence is the form in which a sequence is transferred to another engine. It is
+// opaque to the router.
 type exportedSequence struct {
 	ID        string   `json:"id"`
 	Model     string   `json:"model"`
@@ -140,7 +143,7 @@
 	Truncated bool     `json:"cut"`
 }
 
-// export stops a sequence here and returns it for import elsewhere.
+// exportSequence removes a running sequence and returns its encoded state.
 func (e *Engine) exportSequence(id string) ([]byte, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,7 +156,8 @@
 	return data, err == nil
 }
 
-// importKV takes a sequence over; it goes on at once.
+// importSequence enqueues an exported sequence, which continues without prefill. It returns
+// false if the data is malformed or the sequence is refused.
 func (e *Engine) importSequence(data []byte) bool {
 	var in exportedSequence
 	if json.Unmarshal(data, &in) != nil || in.ID == "" || in.Generated > len(in.Tokens) {
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,57 +12,60 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// ServiceConfig holds the settings of a stand-in service.
+// ServiceConfig configures a stand-in service.
 type ServiceConfig struct {
-	// Slots is the number of calls at once that it reports as its size.
+	// Slots is the number of concurrent calls reported as the capacity.
 	Slots int
-	// Latency of each call.
+	// Latency is the duration of each call.
 	Latency time.Duration
-	// Crash ends the process, at once.
+	// Crash ends the process immediately.
 	Crash func()
 }
 
-// Service is a stand-in plain service.
+// Service is a stand-in for a plain service, which is not a model engine.
 type Service struct {
 	config ServiceConfig
-	mu     sync.Mutex
-	fault  Fault
-	stats  ServiceStats
+
+	// mu guards the fields below.
+	mu    sync.Mutex
+	fault Fault
+	stats ServiceStats
 	// running is the number of calls in progress.
 	running int
 }
 
-// ServiceStats counts what a service did.
+// ServiceStats holds a service's counters.
 type ServiceStats struct {
-	// Runs by Idempotency-Key.
+	// Runs is the number of runs by Idempotency-Key.
 	Runs map[string]int `json:"runs"`
-	// Refs by the word after RefWord in the body.
+	// Refs is the number of runs by the name after RefPrefix in the body.
 	Refs map[string]int `json:"refs"`
-	// Calls counts all calls.
+	// Calls is the number of all calls.
 	Calls int `json:"calls"`
 }
 
-// ServiceAnswer is what a service answers to a call.
+// ServiceResponse is the response to a call.
 type ServiceResponse struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Digest is SHA-256 of method, path and body, in hexadecimal.
+	// Digest is the SHA-256 of method, path and body, in hexadecimal.
 	Digest string `json:"digest"`
 }
 
-// AnswerOf returns the answer to a call, in JSON.
+// ServiceBody returns the JSON response to a call.
 func ServiceBody(method, path string, body []byte) []byte {
 	digest := sha256.Sum256([]byte(method + "\x00" + path + "\x00" + string(body)))
 	answer, _ := json.Marshal(ServiceResponse{Method: method, Path: path, Digest: hex.EncodeToString(digest[:])})
 	return answer
 }
 
-// NewService makes a service.
+// NewService returns a service without faults.
 func NewService(config ServiceConfig) *Service {
 	return &Service{config: config, stats: ServiceStats{Runs: make(map[string]int), Refs: make(map[string]int)}}
 }
 
-// Routes adds the service's calls to an HTTP server.
+// Routes registers the service's handlers. Every path that is not an administrative one
+// is a call.
 func (s *Service) Routes(server *khttp.Server) {
 	server.HandleFunc("/stats", withRequestID(s.serveStats))
 	server.HandleFunc("/load", withRequestID(s.serveLoad))
@@ -100,12 +103,12 @@
 	fault := s.currentFault()
 	if fault.Refuse {
 		w.Header().Set("Retry-After", "1")
-		writeError(w, http.StatusTooManyRequests, "told to refuse")
+		writeError(w, http.StatusTooManyRequests, "refused by fault injection")
 		return
 	}
 	s.count(r.Header.Get("Idempotency-Key"), string(body))
 	defer s.end()
-	// The call ran, and its caller is left without an answer.
+	// Close the connection without a response although the call ran.
 	if fault.BreakAfter > 0 {
 		panic(http.ErrAbortHandler)
 	}
@@ -143,7 +146,7 @@
 	s.running--
 }
 
-// serveLoad reports the load as an engine does; a service has no queue of its own.
+// serveLoad reports the load in the format of an engine. A service has no queue.
 func (s *Service) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service_test.go
+++ b/standin/service_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestServiceCountsRunsByKey(t *testing.T) {
+func TestServiceCountsRunsByIdempotencyKey(t *testing.T) {
 	i := is.New(t)
 	service := NewService(ServiceConfig{})
 	url := listen(t, service.Routes)
@@ -35,7 +35,7 @@
 	i.Equal(stats.Refs["a"], 2)
 }
 
-func TestPlatformListIsLate(t *testing.T) {
+func TestPlatformListChangeIsDelayed(t *testing.T) {
 	i := is.New(t)
 	start := time.Unix(100, 0)
 	platform := NewPlatform(30*time.Second, InstanceList{})
