--- a/loadgen/arrivals.go
+++ b/loadgen/arrivals.go
@@ -14,13 +14,13 @@
 const (
 	defaultGrace       = 30 * time.Second
 	defaultResendAfter = 100 * time.Millisecond
-	// cancelAfter is the number of tokens after which an impatient caller leaves.
+	// cancelAfterTokens is the number of tokens after which a canceling caller disconnects.
 	cancelAfterTokens = 5
 )
 
-// Request is one thing that a caller wants; it may be sent more than once.
+// Request is a request of a caller. It may be sent more than once.
 type Request struct {
-	// Ref names the request; it stands in its prompt or body.
+	// Ref identifies the request in its prompt or body.
 	Ref    string
 	At     time.Duration
 	Flow   *Flow
@@ -28,25 +28,28 @@
 	Stream bool
 	// Key is the Idempotency-Key, or "".
 	Key string
-	// Sends are the times and entries of each send, at least one.
+	// Sends has at least one element.
 	Sends []Send
-	// CancelAfter is the number of tokens after which the caller leaves; 0 for never.
+	// CancelAfter is the number of tokens after which the caller disconnects; 0 means never.
 	CancelAfter int
 	Text        string
 }
 
-// Send is one time that a request is sent.
+// Send is one transmission of a request.
 type Send struct {
-	At    time.Duration
+	// At is relative to the start of the load.
+	At time.Duration
+	// Entry is the index of the entry to which it is sent first.
 	Entry int
 }
 
-// Messages is the conversation of a chat request.
+// Messages returns the conversation of a chat request.
 func (r *Request) Messages() []standin.Message {
 	return []standin.Message{{Role: "user", Content: standin.Content(r.Text)}}
 }
 
-// Arrivals returns the requests of the plan in order of time.
+// Arrivals returns the requests of the plan in order of arrival. entries is the number of
+// entries of the fleet.
 func Arrivals(plan *Plan, entries int) []*Request {
 	var requests []*Request
 	for i := range plan.Flows {
@@ -77,7 +80,7 @@
 	return usable
 }
 
-// rateAt returns the rate, a second, and the time of its next change.
+// rateAt returns the rate per second and the time of its next change.
 func (f *Flow) rateAt(at, end time.Duration) (rate float64, nextChange time.Duration) {
 	rate, nextChange = f.Rate, end
 	for _, burst := range f.Bursts {
@@ -93,7 +96,7 @@
 	return rate, nextChange
 }
 
-// source draws the arrivals of one flow, a Poisson process.
+// arrivalSource draws the arrivals of one flow, a Poisson process.
 type arrivalSource struct {
 	plan    *Plan
 	flow    *Flow
@@ -112,8 +115,8 @@
 			continue
 		}
 		next := at + time.Duration(s.random.ExpFloat64()/rate*float64(time.Second))
-		// A Poisson process has no memory: a draw past a change of rate is
-		// drawn again from there.
+		// A Poisson process is memoryless, so a draw beyond a change of rate can be
+		// repeated from the time of that change.
 		if next >= nextChange {
 			at = nextChange
 			continue
--- a/loadgen/backend.go
+++ b/loadgen/backend.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Backend is a stand-in backend server that is asked for its counts.
+// Backend is a stand-in backend server whose counters are read.
 type Backend struct {
 	Name    string
 	Address string
 }
 
-// Counts is what the backend servers say that they ran.
+// Counts holds what the backend servers report to have run.
 type Counts struct {
-	// Runs by request, over all servers.
+	// Runs is the number of runs of each request over all servers, by Request.Ref.
 	Runs map[string]int
-	// TokensMade and TokensSaved sum over all engines.
+	// TokensGenerated and TokensAvoided are sums over all engines.
 	TokensGenerated int
 	TokensAvoided   int
-	// Silent names the servers that did not answer: their counts are lacking.
+	// Unreachable names the servers that did not answer. Their counts are missing.
 	Unreachable []string
 }
 
@@ -34,7 +34,7 @@
 	TokensAvoided   int            `json:"tokens_saved"`
 }
 
-// runs returns the runs by request; services count keys apart from them.
+// runs returns the number of runs by request. Services count those by key separately.
 func (s *backendStats) runs() map[string]int {
 	if s.Refs != nil {
 		return s.Refs
@@ -42,13 +42,13 @@
 	return s.Runs
 }
 
-// Snapshot is the counts of each server at one time; nil where it was silent.
+// Snapshot holds the counters of each server at one time; nil if it did not answer.
 type Snapshot map[string]*backendStats
 
-// statsTimeout bounds the question to one server.
+// statsTimeout bounds the request to one server.
 const statsTimeout = 2 * time.Second
 
-// Ask asks all backend servers for their counts.
+// FetchStats reads the counters of all backend servers concurrently.
 func FetchStats(ctx context.Context, backends []Backend) Snapshot {
 	answers := make([]*backendStats, len(backends))
 	var calls sync.WaitGroup
@@ -63,8 +63,8 @@
 	return snapshot
 }
 
-// Since returns what was counted after an earlier snapshot. A server that
-// counts less than before was started anew: all that it counts is new.
+// Since returns the difference to an earlier snapshot. A server whose total has decreased
+// was restarted, so that all of its counts are new.
 func (s Snapshot) Since(before Snapshot) Counts {
 	counts := Counts{Runs: make(map[string]int)}
 	for _, name := range slices.Sorted(maps.Keys(s)) {
@@ -87,7 +87,7 @@
 	return counts
 }
 
-// total only grows in the life of a server.
+// total never decreases until the server restarts.
 func (s *backendStats) total() int {
 	sum := s.TokensGenerated
 	for _, n := range s.runs() {
--- a/loadgen/caller.go
+++ b/loadgen/caller.go
@@ -15,27 +15,28 @@
 	"time"
 )
 
-// Caller sends requests to a fleet's entries, as callers behind a balancer do.
+// Caller sends requests to a fleet's entries like a caller behind a load balancer. It is
+// safe for concurrent use.
 type Caller struct {
 	// Entries are base URLs.
 	Entries []string
 	// Token returns the bearer token of a team.
-	Token func(team string) string
-	// Client makes the calls.
+	Token  func(team string) string
 	Client *http.Client
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// unavailable holds until when an entry is skipped. Guarded by mu.
 	unavailable map[int]time.Time
 }
 
-// downFor is how long the balancer leaves out an entry that took no connection.
+// unavailableFor is how long an entry is skipped after it refused a connection.
 const unavailableFor = time.Second
 
-// NewCaller returns a Caller that makes a connection for each request.
+// NewCaller returns a Caller that opens a connection for each request.
 func NewCaller(entries []string, token func(string) string) *Caller {
 	transport := &http.Transport{
-		// An entry that shuts down closes idle connections; a request written to one
-		// at that moment is lost without an answer, which would look like a cut one.
+		// An entry that shuts down closes idle connections. A request written to one at
+		// that moment gets no answer, which would count as an interrupted one.
 		DisableKeepAlives:  true,
 		DisableCompression: true,
 		DialContext:        (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
@@ -43,8 +44,8 @@
 	return &Caller{Entries: entries, Token: token, Client: &http.Client{Transport: transport}, unavailable: make(map[int]time.Time)}
 }
 
-// Do sends the request once. Where an entry takes no connection, or refuses
-// because it drains, nothing ran there: the next entry is tried.
+// Do sends the request. If an entry refuses the connection, or the request because it is
+// draining, nothing ran there and the next entry is tried.
 func (c *Caller) Do(ctx context.Context, r *Request, send Send) *Outcome {
 	o := &Outcome{}
 	for offset := range len(c.Entries) {
@@ -75,7 +76,7 @@
 	c.unavailable[entry] = time.Now().Add(unavailableFor)
 }
 
-// callCtx is a call's context, which the caller may leave.
+// streamContext is the context of a load run with a function that disconnects one call.
 type streamContext struct {
 	context.Context
 	disconnect context.CancelFunc
@@ -128,8 +129,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The transport must not send a request again by itself: it would hide a
-	// connection that the entry broke.
+	// Without GetBody the transport can't retry, which would hide a connection broken by
+	// the entry.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", contentType)
 	request.Header.Set("Authorization", "Bearer "+c.Token(r.Team))
@@ -143,7 +144,8 @@
 	return request, nil
 }
 
-// kindOf tells a connection that was never made from one that broke.
+// transportErrorKind distinguishes timeouts, failed connection attempts and broken
+// connections.
 func transportErrorKind(ctx context.Context, err error) string {
 	var op *net.OpError
 	switch {
@@ -165,7 +167,7 @@
 	if o.Status != http.StatusOK {
 		if !o.parseError(data) {
 			o.Kind = "status_" + strconv.Itoa(o.Status)
-			o.Problem = "error is not typed: " + string(data)
+			o.Problem = "error has no type: " + string(data)
 		}
 		return
 	}
@@ -175,7 +177,7 @@
 	}
 	var answer chunk
 	if json.Unmarshal(data, &answer) != nil || len(answer.Choices) != 1 {
-		o.Problem = "answer is no chat completion: " + string(data)
+		o.Problem = "answer is not a chat completion: " + string(data)
 		return
 	}
 	text := answer.Choices[0].Message.Content
--- a/loadgen/changes.go
+++ b/loadgen/changes.go
@@ -13,38 +13,39 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Change is one change that was given and what became of it.
+// Change is an accepted change.
 type Change struct {
 	Team     string `json:"team"`
 	Revision uint64 `json:"revision"`
 }
 
-// ChangeLog is what a writer of changes saw.
+// ChangeLog records the results of submitted changes.
 type ChangeLog struct {
 	Accepted []Change `json:"accepted"`
-	// Refused by kind: these changes are not in force.
+	// Refused is the number of refused changes by error kind. They did not take effect.
 	Refused map[string]int `json:"refused"`
-	// Unknown are the teams of changes whose answer never came.
+	// Unknown are the teams of changes whose outcome is unknown.
 	Unknown []string `json:"unknown"`
-	// LongestGapMS is the longest time from one accepted change to the next.
+	// MaxGapMS is the longest time between two accepted changes, in milliseconds.
 	MaxGapMS int64 `json:"longest_gap_ms"`
-	// Disorder names accepted changes whose revision is not above the one before.
+	// OutOfOrder describes accepted changes whose revision is not above the previous one.
 	OutOfOrder []string `json:"disorder"`
 }
 
-// ChangePlan says which changes are given.
+// ChangePlan describes the changes to submit.
 type ChangePlan struct {
-	// Prefix of the teams that are made, one a change.
+	// Prefix is the prefix of the names of the created teams, one for each change.
 	Prefix string
-	// Count of changes; 0 means until the context ends.
+	// Count is the number of changes; 0 means until the context ends.
 	Count int
-	// Interval between them.
+	// Interval is the pause between changes.
 	Interval time.Duration
-	// Resend is how long an unanswered change is sent again under its command id.
+	// Resend is how long a change with unknown outcome is retried under its command id.
 	Resend time.Duration
 }
 
-// MakeChanges gives one change after the other.
+// ApplyChanges submits one change after the other until the plan is complete or the
+// context ends.
 func ApplyChanges(ctx context.Context, client *operator.Client, plan ChangePlan) *ChangeLog {
 	log := &ChangeLog{Refused: make(map[string]int)}
 	last := time.Now()
@@ -62,8 +63,8 @@
 	return log
 }
 
-// changeOnce sends a change until its fate is known. It does not end with the
-// writer's context, so that a stop leaves no change open.
+// submitChange sends a change until its outcome is known or plan.Resend is over. It takes
+// no context, so that a stop leaves no change with unknown outcome.
 func submitChange(client *operator.Client, plan ChangePlan, team string) (uint64, error) {
 	request := &operator.StatementRequest{Statement: "SET TEAM " + team + " WEIGHT 1", CommandID: uuid.NewString()}
 	giveUp := time.Now().Add(plan.Resend)
@@ -73,7 +74,7 @@
 			return reply.Change.Revision, nil
 		}
 		if err == nil {
-			return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the answer to a change holds no change")
+			return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the reply to a change contains no change")
 		}
 		if !mayTakeEffect(err) || time.Now().After(giveUp) {
 			return 0, err
@@ -81,7 +82,7 @@
 	}
 }
 
-// mayPass tells whether a change may still be, or become, in force.
+// mayTakeEffect reports whether a change that failed with err may be, or come, in force.
 func mayTakeEffect(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT,
@@ -105,11 +106,11 @@
 	}
 }
 
-// verifyPause is the time between two looks at an endpoint.
+// verifyInterval is the time between two queries of an endpoint.
 const verifyInterval = 100 * time.Millisecond
 
-// Verify asks an endpoint until all accepted changes are in force there, or
-// the time is over, and returns the teams of those that are not.
+// VerifyChanges queries an endpoint until it shows all accepted changes or the time limit
+// is reached. It returns the teams that are still missing.
 func VerifyChanges(ctx context.Context, client *operator.Client, log *ChangeLog, within time.Duration) (lost []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -127,7 +128,7 @@
 		return nil, err
 	}
 	if reply.Table == nil {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the answer to a query holds no table")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the reply to a query contains no table")
 	}
 	team := slices.Index(reply.Table.Columns, "team")
 	if team < 0 {
--- a/loadgen/changes_test.go
+++ b/loadgen/changes_test.go
@@ -15,17 +15,16 @@
 	"github.com/lilacbridge/lilacbridge/version/table"
 )
 
-// An operator's change is accepted, and later one instance shows the
-// configuration without it: the change was lost. Revisions that come back in
-// the wrong order show the same fault. The writer and the check must see both.
-func TestChangesThatAreLostOrOutOfOrder(t *testing.T) {
+// Guards against overlooking a lost change: an instance that shows the configuration without
+// an accepted change, and accepted changes whose revisions do not increase, must be reported.
+func TestLostAndOutOfOrderChangesAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		revisions      []uint64
 		shown          []string
 		lost, disorder int
 	}{
-		{"all there", []uint64{4, 5, 6}, []string{"p-1", "p-2", "p-3", "other"}, 0, 0},
+		{"all present", []uint64{4, 5, 6}, []string{"p-1", "p-2", "p-3", "other"}, 0, 0},
 		{"one lost", []uint64{4, 5, 6}, []string{"p-1", "p-3"}, 1, 0},
 		{"revision given twice", []uint64{4, 5, 5}, []string{"p-1", "p-2", "p-3"}, 0, 1},
 	} {
--- a/loadgen/check.go
+++ b/loadgen/check.go
@@ -9,7 +9,7 @@
 	"github.com/lilacbridge/lilacbridge/standin"
 )
 
-// want returns the whole answer of a request, byte for byte.
+// expectedAnswer returns the complete answer to a request.
 func expectedAnswer(r *Request) string {
 	if r.Flow.Kind == KindService {
 		return string(standin.ServiceBody("POST", r.Flow.Path, []byte(r.Text)))
@@ -17,24 +17,25 @@
 	return strings.Join(standin.Answer(r.Flow.Target, r.Messages(), r.Flow.MaxTokens), "")
 }
 
-// compare names what is wrong with an answer that claims to be whole.
+// checkAnswer describes what is wrong with an answer that claims to be complete, or
+// returns "".
 func checkAnswer(r *Request, got string) string {
 	expected := expectedAnswer(r)
 	switch {
 	case got == expected:
 		return ""
 	case strings.HasPrefix(expected, got):
-		return fmt.Sprintf("answer looks whole and is cut: %d of %d bytes", len(got), len(expected))
+		return fmt.Sprintf("answer looks complete but is truncated: %d of %d bytes", len(got), len(expected))
 	case strings.HasPrefix(got, expected):
-		return fmt.Sprintf("answer goes on after its end: %d bytes for %d", len(got), len(expected))
+		return fmt.Sprintf("answer continues after its end: %d bytes instead of %d", len(got), len(expected))
 	}
-	return fmt.Sprintf("answer is not this request's own: differs at byte %d", firstDifference(got, expected))
+	return fmt.Sprintf("answer does not belong to this request: differs at byte %d", firstDifference(got, expected))
 }
 
-// comparePart checks the part of an answer that ended with an error.
+// checkPartialAnswer checks the part of an answer that was received before an error.
 func checkPartialAnswer(r *Request, got string) string {
 	if expected := expectedAnswer(r); !strings.HasPrefix(expected, got) {
-		return fmt.Sprintf("part of an answer is not this request's own: differs at byte %d", firstDifference(got, expected))
+		return fmt.Sprintf("partial answer does not belong to this request: differs at byte %d", firstDifference(got, expected))
 	}
 	return ""
 }
@@ -48,7 +49,7 @@
 	return min(len(a), len(b))
 }
 
-// typedError is the body of an error answer.
+// typedError is the body of an error response.
 type typedError struct {
 	Error *struct {
 		Message      string          `json:"message"`
@@ -59,7 +60,7 @@
 	} `json:"error"`
 }
 
-// takeError reads a typed error into the outcome; false where data holds none.
+// parseError decodes a typed error into the outcome. It returns false if data contains none.
 func (o *Outcome) parseError(data []byte) bool {
 	var body typedError
 	if json.Unmarshal(data, &body) != nil || body.Error == nil {
@@ -69,7 +70,7 @@
 	o.NotRun = strings.Trim(string(body.Error.NotRun), `"`)
 	o.RetryAfter = time.Duration(body.Error.RetryAfterMS) * time.Millisecond
 	if o.Kind == "" || (o.NotRun != "true" && o.NotRun != "false" && o.NotRun != "unknown") {
-		o.Problem = "error is not typed: " + string(data)
+		o.Problem = "error has no type: " + string(data)
 	}
 	return true
 }
--- a/loadgen/claims.go
+++ b/loadgen/claims.go
@@ -11,43 +11,41 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Ledger is the part of the state processes that takes claims, as
-// stateclient.Client does.
+// Ledger accepts claims and their outcomes. stateclient.Client implements it.
 type Ledger interface {
 	Claim(context.Context, *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error)
 	Outcome(context.Context, *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error)
 }
 
-// ClaimPlan is a load of claims, each followed by its outcome.
+// ClaimPlan describes a load of claims, each followed by its outcome.
 type ClaimPlan struct {
-	// PerSecond is how many requests are claimed each second.
+	// PerSecond is the number of claims per second.
 	PerSecond int
-	// Duration is how long.
+	// Duration is the duration of the load.
 	Duration time.Duration
-	// AnswerBytes is the size of the answer that goes with each outcome.
+	// AnswerBytes is the size of the answer recorded with each outcome.
 	AnswerBytes int
-	// InFlight is how many may be under way at most; those beyond are not made
-	// and count as skipped.
+	// InFlight limits the number of concurrent claims. Those in excess are skipped.
 	InFlight int
 }
 
-// ClaimCounts tells what became of the claims of a plan.
+// ClaimCounts holds the results of a plan.
 type ClaimCounts struct {
-	// Ended claims were granted and their outcome recorded.
+	// Completed claims were granted and their outcome recorded.
 	Completed int64
-	// Failed ones got an error or no grant.
+	// Failed claims got an error or were not granted.
 	Failed int64
-	// Skipped ones were not made, since too many were under way.
+	// Skipped claims were not sent because InFlight others were in progress.
 	Skipped int64
-	// Took is the time until the last one ended.
+	// Elapsed is the time until the last claim finished.
 	Elapsed time.Duration
 }
 
-// claimStep is how often claims are begun, all of the step at once.
+// issueInterval is the time between two batches of claims.
 const issueInterval = 10 * time.Millisecond
 
-// MakeClaims claims requests of fresh keys in turn at the ledgers, at the plan's
-// pace whatever the answers take, and waits for those under way.
+// RunClaims claims requests with new keys at the ledgers in turn and waits for those in
+// progress. The rate does not depend on how long the replies take.
 func RunClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
 	var ended, failed, skipped atomic.Int64
 	var group sync.WaitGroup
--- a/loadgen/keys.go
+++ b/loadgen/keys.go
@@ -7,8 +7,8 @@
 	"github.com/google/uuid"
 )
 
-// stampKeys replaces the requests' keys by UUIDs of version 7 that carry the
-// time at which each request is made.
+// assignTimedKeys replaces the requests' keys by version 7 UUIDs, which contain the arrival
+// time of the request.
 func assignTimedKeys(requests []*Request, start time.Time) {
 	for _, r := range requests {
 		if r.Key != "" {
--- a/loadgen/keys_test.go
+++ b/loadgen/keys_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestStampedKeysCarryTheirTime(t *testing.T) {
+func TestTimedKeysContainArrivalTime(t *testing.T) {
 	is := is.New(t)
 	start := time.UnixMilli(1_764_700_000_000)
 	requests := []*Request{{Ref: "1-0-1", Key: "key-1", At: 1500 * time.Millisecond}, {Ref: "1-0-2", Key: "key-2", At: 1500 * time.Millisecond}, {Ref: "1-0-3"}}
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -41,7 +41,7 @@
 	return out.String()
 }
 
-func TestSameSeedSameArrivals(t *testing.T) {
+func TestArrivalsAreReproducible(t *testing.T) {
 	i := is.New(t)
 	first := Arrivals(parsePlan(t, planText), 7)
 	again := Arrivals(parsePlan(t, planText), 7)
@@ -51,7 +51,7 @@
 	i.True(dump(first) != dump(Arrivals(otherTokens, 7)))
 }
 
-func TestArrivalsKeepTheRatesOfThePlan(t *testing.T) {
+func TestArrivalRatesMatchPlan(t *testing.T) {
 	i := is.New(t)
 	inBurst, outside, large := 0, 0, 0
 	for _, r := range Arrivals(parsePlan(t, planText), 7) {
@@ -72,7 +72,7 @@
 	i.True(large > 280 && large < 380)     // 8 of 9 of 380
 }
 
-func TestPlanIsReadStrictly(t *testing.T) {
+func TestInvalidPlanIsRejected(t *testing.T) {
 	for _, c := range []struct{ name, text, expectedAnswer string }{
 		{"unknown field", "duration: 5s\nrat: 4\n", "load.yaml:2: field rat not found"},
 		{"no unit", "duration: 5\n", "load.yaml:1: \"5\" is no duration"},
@@ -114,10 +114,9 @@
 	return caller.Do(context.Background(), r, r.Sends[0])
 }
 
-// A caller gets a stream that looks like an answer. The checker must tell the
-// request's own whole answer from every other: swapped with another caller's,
-// cut short, a token doubled or lost, ended without its mark.
-func TestCheckerOfStreams(t *testing.T) {
+// Guards against accepting an incorrect stream: the answer to another request, a truncated
+// one, one with a duplicated or lost token, or one without the end marker.
+func TestStreamVerification(t *testing.T) {
 	r := chatRequest(true)
 	ownTokens := strings.SplitAfter(expectedAnswer(r), " ")
 	swapped := chatRequest(true)
@@ -127,19 +126,19 @@
 	for _, c := range []struct {
 		name, body, kind, problem string
 	}{
-		{"own", events(ownTokens, doneEvent), "", ""},
-		{"swapped", events(otherTokens, doneEvent), "", "not this request's own"},
-		{"cut", events(ownTokens[:3], doneEvent), "", "looks whole and is cut"},
-		{"empty", doneEvent, "", "looks whole and is cut"},
-		{"token doubled", events(slices.Concat(ownTokens[:2], ownTokens[1:]), doneEvent), "", "not this request's own"},
-		{"token lost", events(slices.Delete(slices.Clone(ownTokens), 1, 2), doneEvent), "", "not this request's own"},
-		{"goes on", events(append(slices.Clone(ownTokens), " x"), doneEvent), "", "goes on after its end"},
-		{"no mark", events(ownTokens, ""), KindInterrupted, "ends without [DONE]"},
+		{"correct", events(ownTokens, doneEvent), "", ""},
+		{"swapped", events(otherTokens, doneEvent), "", "does not belong to this request"},
+		{"truncated", events(ownTokens[:3], doneEvent), "", "looks complete but is truncated"},
+		{"empty", doneEvent, "", "looks complete but is truncated"},
+		{"token duplicated", events(slices.Concat(ownTokens[:2], ownTokens[1:]), doneEvent), "", "does not belong to this request"},
+		{"token lost", events(slices.Delete(slices.Clone(ownTokens), 1, 2), doneEvent), "", "does not belong to this request"},
+		{"continues after end", events(append(slices.Clone(ownTokens), " x"), doneEvent), "", "continues after its end"},
+		{"no end marker", events(ownTokens, ""), KindInterrupted, "ends without [DONE]"},
 		{"typed error", events(ownTokens[:3], broken), "broken_stream", ""},
-		{"typed error after another's part", events(otherTokens[:3], broken), "broken_stream", "not this request's own"},
-		{"error and mark", events(ownTokens[:3], broken+doneEvent), "broken_stream", "with an error and with [DONE]"},
-		{"untyped error", "data: {\"error\":{\"message\":\"oh\"}}\n\n", "", "error is not typed"},
-		{"no JSON", "data: oh\n\n", "", "event is no chunk"},
+		{"typed error after part of another answer", events(otherTokens[:3], broken), "broken_stream", "does not belong to this request"},
+		{"error and end marker", events(ownTokens[:3], broken+doneEvent), "broken_stream", "with an error and with [DONE]"},
+		{"untyped error", "data: {\"error\":{\"message\":\"oh\"}}\n\n", "", "error has no type"},
+		{"not JSON", "data: oh\n\n", "", "event is not a chunk"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
@@ -147,12 +146,12 @@
 			i.Equal(o.Kind, c.kind)
 			i.True(strings.Contains(o.Problem, c.problem))
 			i.Equal(o.Problem == "", c.problem == "")
-			i.Equal(o.Complete(), c.name == "own")
+			i.Equal(o.Complete(), c.name == "correct")
 		})
 	}
 }
 
-func TestCheckerOfWholeAnswers(t *testing.T) {
+func TestAnswerVerification(t *testing.T) {
 	chat, service := chatRequest(false), &Request{Ref: "r1", Flow: &Flow{Kind: KindService, Target: "desk", Path: "/a"}, Text: "ref:r1", Sends: []Send{{}}}
 	completion := func(text string) string {
 		data, _ := json.Marshal(text)
@@ -167,11 +166,11 @@
 		problem string
 	}{
 		{"chat", chat, 200, completion(expectedAnswer(chat)), "", ""},
-		{"chat cut", chat, 200, completion(expectedAnswer(chat)[:9]), "", "looks whole and is cut"},
+		{"chat truncated", chat, 200, completion(expectedAnswer(chat)[:9]), "", "looks complete but is truncated"},
 		{"service", service, 200, expectedAnswer(service), "", ""},
-		{"service swapped", service, 200, "{}", "", "not this request's own"},
+		{"service swapped", service, 200, "{}", "", "does not belong to this request"},
 		{"refused", chat, 429, `{"error":{"type":"overloaded","not_run":true,"retry_after_ms":40}}`, "overloaded", ""},
-		{"refused without type", chat, 503, `gone`, "status_503", "not typed"},
+		{"refused without type", chat, 503, `gone`, "status_503", "has no type"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
@@ -189,9 +188,9 @@
 	return &Outcome{Request: r, Kind: kind, NotRun: notRun, FirstToken: time.Millisecond}
 }
 
-// A registration ran twice, or ran although its caller was told that it did
-// not: the answers look right, only the servers' own counts show it.
-func TestJudgeHoldsAnswersAgainstRuns(t *testing.T) {
+// Guards against overlooking a request that ran twice, or that ran although its caller was
+// told otherwise: the answers look correct, only the counts of the servers show it.
+func TestEvaluateComparesAnswersWithRuns(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
 		outcomes                []*Outcome
@@ -215,7 +214,7 @@
 	}
 }
 
-func TestAttainmentNeedsBothTargets(t *testing.T) {
+func TestAttainmentRequiresBothTargets(t *testing.T) {
 	i := is.New(t)
 	target := Target{FirstToken: 100 * time.Millisecond, BetweenTokens: 10 * time.Millisecond}
 	gaps := slices.Repeat([]time.Duration{5 * time.Millisecond}, 95)
@@ -228,7 +227,7 @@
 	i.True(!(&Outcome{FirstToken: 191 * time.Millisecond, Tokens: 10}).MeetsTargets(target))
 }
 
-func TestCallerTriesTheNextEntryOnlyWhereNothingRan(t *testing.T) {
+func TestCallerFailsOverIfNothingRan(t *testing.T) {
 	i := is.New(t)
 	draining := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -248,9 +247,9 @@
 	i.Equal(o.Failovers, 2)
 }
 
-// In a run with killed servers the sums after it are below those before; the
-// table then showed more tokens made than the engines could make.
-func TestCountsAreTakenServerByServer(t *testing.T) {
+// Guards against wrong totals after servers are killed during a run: their counters restart
+// at zero or are missing, so that differences must be taken for each server.
+func TestCountsAreComparedByServer(t *testing.T) {
 	i := is.New(t)
 	before := Snapshot{
 		"stays":     {TokensGenerated: 100, Runs: map[string]int{"a": 1}},
--- a/loadgen/outcome.go
+++ b/loadgen/outcome.go
@@ -4,62 +4,64 @@
 	"time"
 )
 
-// Outcome is what a caller got for one send of a request.
+// Outcome is the result of one send of a request.
 type Outcome struct {
 	Request *Request
-	// Status of the HTTP answer; 0 where none came.
+	// Status is the HTTP status; 0 if there was no response.
 	Status int
-	// Kind is the typed error's kind, or one of the Kind constants; "" for a whole answer.
+	// Kind is the kind of the typed error, or one of the Kind constants; "" if there was no
+	// error.
 	Kind string
-	// NotRun is true, false or unknown, as the error says.
+	// NotRun is "true", "false" or "unknown", as stated by the error.
 	NotRun string
-	// RetryAfter is the error's own.
+	// RetryAfter is the delay stated by the error.
 	RetryAfter time.Duration
-	// Problem is a broken promise that shows in the answer itself.
+	// Problem describes a violated guarantee that is visible in the answer itself.
 	Problem string
-	// Streamed is true where the tokens came one by one.
+	// Streamed is set if the tokens arrived as a stream.
 	Streamed bool
-	// FirstToken is the time to the first token, or to an answer that is not streamed.
+	// FirstToken is the time to the first token, or to the end of an answer that is not
+	// streamed.
 	FirstToken time.Duration
 	// Gaps are the times between tokens.
 	Gaps []time.Duration
-	// Tokens that the caller received.
+	// Tokens is the number of tokens received.
 	Tokens int
 	Total  time.Duration
-	// Canceled is true where the caller itself left.
+	// Canceled is set if the caller disconnected.
 	Canceled  bool
 	RequestID string
 	Server    string
 	Instance  string
-	// Moved counts the entries that were tried before, as a balancer does.
+	// Failovers is the number of entries that were passed over for this one.
 	Failovers int
 }
 
-// The kinds of outcomes that no typed error names.
+// Kinds of outcomes without a typed error.
 const (
-	// KindConnect means that no entry took the connection.
+	// KindConnect means that no entry accepted the connection.
 	KindConnect = "connect"
-	// KindCut means that the connection broke before the end of the answer.
+	// KindInterrupted means that the connection broke before the end of the answer.
 	KindInterrupted = "cut"
-	// KindTimeout means that the answer was not there in the plan's grace.
+	// KindTimeout means that the answer was not complete within the plan's grace period.
 	KindTimeout = "no_answer"
 )
 
-// Whole tells whether the caller got its own whole answer.
+// Complete reports whether the caller got the complete and correct answer.
 func (o *Outcome) Complete() bool { return o.Kind == "" && o.Problem == "" && !o.Canceled }
 
-// Target is a class's latency targets; 0 means none.
+// Target holds the latency targets of a class; 0 means none.
 type Target struct {
 	Tier          int
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 }
 
-// gapShare is the share of an answer's gaps that must keep the target.
+// gapShare is the share of an answer's gaps that must be within the target.
 const gapShare = 0.95
 
-// Met tells whether a whole answer kept the targets. An answer of many tokens
-// that is not streamed has the time that its tokens would have as a stream.
+// MeetsTargets reports whether the answer is complete and within the targets. An answer of
+// several tokens that is not streamed has the time that a stream of them would have.
 func (o *Outcome) MeetsTargets(target Target) bool {
 	if !o.Complete() {
 		return false
--- a/loadgen/print.go
+++ b/loadgen/print.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// shownPromises bounds the broken promises that are printed one by one.
+// maxListed bounds the number of violations of each kind that are listed.
 const maxListed = 10
 
 // Print writes the report as a table.
@@ -22,15 +22,15 @@
 			c.FirstToken.P50, c.FirstToken.P95, c.FirstToken.P99, c.Gap.P50, c.Gap.P95, c.Gap.P99, c.MaxLatencyMS, formatErrors(c.Errors))
 	}
 	_ = table.Flush()
-	fmt.Fprintf(w, "tokens: %d made, %d delivered in whole answers, %d saved by cancelling; moved by the balancer: %d; cut: %d\n",
+	fmt.Fprintf(w, "tokens: %d generated, %d delivered in complete answers, %d avoided by cancellation; failovers: %d; interrupted: %d\n",
 		r.TokensGenerated, r.TokensDelivered, r.TokensAvoided, r.Failovers, r.Interrupted)
 	if len(r.Unreachable) > 0 {
-		fmt.Fprintf(w, "no counts from: %s (what ran there is not in these figures)\n", strings.Join(r.Unreachable, " "))
+		fmt.Fprintf(w, "no counts from: %s (their runs are not included)\n", strings.Join(r.Unreachable, " "))
 	}
 	printList(w, "double run", r.DoubleRuns)
-	printList(w, "said not_run and ran", r.FalseNotRun)
-	printList(w, "broken answer", r.Problems)
-	fmt.Fprintf(w, "promises: %d double runs, %d false not_run, %d broken answers\n", len(r.DoubleRuns), len(r.FalseNotRun), len(r.Problems))
+	printList(w, "reported as not_run but ran", r.FalseNotRun)
+	printList(w, "incorrect answer", r.Problems)
+	fmt.Fprintf(w, "violations: %d double runs, %d false not_run, %d incorrect answers\n", len(r.DoubleRuns), len(r.FalseNotRun), len(r.Problems))
 }
 
 func formatErrors(kinds map[string]int) string {
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -10,69 +10,70 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Percentiles of a time, in milliseconds.
+// Percentiles holds percentiles of a duration, in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50_ms"`
 	P95 float64 `json:"p95_ms"`
 	P99 float64 `json:"p99_ms"`
 }
 
-// ClassReport is what one class got.
+// ClassReport holds the results of one class.
 type ClassReport struct {
 	Class string `json:"class"`
 	Tier  int    `json:"tier"`
-	// Requests that arrived, and Sends with the resends among them.
+	// Requests is the number of arrivals, Sends that of sends including resends.
 	Requests int `json:"requests"`
 	Sends    int `json:"sends"`
-	// Whole is the number of requests with their own whole answer.
+	// Complete is the number of requests with a complete and correct answer.
 	Complete int `json:"whole"`
-	// Met is the number of those within the class's targets.
+	// MetTargets is the number of those within the class's targets.
 	MetTargets int `json:"met"`
-	// Attainment is Met over the requests whose callers stayed, 0 to 1.
+	// Attainment is MetTargets as a share of the requests that were not canceled, 0 to 1.
 	Attainment float64 `json:"attainment"`
-	// Goodput is tokens a second of the answers within their targets.
+	// Goodput is the number of tokens per second in answers within their targets.
 	Goodput float64 `json:"goodput_tokens_per_second"`
-	// Wasted is the number of tokens received in answers that never became whole.
+	// Wasted is the number of tokens received in incomplete answers.
 	Wasted int `json:"wasted_tokens"`
-	// Canceled is the number of requests whose callers left.
+	// Canceled is the number of requests whose callers disconnected.
 	Canceled int `json:"canceled"`
-	// Errors by kind, of all sends.
+	// Errors is the number of failed sends by error kind.
 	Errors map[string]int `json:"errors"`
-	// FirstToken is measured on whole streams and services' answers, Gap on whole streams.
+	// FirstToken covers complete streams and answers of services, Gap complete streams.
 	FirstToken Percentiles `json:"first_token"`
 	Gap        Percentiles `json:"between_tokens"`
-	// LongestMS is the longest time to any whole answer, in milliseconds.
+	// MaxLatencyMS is the longest time to a complete answer, in milliseconds.
 	MaxLatencyMS float64 `json:"longest_answer_ms"`
 }
 
-// Report is what the callers got, by class, and the promises that were broken.
+// Report holds the results by class and the violated guarantees.
 type Report struct {
 	Seed    uint64        `json:"seed"`
 	Classes []ClassReport `json:"classes"`
-	// TokensMade by the engines, TokensDelivered in whole answers.
+	// TokensGenerated is counted by the engines, TokensDelivered in complete answers.
 	TokensGenerated int `json:"tokens_made"`
 	TokensDelivered int `json:"tokens_delivered"`
 	TokensAvoided   int `json:"tokens_saved_by_cancel"`
-	// Moved is the number of sends that the balancer took to another entry.
+	// Failovers is the number of sends that were redirected to another entry.
 	Failovers   int `json:"moved"`
 	Interrupted int `json:"cut"`
 	// DoubleRuns are keyed requests that ran more than once.
 	DoubleRuns []string `json:"double_runs"`
 	// FalseNotRun are requests that ran although every answer said not_run.
 	FalseNotRun []string `json:"false_not_run"`
-	// Problems are answers that were not whole or not the request's own.
+	// Problems describes incorrect answers.
 	Problems []string `json:"problems"`
-	// Silent are the backend servers whose counts are lacking.
+	// Unreachable are the backend servers whose counts are missing.
 	Unreachable []string `json:"silent"`
 }
 
-// Broken is the number of broken promises.
+// Violations returns the number of violated guarantees.
 func (r *Report) Violations() int { return len(r.DoubleRuns) + len(r.FalseNotRun) + len(r.Problems) }
 
-// Targets are the targets of each class.
+// Targets maps classes to their targets.
 type Targets map[string]Target
 
-// Judge makes the report.
+// Evaluate checks the outcomes against the counts of the backend servers and returns the
+// report.
 func Evaluate(plan *Plan, targets Targets, outcomes []*Outcome, counts Counts) *Report {
 	report := &Report{Seed: plan.Seed, TokensGenerated: counts.TokensGenerated, TokensAvoided: counts.TokensAvoided, Unreachable: counts.Unreachable}
 	groups := groupByRequest(outcomes)
@@ -90,7 +91,7 @@
 	return report
 }
 
-// bySends groups the outcomes of each request, in the order of the requests.
+// groupByRequest groups the outcomes by request, in order of arrival.
 func groupByRequest(outcomes []*Outcome) [][]*Outcome {
 	grouped := make(map[*Request][]*Outcome)
 	for _, o := range outcomes {
@@ -103,7 +104,7 @@
 	return groups
 }
 
-// judgeRuns holds what the callers were told against what the servers ran.
+// checkRuns compares what the callers were told with what the servers ran.
 func (r *Report) checkRuns(sends []*Outcome, runs int) {
 	request := sends[0].Request
 	if request.Key != "" && runs > 1 {
@@ -165,7 +166,7 @@
 	return report
 }
 
-// take counts one request's sends and returns its first whole answer, if any.
+// addRequest counts the sends of one request and returns its earliest complete answer, or nil.
 func (c *ClassReport) addRequest(sends []*Outcome) *Outcome {
 	var best *Outcome
 	for _, o := range sends {
--- a/loadgen/run.go
+++ b/loadgen/run.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Run sends the requests at their times and returns one outcome for each send,
-// in order of the requests. It ends when all are answered, or at the plan's
-// grace after the last arrival.
+// Run sends the requests at their arrival times and returns an outcome for each send, in
+// order of completion. It returns when all are answered, or after the plan's duration and
+// grace period.
 func Run(ctx context.Context, plan *Plan, requests []*Request, caller *Caller) []*Outcome {
 	limit := plan.Duration.Duration + plan.Grace.Duration
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/loadgen/stream.go
+++ b/loadgen/stream.go
@@ -21,7 +21,7 @@
 
 const doneMarker = "[DONE]"
 
-// readStream reads server-sent events up to [DONE], a typed error, or a break.
+// readStream reads server-sent events up to [DONE], a typed error or the end of the body.
 func readStream(call *streamContext, o *Outcome, body io.Reader, start time.Time) {
 	o.Streamed = true
 	var text strings.Builder
@@ -48,7 +48,7 @@
 		}
 		content, ok := chunkContent(data)
 		if !ok {
-			o.Problem = "event is no chunk: " + data
+			o.Problem = "event is not a chunk: " + data
 			return
 		}
 		if content == "" {
@@ -86,7 +86,7 @@
 	return event.Choices[0].Delta.Content, true
 }
 
-// finishBroken checks that a stream that ended with an error does not look whole.
+// finishWithError checks that a stream that ended with an error does not look complete.
 func finishWithError(o *Outcome, rest io.Reader, text string) {
 	if o.Problem == "" {
 		o.Problem = checkPartialAnswer(o.Request, text)
@@ -97,7 +97,7 @@
 	}
 }
 
-// endOfStream judges a stream that stopped without [DONE] and without an error.
+// finishInterrupted classifies a stream that ended without [DONE] and without a typed error.
 func finishInterrupted(call *streamContext, o *Outcome, text string, err error) {
 	o.Problem = checkPartialAnswer(o.Request, text)
 	if err == io.EOF {
