--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples holds settings that can be run as they are.
+// Package examples contains the settings of two complete fleets, which run on loopback.
 package examples
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/lilacbridge/lilacbridge/version/fleet"
 )
 
-func TestExamplesAreRight(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("*/*.yaml")
 	is.New(t).NoErr(err)
 	is.New(t).Equal(len(files), 2*(3+7+2))
--- a/faultsoak/checks_test.go
+++ b/faultsoak/checks_test.go
@@ -7,7 +7,7 @@
 	"github.com/lilacbridge/lilacbridge/platform/standin"
 )
 
-// judge checks what only the end of a run shows.
+// checkResults makes the checks that need the results of the whole run.
 func (r *run) checkResults() {
 	runs := make(map[string][]standin.Run)
 	for _, s := range r.fleet.servers {
@@ -23,17 +23,17 @@
 	for _, c := range r.calls {
 		if c.status == http.StatusServiceUnavailable || c.status == http.StatusTooManyRequests {
 			mayRun := c.route == "look" || c.route == "review"
-			r.check(mayRun || len(runs[c.id]) == 0, "not run is true", "%s on %s was answered %d and ran", c.id, c.route, c.status)
+			r.check(mayRun || len(runs[c.id]) == 0, "refused requests do not run", "%s on %s was answered %d and ran", c.id, c.route, c.status)
 		}
 		r.check(c.status != http.StatusNotFound || c.sent.Before(c.routeKnownBy), "documents in force",
-			"%s on %s was answered 404 by %s %v after an entry had to know the route", c.id, c.route, c.entry.name, c.sent.Sub(c.routeKnownBy))
+			"%s on %s was answered 404 by %s %v after entries had to know the route", c.id, c.route, c.entry.name, c.sent.Sub(c.routeKnownBy))
 		r.checkStop(c, len(runs[c.id]) > 0)
 	}
 }
 
 func (r *run) checkRuns(c *call, list []standin.Run) {
 	if c == nil {
-		r.violation("own requests", "a server ran %s, which nobody sent", list[0].AttemptID)
+		r.violation("known requests", "a server ran %s, which no caller sent", list[0].AttemptID)
 		return
 	}
 	if c.route == "book" || c.route == "plan" {
@@ -41,34 +41,37 @@
 	}
 	for _, one := range list {
 		r.check(one.Body == "body of "+c.id && one.URI == "/"+c.route+"/x", "unchanged", "%s reached a server as %s %q", c.id, one.URI, one.Body)
-		r.check(!one.KeySent && one.Team != "", "keys stay here", "%s reached a server with its key or without its team", c.id)
+		r.check(!one.KeySent && one.Team != "", "keys are not forwarded", "%s reached a server with its key or without its team", c.id)
 	}
-	taken, revoked := r.document.revoked[c.key]
-	r.check(!revoked || c.sent.Before(taken.Add(revocation+slack)), "taken keys", "%s ran %v after its key was taken away", c.id, c.sent.Sub(taken))
+	revokedAt, revoked := r.document.revoked[c.key]
+	r.check(!revoked || c.sent.Before(revokedAt.Add(revocation+slack)), "revoked keys", "%s ran %v after its key was revoked", c.id, c.sent.Sub(revokedAt))
 }
 
-// judgeLeaving: a leaving server gets no new work once all must know that it leaves.
+// checkDraining checks that a draining server gets no new requests once every entry must
+// know that it drains.
 func (r *run) checkDraining(server string, one standin.Run) {
 	for _, l := range r.fleet.drains {
 		if l.server == server {
 			known := l.from.Add(drainBound + slack)
-			r.check(one.Started.Before(known) || one.Started.After(l.to), "leaving servers",
-				"%s began at %s %v after it began to leave", one.AttemptID, server, one.Started.Sub(l.from))
+			r.check(one.Started.Before(known) || one.Started.After(l.to), "draining servers",
+				"%s started at %s %v after the server began to drain", one.AttemptID, server, one.Started.Sub(l.from))
 		}
 	}
 }
 
-// judgeStop: a graceful stop cuts off no request that a server had begun.
+// checkStop checks that a graceful stop of an entry interrupts no request that a server has
+// started to execute.
 func (r *run) checkStop(c *call, ran bool) {
 	for _, stop := range r.stops {
 		within := c.sent.Before(stop.at) && c.ended.After(stop.at) && c.ended.Before(stop.at.Add(4*time.Second))
 		if c.entry == stop.entry && within && ran && c.status != 0 {
-			r.check(!c.interrupted || r.serverFaultDuring(c), "graceful stop", "%s was cut off while %s stopped", c.id, c.entry.name)
+			r.check(!c.interrupted || r.serverFaultDuring(c), "graceful stop", "%s was interrupted while %s stopped", c.id, c.entry.name)
 		}
 	}
 }
 
-// hurt tells whether servers broke answers off themselves while the call ran.
+// serverFaultDuring reports whether a server had faults injected that may have interrupted
+// the call.
 func (r *run) serverFaultDuring(c *call) bool {
 	for _, s := range r.fleet.servers {
 		if s.FaultActive(c.sent.Add(-callTimeout), c.ended) {
--- a/faultsoak/doc.go
+++ b/faultsoak/doc.go
@@ -1,7 +1,7 @@
-// Package faultsoak runs the real programs as processes of one machine, hurts them
-// from outside and checks what they promise from what callers, operators and
-// backend servers see.
+// Package faultsoak is a fault-injection test. It runs the real programs as processes on one
+// machine, injects faults from outside and checks the guarantees by what callers, operators
+// and backend servers observe.
 //
-// It is a test: make fault-soak SEED=7 MINUTES=2 runs it by hand. What happens in
-// a run is planned from its seed and printed.
+// make fault-soak SEED=7 MINUTES=2 runs it by hand. The faults of a run are derived from its
+// seed and printed.
 package faultsoak
--- a/faultsoak/fleet_test.go
+++ b/faultsoak/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/lilacbridge/lilacbridge/platform/standin"
 )
 
-// process is one of the real programs. The soak ends only processes that it
-// started, each by its own id.
+// process is an instance of a real program. The test signals only processes that it started,
+// each by its own id.
 type process struct {
 	name     string
 	program  string
@@ -41,7 +41,7 @@
 	defer log.Close()
 	command := exec.Command(filepath.Join(folder, p.program), "--settings", p.settings)
 	command.Stdout, command.Stderr, command.Dir = log, log, folder
-	// A soak that is ended itself leaves no process behind.
+	// The kernel kills the process if the test itself is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
@@ -63,8 +63,8 @@
 	}
 }
 
-// end signals the process and waits until it has ended; one that takes too long is
-// killed, which the answer tells.
+// terminate signals the process and waits for its end. After the timeout it kills the
+// process and returns false.
 func (p *process) terminate(s syscall.Signal, timeout time.Duration) (inTime bool) {
 	p.signal(s)
 	p.mu.Lock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// fleet is the whole system on loopback addresses.
+// fleet is a complete system on loopback addresses.
 type fleet struct {
 	folder  string
 	states  []*process
@@ -91,16 +91,16 @@
 	servers []*standin.Server
 
 	mu sync.Mutex
-	// leaving holds since when the list says that a server leaves, left the times
-	// in which it said so before.
+	// drainingSince holds the draining servers by identity, drains the drains that have
+	// ended. Guarded by mu.
 	drainingSince map[string]time.Time
 	drains        []drainPeriod
 }
 
-// ports of a fleet, the same on each of its addresses.
+// ports are the ports of a fleet, the same on each of its addresses.
 type ports struct{ link, admin, control, callers, ready int }
 
-// freePorts takes ports that nobody uses now on any address of the machine.
+// freePorts returns ports that are currently free on all addresses of the machine.
 func freePorts() (ports, error) {
 	var list [5]int
 	for i := range list {
@@ -114,7 +114,8 @@
 	return ports{list[0], list[1], list[2], list[3], list[4]}, nil
 }
 
-// newFleet writes the settings of all processes and starts the stand-ins.
+// newFleet writes the settings of all processes and starts the proxies and the stand-in
+// servers, but no process.
 func newFleet(folder string, states, entries, servers int) (*fleet, error) {
 	f := &fleet{folder: folder, drainingSince: make(map[string]time.Time)}
 	at, err := freePorts()
@@ -156,12 +157,13 @@
 	return f, nil
 }
 
-// Loopback addresses: a process listens on one and is known by another, behind
-// which its proxy stands. Each soak has a block of addresses of its own, or two
-// beside each other could meet on a port that is free on other addresses only.
+// A process listens on one loopback address and advertises another, on which its proxy
+// listens. Each test process has its own block of addresses: two concurrent ones could
+// otherwise choose the same port, since freePorts does not keep ports reserved.
 func listenAddress(role string, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", addressBlock(), octet(role)+1, number+1)
 }
+
 func advertisedAddress(role string, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", addressBlock(), octet(role), number+1)
 }
@@ -198,7 +200,7 @@
 	return p, os.WriteFile(p.settings, []byte(text), 0o600)
 }
 
-// serveList is the platform's list of backend servers.
+// serveList serves the platform's list of backend servers.
 func (f *fleet) serveList(w http.ResponseWriter, _ *http.Request) {
 	var list []standin.ListedServer
 	f.mu.Lock()
@@ -209,18 +211,18 @@
 		})
 	}
 	f.mu.Unlock()
-	// A reader that is gone asks again.
+	// A client that fails to read the list requests it again.
 	_ = standin.WriteServerList(w, list)
 }
 
-// leave is a time in which the list said that a server leaves.
+// drainPeriod is a time during which the list showed a server as draining.
 type drainPeriod struct {
 	server   string
 	from, to time.Time
 }
 
-// drain has the list say that a server leaves, or that it stays. Where two drains
-// overlap, the first to end ends both.
+// setDraining changes the state of a server in the list. If two drains of a server overlap,
+// the first one to end ends both.
 func (f *fleet) setDraining(identity string, draining bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -238,7 +240,7 @@
 	return append(append([]*process(nil), f.states...), f.entries...)
 }
 
-// close ends all that the soak started.
+// close kills all processes and closes the proxies and stand-in servers.
 func (f *fleet) close() {
 	for _, p := range f.processes() {
 		p.signal(syscall.SIGCONT)
--- a/faultsoak/limit_test.go
+++ b/faultsoak/limit_test.go
@@ -10,33 +10,35 @@
 )
 
 const (
-	// limitSettles is how long after a server first named its limit all must keep to it.
+	// limitSettleTime is the time after a server first advertises a limit until all entries
+	// must observe it.
 	limitSettleTime = 4 * time.Second
-	// limitSpan is the span in which a server counts what it gets.
+	// limitWindow is the sliding window in which arrivals are counted.
 	limitWindow = 4 * time.Second
 )
 
-// limitTime is a time in which a server named a limit.
+// limitPeriod is a time during which a server advertised a limit.
 type limitPeriod struct {
 	server    *standin.Server
 	perSecond float64
 	from, to  time.Time
 }
 
-// limitSteps draws which servers name limits, and when.
+// limitSteps draws the servers that advertise limits, and when.
 func limitSteps(seed uint64, length time.Duration, servers int) []step {
 	random := rand.New(rand.NewPCG(seed, 78))
 	var steps []step
 	for at := warmUp; at < length; at += time.Duration(2+random.IntN(6)) * time.Second {
 		server, perSecond, duration := random.IntN(servers), float64(5+random.IntN(100))/10, time.Duration(6+random.IntN(5))*time.Second
-		steps = append(steps, step{at, fmt.Sprintf("server %d names a limit of %v a second for %v", server, perSecond, duration), func(r *run) {
+		steps = append(steps, step{at, fmt.Sprintf("server %d advertises a limit of %v requests per second for %v", server, perSecond, duration), func(r *run) {
 			r.advertiseLimit(server, perSecond, duration)
 		}})
 	}
 	return steps
 }
 
-// limit has a server name a limit for a while, one at a time.
+// advertiseLimit makes a server advertise a limit for a while. It does nothing if the server
+// already advertises one.
 func (r *run) advertiseLimit(server int, perSecond float64, duration time.Duration) {
 	s := r.fleet.servers[server]
 	r.mu.Lock()
@@ -58,8 +60,8 @@
 	})
 }
 
-// judgeLimits: entries keep to a server's limit together, but for those that were down, paused
-// or cut off shortly before.
+// checkLimits checks that all entries together observe a server's limit. Requests of entries
+// that were recently down, paused or partitioned are not counted.
 func (r *run) checkLimits() {
 	for _, l := range r.limits {
 		var counted []time.Time
@@ -77,18 +79,19 @@
 					most++
 				}
 			}
-			r.check(most <= allowed, "limits", "%s named %v a second and got %d in %v", l.server.Identity, l.perSecond, most, limitWindow)
+			r.check(most <= allowed, "limits", "%s advertised %v requests per second and got %d in %v", l.server.Identity, l.perSecond, most, limitWindow)
 		}
 	}
 }
 
-// hurt is a time in which a process was down, paused or cut off; to is zero while it lasts.
+// outage is a time during which a process is down, paused or partitioned. to is zero until
+// it ends.
 type outage struct {
 	entry    *process
 	from, to time.Time
 }
 
-// hurting notes that a fault of the process begins; the answer notes its end.
+// beginOutage records the start of an outage. The returned function records its end.
 func (r *run) beginOutage(p *process) (ended func()) {
 	o := &outage{entry: p, from: time.Now()}
 	r.mu.Lock()
@@ -101,7 +104,8 @@
 	}
 }
 
-// mustKnow tells whether the entry had no fault for so long that it knows the limits.
+// mustHonorLimits reports whether the entry has been without an outage long enough to know
+// the limits.
 func (r *run) mustHonorLimits(entry *process, at time.Time) bool {
 	for _, o := range r.outages {
 		if o.entry == entry && at.After(o.from) && (o.to.IsZero() || at.Before(o.to.Add(limitSettleTime+limitWindow))) {
--- a/faultsoak/logs_test.go
+++ b/faultsoak/logs_test.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// lossAround is how long before a start of an entry its lines may be lost with it.
+	// restartLossWindow is the time before the start of an entry in which log lines may be
+	// lost.
 	restartLossWindow = 6 * time.Second
-	// leftOutAround is how soon an entry says that it left lines out.
+	// suppressionWindow is the time within which an entry reports that it suppressed lines.
 	suppressionWindow = 2 * time.Second
 )
 
-// logLine is what the checks read of a log line.
+// logLine holds the fields of a log line that the checks use.
 type logLine struct {
 	At      time.Time `json:"@timestamp"`
 	Message string    `json:"@message"`
@@ -25,10 +26,10 @@
 	Error   string    `json:"error"`
 }
 
-// entryLog is what an entry wrote in one run.
+// entryLog is the log of an entry in one run.
 type entryLog struct {
 	byRequest map[string][]logLine
-	// holes are the times about which lines may be missing, and say so.
+	// gaps are the times from which lines may be missing, as the log itself shows.
 	gaps []logGap
 }
 
@@ -59,7 +60,8 @@
 	return read, scanner.Err()
 }
 
-// explains tells whether the lines give a reason for the failure of the call.
+// explains reports whether the log gives a reason for the failure of the call, or may have
+// lost it.
 func (e *entryLog) explains(c *call) bool {
 	for _, l := range e.byRequest[c.id] {
 		if l.Error != "" || l.Kind != "" {
@@ -74,7 +76,7 @@
 	return false
 }
 
-// judgeLogs: each failed answer is explained by its entry's lines.
+// checkLogs checks that the log of the entry explains each error response.
 func (r *run) checkLogs() {
 	for _, entry := range r.fleet.entries {
 		read, err := readLog(entry.log, r.started)
@@ -84,7 +86,7 @@
 		}
 		for _, c := range r.calls {
 			if c.entry == entry && c.status >= http.StatusBadRequest {
-				r.check(read.explains(c), "failures are explained", "%s on %s was answered %d by %s, whose lines give no reason", c.id, c.route, c.status, entry.name)
+				r.check(read.explains(c), "failures are explained", "%s on %s was answered %d by %s, whose log gives no reason", c.id, c.route, c.status, entry.name)
 			}
 		}
 	}
--- a/faultsoak/plan_test.go
+++ b/faultsoak/plan_test.go
@@ -12,7 +12,7 @@
 	"github.com/lilacbridge/lilacbridge/platform/standin"
 )
 
-// step is one thing that happens in a run.
+// step is an event of a run, at a time since its start.
 type step struct {
 	at          time.Duration
 	description string
@@ -22,17 +22,18 @@
 func (s step) String() string { return fmt.Sprintf("%6.1fs %s", s.at.Seconds(), s.description) }
 
 const (
-	// healthyStart lets a run begin with a fleet that serves, settle ends it so.
+	// warmUp is the time without faults at the start of a run. After the last fault the
+	// fleet has twice settleTime to recover.
 	warmUp     = 2 * time.Second
 	settleTime = 12 * time.Second
-	// startPatience bounds the first start of a whole fleet.
+	// startTimeout bounds the start of a fleet.
 	startTimeout = 60 * time.Second
-	// stopPatience is drain lag, drain and the closing of a process.
+	// stopTimeout bounds a graceful stop: drain lag, drain and shutdown.
 	stopTimeout = 20 * time.Second
 )
 
-// plan draws what happens from the seed. At most one state process of three is
-// down or emptied at once, as the promises say; entries may all go.
+// plan derives the steps from the seed. At most one state process is faulty at a time, since
+// the guarantees require a majority; any number of entries may be.
 func plan(seed uint64, length time.Duration, states, entries, servers int) []step {
 	random := rand.New(rand.NewPCG(seed, 77))
 	var steps []step
@@ -48,23 +49,23 @@
 			steps = append(steps, entryFault(random, at, duration, random.IntN(entries), random.IntN(servers)))
 		}
 		if random.IntN(2) == 0 {
-			steps = append(steps, step{at, "change of the document", (*run).change})
+			steps = append(steps, step{at, "document change", (*run).change})
 		}
 		if random.IntN(6) == 0 {
-			steps = append(steps, step{at, "a key is taken away", (*run).revoke})
+			steps = append(steps, step{at, "key revoked", (*run).revoke})
 		}
 	}
 	if random.IntN(2) == 0 {
-		steps = append(steps, step{length, "all are killed after a change", (*run).killAll})
+		steps = append(steps, step{length, "all processes killed after a document change", (*run).killAll})
 	}
-	// Drawn apart, so that seeds that failed once go on meaning the same faults.
+	// These use a separate generator, so that the other steps of a seed stay the same.
 	steps = append(steps, limitSteps(seed, length, servers)...)
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	return steps
 }
 
-// darken has a change acknowledged and kills every process: nothing that comes
-// later makes good what one of them does not find again.
+// killAll kills every process after a change has been acknowledged. No process keeps its
+// memory, so that a change that was not made durable is lost.
 func (r *run) killAll() {
 	r.faults.Wait()
 	r.put(func(*documentState) {})
@@ -114,7 +115,7 @@
 	return step{at, fmt.Sprintf("entry-%d %s for %v", i, f.description, duration), func(r *run) { f.do(r, r.fleet.entries[i]) }}
 }
 
-// down ends the process and starts it again later.
+// stopAndRestart stops the process by a signal and restarts it after the duration.
 func (r *run) stopAndRestart(p *process, s syscall.Signal, duration time.Duration) {
 	if !r.acquire(p) {
 		return
@@ -126,14 +127,15 @@
 			r.recordStop(p)
 		}
 		if !p.terminate(s, stopTimeout) {
-			r.violation("stop", "%s did not end %v after SIGTERM", p.name, stopTimeout)
+			r.violation("stop", "%s did not exit within %v of SIGTERM", p.name, stopTimeout)
 		}
 		r.sleep(duration)
 		r.restart(p)
 	})
 }
 
-// empty kills a state process and takes its disk: it comes back as a new member.
+// wipe kills a state process, deletes its data and restarts it after the duration. It then
+// joins as a new member.
 func (r *run) wipe(p *process, duration time.Duration) {
 	if !r.acquire(p) {
 		return
@@ -171,7 +173,7 @@
 	})
 }
 
-// spoil has every second request of a server go wrong for a while.
+// injectServerFault injects the fault into every second request of a server.
 func (r *run) injectServerFault(server int, fault standin.Fault, duration time.Duration) {
 	r.background(func() {
 		s := r.fleet.servers[server]
--- a/faultsoak/proxy_test.go
+++ b/faultsoak/proxy_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// proxyMode is what a proxy does to the bytes that pass.
+// proxyMode determines how a proxy treats data.
 type proxyMode int
 
 const (
 	passing proxyMode = iota
-	// delaying holds each piece back for a while.
+	// delaying delays each read.
 	delaying
-	// silent passes nothing and closes nothing.
+	// blackhole forwards nothing and keeps connections open.
 	blackhole
-	// deaf passes answers only: what is sent to the process is lost.
+	// dropInbound forwards only data from the process; data sent to it is lost.
 	dropInbound
 )
 
-// proxy stands before one process. The others know its address only.
+// proxy forwards connections to one process. Other processes know only its address.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -78,7 +78,7 @@
 	}
 }
 
-// copy passes bytes on as the mode of the moment says; inward is towards the process.
+// copy forwards data according to the current mode. inward means towards the process.
 func (p *proxy) copy(to io.Writer, from io.Reader, inward bool) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -94,8 +94,8 @@
 	}
 }
 
-// passes waits as long as the mode says and tells whether a piece goes on. A lost
-// piece breaks its connection for good: later ones would not follow what came before.
+// passes delays as the mode requires and reports whether the data is forwarded. Once data
+// is lost its connection must be reset, since later data would not follow the earlier.
 func (p *proxy) passes(inward bool) bool {
 	p.mu.Lock()
 	mode, delay := p.mode, p.delay
@@ -111,7 +111,8 @@
 	return true
 }
 
-// waitForReset holds a piece until the mode ends; its connection is reset then.
+// waitForReset blocks until the partition ends, which resets the connection, and returns
+// false.
 func (p *proxy) waitForReset() bool {
 	for {
 		p.mu.Lock()
@@ -124,18 +125,18 @@
 	}
 }
 
-// set changes the mode. The end of a cut resets what hung in it.
+// set changes the mode. The end of a partition resets all connections.
 func (p *proxy) set(mode proxyMode, delay time.Duration) {
 	p.mu.Lock()
-	was := p.mode
+	previous := p.mode
 	p.mode, p.delay = mode, delay
 	p.mu.Unlock()
-	if was == blackhole || was == dropInbound {
+	if previous == blackhole || previous == dropInbound {
 		p.reset()
 	}
 }
 
-// reset breaks all connections at once.
+// reset resets all connections.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/faultsoak/run_test.go
+++ b/faultsoak/run_test.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// revocation is the bound in the settings, slack what a busy machine may add.
+	// revocation is the bound in the settings. slack is added to bounds for scheduling
+	// delays on a busy machine.
 	revocation = 5 * time.Second
 	slack      = 3 * time.Second
-	// drainBound is how long a leaving server may get new work.
+	// drainBound is how long a draining server may get new requests.
 	drainBound = 4 * time.Second
-	// appliedWithin is the bound in the settings on documents that entries don't have.
+	// appliedWithin is the bound in the settings on how long an entry may lack a document.
 	appliedWithin = 3 * time.Second
-	// largeRoutes are as many as operators add at once, thrice.
+	// fillerRoutes is three times the number of routes that operators add at once.
 	fillerRoutes = 4200
-	// callTimeout is the longest time that a caller waits.
+	// callTimeout is the timeout of a caller.
 	callTimeout = 3 * time.Second
 )
 
-// run is one seeded run of the soak.
+// run is one seeded run of the test.
 type run struct {
 	fleet   *fleet
 	started time.Time
@@ -46,7 +47,8 @@
 	calls    map[string]*call
 	stops    []gracefulStop
 	document documentState
-	// needy are the servers that name a limit now, limits the times in which some did.
+	// limited are the servers that currently advertise a limit, limits the periods that
+	// have ended.
 	limited map[*standin.Server]bool
 	limits  []limitPeriod
 	outages []*outage
@@ -65,20 +67,21 @@
 	sent, ended    time.Time
 	status         int
 	interrupted    bool
-	// deniedUntil is until when an entry may not know the route.
+	// routeKnownBy is when every entry must know the route.
 	routeKnownBy time.Time
 }
 
-// documentState is what the operator sent and what was acknowledged.
+// documentState holds the document that the operator sent and what was acknowledged.
 type documentState struct {
 	version, acked uint64
-	// added are the routes that versions have added, and more that make documents
-	// large enough to leave the processes' memory of single revisions soon.
+	// added are the routes added by the versions, and fillerRoutes others that make documents
+	// large enough for processes to soon discard their history of single revisions.
 	added []string
-	// newest is the route that the last acknowledged version added, at ackedAt.
+	// newest is the route added by the last acknowledged version. It was acknowledged at
+	// ackedAt.
 	newest  string
 	ackedAt time.Time
-	// keys are in force, revoked holds when the acknowledgement came.
+	// keys are valid. revoked holds the others with the time of the acknowledgement.
 	keys    []string
 	revoked map[string]time.Time
 }
@@ -101,7 +104,7 @@
 	r.problems = append(r.problems, check+": "+fmt.Sprintf(format, args...))
 }
 
-// check counts a look at a promise.
+// check counts a check of a guarantee and records a violation unless it holds.
 func (r *run) check(holds bool, name, format string, args ...any) {
 	r.checked.Add(1)
 	if !holds {
@@ -109,7 +112,7 @@
 	}
 }
 
-// busy takes a process for one fault at a time; false while another has it.
+// acquire reserves a process for one fault. It returns false if it is already reserved.
 func (r *run) acquire(p *process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +156,8 @@
 	r.stops = append(r.stops, gracefulStop{p, time.Now()})
 }
 
-// text is the document of the moment. The list of teams may come in any order, so
-// a version's text is made once.
+// text encodes the current document. The order of the teams is not deterministic, so it is
+// called once for each version.
 func (d *documentState) text() ([]byte, error) {
 	teams := make(map[string][]string)
 	for i, key := range d.keys {
@@ -166,26 +169,27 @@
 // change sends a new version of the document until it is acknowledged.
 func (r *run) change() { r.background(func() { r.put(func(*documentState) {}) }) }
 
-// revoke takes the last key but one away.
+// revoke removes the last key from the document, unless it is the only one.
 func (r *run) revoke() {
 	r.background(func() {
-		taken := ""
+		revoked := ""
 		r.put(func(d *documentState) {
 			if n := len(d.keys); n > 1 {
-				taken, d.keys = d.keys[n-1], d.keys[:n-1]
+				revoked, d.keys = d.keys[n-1], d.keys[:n-1]
 			}
 		})
-		if taken != "" {
+		if revoked != "" {
 			r.mu.Lock()
-			r.document.revoked[taken] = time.Now()
+			r.document.revoked[revoked] = time.Now()
 			r.mu.Unlock()
 		}
 	})
 }
 
+// putMu serializes put.
 var putMu sync.Mutex
 
-// put sends one version to the state processes in turn, as an operator does.
+// put sends a new version to the state processes in turn until one acknowledges it.
 func (r *run) put(edit func(*documentState)) {
 	putMu.Lock()
 	defer putMu.Unlock()
@@ -225,8 +229,8 @@
 	}
 }
 
-// readBack checks on any state process that no older document is shown than was
-// acknowledged before the question.
+// readBack checks that a state process shows no document older than the one acknowledged
+// before the request.
 func (r *run) readBack(p *process) (version uint64, ok bool) {
 	r.mu.Lock()
 	acked := r.document.acked
@@ -246,11 +250,11 @@
 	if json.NewDecoder(resp.Body).Decode(&document) != nil {
 		return 0, false
 	}
-	r.check(document.Version >= acked, "older document", "%s shows version %d, %d was acknowledged", p.name, document.Version, acked)
+	r.check(document.Version >= acked, "older document", "%s shows version %d although %d was acknowledged", p.name, document.Version, acked)
 	return document.Version, true
 }
 
-// callFrom sends requests to one entry over kept connections until the run ends.
+// sendRequests sends requests to one entry over keep-alive connections until the run ends.
 func (r *run) sendRequests(entry *process, pause time.Duration) {
 	defer r.callers.Done()
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true}}
@@ -265,7 +269,7 @@
 	}
 }
 
-// routeOf gives the route, or now and then the one that was added last.
+// pickRoute returns the usual route or, once in newestRouteInterval, the newest one.
 func (r *run) pickRoute(usual string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -275,16 +279,15 @@
 	return r.document.newest
 }
 
-// newestEvery is how many requests come for one on the newest route.
 const newestRouteInterval = 8
 
 func (r *run) sendOne(client *http.Client, entry *process, route string) {
 	r.mu.Lock()
 	key := r.document.keys[0]
-	// Now and then a key that was taken away, to see that it runs nowhere.
-	for taken := range r.document.revoked {
+	// Sometimes use a revoked key, with which no request may run.
+	for revoked := range r.document.revoked {
 		if rand.IntN(4) == 0 {
-			key = taken
+			key = revoked
 		}
 	}
 	routeKnownBy := r.document.ackedAt.Add(appliedWithin + slack)
@@ -313,7 +316,7 @@
 	c.interrupted, c.ended = err != nil, time.Now()
 }
 
-// checkAnswer: each caller gets its own, whole answer.
+// checkAnswer checks that a successful response is complete and belongs to its request.
 func (r *run) checkAnswer(c *call, resp *http.Response, body string) {
 	if resp.StatusCode != http.StatusOK {
 		return
@@ -325,10 +328,10 @@
 			want += standin.Event(number + 1)
 		}
 	}
-	r.check(body == want && standin.Signed(resp.Header, c.id), "own whole answer", "%s on %s got %q", c.id, c.route, body)
+	r.check(body == want && standin.Signed(resp.Header, c.id), "correct answer", "%s on %s got %q", c.id, c.route, body)
 }
 
-// recovered waits until nearly all requests are served again.
+// waitForRecovery waits until nearly all requests are served again.
 func (r *run) waitForRecovery() {
 	end := time.Now().Add(settleTime * 2)
 	for time.Now().Before(end) {
@@ -337,7 +340,7 @@
 			return
 		}
 	}
-	r.violation("recovery", "less than 9 in 10 requests are served %v after the last fault", settleTime*2)
+	r.violation("recovery", "fewer than 9 in 10 requests are served %v after the last fault", settleTime*2)
 }
 
 func (r *run) servingRecently() bool {
@@ -356,7 +359,7 @@
 	return asked > 10 && served*10 >= asked*9
 }
 
-// removeData makes a state process begin with an empty folder.
+// removeData deletes the data folder of a state process.
 func removeData(p *process) error {
 	if p.data == "" {
 		return nil
--- a/faultsoak/soak_test.go
+++ b/faultsoak/soak_test.go
@@ -14,22 +14,22 @@
 
 var (
 	seed    = flag.Uint64("seed", 1, "first seed")
-	seeds   = flag.Uint64("seeds", 1, "how many seeds, one after the other")
-	length  = flag.Duration("length", 8*time.Second, "how long faults come in a run")
-	states  = flag.Int("states", 3, "state processes")
-	entries = flag.Int("entries", 3, "entries")
-	servers = flag.Int("servers", 6, "backend servers")
-	keep    = flag.String("keep", "", "folder for logs, which stay; default a temporary one")
+	seeds   = flag.Uint64("seeds", 1, "number of consecutive seeds")
+	length  = flag.Duration("length", 8*time.Second, "duration of fault injection in a run")
+	states  = flag.Int("states", 3, "number of state processes")
+	entries = flag.Int("entries", 3, "number of entries")
+	servers = flag.Int("servers", 6, "number of backend servers")
+	keep    = flag.String("keep", "", "folder in which logs are kept; default a temporary one")
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that have failed, with the cause. They are always run.
 var regressions = map[uint64]string{
-	1:   "an entry took the empty answer of processes without a group for the group, and never got a configuration",
-	14:  "the stand-in answered streams with a plain text where it framed an answer badly; so did seeds 32 and 44",
-	521: "two drains of one server overlapped, and the second one's end was taken for that of a drain since the year 1",
+	1:   "an entry mistook the empty reply of processes without a group for the group, and never got a configuration",
+	14:  "the stand-in answered streams with plain text when injecting a framing fault; also seeds 32 and 44",
+	521: "two drains of a server overlapped, and the end of the second was recorded as that of a drain with zero start time",
 }
 
-// programs builds the real programs into a folder.
+// buildPrograms builds the real programs into a folder.
 func buildPrograms(t *testing.T, folder string) {
 	for _, name := range []string{"lilacbridge-entry", "lilacbridge-state"} {
 		out, err := exec.Command("go", "build", "-o", filepath.Join(folder, name), "../cmd/"+name).CombinedOutput()
@@ -39,9 +39,9 @@
 	}
 }
 
-// Processes are killed, stopped, paused, emptied, cut off and delayed in series and
-// at once, while callers keep their connections and operators send documents. What
-// was promised must hold all the while, and all must serve again in the end.
+// Guards against violated guarantees under faults: processes are killed, stopped, paused,
+// wiped, partitioned and delayed, in sequence and concurrently, while callers keep their
+// connections and operators send documents. Afterwards the fleet must recover.
 func TestFaultSoak(t *testing.T) {
 	folder := *keep
 	if folder == "" {
@@ -69,15 +69,15 @@
 	t.Logf("fault-soak: ok seeds=%d checks=%d", len(list), checks)
 }
 
-// The whole path on the platform's protocol, as separate processes: callers, two
-// documents and a graceful restart. make demo FLEET=platform shows it.
+// The complete request path with the platform's protocol in separate processes: callers,
+// two document changes and a graceful restart. make demo FLEET=platform runs it.
 func TestPlatformDemo(t *testing.T) {
 	folder := t.TempDir()
 	buildPrograms(t, folder)
 	r := runSteps(t, folder, []step{
-		{time.Second, "change of the document", (*run).change},
-		{2 * time.Second, "entry-1 is restarted", func(r *run) { r.stopAndRestart(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
-		{3 * time.Second, "change of the document", (*run).change},
+		{time.Second, "document change", (*run).change},
+		{2 * time.Second, "entry-1 restarted", func(r *run) { r.stopAndRestart(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
+		{3 * time.Second, "document change", (*run).change},
 	})
 	for _, problem := range r.problems {
 		t.Error(problem)
@@ -98,7 +98,7 @@
 	return runSteps(t, programs, plan(seed, *length, *states, *entries, *servers))
 }
 
-// play starts a fleet, has the steps happen and judges what was seen.
+// runSteps starts a fleet, executes the steps and checks the results.
 func runSteps(t *testing.T, programs string, steps []step) *run {
 	is := is.New(t)
 	f, err := newFleet(programs, *states, *entries, *servers)
@@ -119,7 +119,7 @@
 	end := time.Now().Add(startTimeout)
 	for !r.servingRecently() {
 		if time.Now().After(end) {
-			t.Fatalf("the fleet does not serve %v after its start", startTimeout)
+			t.Fatalf("the fleet does not serve within %v of its start", startTimeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
