--- a/loadgen/caller.go
+++ b/loadgen/caller.go
@@ -29,7 +29,8 @@
 	unavailable map[int]time.Time
 }
 
-// unavailableFor is how long an entry is skipped after it refused a connection.
+// unavailableFor is how long an entry is skipped after it refused a connection, or a request
+// because it was draining.
 const unavailableFor = time.Second
 
 // NewCaller returns a Caller that opens a connection for each request.
--- a/loadgen/changes.go
+++ b/loadgen/changes.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// mayTakeEffect reports whether a change that failed with err may be, or come, in force.
+// mayTakeEffect reports whether a change that failed with err may have taken effect, or may
+// still do so.
 func mayTakeEffect(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT,
--- a/loadgen/claims.go
+++ b/loadgen/claims.go
@@ -47,7 +47,7 @@
 // RunClaims claims requests with new keys at the ledgers in turn and waits for those in
 // progress. The rate does not depend on how long the replies take.
 func RunClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
-	var ended, failed, skipped atomic.Int64
+	var completed, failed, skipped atomic.Int64
 	var group sync.WaitGroup
 	inFlight := make(chan struct{}, plan.InFlight)
 	answer := &lilacv1.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, plan.AnswerBytes)}
@@ -55,7 +55,7 @@
 	runClaim := func(i int) {
 		defer func() { <-inFlight }()
 		if claimAndComplete(ctx, ledgers[i%len(ledgers)], timedKey(time.Now(), fmt.Sprint("claim ", start, i)), answer) {
-			ended.Add(1)
+			completed.Add(1)
 			return
 		}
 		failed.Add(1)
@@ -76,7 +76,7 @@
 		}
 	}
 	group.Wait()
-	return ClaimCounts{Completed: ended.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Elapsed: time.Since(start)}
+	return ClaimCounts{Completed: completed.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Elapsed: time.Since(start)}
 }
 
 func claimAndComplete(ctx context.Context, ledger Ledger, key string, answer *lilacv1.StoredAnswer) bool {
--- a/loadgen/report.go
+++ b/loadgen/report.go
@@ -112,7 +112,7 @@
 	}
 	mayHaveRun := slices.ContainsFunc(sends, func(o *Outcome) bool { return o.NotRun != "true" })
 	if !mayHaveRun && runs > 0 {
-		r.FalseNotRun = append(r.FalseNotRun, fmt.Sprintf("%s ran %d times, told %s", request.Ref, runs, sends[0].Kind))
+		r.FalseNotRun = append(r.FalseNotRun, fmt.Sprintf("%s ran %d times, answered %s", request.Ref, runs, sends[0].Kind))
 	}
 }
 
--- a/standin/sequence.go
+++ b/standin/sequence.go
@@ -143,7 +143,7 @@
 	Truncated bool     `json:"cut"`
 }
 
-// exportSequence removes a running sequence and returns its encoded state.
+// exportSequence removes an unfinished sequence and returns its encoded state.
 func (e *Engine) exportSequence(id string) ([]byte, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
