--- a/cmd/lilacctl/print.go
+++ b/cmd/lilacctl/print.go
@@ -69,7 +69,7 @@
 		fmt.Fprintln(w, line)
 	}
 	for _, line := range change.Effect {
-		fmt.Fprintln(w, "affects", line)
+		fmt.Fprintln(w, "concerns", line)
 	}
 	state := "accepted as"
 	switch {
--- a/faultsoak/soak_test.go
+++ b/faultsoak/soak_test.go
@@ -17,7 +17,7 @@
 	seeds   = flag.Uint64("seeds", 1, "number of consecutive seeds")
 	length  = flag.Duration("length", 8*time.Second, "duration of fault injection in a run")
 	states  = flag.Int("states", 3, "number of state processes")
-	entries = flag.Int("entries", 3, "number of entries")
+	entries = flag.Int("entries", 3, "entries")
 	servers = flag.Int("servers", 6, "number of backend servers")
 	keep    = flag.String("keep", "", "folder in which logs are kept; default a temporary one")
 )
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -126,9 +126,9 @@
 	for _, c := range []struct {
 		name, body, kind, problem string
 	}{
-		{"correct", events(ownTokens, doneEvent), "", ""},
+		{"own", events(ownTokens, doneEvent), "", ""},
 		{"swapped", events(otherTokens, doneEvent), "", "does not belong to this request"},
-		{"truncated", events(ownTokens[:3], doneEvent), "", "looks complete but is truncated"},
+		{"cut", events(ownTokens[:3], doneEvent), "", "looks complete but is truncated"},
 		{"empty", doneEvent, "", "looks complete but is truncated"},
 		{"token duplicated", events(slices.Concat(ownTokens[:2], ownTokens[1:]), doneEvent), "", "does not belong to this request"},
 		{"token lost", events(slices.Delete(slices.Clone(ownTokens), 1, 2), doneEvent), "", "does not belong to this request"},
@@ -146,7 +146,7 @@
 			i.Equal(o.Kind, c.kind)
 			i.True(strings.Contains(o.Problem, c.problem))
 			i.Equal(o.Problem == "", c.problem == "")
-			i.Equal(o.Complete(), c.name == "correct")
+			i.Equal(o.Complete(), c.name == "own")
 		})
 	}
 }
