--- a/faultsoak/plan_test.go
+++ b/faultsoak/plan_test.go
@@ -12,185 +12,187 @@
 	"github.com/lilacbridge/lilacbridge/platform/standin"
 )
 
-// step is one thing that happens in a run.
+// step is an event of a run, at a time since its start.
 type step struct {
-	at   time.Duration
-	what string
-	do   func(r *run)
+	at          time.Duration
+	description string
+	do          func(r *run)
 }
 
-func (s step) String() string { return fmt.Sprintf("%6.1fs %s", s.at.Seconds(), s.what) }
+func (s step) String() string { return fmt.Sprintf("%6.1fs %s", s.at.Seconds(), s.description) }
 
 const (
-	// healthyStart lets a run begin with a fleet that serves, settle ends it so.
-	healthyStart = 2 * time.Second
-	settle       = 12 * time.Second
-	// startPatience bounds the first start of a whole fleet.
-	startPatience = 60 * time.Second
-	// stopPatience is drain lag, drain and the closing of a process.
-	stopPatience = 20 * time.Second
+	// warmUp is the time without faults at the start of a run. After the last fault the
+	// fleet has twice settleTime to recover.
+	warmUp     = 2 * time.Second
+	settleTime = 12 * time.Second
+	// startTimeout bounds the start of a fleet.
+	startTimeout = 60 * time.Second
+	// stopTimeout bounds a graceful stop: drain lag, drain and shutdown.
+	stopTimeout = 20 * time.Second
 )
 
-// plan draws what happens from the seed. At most one state process of three is
-// down or emptied at once, as the promises say; entries may all go.
+// plan derives the steps from the seed. At most one state process is faulty at a time, since
+// the guarantees require a majority; any number of entries may be.
 func plan(seed uint64, length time.Duration, states, entries, servers int) []step {
 	random := rand.New(rand.NewPCG(seed, 77))
 	var steps []step
-	stateFree := time.Duration(0)
-	for at := healthyStart; at < length; at += time.Duration(300+random.IntN(1500)) * time.Millisecond {
+	nextStateFault := time.Duration(0)
+	for at := warmUp; at < length; at += time.Duration(300+random.IntN(1500)) * time.Millisecond {
 		for range 1 + random.IntN(2) {
-			lasts := time.Duration(500+random.IntN(3000)) * time.Millisecond
-			if random.IntN(3) == 0 && at >= stateFree {
-				stateFree = at + lasts + 4*time.Second
-				steps = append(steps, stateFault(random, at, lasts, random.IntN(states)))
+			duration := time.Duration(500+random.IntN(3000)) * time.Millisecond
+			if random.IntN(3) == 0 && at >= nextStateFault {
+				nextStateFault = at + duration + 4*time.Second
+				steps = append(steps, stateFault(random, at, duration, random.IntN(states)))
 				continue
 			}
-			steps = append(steps, entryFault(random, at, lasts, random.IntN(entries), random.IntN(servers)))
+			steps = append(steps, entryFault(random, at, duration, random.IntN(entries), random.IntN(servers)))
 		}
 		if random.IntN(2) == 0 {
-			steps = append(steps, step{at, "change of the document", (*run).change})
+			steps = append(steps, step{at, "document change", (*run).change})
 		}
 		if random.IntN(6) == 0 {
-			steps = append(steps, step{at, "a key is taken away", (*run).revoke})
+			steps = append(steps, step{at, "key revoked", (*run).revoke})
 		}
 	}
 	if random.IntN(2) == 0 {
-		steps = append(steps, step{length, "all are killed after a change", (*run).darken})
+		steps = append(steps, step{length, "all processes killed after a document change", (*run).killAll})
 	}
-	// Drawn apart, so that seeds that failed once go on meaning the same faults.
+	// These use a separate generator, so that the other steps of a seed stay the same.
 	steps = append(steps, limitSteps(seed, length, servers)...)
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	return steps
 }
 
-// darken has a change acknowledged and kills every process: nothing that comes
-// later makes good what one of them does not find again.
-func (r *run) darken() {
+// killAll kills every process after a change has been acknowledged. No process keeps its
+// memory, so that a change that was not made durable is lost.
+func (r *run) killAll() {
 	r.faults.Wait()
 	r.put(func(*documentState) {})
 	for _, p := range r.fleet.processes() {
-		r.down(p, syscall.SIGKILL, time.Second)
+		r.stopAndRestart(p, syscall.SIGKILL, time.Second)
 	}
 }
 
-func stateFault(random *rand.Rand, at, lasts time.Duration, i int) step {
+func stateFault(random *rand.Rand, at, duration time.Duration, i int) step {
 	faults := []struct {
-		what string
-		do   func(r *run, p *process)
+		description string
+		do          func(r *run, p *process)
 	}{
-		{"killed", func(r *run, p *process) { r.down(p, syscall.SIGKILL, lasts) }},
-		{"stopped", func(r *run, p *process) { r.down(p, syscall.SIGTERM, lasts) }},
-		{"emptied", func(r *run, p *process) { r.empty(p, lasts) }},
-		{"paused", func(r *run, p *process) { r.pause(p, lasts) }},
-		{"silent", func(r *run, p *process) { r.through(p, silent, 0, lasts) }},
-		{"deaf", func(r *run, p *process) { r.through(p, deaf, 0, lasts) }},
-		{"delayed", func(r *run, p *process) { r.through(p, delaying, 150*time.Millisecond, lasts) }},
+		{"killed", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGKILL, duration) }},
+		{"stopped", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGTERM, duration) }},
+		{"emptied", func(r *run, p *process) { r.wipe(p, duration) }},
+		{"paused", func(r *run, p *process) { r.pause(p, duration) }},
+		{"silent", func(r *run, p *process) { r.applyProxyMode(p, blackhole, 0, duration) }},
+		{"deaf", func(r *run, p *process) { r.applyProxyMode(p, dropInbound, 0, duration) }},
+		{"delayed", func(r *run, p *process) { r.applyProxyMode(p, delaying, 150*time.Millisecond, duration) }},
 		{"reset", func(_ *run, p *process) { p.proxy.reset() }},
 	}
 	f := faults[random.IntN(len(faults))]
-	return step{at, fmt.Sprintf("state-%d %s for %v", i, f.what, lasts), func(r *run) { f.do(r, r.fleet.states[i]) }}
+	return step{at, fmt.Sprintf("state-%d %s for %v", i, f.description, duration), func(r *run) { f.do(r, r.fleet.states[i]) }}
 }
 
-func entryFault(random *rand.Rand, at, lasts time.Duration, i, server int) step {
-	serverFault := standin.Fault(random.IntN(int(standin.Hangs) + 1))
+func entryFault(random *rand.Rand, at, duration time.Duration, i, server int) step {
+	serverFault := standin.Fault(random.IntN(int(standin.Hang) + 1))
 	faults := []struct {
-		what string
-		do   func(r *run, p *process)
+		description string
+		do          func(r *run, p *process)
 	}{
-		{"killed", func(r *run, p *process) { r.down(p, syscall.SIGKILL, lasts) }},
-		{"stopped", func(r *run, p *process) { r.down(p, syscall.SIGTERM, lasts) }},
-		{"paused", func(r *run, p *process) { r.pause(p, lasts) }},
-		{"silent", func(r *run, p *process) { r.through(p, silent, 0, lasts) }},
+		{"killed", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGKILL, duration) }},
+		{"stopped", func(r *run, p *process) { r.stopAndRestart(p, syscall.SIGTERM, duration) }},
+		{"paused", func(r *run, p *process) { r.pause(p, duration) }},
+		{"silent", func(r *run, p *process) { r.applyProxyMode(p, blackhole, 0, duration) }},
 		{"signalled", func(_ *run, p *process) { p.signal(syscall.SIGHUP) }},
 	}
 	choice := random.IntN(len(faults) + 2)
 	switch choice - len(faults) {
 	case 0:
-		return step{at, fmt.Sprintf("server %d fault %d for %v", server, serverFault, lasts), func(r *run) { r.spoil(server, serverFault, lasts) }}
+		return step{at, fmt.Sprintf("server %d fault %d for %v", server, serverFault, duration), func(r *run) { r.injectServerFault(server, serverFault, duration) }}
 	case 1:
-		return step{at, fmt.Sprintf("server %d drains for %v", server, lasts+6*time.Second), func(r *run) { r.drain(server, lasts+6*time.Second) }}
+		return step{at, fmt.Sprintf("server %d drains for %v", server, duration+6*time.Second), func(r *run) { r.drain(server, duration+6*time.Second) }}
 	}
 	f := faults[choice]
-	return step{at, fmt.Sprintf("entry-%d %s for %v", i, f.what, lasts), func(r *run) { f.do(r, r.fleet.entries[i]) }}
+	return step{at, fmt.Sprintf("entry-%d %s for %v", i, f.description, duration), func(r *run) { f.do(r, r.fleet.entries[i]) }}
 }
 
-// down ends the process and starts it again later.
-func (r *run) down(p *process, s syscall.Signal, lasts time.Duration) {
-	if !r.busy(p) {
+// stopAndRestart stops the process by a signal and restarts it after the duration.
+func (r *run) stopAndRestart(p *process, s syscall.Signal, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		defer r.hurting(p)()
+	r.background(func() {
+		defer r.release(p)
+		defer r.beginOutage(p)()
 		if s == syscall.SIGTERM {
-			r.stopping(p)
+			r.recordStop(p)
 		}
-		if !p.end(s, stopPatience) {
-			r.broken("stop", "%s did not end %v after SIGTERM", p.name, stopPatience)
+		if !p.terminate(s, stopTimeout) {
+			r.violation("stop", "%s did not exit within %v of SIGTERM", p.name, stopTimeout)
 		}
-		r.sleep(lasts)
+		r.sleep(duration)
 		r.restart(p)
 	})
 }
 
-// empty kills a state process and takes its disk: it comes back as a new member.
-func (r *run) empty(p *process, lasts time.Duration) {
-	if !r.busy(p) {
+// wipe kills a state process, deletes its data and restarts it after the duration. It then
+// joins as a new member.
+func (r *run) wipe(p *process, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		p.end(syscall.SIGKILL, stopPatience)
+	r.background(func() {
+		defer r.release(p)
+		p.terminate(syscall.SIGKILL, stopTimeout)
 		if err := os.RemoveAll(p.data); err != nil {
-			r.broken("harness", "%v", err)
+			r.violation("harness", "%v", err)
 		}
-		r.sleep(lasts)
+		r.sleep(duration)
 		r.restart(p)
 	})
 }
 
-func (r *run) pause(p *process, lasts time.Duration) {
-	if !r.busy(p) {
+func (r *run) pause(p *process, duration time.Duration) {
+	if !r.acquire(p) {
 		return
 	}
-	r.later(func() {
-		defer r.free(p)
-		defer r.hurting(p)()
+	r.background(func() {
+		defer r.release(p)
+		defer r.beginOutage(p)()
 		p.signal(syscall.SIGSTOP)
-		r.sleep(lasts)
+		r.sleep(duration)
 		p.signal(syscall.SIGCONT)
 	})
 }
 
-func (r *run) through(p *process, mode proxyMode, delay, lasts time.Duration) {
-	r.later(func() {
-		defer r.hurting(p)()
+func (r *run) applyProxyMode(p *process, mode proxyMode, delay, duration time.Duration) {
+	r.background(func() {
+		defer r.beginOutage(p)()
 		p.proxy.set(mode, delay)
-		r.sleep(lasts)
+		r.sleep(duration)
 		p.proxy.set(passing, 0)
 	})
 }
 
-// spoil has every second request of a server go wrong for a while.
-func (r *run) spoil(server int, fault standin.Fault, lasts time.Duration) {
-	r.later(func() {
+// injectServerFault injects the fault into every second request of a server.
+func (r *run) injectServerFault(server int, fault standin.Fault, duration time.Duration) {
+	r.background(func() {
 		s := r.fleet.servers[server]
-		s.SetNext(func(n int) standin.Fault {
+		s.SetFaults(func(n int) standin.Fault {
 			if n%2 == 0 {
 				return fault
 			}
 			return standin.None
 		})
-		r.sleep(lasts)
-		s.SetNext(nil)
+		r.sleep(duration)
+		s.SetFaults(nil)
 	})
 }
 
-func (r *run) drain(server int, lasts time.Duration) {
-	r.later(func() {
+func (r *run) drain(server int, duration time.Duration) {
+	r.background(func() {
 		identity := r.fleet.servers[server].Identity
-		r.fleet.drain(identity, true)
-		r.sleep(lasts)
-		r.fleet.drain(identity, false)
+		r.fleet.setDraining(identity, true)
+		r.sleep(duration)
+		r.fleet.setDraining(identity, false)
 	})
 }
--- a/loadgen/changes_test.go
+++ b/loadgen/changes_test.go
@@ -15,29 +15,28 @@
 	"github.com/lilacbridge/lilacbridge/version/table"
 )
 
-// An operator's change is accepted, and later one instance shows the
-// configuration without it: the change was lost. Revisions that come back in
-// the wrong order show the same fault. The writer and the check must see both.
-func TestChangesThatAreLostOrOutOfOrder(t *testing.T) {
+// Guards against overlooking a lost change: an instance that shows the configuration without
+// an accepted change, and accepted changes whose revisions do not increase, must be reported.
+func TestLostAndOutOfOrderChangesAreReported(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		revisions      []uint64
 		shown          []string
 		lost, disorder int
 	}{
-		{"all there", []uint64{4, 5, 6}, []string{"p-1", "p-2", "p-3", "other"}, 0, 0},
+		{"all present", []uint64{4, 5, 6}, []string{"p-1", "p-2", "p-3", "other"}, 0, 0},
 		{"one lost", []uint64{4, 5, 6}, []string{"p-1", "p-3"}, 1, 0},
 		{"revision given twice", []uint64{4, 5, 5}, []string{"p-1", "p-2", "p-3"}, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			i := is.New(t)
-			given := 0
+			sent := 0
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				request := &operator.StatementRequest{}
 				_ = json.NewDecoder(r.Body).Decode(request)
 				if strings.HasPrefix(request.Statement, "SET") {
-					_ = json.NewEncoder(w).Encode(operator.Reply{Change: &operator.Change{Revision: c.revisions[given]}})
-					given++
+					_ = json.NewEncoder(w).Encode(operator.Reply{Change: &operator.Change{Revision: c.revisions[sent]}})
+					sent++
 					return
 				}
 				shown := &table.Table{Columns: []string{"team", "weight"}}
@@ -48,10 +47,10 @@
 			}))
 			defer server.Close()
 			client := &operator.Client{Endpoints: []string{strings.TrimPrefix(server.URL, "http://")}, Token: "t"}
-			log := MakeChanges(context.Background(), client, ChangePlan{Prefix: "p", Count: 3})
+			log := ApplyChanges(context.Background(), client, ChangePlan{Prefix: "p", Count: 3})
 			i.Equal(len(log.Accepted), 3)
-			i.Equal(len(log.Disorder), c.disorder)
-			lost, err := Verify(context.Background(), client, log, time.Millisecond)
+			i.Equal(len(log.OutOfOrder), c.disorder)
+			lost, err := VerifyChanges(context.Background(), client, log, time.Millisecond)
 			i.NoErr(err)
 			i.Equal(len(lost), c.lost)
 		})
--- a/loadgen/claims.go
+++ b/loadgen/claims.go
@@ -11,77 +11,75 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Ledger is the part of the state processes that takes claims, as
-// stateclient.Client does.
+// Ledger accepts claims and their outcomes. stateclient.Client implements it.
 type Ledger interface {
 	Claim(context.Context, *lilacv1.ClaimRequest) (*lilacv1.ClaimReply, error)
 	Outcome(context.Context, *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error)
 }
 
-// ClaimPlan is a load of claims, each followed by its outcome.
+// ClaimPlan describes a load of claims, each followed by its outcome.
 type ClaimPlan struct {
-	// PerSecond is how many requests are claimed each second.
+	// PerSecond is the number of claims per second.
 	PerSecond int
-	// Duration is how long.
+	// Duration is the duration of the load.
 	Duration time.Duration
-	// AnswerBytes is the size of the answer that goes with each outcome.
+	// AnswerBytes is the size of the answer recorded with each outcome.
 	AnswerBytes int
-	// InFlight is how many may be under way at most; those beyond are not made
-	// and count as skipped.
+	// InFlight limits the number of concurrent claims. Those in excess are skipped.
 	InFlight int
 }
 
-// ClaimCounts tells what became of the claims of a plan.
+// ClaimCounts holds the results of a plan.
 type ClaimCounts struct {
-	// Ended claims were granted and their outcome recorded.
-	Ended int64
-	// Failed ones got an error or no grant.
+	// Completed claims were granted and their outcome recorded.
+	Completed int64
+	// Failed claims got an error or were not granted.
 	Failed int64
-	// Skipped ones were not made, since too many were under way.
+	// Skipped claims were not sent because InFlight others were in progress.
 	Skipped int64
-	// Took is the time until the last one ended.
-	Took time.Duration
+	// Elapsed is the time until the last claim finished.
+	Elapsed time.Duration
 }
 
-// claimStep is how often claims are begun, all of the step at once.
-const claimStep = 10 * time.Millisecond
+// issueInterval is the time between two batches of claims.
+const issueInterval = 10 * time.Millisecond
 
-// MakeClaims claims requests of fresh keys in turn at the ledgers, at the plan's
-// pace whatever the answers take, and waits for those under way.
-func MakeClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
-	var ended, failed, skipped atomic.Int64
-	var work sync.WaitGroup
-	free := make(chan struct{}, plan.InFlight)
+// RunClaims claims requests with new keys at the ledgers in turn and waits for those in
+// progress. The rate does not depend on how long the replies take.
+func RunClaims(ctx context.Context, ledgers []Ledger, plan ClaimPlan) ClaimCounts {
+	var completed, failed, skipped atomic.Int64
+	var group sync.WaitGroup
+	inFlight := make(chan struct{}, plan.InFlight)
 	answer := &lilacv1.StoredAnswer{Status: 200, ContentType: "application/json", Body: make([]byte, plan.AnswerBytes)}
-	begun := time.Now()
-	one := func(i int) {
-		defer func() { <-free }()
-		if claimAndEnd(ctx, ledgers[i%len(ledgers)], timedKey(time.Now(), fmt.Sprint("claim ", begun, i)), answer) {
-			ended.Add(1)
+	start := time.Now()
+	runClaim := func(i int) {
+		defer func() { <-inFlight }()
+		if claimAndComplete(ctx, ledgers[i%len(ledgers)], timedKey(time.Now(), fmt.Sprint("claim ", start, i)), answer) {
+			completed.Add(1)
 			return
 		}
 		failed.Add(1)
 	}
-	ticker := time.NewTicker(claimStep)
+	ticker := time.NewTicker(issueInterval)
 	defer ticker.Stop()
-	made := 0
-	for ctx.Err() == nil && time.Since(begun) < plan.Duration {
+	issued := 0
+	for ctx.Err() == nil && time.Since(start) < plan.Duration {
 		<-ticker.C
-		for due := int(time.Since(begun).Seconds() * float64(plan.PerSecond)); made < due; made++ {
-			i := made
+		for target := int(time.Since(start).Seconds() * float64(plan.PerSecond)); issued < target; issued++ {
+			i := issued
 			select {
-			case free <- struct{}{}:
-				work.Go(func() { one(i) })
+			case inFlight <- struct{}{}:
+				group.Go(func() { runClaim(i) })
 			default:
 				skipped.Add(1)
 			}
 		}
 	}
-	work.Wait()
-	return ClaimCounts{Ended: ended.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Took: time.Since(begun)}
+	group.Wait()
+	return ClaimCounts{Completed: completed.Load(), Failed: failed.Load(), Skipped: skipped.Load(), Elapsed: time.Since(start)}
 }
 
-func claimAndEnd(ctx context.Context, ledger Ledger, key string, answer *lilacv1.StoredAnswer) bool {
+func claimAndComplete(ctx context.Context, ledger Ledger, key string, answer *lilacv1.StoredAnswer) bool {
 	const team = "cooperative-1"
 	digest := sha256.Sum256([]byte(key))
 	claim := &lilacv1.ClaimRequest{Team: team, Key: key, Digest: digest[:]}
--- a/loadgen/keys.go
+++ b/loadgen/keys.go
@@ -7,9 +7,9 @@
 	"github.com/google/uuid"
 )
 
-// stampKeys replaces the requests' keys by UUIDs of version 7 that carry the
-// time at which each request is made.
-func stampKeys(requests []*Request, start time.Time) {
+// assignTimedKeys replaces the requests' keys by version 7 UUIDs, which contain the arrival
+// time of the request.
+func assignTimedKeys(requests []*Request, start time.Time) {
 	for _, r := range requests {
 		if r.Key != "" {
 			r.Key = timedKey(start.Add(r.At), r.Ref)
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// created stands in every answer, since answers are pure functions.
+// created is a constant, since answers are pure functions of their requests.
 const created = 1700000000
 
 type delta struct {
@@ -38,7 +38,7 @@
 
 func (s *sequence) finishReason() *string {
 	reason := "stop"
-	if s.cut {
+	if s.truncated {
 		reason = "length"
 	}
 	return &reason
@@ -48,20 +48,20 @@
 	return &usage{PromptTokens: len(s.words), CompletionTokens: len(s.tokens), TotalTokens: len(s.words) + len(s.tokens)}
 }
 
-// stream writes one event for each token from the given one on; the last one
-// carries the reason of the end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, sent int, withUsage bool) {
+// writeStream writes an event for each token after the first sent ones. The last event
+// carries the finish reason.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *sequence, sent int, withUsage bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush(w)
 	for {
-		made, done, gone, changed := e.state(s)
-		for ; sent < len(made); sent++ {
-			e.breakIfTold(sent)
+		generated, done, canceled, changed := e.progress(s)
+		for ; sent < len(generated); sent++ {
+			e.injectBreak(sent)
 			writeEvent(w, s.chunk(sent, done && sent == len(s.tokens)-1))
 			flush(w)
 		}
-		if gone {
+		if canceled {
 			panic(http.ErrAbortHandler)
 		}
 		if done {
@@ -83,8 +83,9 @@
 	flush(w)
 }
 
-// breakIfTold cuts the connection in the middle of the answer.
-func (e *Engine) breakIfTold(sent int) {
+// injectBreak closes the connection once the number of tokens of the BreakAfter fault is
+// reached.
+func (e *Engine) injectBreak(sent int) {
 	e.mu.Lock()
 	after := e.fault.BreakAfter
 	e.mu.Unlock()
@@ -117,12 +118,12 @@
 
 func flush(w http.ResponseWriter) { _ = http.NewResponseController(w).Flush() }
 
-// whole waits for all tokens and answers once.
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, s *sequence) {
+// writeCompletion waits for all tokens and writes a single response.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *sequence) {
 	for {
-		made, done, gone, changed := e.state(s)
-		e.breakIfTold(len(made))
-		if gone {
+		generated, done, canceled, changed := e.progress(s)
+		e.injectBreak(len(generated))
+		if canceled {
 			panic(http.ErrAbortHandler)
 		}
 		if done {
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -12,27 +12,27 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// Loaded is what an engine has loaded and the newest fencing number that it took.
+// Loaded lists what an engine has loaded, and the highest fencing number it has accepted.
 type Loaded struct {
 	Models   []string `json:"models"`
 	Adapters []string `json:"adapters"`
 	Fencing  uint64   `json:"fencing"`
 }
 
-type orderBook struct {
+type loadState struct {
 	loaded        Loaded
 	ignoreFencing bool
 }
 
-func newOrderBook(models []string, ignoreFencing bool) orderBook {
-	return orderBook{
+func newLoadState(models []string, ignoreFencing bool) loadState {
+	return loadState{
 		loaded:        Loaded{Models: slices.Clone(models), Adapters: []string{}},
 		ignoreFencing: ignoreFencing,
 	}
 }
 
-// take carries an order out; false where its fencing number is old.
-func (b *orderBook) take(order Order) bool {
+// apply carries out an order. It returns false if the order's fencing number is outdated.
+func (b *loadState) apply(order Order) bool {
 	if order.Fencing < b.loaded.Fencing && !b.ignoreFencing {
 		return false
 	}
