--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -15,17 +15,17 @@
 
 const (
 	// endsWithin bounds each claim and statement, whatever is cut.
-	endsWithin = 5 * time.Second
+	callBound = 5 * time.Second
 	// refusedWithin bounds those that begin within lostFor after a refusal: one
 	// round, in which the hints of other calls may change who is asked for longer.
-	refusedWithin, lostFor = 2500 * time.Millisecond, 1900 * time.Millisecond
+	noQuorumBound, noQuorumMemory = 2500 * time.Millisecond, 1900 * time.Millisecond
 	// passedOver is how long a state process that gave no answer holds up nobody
 	// else, but one call that tries it, by a clock that drifts.
-	passedOver = 1900 * time.Millisecond
+	silentRetryInterval = 1900 * time.Millisecond
 	// ownAnswer is how soon the own data centre's state process answers once it
 	// has noticed that it is cut off, for which it has noticedBy.
-	ownAnswer, noticedBy = 500 * time.Millisecond, 4 * time.Second
-	callPause            = 1500 * time.Millisecond
+	localReplyBound, cutNoticeBound = 500 * time.Millisecond, 4 * time.Second
+	callPause                       = 1500 * time.Millisecond
 )
 
 // caller is the part of an entry that claims, and states, for those who call it.
@@ -37,8 +37,8 @@
 	calls uint64
 	// refused is when the last search failed; silent is since when a state
 	// process is known to give no answer.
-	refused time.Duration
-	silent  map[string]time.Duration
+	noQuorumAt  time.Duration
+	silentSince map[string]time.Duration
 	// probing marks those of the silent that a call tries again.
 	probing map[string]bool
 }
@@ -48,23 +48,23 @@
 	for i, n := range c.sim.nodes {
 		peers = append(peers, settings.Peer{Name: n.name, DataCenter: fmt.Sprint("dc-", i%dataCenters), Address: settings.Address{Value: n.name}})
 	}
-	return &caller{cuts: c, sim: c.sim, entry: e, core: stateclient.NewCore(e.self.DataCenter, peers), refused: -time.Hour, silent: map[string]time.Duration{}, probing: map[string]bool{}}
+	return &caller{cuts: c, sim: c.sim, entry: e, core: stateclient.NewCore(e.self.DataCenter, peers), noQuorumAt: -time.Hour, silentSince: map[string]time.Duration{}, probing: map[string]bool{}}
 }
 
-func (k *caller) begin() {
-	k.sim.after(k.cuts.between(settledBy, settledBy+callPause), k.next)
+func (k *caller) start() {
+	k.sim.after(k.cuts.between(callersStart, callersStart+callPause), k.next)
 }
 
 // next makes one call at a time out of several that may be open.
 func (k *caller) next() {
-	if k.cuts.rests() {
+	if k.cuts.stopped() {
 		return
 	}
 	switch k.cuts.rng.IntN(4) {
 	case 0:
-		k.state()
+		k.propose()
 	case 1:
-		k.askEnded()
+		k.claimEnded()
 	default:
 		k.claim()
 	}
@@ -73,22 +73,22 @@
 
 // stateCall is one call to the state processes.
 type stateCall struct {
-	caller  *caller
-	number  uint64
-	command *lilacv1.Command
-	begun   time.Duration
+	caller    *caller
+	number    uint64
+	command   *lilacv1.Command
+	startedAt time.Duration
 	// doubtful is true once an attempt had no answer, or one that says so.
-	doubtful bool
-	result   *lilacv1.CommandResult
-	end      func(result *lilacv1.CommandResult, err error)
+	inDoubt bool
+	result  *lilacv1.CommandResult
+	end     func(result *lilacv1.CommandResult, err error)
 }
 
 func (k *caller) call(command *lilacv1.Command, end func(result *lilacv1.CommandResult, err error)) {
 	k.calls++
-	c := &stateCall{caller: k, number: k.calls, command: command, begun: k.sim.now, end: end}
-	bound := endsWithin
-	if k.sim.now-k.refused < lostFor {
-		bound = refusedWithin
+	c := &stateCall{caller: k, number: k.calls, command: command, startedAt: k.sim.now, end: end}
+	bound := callBound
+	if k.sim.now-k.noQuorumAt < noQuorumMemory {
+		bound = noQuorumBound
 	}
 	ended := false
 	c.end = func(result *lilacv1.CommandResult, err error) {
@@ -97,7 +97,7 @@
 	}
 	k.sim.operators.open++
 	k.sim.after(bound, func() {
-		k.sim.invariants.check(ended, "claims and statements end in time", "%s waits for more than %s since %s", k.entry.name, bound, c.begun)
+		k.sim.invariants.check(ended, "claims and statements end in time", "%s waits for more than %s since %s", k.entry.name, bound, c.startedAt)
 	})
 	c.perform(k.core.Step(k.entry.clock(), stateclient.CallStarted{Call: c.number}))
 }
@@ -106,7 +106,7 @@
 	k := c.caller
 	switch a := action.(type) {
 	case stateclient.Attempt:
-		c.try(a)
+		c.attempt(a)
 	case stateclient.Pause:
 		k.sim.after(a.For, func() { c.perform(k.core.Step(k.entry.clock(), stateclient.PauseDone{Call: c.number})) })
 	case stateclient.CallDone:
@@ -119,24 +119,24 @@
 	k := c.caller
 	switch {
 	case err == nil && !stateclient.FromAnyReplica(c.result.GetClaim()):
-		k.refused = -time.Hour
+		k.noQuorumAt = -time.Hour
 	case fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM):
-		k.refused = k.sim.now
+		k.noQuorumAt = k.sim.now
 		sure := fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_TRUE
-		k.sim.invariants.check(sure != c.doubtful, "refused is told not run unless in doubt", "%s: %v", k.entry.name, err)
+		k.sim.invariants.check(sure != c.inDoubt, "refused is told not run unless in doubt", "%s: %v", k.entry.name, err)
 	}
 	c.end(c.result, err)
 }
 
 // try sends the call to one state process and gives the client its answer, or
 // the silence after the timeout.
-func (c *stateCall) try(a stateclient.Attempt) {
+func (c *stateCall) attempt(a stateclient.Attempt) {
 	k, s := c.caller, c.caller.sim
-	since, down := k.silent[a.Address]
-	passed := s.now-since >= passedOver && !k.probing[a.Address]
+	since, down := k.silentSince[a.Address]
+	passed := s.now-since >= silentRetryInterval && !k.probing[a.Address]
 	s.invariants.check(!down || passed, "one call is held up by a silent process", "%s tries %s %s after it gave no answer", k.entry.name, a.Address, s.now-since)
 	k.probing[a.Address] = down
-	begun, cut, done := s.now, k.cuts.cutOf(k.entry), false
+	startedAt, cut, done := s.now, k.cuts.activeCut(k.entry), false
 	finish := func(result *lilacv1.CommandResult, err error) {
 		if done {
 			return
@@ -146,24 +146,24 @@
 			k.probing[a.Address] = false
 		}
 		if fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT) {
-			k.silent[a.Address] = s.now
+			k.silentSince[a.Address] = s.now
 		} else {
-			delete(k.silent, a.Address)
+			delete(k.silentSince, a.Address)
 		}
-		c.doubtful = c.doubtful || err != nil && fault.NotRunOf(err) != lilacv1.NotRun_NOT_RUN_TRUE
+		c.inDoubt = c.inDoubt || err != nil && fault.NotRunOf(err) != lilacv1.NotRun_NOT_RUN_TRUE
 		c.result = result
-		s.note("%s call %d tried %s since %s: %v", k.entry.name, c.number, a.Address, begun, err)
+		s.note("%s call %d tried %s since %s: %v", k.entry.name, c.number, a.Address, startedAt, err)
 		c.perform(k.core.Step(k.entry.clock(), stateclient.AttemptDone{Call: c.number, Err: err, FromAnyReplica: err == nil && stateclient.FromAnyReplica(result.GetClaim())}))
 	}
 	n := s.byName(a.Address)
-	s.reach(k.cuts.rng, k.entry.name, n.name, func() {
+	s.transmit(k.cuts.rng, k.entry.name, n.name, func() {
 		n.serve(c.command, func(result *lilacv1.CommandResult, err error) {
-			s.reach(k.cuts.rng, n.name, k.entry.name, func() { finish(result, err) })
+			s.transmit(k.cuts.rng, n.name, k.entry.name, func() { finish(result, err) })
 		})
 	})
-	if n == k.entry.ownState() && cut != 0 && s.now-k.cuts.since > noticedBy && !k.cuts.isDown(n) {
-		s.after(ownAnswer, func() {
-			s.invariants.check(done || k.cuts.cutOf(k.entry) != cut || k.cuts.isDown(n), "the own state process answers at once", "%s has no answer since %s", k.entry.name, begun)
+	if n == k.entry.ownState() && cut != 0 && s.now-k.cuts.cutAt > cutNoticeBound && !k.cuts.wasDown(n) {
+		s.after(localReplyBound, func() {
+			s.invariants.check(done || k.cuts.activeCut(k.entry) != cut || k.cuts.wasDown(n), "the own state process answers at once", "%s has no answer since %s", k.entry.name, startedAt)
 		})
 	}
 	s.after(a.Timeout, func() { finish(nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")) })
@@ -177,7 +177,7 @@
 			return
 		}
 	}
-	n.turn(replica.Request{Event: command(c)(), Reply: func(o replica.Outcome) {
+	n.process(replica.Request{Event: command(c)(), Reply: func(o replica.Outcome) {
 		if o.Err != nil {
 			reply(nil, o.Err)
 			return
@@ -197,7 +197,7 @@
 	c := k.cuts
 	c.serial++
 	key, attempt := fmt.Sprint("order-", c.serial/4), fmt.Sprint("attempt-", c.serial)
-	cut := c.cutOf(k.entry)
+	cut := c.activeCut(k.entry)
 	request := k.claimOf(key, attempt)
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}, func(result *lilacv1.CommandResult, err error) {
 		if err != nil {
@@ -211,7 +211,7 @@
 			return
 		}
 		v := k.sim.invariants
-		v.check(cut == 0 || c.cutOf(k.entry) != cut, "no grant without a quorum", "%s was granted %s", k.entry.name, key)
+		v.check(cut == 0 || c.activeCut(k.entry) != cut, "no grant without a quorum", "%s was granted %s", k.entry.name, key)
 		runs := k.sim.operators.runs
 		runs[key]++
 		k.sim.note("%s ran as %s at %s", key, attempt, k.entry.name)
@@ -232,7 +232,7 @@
 				k.outcome(key, attempt, state)
 			})
 		case err == nil && state == lilacv1.ClaimState_CLAIM_STATE_RAN:
-			k.cuts.keys = append(k.cuts.keys, endedKey{key: key, index: k.sim.lastApplied()})
+			k.cuts.endedKeys = append(k.cuts.endedKeys, endedKey{key: key, index: k.sim.lastApplied()})
 		}
 	})
 }
@@ -256,19 +256,19 @@
 
 // askEnded sends a request again that ended; it must be answered if the own data
 // centre's state process knows the end.
-func (k *caller) askEnded() {
+func (k *caller) claimEnded() {
 	c := k.cuts
-	if len(c.keys) == 0 {
+	if len(c.endedKeys) == 0 {
 		return
 	}
-	ended := c.keys[c.rng.IntN(len(c.keys))]
-	key, request := ended.key, k.claimOf(ended.key, c.next("again"))
+	ended := c.endedKeys[c.rng.IntN(len(c.endedKeys))]
+	key, request := ended.key, k.claimOf(ended.key, c.nextName("again"))
 	own := k.entry.ownState()
-	known := !c.isAlone(k.entry) && !c.isDown(own) && !k.passesOver(own) && own.runner.Status().AppliedIndex >= ended.index
+	known := !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own) && own.runner.Status().AppliedIndex >= ended.index
 	// What the own process does not know yet, another one may.
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}, func(result *lilacv1.CommandResult, err error) {
 		answered := err == nil && result.GetClaim().GetState() == lilacv1.ClaimState_CLAIM_STATE_RAN && !result.GetClaim().GetGranted()
-		known = known && !c.isAlone(k.entry) && !c.isDown(own) && !k.passesOver(own)
+		known = known && !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own)
 		k.sim.invariants.check(answered || !known && err != nil, "an ended key is answered", "%s asks for %s: %v, %v", k.entry.name, key, result, err)
 	})
 }
@@ -277,26 +277,26 @@
 // ago. One that leads with a frozen voter, while the other voter still catches
 // up after a cut, answers nothing that needs the log, and is not asked then for
 // what it knows either.
-func (k *caller) passesOver(n *node) bool {
-	since, silent := k.silent[n.name]
-	return silent && (k.probing[n.name] || k.sim.now-since < passedOver+ownAnswer)
+func (k *caller) skips(n *node) bool {
+	since, silentSince := k.silentSince[n.name]
+	return silentSince && (k.probing[n.name] || k.sim.now-since < silentRetryInterval+localReplyBound)
 }
 
 // state gives a statement; the operators check what became of it.
-func (k *caller) state() {
-	o, cut := k.sim.operators, k.cuts.cutOf(k.entry)
-	in := statement{command: k.cuts.next(k.entry.name)}
-	begun, known, operator := o.clock(), new(uint64), operatorCount+1+int(k.entry.name[6]-'0')
+func (k *caller) propose() {
+	o, cut := k.sim.operators, k.cuts.activeCut(k.entry)
+	in := statement{command: k.cuts.nextName(k.entry.name)}
+	startedAt, known, operator := o.clock(), new(uint64), operatorCount+1+int(k.entry.name[6]-'0')
 	proposal := proposalOf(in, k.entry.name, k.cuts.serial)
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal}}, func(result *lilacv1.CommandResult, err error) {
 		switch {
 		case err == nil:
-			k.sim.invariants.check(cut == 0 || k.cuts.cutOf(k.entry) != cut, "nothing accepted without a quorum", "%s: %s", k.entry.name, in.command)
-			o.stated(operator, in, begun, result, known)
+			k.sim.invariants.check(cut == 0 || k.cuts.activeCut(k.entry) != cut, "nothing accepted without a quorum", "%s: %s", k.entry.name, in.command)
+			o.recordStatement(operator, in, startedAt, result, known)
 		case fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_TRUE:
 			o.refused = append(o.refused, in.command)
 		default:
-			o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: begun, Output: answer{unknown: true}, Return: 1 << 60})
+			o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: startedAt, Output: answer{unknown: true}, Return: 1 << 60})
 		}
 	})
 }
--- a/internal/proof/check_test.go
+++ b/internal/proof/check_test.go
@@ -12,10 +12,10 @@
 
 // nearlyAll is how many entries a process may be behind when it begins to count,
 // and a few that come meanwhile.
-const nearlyAll = 64 + 16
+const maxCatchUpEntries = 64 + 16
 
 // slot is what stands committed at one index.
-type slot struct {
+type entryDigest struct {
 	term, digest uint64
 }
 
@@ -27,8 +27,8 @@
 	failure string
 	leaders map[string]string
 	votes   map[string]string
-	dead    map[string]bool
-	slots   map[uint64]slot
+	lostIDs map[string]bool
+	digests map[uint64]entryDigest
 	// voters are the identities that were ever seen to count.
 	voters map[string]bool
 	// committed holds, in order, entries with a term in which they were committed at last.
@@ -39,7 +39,7 @@
 type commit struct{ term, index uint64 }
 
 func newInvariants(s *sim) *invariants {
-	return &invariants{sim: s, leaders: map[string]string{}, votes: map[string]string{}, dead: map[string]bool{}, slots: map[uint64]slot{}, voters: map[string]bool{}}
+	return &invariants{sim: s, leaders: map[string]string{}, votes: map[string]string{}, lostIDs: map[string]bool{}, digests: map[uint64]entryDigest{}, voters: map[string]bool{}}
 }
 
 func (v *invariants) addChecked(n uint64) { v.checked += n }
@@ -54,10 +54,10 @@
 }
 
 // emptied notes an identity whose disk is lost: it must never be heard of again.
-func (v *invariants) emptied(n *node) { v.dead[n.identity()] = true }
+func (v *invariants) diskLost(n *node) { v.lostIDs[n.identity()] = true }
 
-func (v *invariants) sent(n *node, m *lilacv1.RaftMessage) {
-	v.check(!v.dead[m.GetFrom()], "no word by an emptied disk", "%s still speaks as %s", n.name, m.GetFrom())
+func (v *invariants) messageSent(n *node, m *lilacv1.RaftMessage) {
+	v.check(!v.lostIDs[m.GetFrom()], "no word by an emptied disk", "%s still speaks as %s", n.name, m.GetFrom())
 	if m.GetKind() != lilacv1.RaftMessageKind_RAFT_MESSAGE_KIND_VOTE_REPLY || m.GetReject() {
 		return
 	}
@@ -73,19 +73,19 @@
 		v.check(false, a.Invariant, "%s: %s", n.name, a.Detail)
 	case replica.Apply:
 		for _, entry := range a.Entries {
-			v.applied(n, entry)
+			v.entryApplied(n, entry)
 		}
 	case replica.RoleChanged:
 		v.sim.note("%s is %s in term %d, leader %s", n.name, a.Role, a.Term, a.Leader)
 		switch {
 		case a.Role == replica.Leader:
-			v.elected(n, a.Term)
+			v.leaderElected(n, a.Term)
 		case a.Role == replica.Candidate && v.sim.scripts != nil:
-			v.sim.scripts.campaigns(n)
+			v.sim.scripts.candidacyStarted(n)
 		}
 	case replica.MembersChanged:
 		v.sim.note("%s has %d members", n.name, len(a.Members))
-		v.counted(n, a.Members)
+		v.membersChanged(n, a.Members)
 	case replica.Repaired:
 		v.sim.repaired(a.Member.GetName())
 	}
@@ -93,7 +93,7 @@
 
 // counted checks that a process has nearly all of the leader's log when it begins
 // to count for the quorum.
-func (v *invariants) counted(leader *node, members []*lilacv1.RaftMember) {
+func (v *invariants) membersChanged(leader *node, members []*lilacv1.RaftMember) {
 	last := leader.runner.Status().LastIndex
 	for _, member := range members {
 		if !member.GetVoter() || v.voters[member.GetId()] {
@@ -105,23 +105,23 @@
 			continue
 		}
 		has := n.runner.Status().LastIndex
-		v.check(has+nearlyAll >= last, "a voter counts once it has the log", "%s counts with %d entries of %d", n.name, has, last)
+		v.check(has+maxCatchUpEntries >= last, "a voter counts once it has the log", "%s counts with %d entries of %d", n.name, has, last)
 	}
 }
 
 // applied checks that all processes apply the same at an index, now and later.
-func (v *invariants) applied(n *node, entry *lilacv1.RaftEntry) {
-	now := slot{term: entry.GetTerm(), digest: xxhash.Sum64(entry.GetData())}
-	before, seen := v.slots[entry.GetIndex()]
+func (v *invariants) entryApplied(n *node, entry *lilacv1.RaftEntry) {
+	now := entryDigest{term: entry.GetTerm(), digest: xxhash.Sum64(entry.GetData())}
+	before, seen := v.digests[entry.GetIndex()]
 	v.check(!seen || before == now, "state machine safety", "%s applies another entry at %d", n.name, entry.GetIndex())
-	v.slots[entry.GetIndex()] = now
+	v.digests[entry.GetIndex()] = now
 	if k := len(v.committed); k == 0 || entry.GetIndex() > v.committed[k-1].index {
 		v.committed = append(v.committed, commit{term: n.runner.Status().Term, index: entry.GetIndex()})
 	}
 }
 
 // elected checks that a term has one leader, and that it has all that is committed.
-func (v *invariants) elected(n *node, term uint64) {
+func (v *invariants) leaderElected(n *node, term uint64) {
 	id := n.runner.Status().ID
 	status := n.runner.Status()
 	key := fmt.Sprint(status.Group, " term ", term)
@@ -135,7 +135,7 @@
 		if c.term >= term {
 			continue // It may have been committed by a later leader.
 		}
-		has := status.LastIndex > c.index && (status.SnapshotIndex >= c.index || n.runner.TermAt(c.index) == v.slots[c.index].term)
+		has := status.LastIndex > c.index && (status.SnapshotIndex >= c.index || n.runner.TermAt(c.index) == v.digests[c.index].term)
 		v.check(has, "leader completeness", "%s leads term %d without entry %d, committed by term %d", n.name, term, c.index, c.term)
 		return // The entries before follow by log matching.
 	}
--- a/internal/proof/disk_test.go
+++ b/internal/proof/disk_test.go
@@ -34,7 +34,7 @@
 	failSync bool
 	// crashIn makes the machine stop in the middle of the so-manyth write or
 	// sync from now; 0 means never.
-	crashIn int
+	crashAfter int
 }
 
 // crashed is thrown where the machine stops in the middle of an operation.
@@ -47,9 +47,9 @@
 }
 
 func (d *disk) step() {
-	if d.crashIn > 0 {
-		d.crashIn--
-		if d.crashIn == 0 {
+	if d.crashAfter > 0 {
+		d.crashAfter--
+		if d.crashAfter == 0 {
 			panic(crashed{})
 		}
 	}
@@ -72,7 +72,7 @@
 		d.names[name] = file
 		d.tear(file)
 	}
-	d.space, d.failSync, d.crashIn = -1, false, 0
+	d.space, d.failSync, d.crashAfter = -1, false, 0
 }
 
 // tear keeps a random part of what was not synced, now and then with a bad byte.
--- a/internal/proof/entry_faults_test.go
+++ b/internal/proof/entry_faults_test.go
@@ -8,37 +8,37 @@
 )
 
 // faults freezes and restarts entries, and cuts data centres off.
-func (all *entries) faults() {
-	s := all.sim
+func (group *entries) faults() {
+	s := group.sim
 	if s.healed {
 		return
 	}
-	e := all.all[all.rng.IntN(len(all.all))]
-	switch all.rng.IntN(4) {
+	e := group.list[group.rng.IntN(len(group.list))]
+	switch group.rng.IntN(4) {
 	case 0:
-		length := time.Duration(all.rng.Int64N(int64(20 * time.Second)))
+		length := time.Duration(group.rng.Int64N(int64(20 * time.Second)))
 		s.note("%s frozen for %s", e.name, length)
 		e.frozenUntil = s.now + length
 	case 1:
 		s.note("%s starts again", e.name)
-		e.start(all)
+		e.start(group)
 	default:
-		all.cutCenter(all.rng.IntN(dataCenters), time.Duration(all.rng.Int64N(int64(15*time.Second))), cutBoth)
+		group.cutCenter(group.rng.IntN(dataCenters), time.Duration(group.rng.Int64N(int64(15*time.Second))), cutBoth)
 	}
-	s.after(time.Duration(all.rng.Int64N(int64(8*time.Second))), all.faults)
+	s.after(time.Duration(group.rng.Int64N(int64(8*time.Second))), group.faults)
 }
 
 // places returns who stands where, state processes and backend servers included.
-func (all *entries) places() (names []string, where map[string]int) {
+func (group *entries) places() (names []string, where map[string]int) {
 	where = map[string]int{}
 	put := func(name string, center int) {
 		where[name] = center
 		names = append(names, name)
 	}
-	for i, n := range all.sim.nodes {
+	for i, n := range group.sim.nodes {
 		put(n.name, i%dataCenters)
 	}
-	for i, e := range all.all {
+	for i, e := range group.list {
 		put(e.name, i%dataCenters)
 	}
 	for i := range dataCenters {
@@ -48,10 +48,10 @@
 }
 
 // cutCenter cuts a data centre off, all that stands there included.
-func (all *entries) cutCenter(center int, length time.Duration, mode cutMode) {
-	s := all.sim
+func (group *entries) cutCenter(center int, length time.Duration, mode cutMode) {
+	s := group.sim
 	s.note("dc-%d cut off, mode %d", center, mode)
-	names, where := all.places()
+	names, where := group.places()
 	var links []string
 	for _, a := range names {
 		for _, b := range names {
@@ -77,13 +77,13 @@
 }
 
 // upToDate tells whether all entries hold the newest revision.
-func (all *entries) upToDate() bool {
-	leader := all.sim.leader()
+func (group *entries) upToDate() bool {
+	leader := group.sim.leader()
 	if leader == nil {
 		return false
 	}
-	for _, e := range all.all {
-		if e.holder.Revision() != leader.machine.Revision() {
+	for _, e := range group.list {
+		if e.config.Revision() != leader.machine.Revision() {
 			return false
 		}
 	}
@@ -92,20 +92,20 @@
 
 // verify makes every revision anew from the audit trail and compares what the
 // entries had in force.
-func (all *entries) verify() {
-	v := all.sim.invariants
-	revisions, _ := all.sim.nodes[0].machine.Since(0, 1<<20)
-	holder := config.NewFollower()
+func (group *entries) verify() {
+	v := group.sim.invariants
+	revisions, _ := group.sim.nodes[0].machine.Since(0, 1<<20)
+	follower := config.NewFollower()
 	for _, revision := range revisions {
-		err := holder.Apply([]*lilacv1.Revision{revision})
+		err := follower.Apply([]*lilacv1.Revision{revision})
 		v.check(err == nil, "revisions follow each other", "%v", err)
-		want := configDigest(holder.Config())
-		for got := range all.seen[revision.GetNumber()] {
+		want := configDigest(follower.Config())
+		for got := range group.seen[revision.GetNumber()] {
 			v.check(got == want, "the same configuration everywhere", "revision %d differs at an entry", revision.GetNumber())
 		}
-		delete(all.seen, revision.GetNumber())
+		delete(group.seen, revision.GetNumber())
 	}
-	for number := range all.seen {
+	for number := range group.seen {
 		v.check(number == 0, "in force only if accepted", "revision %d was in force and is not in the audit trail", number)
 	}
 }
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -26,7 +26,7 @@
 	case 0, 1:
 		n.kill()
 	case 2, 3:
-		n.disk.crashIn = 1 + s.faultRNG.IntN(12)
+		n.disk.crashAfter = 1 + s.faultRNG.IntN(12)
 	case 4:
 		n.freeze(time.Duration(s.faultRNG.Int64N(int64(2 * time.Second))))
 	case 5:
@@ -37,20 +37,20 @@
 		out := s.faultRNG.IntN(2) == 0
 		s.cutOff(n, out, !out)
 	case 9:
-		s.fill(n)
+		s.fillDisk(n)
 	case 10:
 		n.disk.failSync = true
 	case 11:
-		s.loseDisk(n)
+		s.emptyDisk(n)
 	case 12:
-		s.split()
+		s.partition()
 	case 13:
 		s.shutDown(n)
 	}
 }
 
 // split cuts the processes into two sides.
-func (s *sim) split() {
+func (s *sim) partition() {
 	side := map[string]bool{}
 	for _, n := range s.nodes {
 		side[n.name] = s.faultRNG.IntN(2) == 0
@@ -70,7 +70,7 @@
 // shutDown ends a process gracefully: a leader hands over first.
 func (s *sim) shutDown(n *node) {
 	s.note("%s shuts down", n.name)
-	n.turn(replica.Request{Event: replica.TransferLeadership{}})
+	n.process(replica.Request{Event: replica.TransferLeadership{}})
 	runner := n.runner
 	s.after(election, func() {
 		if n.runner == runner {
@@ -105,7 +105,7 @@
 	})
 }
 
-func (s *sim) fill(n *node) {
+func (s *sim) fillDisk(n *node) {
 	s.note("%s disk full", n.name)
 	n.disk.space = s.faultRNG.IntN(300)
 	s.after(time.Duration(s.faultRNG.Int64N(int64(6*time.Second))), func() { n.disk.space = -1 })
@@ -113,19 +113,19 @@
 
 // loseDisk empties a disk, unless one is lost already and its repair has not
 // been reported done: two lost disks of three are more than a quorum survives.
-func (s *sim) loseDisk(n *node) {
-	if s.lost != "" || !s.whole() {
+func (s *sim) emptyDisk(n *node) {
+	if s.lost != "" || !s.allVoters() {
 		return
 	}
 	s.lost = n.name
-	s.invariants.emptied(n)
+	s.invariants.diskLost(n)
 	n.kill()
 	n.disk = newDisk(n.rng)
 	s.note("%s lost its disk", n.name)
 }
 
 // whole tells whether all processes are voters under their present identity.
-func (s *sim) whole() bool {
+func (s *sim) allVoters() bool {
 	leader := s.leader()
 	if leader == nil {
 		return false
@@ -154,7 +154,7 @@
 		other := s.nodes[s.faultRNG.IntN(len(s.nodes))]
 		s.after(0, func() {
 			if other.runner != nil {
-				s.loseDisk(other)
+				s.emptyDisk(other)
 			}
 		})
 	}
@@ -164,15 +164,15 @@
 func (s *sim) heal() {
 	s.note("healed")
 	s.healed = true
-	s.cut, s.lag = map[string]bool{}, map[string]time.Duration{}
+	s.cut, s.extraDelay = map[string]bool{}, map[string]time.Duration{}
 	s.loss, s.dup = 0, 0
 	if s.entries != nil {
-		for _, e := range s.entries.all {
+		for _, e := range s.entries.list {
 			e.frozenUntil = min(e.frozenUntil, s.now)
 		}
 	}
 	for _, n := range s.nodes {
-		n.disk.space, n.disk.failSync, n.disk.crashIn = -1, false, 0
+		n.disk.space, n.disk.failSync, n.disk.crashAfter = -1, false, 0
 		if n.runner == nil {
 			n.start()
 		}
@@ -184,7 +184,7 @@
 
 // settled tells whether all processes have applied the same and are voters.
 func (s *sim) settled() bool {
-	if !s.whole() {
+	if !s.allVoters() {
 		return false
 	}
 	last := s.leader().runner.Status().LastIndex
--- a/internal/proof/operators_test.go
+++ b/internal/proof/operators_test.go
@@ -15,17 +15,17 @@
 
 const (
 	operatorCount = 4
-	maxTries      = 8
-	answerWait    = 3 * time.Second
+	maxAttempts   = 8
+	answerTimeout = 3 * time.Second
 )
 
 // operators give racing statements and claims, resend what was not answered,
 // and read; what they saw is checked for linearizability at the end.
 type operators struct {
-	sim     *sim
-	stamp   int64
-	serial  int
-	history []porcupine.Operation
+	sim         *sim
+	logicalTime int64
+	serial      int
+	history     []porcupine.Operation
 	// open counts calls that have not ended.
 	open int
 	// accepted are the numbers of accepted statements; refused those whose every
@@ -38,7 +38,7 @@
 }
 
 // seen is what an operator learns: the newest revision and its command.
-type seen struct {
+type observation struct {
 	revision uint64
 	command  string
 }
@@ -64,8 +64,8 @@
 }
 
 func (o *operators) clock() int64 {
-	o.stamp++
-	return o.stamp
+	o.logicalTime++
+	return o.logicalTime
 }
 
 // next begins the operator's next call, unless the run is about to end.
@@ -73,35 +73,35 @@
 	if o.sim.healed && o.afterHealed > 2*operatorCount {
 		return
 	}
-	again := func() {
+	next := func() {
 		o.open--
 		o.sim.after(time.Duration(o.sim.callRNG.Int64N(int64(o.sim.profile.pause))), func() { o.next(operator, known) })
 	}
 	o.open++
 	switch kind := o.sim.callRNG.IntN(4); {
 	case kind < o.sim.profile.reads:
-		o.read(known, again)
+		o.read(known, next)
 	case kind == o.sim.profile.reads:
-		o.claim(operator, again)
+		o.claim(operator, next)
 	default:
-		o.state(operator, known, again)
+		o.propose(operator, known, next)
 	}
 }
 
 // call is one command that is sent, with the same bytes, until it is answered.
 type call struct {
 	operators *operators
-	ask       func() replica.Event
-	tries     int
+	event     func() replica.Event
+	attempts  int
 	// doubtful is true once a try may have run although it was not answered.
-	doubtful bool
-	ended    bool
-	end      func(result []byte, err error)
+	inDoubt bool
+	ended   bool
+	end     func(result []byte, err error)
 }
 
-func (o *operators) start(ask func() replica.Event, end func(result []byte, err error)) {
-	c := &call{operators: o, ask: ask, end: end}
-	c.try()
+func (o *operators) start(event func() replica.Event, end func(result []byte, err error)) {
+	c := &call{operators: o, event: event, end: end}
+	c.attempt()
 }
 
 func (c *call) finish(result []byte, err error) {
@@ -111,26 +111,26 @@
 	}
 }
 
-func (c *call) try() {
+func (c *call) attempt() {
 	s := c.operators.sim
 	if c.ended {
 		return
 	}
-	if c.tries == maxTries {
+	if c.attempts == maxAttempts {
 		c.finish(nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "given up"))
 		return
 	}
-	c.tries++
+	c.attempts++
 	n := s.nodes[s.callRNG.IntN(len(s.nodes))]
 	if leader := s.leader(); leader != nil && s.callRNG.IntN(4) > 0 {
 		n = leader
 	}
 	answered := false
 	s.after(s.delay(), func() { c.arrive(n, &answered) })
-	s.after(answerWait, func() {
+	s.after(answerTimeout, func() {
 		if !answered {
-			c.doubtful = true
-			c.try()
+			c.inDoubt = true
+			c.attempt()
 		}
 	})
 }
@@ -142,10 +142,10 @@
 	}
 	if n.runner == nil {
 		*answered = true
-		s.after(200*time.Millisecond, c.try)
+		s.after(200*time.Millisecond, c.attempt)
 		return
 	}
-	n.turn(replica.Request{Event: c.ask(), Reply: func(outcome replica.Outcome) {
+	n.process(replica.Request{Event: c.event(), Reply: func(outcome replica.Outcome) {
 		if s.callRNG.Float64() < s.loss {
 			return // The answer is lost; the caller sends again after its wait.
 		}
@@ -165,12 +165,12 @@
 	}
 	*answered = true
 	if fault.NotRunOf(outcome.Err) != lilacv1.NotRun_NOT_RUN_TRUE {
-		c.doubtful = true
-	} else if !c.doubtful && s.callRNG.IntN(6) == 0 {
+		c.inDoubt = true
+	} else if !c.inDoubt && s.callRNG.IntN(6) == 0 {
 		c.finish(nil, outcome.Err)
 		return
 	}
-	s.after(time.Duration(s.callRNG.Int64N(int64(500*time.Millisecond))), c.try)
+	s.after(time.Duration(s.callRNG.Int64N(int64(500*time.Millisecond))), c.attempt)
 }
 
 func command(c *lilacv1.Command) func() replica.Event {
@@ -190,23 +190,23 @@
 }
 
 // state gives a statement, often with the number that another one has too.
-func (o *operators) state(operator int, known *uint64, again func()) {
+func (o *operators) propose(operator int, known *uint64, next func()) {
 	o.serial++
 	in := statement{command: fmt.Sprint("command-", o.serial)}
 	if o.sim.callRNG.IntN(3) > 0 {
 		in.ifRevision = *known
 	}
-	begun := o.clock()
+	startedAt := o.clock()
 	proposal := proposalOf(in, fmt.Sprint("operator-", operator), o.serial)
 	o.start(command(&lilacv1.Command{Op: &lilacv1.Command_Propose{Propose: proposal}}), func(result []byte, err error) {
-		defer again()
+		defer next()
 		switch {
 		case err != nil && fault.NotRunOf(err) == lilacv1.NotRun_NOT_RUN_TRUE:
 			o.refused = append(o.refused, in.command)
 		case err != nil:
-			o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: begun, Output: answer{unknown: true}, Return: 1 << 60})
+			o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: startedAt, Output: answer{unknown: true}, Return: 1 << 60})
 		default:
-			o.stated(operator, in, begun, decode(result), known)
+			o.recordStatement(operator, in, startedAt, decode(result), known)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 	return proposal
 }
 
-func (o *operators) stated(operator int, in statement, begun int64, result *lilacv1.CommandResult, known *uint64) {
+func (o *operators) recordStatement(operator int, in statement, startedAt int64, result *lilacv1.CommandResult, known *uint64) {
 	out := answer{revision: result.GetPropose().GetRevision()}
 	*known = out.revision
 	switch result.GetStatus().GetKind() {
@@ -228,7 +228,7 @@
 		o.accepted[in.command] = out.revision
 		o.sim.note("accepted %s as %d", in.command, out.revision)
 		if o.sim.cutoffs != nil {
-			o.sim.cutoffs.accepted(out.revision)
+			o.sim.cutoffs.revisionAccepted(out.revision)
 		}
 		if o.sim.healed {
 			o.afterHealed++
@@ -240,12 +240,12 @@
 	default:
 		o.sim.invariants.check(false, "statement is accepted or in conflict", "%s", result.GetStatus().GetMessage())
 	}
-	o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: begun, Output: out, Return: o.clock()})
+	o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: startedAt, Output: out, Return: o.clock()})
 }
 
 // read asks for the newest revision by a linearizable read.
-func (o *operators) read(known *uint64, again func()) {
-	begun := o.clock()
+func (o *operators) read(known *uint64, next func()) {
+	startedAt := o.clock()
 	target := o.sim.nodes[o.sim.callRNG.IntN(len(o.sim.nodes))]
 	if leaders := o.sim.leaders(); len(leaders) > 0 {
 		target = leaders[0]
@@ -255,14 +255,14 @@
 		}
 	}
 	done := false
-	o.sim.after(answerWait, func() {
+	o.sim.after(answerTimeout, func() {
 		if !done {
 			done = true
-			again()
+			next()
 		}
 	})
 	o.sim.after(o.sim.delay(), func() {
-		target.turn(replica.Request{Event: replica.Read{}, Reply: func(outcome replica.Outcome) {
+		target.process(replica.Request{Event: replica.Read{}, Reply: func(outcome replica.Outcome) {
 			if outcome.Err != nil {
 				return
 			}
@@ -273,30 +273,30 @@
 				}
 				done = true
 				*known = value.revision
-				o.history = append(o.history, porcupine.Operation{ClientId: operatorCount, Input: nil, Call: begun, Output: value, Return: o.clock()})
-				again()
+				o.history = append(o.history, porcupine.Operation{ClientId: operatorCount, Input: nil, Call: startedAt, Output: value, Return: o.clock()})
+				next()
 			})
 		}})
 	})
 }
 
-func newest(n *node) seen {
+func newest(n *node) observation {
 	audit := n.machine.Audit(0, 1)
 	if len(audit) == 0 {
-		return seen{}
+		return observation{}
 	}
-	return seen{revision: audit[0].GetNumber(), command: audit[0].GetCommandId()}
+	return observation{revision: audit[0].GetNumber(), command: audit[0].GetCommandId()}
 }
 
 // claim asks to run a request that others may hold too, and runs it if granted.
-func (o *operators) claim(operator int, again func()) {
+func (o *operators) claim(operator int, next func()) {
 	o.serial++
 	key := fmt.Sprint("key-", o.serial/3)
 	attempt := fmt.Sprint("attempt-", o.serial)
 	request := &lilacv1.ClaimRequest{Team: "team", Key: key, Digest: make([]byte, 32), Instance: fmt.Sprint("entry-", operator), Incarnation: fmt.Sprint("incarnation-", operator), Attempt: attempt, NowUnixMs: 1}
 	o.start(command(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}), func(result []byte, err error) {
 		if err != nil || !decode(result).GetClaim().GetGranted() {
-			again()
+			next()
 			return
 		}
 		outcome := lilacv1.ClaimState_CLAIM_STATE_NOT_RUN
@@ -307,26 +307,26 @@
 			o.sim.invariants.check(o.runs[key] == 1, "at most once", "%s ran twice", key)
 		}
 		ended := &lilacv1.OutcomeRequest{Team: "team", Key: key, Attempt: attempt, State: outcome, NowUnixMs: 1}
-		o.start(command(&lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: ended}}), func([]byte, error) { again() })
+		o.start(command(&lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: ended}}), func([]byte, error) { next() })
 	})
 }
 
 // model is the configuration as operators see it: one number that grows by one
 // with each accepted statement.
 var model = porcupine.Model{
-	Init: func() any { return seen{} },
+	Init: func() any { return observation{} },
 	Step: func(state, input, output any) (bool, any) {
-		now := state.(seen)
+		now := state.(observation)
 		in, isStatement := input.(statement)
 		if !isStatement {
-			return output.(seen) == now, now
+			return output.(observation) == now, now
 		}
 		out := output.(answer)
 		free := in.ifRevision == 0 || in.ifRevision == now.revision
 		if out.conflict {
 			return !free, now
 		}
-		return free && out.revision == now.revision+1, seen{revision: out.revision, command: in.command}
+		return free && out.revision == now.revision+1, observation{revision: out.revision, command: in.command}
 	},
 }
 
@@ -354,8 +354,8 @@
 func (o *operators) verify() {
 	v := o.sim.invariants
 	first := o.sim.nodes[0]
-	revisions, whole := first.machine.Since(0, 1<<20)
-	v.check(whole, "audit trail is whole", "")
+	revisions, complete := first.machine.Since(0, 1<<20)
+	v.check(complete, "audit trail is whole", "")
 	numbers := map[string]uint64{}
 	for _, revision := range revisions {
 		numbers[revision.GetCommandId()] = revision.GetNumber()
--- a/internal/proof/plain_test.go
+++ b/internal/proof/plain_test.go
@@ -12,125 +12,125 @@
 
 const (
 	// plainTick is coarser than policy.TickInterval, for speed.
-	plainTick   = 50 * time.Millisecond
-	plainPause  = 2400 * time.Millisecond
-	plainTokens = 8
+	policyTick   = 50 * time.Millisecond
+	requestPause = 2400 * time.Millisecond
+	answerTokens = 8
 	// A server that runs n requests takes plainStep for each of n and plainBase
 	// more between two tokens.
-	plainStep, plainBase = 6 * time.Millisecond, 4
-	plainSlots           = 6
-	plainBurst           = 8
+	stepPerRequest, stepBase = 6 * time.Millisecond, 4
+	serverSlots              = 6
+	burstSize                = 8
 	// plainPoll is how often an entry asks each server for its load.
-	plainPoll = 500 * time.Millisecond
+	loadPollInterval = 500 * time.Millisecond
 	// dialLimit is how long a new connection is tried.
-	dialLimit = 2 * time.Second
+	dialTimeout = 2 * time.Second
 	// cutKnownBy is when an entry behind a full cut knows of it.
-	cutKnownBy = 2500 * time.Millisecond
+	cutDetectionBound = 2500 * time.Millisecond
 	// decidedWithin bounds the decision on an idempotent request while its own
 	// data centre has free places; what other entries run there is known from
 	// their digests, which are up to a second old.
-	decidedWithin = 2 * time.Second
+	decisionBound = 2 * time.Second
 	// ownAnswered bounds the whole answer of one that stayed in its own data
 	// centre, farAnswered of one that was sent over a link before it was cut.
-	ownAnswered, farAnswered = 8 * time.Second, 25 * time.Second
+	localAnswerBound, remoteAnswerBound = 8 * time.Second, 25 * time.Second
 	// resendEvery is how often a connection sends again what a cut lost, and
 	// keepAlive when it is given up.
-	resendEvery, keepAlive = 300 * time.Millisecond, 11 * time.Second
+	retransmitInterval, keepAliveTimeout = 300 * time.Millisecond, 11 * time.Second
 )
 
 func serverName(center int) string { return fmt.Sprint("engine-", center) }
 
 // plain is the part of an entry that serves idempotent requests: the product's
 // policy over one backend server in each data centre.
-type plain struct {
+type policySim struct {
 	cuts   *cutoffs
 	sim    *sim
 	entry  *entry
 	core   policy.Core
 	serial policy.ID
-	open   map[policy.ID]*plainRequest
+	open   map[policy.ID]*idempotentRequest
 }
 
-type plainRequest struct {
-	id      policy.ID
-	begun   time.Duration
-	attempt int
-	server  string
-	got     int
+type idempotentRequest struct {
+	id        policy.ID
+	startedAt time.Duration
+	attempt   int
+	server    string
+	received  int
 	// far is true once it was sent to another data centre.
-	far bool
+	remote bool
 	// cut is the cut that the entry was behind, and knew of, at the arrival.
 	cut int
 }
 
-func newPlain(c *cutoffs, e *entry, seed uint64) *plain {
+func newPolicySim(c *cutoffs, e *entry, seed uint64) *policySim {
 	weights := settings.Policy{AttainmentWeight: 1, WasteWeight: 0.2, RetryShare: 0.1}
 	weights.RemoteCost.Duration = 50 * time.Millisecond
-	p := &plain{cuts: c, sim: c.sim, entry: e, open: map[policy.ID]*plainRequest{}}
+	p := &policySim{cuts: c, sim: c.sim, entry: e, open: map[policy.ID]*idempotentRequest{}}
 	p.core = policy.New(policy.Options{Instance: e.name, DataCenter: e.self.DataCenter, Incarnation: e.name + "/1", Seed: seed, Weights: weights})
-	e.plain = p
+	e.policySim = p
 	return p
 }
 
-func plainView() *versionmodel.View {
+func policyView() *versionmodel.View {
 	snapshot := &lilacv1.Snapshot{Revision: 1,
 		Classes: []*lilacv1.Class{{Name: "alerts", FirstTokenMs: 420, BetweenTokensMs: 100, SharePermille: 100}},
 		Teams:   []*lilacv1.Team{{Name: "team", Weight: 1}}}
 	for i := range dataCenters {
 		snapshot.Servers = append(snapshot.Servers, &lilacv1.Server{Name: serverName(i), DataCenter: fmt.Sprint("dc-", i),
-			Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, Serves: []string{"redaction"}, Slots: plainSlots})
+			Kind: lilacv1.ServerKind_SERVER_KIND_ENGINE, Serves: []string{"redaction"}, Slots: serverSlots})
 	}
 	return versionmodel.NewView(snapshot)
 }
 
-func (p *plain) begin() {
-	p.step(policy.Configured{View: plainView()})
-	p.sim.after(p.cuts.between(0, plainTick), p.tick)
-	p.sim.after(time.Second+p.cuts.between(0, plainPause), p.next)
-	p.sim.after(p.cuts.between(0, plainPoll), p.poll)
+func (p *policySim) startLoad() {
+	p.step(policy.Configured{View: policyView()})
+	p.sim.after(p.cuts.between(0, policyTick), p.tick)
+	p.sim.after(time.Second+p.cuts.between(0, requestPause), p.next)
+	p.sim.after(p.cuts.between(0, loadPollInterval), p.poll)
 }
 
 // poll asks the servers how many requests they run. Without it the lost answers
 // of others' requests would hold places of a server that is cut off one way.
-func (p *plain) poll() {
-	if p.cuts.rests() {
+func (p *policySim) poll() {
+	if p.cuts.stopped() {
 		return
 	}
 	for i := range dataCenters {
 		name := serverName(i)
-		p.sim.reach(p.cuts.rng, p.entry.name, name, func() {
-			running, at := p.cuts.running[name], p.sim.now
-			p.sim.reach(p.cuts.rng, name, p.entry.name, func() {
+		p.sim.transmit(p.cuts.rng, p.entry.name, name, func() {
+			running, at := p.cuts.runningRequests[name], p.sim.now
+			p.sim.transmit(p.cuts.rng, name, p.entry.name, func() {
 				p.step(policy.LoadReport{Server: name, Running: running, Age: p.sim.now - at})
 			})
 		})
 	}
-	p.sim.after(plainPoll, p.poll)
+	p.sim.after(loadPollInterval, p.poll)
 }
 
-func (p *plain) tick() {
+func (p *policySim) tick() {
 	if p.sim.healed && len(p.open) == 0 {
 		return
 	}
 	p.step(policy.Tick{})
-	p.sim.after(plainTick, p.tick)
+	p.sim.after(policyTick, p.tick)
 }
 
-func (p *plain) next() {
-	if p.cuts.rests() {
+func (p *policySim) next() {
+	if p.cuts.stopped() {
 		return
 	}
 	count := 1
 	if p.cuts.rng.IntN(20) == 0 {
-		count = plainBurst
+		count = burstSize
 	}
 	for range count {
 		p.arrive()
 	}
-	p.sim.after(p.cuts.between(0, plainPause), p.next)
+	p.sim.after(p.cuts.between(0, requestPause), p.next)
 }
 
-func (p *plain) step(event policy.Event) {
+func (p *policySim) step(event policy.Event) {
 	for _, action := range p.core.Step(p.entry.clock(), event) {
 		switch a := action.(type) {
 		case policy.Start:
@@ -140,117 +140,117 @@
 				r.server = ""
 			}
 		case policy.Refuse:
-			p.ended(a.ID, "refused: "+a.Message)
+			p.finish(a.ID, "refused: "+a.Message)
 		case policy.Broken:
-			p.ended(a.ID, "broken: "+a.Message)
+			p.finish(a.ID, "broken: "+a.Message)
 		}
 	}
 }
 
-func (p *plain) arrive() {
+func (p *policySim) arrive() {
 	p.serial++
-	r := &plainRequest{id: p.serial, begun: p.sim.now}
-	if p.cuts.mode == cutBoth && p.sim.now-p.cuts.since > cutKnownBy {
-		r.cut = p.cuts.cutOf(p.entry)
+	r := &idempotentRequest{id: p.serial, startedAt: p.sim.now}
+	if p.cuts.mode == cutBoth && p.sim.now-p.cuts.cutAt > cutDetectionBound {
+		r.cut = p.cuts.activeCut(p.entry)
 	}
 	p.open[r.id] = r
 	v := p.sim.invariants
-	free := p.free()
-	p.sim.after(decidedWithin, func() {
-		v.check(!free || r.cut == 0 || r.attempt > 0 || p.cuts.cutOf(p.entry) != r.cut, "idempotent requests are decided at once", "%s lets %d of %s wait", p.entry.name, r.id, r.begun)
+	free := p.hasFreeSlot()
+	p.sim.after(decisionBound, func() {
+		v.check(!free || r.cut == 0 || r.attempt > 0 || p.cuts.activeCut(p.entry) != r.cut, "idempotent requests are decided at once", "%s lets %d of %s wait", p.entry.name, r.id, r.startedAt)
 	})
-	p.answeredBy(r, ownAnswered, func() bool { return r.far })
-	p.answeredBy(r, farAnswered, func() bool { return false })
-	p.step(policy.Arrival{ID: r.id, Class: "alerts", Team: "team", Target: "redaction", Digest: fmt.Sprint(p.entry.name, r.id), PromptTokens: 50, MaxTokens: 2 * plainTokens, Idempotent: true})
+	p.checkAnsweredBy(r, localAnswerBound, func() bool { return r.remote })
+	p.checkAnsweredBy(r, remoteAnswerBound, func() bool { return false })
+	p.step(policy.Arrival{ID: r.id, Class: "alerts", Team: "team", Target: "redaction", Digest: fmt.Sprint(p.entry.name, r.id), PromptTokens: 50, MaxTokens: 2 * answerTokens, Idempotent: true})
 }
 
 // answeredBy checks that the whole answer comes in time, unless it may be late.
-func (p *plain) answeredBy(r *plainRequest, bound time.Duration, late func() bool) {
+func (p *policySim) checkAnsweredBy(r *idempotentRequest, bound time.Duration, late func() bool) {
 	p.sim.after(bound, func() {
 		p.sim.invariants.check(p.open[r.id] != r || late(), "idempotent requests are answered in time",
-			"%s: %d of %s has %d tokens, at %q, attempt %d", p.entry.name, r.id, r.begun, r.got, r.server, r.attempt)
+			"%s: %d of %s has %d tokens, at %q, attempt %d", p.entry.name, r.id, r.startedAt, r.received, r.server, r.attempt)
 	})
 }
 
 // free tells whether the own data centre's server has a place for one more.
-func (p *plain) free() bool {
+func (p *policySim) hasFreeSlot() bool {
 	count := 0
-	for _, e := range p.cuts.all.all {
+	for _, e := range p.cuts.entries.list {
 		if e.center() == p.entry.center() {
-			count += len(e.plain.open)
+			count += len(e.policySim.open)
 		}
 	}
-	return count <= plainSlots/2
+	return count <= serverSlots/2
 }
 
 // start sends the request; over a kept connection what is cut is lost without
 // a word, a new one is not had.
-func (p *plain) start(a policy.Start) {
+func (p *policySim) start(a policy.Start) {
 	r, s := p.open[a.ID], p.sim
 	if r == nil {
 		return
 	}
 	r.attempt, r.server = a.Attempt, a.Server
-	s.note("%s starts %d on %s, attempt %d, after %s", p.entry.name, a.ID, a.Server, a.Attempt, s.now-r.begun)
+	s.note("%s starts %d on %s, attempt %d, after %s", p.entry.name, a.ID, a.Server, a.Attempt, s.now-r.startedAt)
 	own := a.Server == serverName(p.entry.center())
-	r.far = r.far || !own
-	s.invariants.check(own || r.cut == 0 || p.cuts.cutOf(p.entry) != r.cut, "no start out of reach", "%s starts %d on %s", p.entry.name, a.ID, a.Server)
-	if p.cuts.givenUp(p.entry.name, a.Server) {
-		s.after(dialLimit, func() { p.failed(r, policy.Failed{ID: a.ID, Attempt: a.Attempt}) })
+	r.remote = r.remote || !own
+	s.invariants.check(own || r.cut == 0 || p.cuts.activeCut(p.entry) != r.cut, "no start out of reach", "%s starts %d on %s", p.entry.name, a.ID, a.Server)
+	if p.cuts.connectionClosed(p.entry.name, a.Server) {
+		s.after(dialTimeout, func() { p.failed(r, policy.Failed{ID: a.ID, Attempt: a.Attempt}) })
 		return
 	}
 	s.after(0, func() { p.step(policy.Sent{ID: a.ID, Attempt: a.Attempt}) })
-	p.carry(r, a, p.entry.name, a.Server, func() {
-		p.cuts.running[a.Server]++
-		gap := time.Duration(p.cuts.running[a.Server]+plainBase) * plainStep
-		s.after(time.Duration(plainTokens-r.got)*gap, func() { p.cuts.running[a.Server]-- })
-		for i := 1; i <= plainTokens-r.got; i++ {
-			s.after(time.Duration(i)*gap, func() { p.carry(r, a, a.Server, p.entry.name, func() { p.token(r, a) }) })
+	p.sendOnConnection(r, a, p.entry.name, a.Server, func() {
+		p.cuts.runningRequests[a.Server]++
+		gap := time.Duration(p.cuts.runningRequests[a.Server]+stepBase) * stepPerRequest
+		s.after(time.Duration(answerTokens-r.received)*gap, func() { p.cuts.runningRequests[a.Server]-- })
+		for i := 1; i <= answerTokens-r.received; i++ {
+			s.after(time.Duration(i)*gap, func() { p.sendOnConnection(r, a, a.Server, p.entry.name, func() { p.tokenReceived(r, a) }) })
 		}
 	})
 }
 
 // carry sends over the attempt's connection, which resends what a cut lost until
 // it is given up.
-func (p *plain) carry(r *plainRequest, a policy.Start, from, to string, run func()) {
-	begun := p.sim.now
+func (p *policySim) sendOnConnection(r *idempotentRequest, a policy.Start, from, to string, run func()) {
+	startedAt := p.sim.now
 	var try func()
 	try = func() {
 		switch {
 		case p.open[r.id] != r || r.attempt != a.Attempt || r.server == "":
-		case p.sim.now-begun > keepAlive:
+		case p.sim.now-startedAt > keepAliveTimeout:
 			p.failed(r, policy.Failed{ID: a.ID, Attempt: a.Attempt, Sent: true})
 		case p.sim.cut[from+">"+to] || p.sim.cut[to+">"+from]:
-			p.sim.after(resendEvery, try)
+			p.sim.after(retransmitInterval, try)
 		default:
-			p.sim.reach(p.cuts.rng, from, to, run)
+			p.sim.transmit(p.cuts.rng, from, to, run)
 		}
 	}
 	try()
 }
 
-func (p *plain) failed(r *plainRequest, f policy.Failed) {
+func (p *policySim) failed(r *idempotentRequest, f policy.Failed) {
 	if p.open[r.id] == r && r.attempt == f.Attempt && r.server != "" {
 		p.step(f)
 	}
 }
 
 // token is one token that came back.
-func (p *plain) token(r *plainRequest, a policy.Start) {
+func (p *policySim) tokenReceived(r *idempotentRequest, a policy.Start) {
 	if p.open[r.id] != r || r.attempt != a.Attempt || r.server == "" {
 		return
 	}
-	r.got++
+	r.received++
 	p.step(policy.Tokens{ID: r.id, Attempt: a.Attempt, Count: 1})
-	if r.got == plainTokens {
-		p.ended(r.id, "")
+	if r.received == answerTokens {
+		p.finish(r.id, "")
 		p.step(policy.Finished{ID: r.id, Attempt: a.Attempt})
 	}
 }
 
-func (p *plain) ended(id policy.ID, problem string) {
+func (p *policySim) finish(id policy.ID, problem string) {
 	r := p.open[id]
-	p.sim.note("%s ends %d after %s", p.entry.name, id, p.sim.now-r.begun)
-	p.sim.invariants.check(problem == "" || r.far, "idempotent requests are answered", "%s: %d %s", p.entry.name, id, problem)
+	p.sim.note("%s ends %d after %s", p.entry.name, id, p.sim.now-r.startedAt)
+	p.sim.invariants.check(problem == "" || r.remote, "idempotent requests are answered", "%s: %d %s", p.entry.name, id, problem)
 	delete(p.open, id)
 }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -19,10 +19,10 @@
 	showTrace = flag.Bool("trace", false, "print what happens")
 )
 
-var profiles = []profile{heavy, busy, churn, fleet, cutoff, struck, scripted}
+var profiles = []profile{heavy, busy, churn, fleet, cutoff, cutoffWithFaults, scripted}
 
 // healTime is how long a run may take to settle once healed.
-const healTime = 90 * time.Second
+const settleTimeout = 90 * time.Second
 
 // report is what one run gave.
 type report struct {
@@ -43,7 +43,7 @@
 	switch {
 	case p.cutoffs:
 		s.cutoffs = newCutoffs(s, s.entries, seed)
-		s.run(p.faultTime, func() bool { return s.cutoffs.over })
+		s.run(p.faultTime, func() bool { return s.cutoffs.done })
 	case p.scripts:
 		s.scripts = newScripts(s, seed)
 		s.run(p.faultTime, never)
@@ -53,20 +53,20 @@
 	}
 	s.heal()
 	done := func() bool { return s.operators.afterHealed > 0 && s.operators.open == 0 && s.settled() }
-	s.run(p.faultTime+healTime, done)
+	s.run(p.faultTime+settleTimeout, done)
 	v := s.invariants
 	if v.failure == "" {
 		v.check(done(), "all settles once healed", "%d calls open, settled %t, accepted since %d", s.operators.open, s.settled(), s.operators.afterHealed)
 	}
 	if v.failure == "" && s.entries != nil {
 		last := s.now
-		s.run(s.now+inForce, s.entries.upToDate)
-		v.check(s.entries.upToDate(), "in force everywhere in time", "not %s after the last change", inForce)
+		s.run(s.now+inForceBound, s.entries.upToDate)
+		v.check(s.entries.upToDate(), "in force everywhere in time", "not %s after the last change", inForceBound)
 		s.note("in force everywhere %s after all had settled", s.now-last)
 		// Requests for leases may still be on their way.
 		s.run(s.now+3*time.Second, never)
 		rest := func() bool { return s.operators.open == 0 && s.settled() }
-		s.run(s.now+healTime, rest)
+		s.run(s.now+settleTimeout, rest)
 		v.check(rest(), "all comes to rest", "%d calls open, settled %t", s.operators.open, s.settled())
 	}
 	if v.failure == "" {
@@ -89,15 +89,15 @@
 	if *runs == 0 {
 		os.Exit(m.Run())
 	}
-	os.Exit(campaign())
+	os.Exit(runAll())
 }
 
-func campaign() int {
+func runAll() int {
 	var log io.Writer
 	if *showTrace {
 		log = os.Stdout
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	var checked uint64
 	broken, accepted, history := 0, 0, 0
 	kinds := slices.DeleteFunc(slices.Clone(profiles), func(p profile) bool { return *onlyKind != "" && p.name != *onlyKind })
@@ -117,7 +117,7 @@
 			fmt.Printf("seed %d, %s: %s\n", seed, p.name, r.failure)
 		}
 	}
-	fmt.Printf("%d statements accepted, histories of %d calls checked, %.0f runs a minute\n", accepted, history, float64(*runs)/time.Since(begun).Minutes())
+	fmt.Printf("%d statements accepted, histories of %d calls checked, %.0f runs a minute\n", accepted, history, float64(*runs)/time.Since(startedAt).Minutes())
 	fmt.Printf("invariants: %d checked, %d broken, runs %d, first seed %d\n", checked, broken, *runs, *firstSeed)
 	if broken > 0 {
 		return 1
--- a/internal/proof/scripts_test.go
+++ b/internal/proof/scripts_test.go
@@ -10,11 +10,11 @@
 
 const (
 	// scriptWait bounds each stage of a script.
-	scriptWait = 8 * time.Second
+	stageTimeout = 8 * time.Second
 	// scriptLength is the longest that a script takes; none begins later in a run.
-	scriptLength = 3*scriptWait + time.Second
+	maxScriptTime = 3*stageTimeout + time.Second
 	// scriptPoll is how often a script looks whether all have settled.
-	scriptPoll = 50 * time.Millisecond
+	scriptPollInterval = 50 * time.Millisecond
 	// lagStep is by how much answers to a leader fall behind at a time, shorter
 	// than an election timeout, and lagPause how long it stays so.
 	lagStep, lagPause = 800 * time.Millisecond, 1200 * time.Millisecond
@@ -29,7 +29,7 @@
 	// elected is told of the next leader; it may be nil.
 	elected func(n *node)
 	// unheard is a leader that does not hear of the next candidacy; nil for none.
-	unheard *node
+	deafLeader *node
 	// stage tells a stage from those that have ended.
 	stage int
 }
@@ -48,30 +48,30 @@
 // next plays a script as soon as all have settled.
 func (c *scripts) next() {
 	s := c.sim
-	if s.now > s.profile.faultTime-scriptLength {
+	if s.now > s.profile.faultTime-maxScriptTime {
 		return
 	}
 	if !s.settled() {
-		s.after(scriptPoll, c.next)
+		s.after(scriptPollInterval, c.next)
 		return
 	}
-	all := c.parts()
+	all := c.shuffledNodes()
 	switch c.rng.IntN(5) {
 	case 0:
-		c.oldTerm(all)
+		c.oldTermCommit(all)
 	case 1:
-		c.lateAnswers(all)
+		c.delayedResponses(all)
 	case 2:
-		c.twoRemovals(all)
+		c.concurrentRemovals(all)
 	case 3:
-		c.healedVoter(all)
+		c.reconnectedVoter(all)
 	case 4:
-		c.lateHandOver(all)
+		c.delayedLeadershipTransfer(all)
 	}
 }
 
 // parts returns the leader first, and the others in an order by chance.
-func (c *scripts) parts() []*node {
+func (c *scripts) shuffledNodes() []*node {
 	leader := c.sim.leader()
 	all := []*node{leader}
 	for _, i := range c.rng.Perm(len(c.sim.nodes)) {
@@ -83,7 +83,7 @@
 }
 
 // split cuts all links between the two sides.
-func (c *scripts) split(one, other []*node) {
+func (c *scripts) partition(one, other []*node) {
 	clear(c.sim.cut)
 	for _, a := range one {
 		for _, b := range other {
@@ -93,17 +93,17 @@
 }
 
 // end heals all and goes on.
-func (c *scripts) end() {
+func (c *scripts) finish() {
 	c.stage++
-	c.elected, c.unheard = nil, nil
+	c.elected, c.deafLeader = nil, nil
 	clear(c.sim.cut)
-	clear(c.sim.lag)
+	clear(c.sim.extraDelay)
 	c.next()
 }
 
 // whenElected goes on at the moment at which one of the processes becomes the
 // leader, before any of its messages arrives; it ends the script if none does.
-func (c *scripts) whenElected(among []*node, then func(n *node)) {
+func (c *scripts) onElected(among []*node, then func(n *node)) {
 	c.stage++
 	stage := c.stage
 	c.elected = func(n *node) {
@@ -116,16 +116,16 @@
 			}
 		}
 	}
-	c.sim.after(scriptWait, func() {
+	c.sim.after(stageTimeout, func() {
 		if c.stage == stage {
-			c.end()
+			c.finish()
 		}
 	})
 }
 
 func (c *scripts) propose(n *node, count int) {
 	for range count {
-		n.turn(replica.Request{Event: replica.Propose{}, Reply: func(replica.Outcome) {}})
+		n.process(replica.Request{Event: replica.Propose{}, Reply: func(replica.Outcome) {}})
 	}
 }
 
@@ -142,18 +142,18 @@
 // oldTerm lets entries of an old term reach a quorum under a later leader, while
 // one with an entry of a term between waits to be elected: a leader that commits
 // them by count loses them.
-func (c *scripts) oldTerm(all []*node) {
+func (c *scripts) oldTermCommit(all []*node) {
 	c.sim.note("script: old term")
 	few, many := all[:2], all[2:]
-	c.split(few, many)
+	c.partition(few, many)
 	c.propose(all[0], 3)
-	c.whenElected(many, func(between *node) {
+	c.onElected(many, func(between *node) {
 		rest := without(many, between)
-		c.split([]*node{between}, append(rest, few...))
-		c.whenElected(few, func(*node) {
+		c.partition([]*node{between}, append(rest, few...))
+		c.onElected(few, func(*node) {
 			c.sim.after(c.between(0, 250*time.Millisecond), func() {
-				c.split(few, many)
-				c.whenElected(many, func(*node) { c.sim.after(time.Second, c.end) })
+				c.partition(few, many)
+				c.onElected(many, func(*node) { c.sim.after(time.Second, c.finish) })
 			})
 		})
 	})
@@ -161,74 +161,74 @@
 
 // lateAnswers lets the answers to a leader fall far behind and then cuts what it
 // sends: it goes on hearing a quorum that has long followed another one.
-func (c *scripts) lateAnswers(all []*node) {
+func (c *scripts) delayedResponses(all []*node) {
 	c.sim.note("script: late answers")
 	s, leader := c.sim, all[0]
 	steps := 3
 	for i := range steps {
-		s.after(time.Duration(i)*lagPause, func() { s.lag[leader.name] += lagStep })
+		s.after(time.Duration(i)*lagPause, func() { s.extraDelay[leader.name] += lagStep })
 	}
 	s.after(time.Duration(steps)*lagPause, func() {
 		for _, n := range all[1:] {
 			s.cut[leader.name+">"+n.name] = true
 		}
-		s.after(scriptWait, c.end)
+		s.after(stageTimeout, c.finish)
 	})
 }
 
 // twoRemovals takes two voters out at a leader that reaches one other voter only:
 // what is left of the five would have a quorum on each side.
-func (c *scripts) twoRemovals(all []*node) {
+func (c *scripts) concurrentRemovals(all []*node) {
 	c.sim.note("script: two removals")
 	few, many := all[:2], all[2:]
-	c.split(few, many)
+	c.partition(few, many)
 	for _, n := range many[:2] {
 		remove := replica.ChangeMembers{Kind: replica.Remove, Member: &lilacv1.RaftMember{Id: n.identity()}}
-		all[0].turn(replica.Request{Event: remove, Reply: func(replica.Outcome) {}})
+		all[0].process(replica.Request{Event: remove, Reply: func(replica.Outcome) {}})
 	}
 	c.propose(all[0], 1)
-	c.whenElected(many, func(*node) { c.sim.after(time.Second, c.end) })
+	c.onElected(many, func(*node) { c.sim.after(time.Second, c.finish) })
 }
 
 // healedVoter cuts a follower off and heals it: the leader that all others hear
 // must stay, in its term.
-func (c *scripts) healedVoter(all []*node) {
+func (c *scripts) reconnectedVoter(all []*node) {
 	c.sim.note("script: healed voter")
 	s, leader := c.sim, all[0]
 	term := leader.runner.Status().Term
-	c.split(all[1:2], append([]*node{leader}, all[2:]...))
+	c.partition(all[1:2], append([]*node{leader}, all[2:]...))
 	s.after(c.between(3*time.Second, 10*time.Second), func() {
 		clear(s.cut)
 		s.after(3*time.Second, func() {
 			now := leader.runner.Status()
 			s.invariants.check(now.Role == replica.Leader && now.Term == term, "a healed voter leaves the leader alone", "%s led term %d and is %s in %d", leader.name, term, now.Role, now.Term)
-			c.end()
+			c.finish()
 		})
 	})
 }
 
 // lateHandOver lets the word that hands the office over come late: the leader has
 // gone on by then, and the one that campaigns lacks what was accepted meanwhile.
-func (c *scripts) lateHandOver(all []*node) {
+func (c *scripts) delayedLeadershipTransfer(all []*node) {
 	c.sim.note("script: late hand-over")
 	s, leader := c.sim, all[0]
-	c.unheard = leader
+	c.deafLeader = leader
 	for _, n := range all[1:] {
-		s.lag[n.name] = lagStep
+		s.extraDelay[n.name] = lagStep
 	}
 	s.after(lagPause, func() {
-		leader.turn(replica.Request{Event: replica.TransferLeadership{}})
+		leader.process(replica.Request{Event: replica.TransferLeadership{}})
 		for i := range 20 {
 			s.after(election+time.Duration(i)*tick/2, func() { c.propose(leader, 1) })
 		}
-		s.after(scriptWait, c.end)
+		s.after(stageTimeout, c.finish)
 	})
 }
 
 // campaigns is told of each candidacy.
-func (c *scripts) campaigns(n *node) {
-	if c.unheard != nil {
-		c.sim.cut[n.name+">"+c.unheard.name] = true
-		c.unheard = nil
+func (c *scripts) candidacyStarted(n *node) {
+	if c.deafLeader != nil {
+		c.sim.cut[n.name+">"+c.deafLeader.name] = true
+		c.deafLeader = nil
 	}
 }
--- a/internal/proof/sim_test.go
+++ b/internal/proof/sim_test.go
@@ -59,7 +59,7 @@
 	machine *state.Machine
 	// frozenUntil is when a stopped process goes on; waiting is what came meanwhile.
 	frozenUntil time.Duration
-	waiting     []replica.Request
+	pending     []replica.Request
 	// bootstrap is as in the settings; it stays set when the disk is lost.
 	bootstrap bool
 	// leases judges the leases of machine by the node's clock.
@@ -68,7 +68,7 @@
 	id  string
 	rng *rand.Rand
 	// later draws the delays of work beside the turns.
-	later *rand.Rand
+	backgroundRNG *rand.Rand
 }
 
 // profile is a kind of run.
@@ -81,7 +81,7 @@
 	// kinds is how many kinds of faults may happen; see fault.
 	kinds int
 	// spikes is how many messages in a hundred take seconds.
-	spikes int
+	delaySpikes int
 	// nodes is the number of processes; 0 means three, now and then five.
 	nodes int
 	// appendBytes bounds the entries of one message.
@@ -89,7 +89,7 @@
 	// chunkBytes is the part of a snapshot in one message; 0 means 400.
 	chunkBytes int
 	// slow is the longest usual delay of a message.
-	slow time.Duration
+	maxDelay time.Duration
 	// reads is how many calls in four are reads.
 	reads int
 	// anyLeader lets reads go to any process that takes itself for the leader.
@@ -102,24 +102,24 @@
 	// other faults happen.
 	cutoffs bool
 	// strikes adds to each cut a process that ends, hangs or starts again.
-	strikes bool
+	extraFaults bool
 }
 
 var (
 	// heavy runs have little time without a fault.
-	heavy = profile{name: "heavy", faultTime: 40 * time.Second, faultGap: 3 * time.Second, pause: 700 * time.Millisecond, kinds: 12, spikes: 1, appendBytes: 600, slow: 60 * time.Millisecond, reads: 1}
+	heavy = profile{name: "heavy", faultTime: 40 * time.Second, faultGap: 3 * time.Second, pause: 700 * time.Millisecond, kinds: 12, delaySpikes: 1, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 1}
 	// busy runs make many changes between faults.
-	busy = profile{name: "busy", faultTime: 60 * time.Second, faultGap: 8 * time.Second, pause: 150 * time.Millisecond, kinds: 14, spikes: 5, appendBytes: 600, slow: 60 * time.Millisecond, reads: 2, anyLeader: true}
+	busy = profile{name: "busy", faultTime: 60 * time.Second, faultGap: 8 * time.Second, pause: 150 * time.Millisecond, kinds: 14, delaySpikes: 5, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 2, anyLeader: true}
 	// churn runs change the leader all the time, with one entry a message.
-	churn = profile{name: "churn", faultTime: 60 * time.Second, faultGap: 3 * time.Second, pause: 150 * time.Millisecond, kinds: 9, spikes: 3, nodes: 5, appendBytes: 1, slow: 400 * time.Millisecond, reads: 2, anyLeader: true}
+	churn = profile{name: "churn", faultTime: 60 * time.Second, faultGap: 3 * time.Second, pause: 150 * time.Millisecond, kinds: 9, delaySpikes: 3, nodes: 5, appendBytes: 1, maxDelay: 400 * time.Millisecond, reads: 2, anyLeader: true}
 	// fleet runs have entries in three data centres that are cut off in turn.
-	fleet = profile{name: "fleet", faultTime: 60 * time.Second, faultGap: 15 * time.Second, pause: 400 * time.Millisecond, kinds: 14, spikes: 1, appendBytes: 600, slow: 60 * time.Millisecond, reads: 1, entries: true}
+	fleet = profile{name: "fleet", faultTime: 60 * time.Second, faultGap: 15 * time.Second, pause: 400 * time.Millisecond, kinds: 14, delaySpikes: 1, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 1, entries: true}
 	// scripted runs play schedules that chance does not find; a snapshot is one message.
-	scripted = profile{name: "scripted", faultTime: 80 * time.Second, pause: 400 * time.Millisecond, spikes: 3, nodes: 5, appendBytes: 1, chunkBytes: 1 << 20, slow: 60 * time.Millisecond, reads: 2, anyLeader: true, scripts: true}
+	scripted = profile{name: "scripted", faultTime: 80 * time.Second, pause: 400 * time.Millisecond, delaySpikes: 3, nodes: 5, appendBytes: 1, chunkBytes: 1 << 20, maxDelay: 60 * time.Millisecond, reads: 2, anyLeader: true, scripts: true}
 	// cutoff runs have each data centre cut off in turn, and callers on both sides.
-	cutoff = profile{name: "cutoff", faultTime: 3 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, slow: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true}
+	cutoff = profile{name: "cutoff", faultTime: 3 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, maxDelay: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true}
 	// struck runs are those of cutoff with a second fault in each cut.
-	struck = profile{name: "struck", faultTime: 4 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, slow: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true, strikes: true}
+	cutoffWithFaults = profile{name: "struck", faultTime: 4 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, maxDelay: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true, extraFaults: true}
 )
 
 // sim is one run.
@@ -135,7 +135,7 @@
 	// cut holds the links that lose everything, by "from>to".
 	cut        map[string]bool
 	loss, dup  float64
-	slow       time.Duration
+	maxDelay   time.Duration
 	lost       string
 	healed     bool
 	trace      hash.Hash64
@@ -146,17 +146,17 @@
 	cutoffs    *cutoffs
 	scripts    *scripts
 	// lag delays all messages to a process, by its name.
-	lag     map[string]time.Duration
-	every   uint64
-	segment int64
+	extraDelay    map[string]time.Duration
+	snapshotEvery uint64
+	segmentBytes  int64
 }
 
 func newSim(p profile, seed uint64, log io.Writer) *sim {
-	s := &sim{profile: p, rng: rand.New(rand.NewPCG(seed, 1)), faultRNG: rand.New(rand.NewPCG(seed, 2)), callRNG: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, lag: map[string]time.Duration{}, trace: xxhash.New(), log: log}
+	s := &sim{profile: p, rng: rand.New(rand.NewPCG(seed, 1)), faultRNG: rand.New(rand.NewPCG(seed, 2)), callRNG: rand.New(rand.NewPCG(seed, 3)), cut: map[string]bool{}, extraDelay: map[string]time.Duration{}, trace: xxhash.New(), log: log}
 	s.invariants = newInvariants(s)
 	s.loss, s.dup = s.rng.Float64()*0.1, s.rng.Float64()*0.05
-	s.slow = time.Duration(s.rng.IntN(int(p.slow/time.Millisecond))) * time.Millisecond
-	s.every, s.segment = uint64(8+s.rng.IntN(100)), int64(512+s.rng.IntN(8000))
+	s.maxDelay = time.Duration(s.rng.IntN(int(p.maxDelay/time.Millisecond))) * time.Millisecond
+	s.snapshotEvery, s.segmentBytes = uint64(8+s.rng.IntN(100)), int64(512+s.rng.IntN(8000))
 	count := 3
 	if s.rng.IntN(5) == 0 {
 		count = 5
@@ -166,7 +166,7 @@
 	}
 	for i := range count {
 		own := rand.New(rand.NewPCG(seed, uint64(100+i)))
-		s.nodes = append(s.nodes, &node{sim: s, name: fmt.Sprint("state-", i), disk: newDisk(own), bootstrap: true, rng: own, later: rand.New(rand.NewPCG(seed, uint64(200+i)))})
+		s.nodes = append(s.nodes, &node{sim: s, name: fmt.Sprint("state-", i), disk: newDisk(own), bootstrap: true, rng: own, backgroundRNG: rand.New(rand.NewPCG(seed, uint64(200+i)))})
 	}
 	for _, n := range s.nodes {
 		s.after(time.Duration(s.rng.IntN(2000))*time.Millisecond, n.start)
@@ -211,11 +211,11 @@
 	}
 	n.machine = state.NewMachine(0, ledger.Limits{})
 	n.leases = state.NewLeaseClock(n.machine, func() time.Time { return time.Unix(0, 0).Add(s.now) })
-	n.frozenUntil, n.waiting = 0, nil
-	n.guard(func() {
+	n.frozenUntil, n.pending = 0, nil
+	n.runUntilCrash(func() {
 		runner, err := replica.NewRunner(replica.Options{Name: n.name, Address: n.name, Peers: peers, Bootstrap: n.bootstrap,
-			Heartbeat: heartbeat, Election: election, Folder: n.disk, Machine: n.machine, Transport: n, SnapshotEvery: s.every,
-			SegmentBytes: s.segment, ChunkBytes: cmp.Or(s.profile.chunkBytes, 400), AppendBytes: s.profile.appendBytes, Clock: func() time.Duration { return s.now },
+			Heartbeat: heartbeat, Election: election, Folder: n.disk, Machine: n.machine, Transport: n, SnapshotEvery: s.snapshotEvery,
+			SegmentBytes: s.segmentBytes, ChunkBytes: cmp.Or(s.profile.chunkBytes, 400), AppendBytes: s.profile.appendBytes, Clock: func() time.Duration { return s.now },
 			Random: n.rng.Uint64, Background: n.background, Observe: func(a replica.Action) { s.invariants.observe(n, a) }})
 		if !s.invariants.check(err == nil, "starts after any crash", "%s: %v", n.name, err) {
 			return
@@ -230,18 +230,18 @@
 // would: other turns, a kill or a crash in the middle of it come between.
 func (n *node) background(work func()) {
 	runner := n.runner
-	n.sim.after(time.Duration(n.later.Int64N(int64(maxBackground))), func() { n.resume(runner, work) })
+	n.sim.after(time.Duration(n.backgroundRNG.Int64N(int64(maxBackground))), func() { n.runBackground(runner, work) })
 }
 
 // resume runs the work unless the process has ended; a frozen one does it later.
-func (n *node) resume(runner *replica.Runner, work func()) {
+func (n *node) runBackground(runner *replica.Runner, work func()) {
 	switch {
 	case n.runner == nil || n.runner != runner:
 	case n.sim.now < n.frozenUntil:
-		n.sim.after(n.frozenUntil-n.sim.now, func() { n.resume(runner, work) })
+		n.sim.after(n.frozenUntil-n.sim.now, func() { n.runBackground(runner, work) })
 	default:
 		n.sim.note("%s ends work beside its turns", n.name)
-		n.guard(work)
+		n.runUntilCrash(work)
 	}
 }
 
@@ -249,13 +249,13 @@
 	if n.runner != runner {
 		return
 	}
-	n.turn(replica.Request{Event: replica.Tick{}})
+	n.process(replica.Request{Event: replica.Tick{}})
 	// Clocks drift: a twentieth either way.
 	n.sim.after(tick-tick/20+time.Duration(n.rng.Int64N(int64(tick/10))), func() { n.tick(runner) })
 }
 
 // guard runs a part of the process; a crash of the machine may end it anywhere.
-func (n *node) guard(run func()) {
+func (n *node) runUntilCrash(run func()) {
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
@@ -277,19 +277,19 @@
 	return n.id
 }
 
-func (n *node) turn(ask replica.Request) {
+func (n *node) process(request replica.Request) {
 	if n.runner == nil {
 		return
 	}
 	if n.sim.now < n.frozenUntil {
-		_, isTick := ask.Event.(replica.Tick)
+		_, isTick := request.Event.(replica.Tick)
 		if !isTick {
-			n.waiting = append(n.waiting, ask)
+			n.pending = append(n.pending, request)
 		}
 		return
 	}
-	n.guard(func() {
-		if err := n.runner.ProcessBatch([]replica.Request{ask}); err != nil {
+	n.runUntilCrash(func() {
+		if err := n.runner.ProcessBatch([]replica.Request{request}); err != nil {
 			n.sim.note("%s ends: %v", n.name, err)
 			n.kill()
 		}
@@ -306,10 +306,10 @@
 		if n.runner != runner {
 			return
 		}
-		waiting := n.waiting
-		n.waiting = nil
-		for _, ask := range waiting {
-			n.turn(ask)
+		pending := n.pending
+		n.pending = nil
+		for _, request := range pending {
+			n.process(request)
 		}
 	})
 }
@@ -331,7 +331,7 @@
 func (n *node) Send(address string, messages []*lilacv1.RaftMessage) {
 	s := n.sim
 	for _, m := range messages {
-		s.invariants.sent(n, m)
+		s.invariants.messageSent(n, m)
 		if s.cut[n.name+">"+address] || s.rng.Float64() < s.loss {
 			continue
 		}
@@ -344,19 +344,19 @@
 
 func (s *sim) deliver(from *node, address string, m *lilacv1.RaftMessage) {
 	copied := proto.CloneOf(m)
-	s.after(s.delay()+s.lag[address], func() {
+	s.after(s.delay()+s.extraDelay[address], func() {
 		if s.cut[from.name+">"+address] {
 			return
 		}
 		to := s.byName(address)
 		s.note("%s>%s %d term %d index %d n %d commit %d reject %t", from.name, to.name, copied.GetKind(), copied.GetTerm(), copied.GetIndex(), len(copied.GetEntries()), copied.GetCommit(), copied.GetReject())
-		to.turn(replica.Request{Event: replica.Received{Message: copied}})
+		to.process(replica.Request{Event: replica.Received{Message: copied}})
 	})
 }
 
 func (s *sim) delay() time.Duration {
-	wait := time.Millisecond + time.Duration(s.rng.Int64N(int64(s.slow+5*time.Millisecond)))
-	if s.rng.IntN(100) < s.profile.spikes {
+	wait := time.Millisecond + time.Duration(s.rng.Int64N(int64(s.maxDelay+5*time.Millisecond)))
+	if s.rng.IntN(100) < s.profile.delaySpikes {
 		wait += time.Duration(s.rng.Int64N(int64(4 * time.Second)))
 	}
 	return wait
--- a/internal/proof/takeover_test.go
+++ b/internal/proof/takeover_test.go
@@ -12,31 +12,31 @@
 )
 
 // quiet runs have no faults but those that a test makes.
-var quiet = profile{name: "quiet", slow: 30 * time.Millisecond, appendBytes: 1 << 20}
+var faultFree = profile{name: "quiet", maxDelay: 30 * time.Millisecond, appendBytes: 1 << 20}
 
 // newQuiet returns a run that has settled under a leader.
-func newQuiet(seed uint64, nodes int) *sim {
-	p := quiet
+func newFaultFree(seed uint64, nodes int) *sim {
+	p := faultFree
 	p.nodes = nodes
 	s := newSim(p, seed, nil)
-	s.loss, s.dup, s.every = 0, 0, 1000
+	s.loss, s.dup, s.snapshotEvery = 0, 0, 1000
 	s.run(time.Minute, s.settled)
 	return s
 }
 
 // accepted lets time pass until a proposal is accepted, tried each 10 ms.
-func (s *sim) accepted() time.Duration {
-	begun, done := s.now, false
+func (s *sim) timeToAccept() time.Duration {
+	startedAt, done := s.now, false
 	var try func()
 	try = func() {
 		if leader := s.leader(); leader != nil && !done {
-			leader.turn(replica.Request{Event: replica.Propose{Command: []byte{}}, Reply: func(o replica.Outcome) { done = done || o.Err == nil }})
+			leader.process(replica.Request{Event: replica.Propose{Command: []byte{}}, Reply: func(o replica.Outcome) { done = done || o.Err == nil }})
 		}
 		s.after(10*time.Millisecond, try)
 	}
 	try()
 	s.run(s.now+time.Minute, func() bool { return done })
-	return s.now - begun
+	return s.now - startedAt
 }
 
 // A voter that was cut off for ten seconds comes back. The leader that all
@@ -44,12 +44,12 @@
 func TestHealedVoterLeavesTheLeaderAlone(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 10; seed++ {
-		s := newQuiet(seed, 3)
+		s := newFaultFree(seed, 3)
 		leader := s.leader()
 		term := leader.runner.Status().Term
 		for _, n := range s.nodes {
 			if n != leader {
-				s.cutLinks([]string{n.name + ">" + leader.name, leader.name + ">" + n.name, n.name + ">" + s.other(n, leader).name, s.other(n, leader).name + ">" + n.name})
+				s.cutLinks([]string{n.name + ">" + leader.name, leader.name + ">" + n.name, n.name + ">" + s.thirdNode(n, leader).name, s.thirdNode(n, leader).name + ">" + n.name})
 				break
 			}
 		}
@@ -58,11 +58,11 @@
 		s.run(s.now+10*time.Second, func() bool { return false })
 		is.Equal(s.leader(), leader)
 		is.Equal(leader.runner.Status().Term, term)
-		is.True(s.accepted() < 200*time.Millisecond)
+		is.True(s.timeToAccept() < 200*time.Millisecond)
 	}
 }
 
-func (s *sim) other(a, b *node) *node {
+func (s *sim) thirdNode(a, b *node) *node {
 	for _, n := range s.nodes {
 		if n != a && n != b {
 			return n
@@ -80,7 +80,7 @@
 		"frozen": func(_ *sim, n *node) { n.freeze(20 * time.Second) },
 		"cutoff": func(s *sim, n *node) { s.cutOff(n, true, true) },
 		"handed": func(s *sim, n *node) {
-			n.turn(replica.Request{Event: replica.TransferLeadership{}})
+			n.process(replica.Request{Event: replica.TransferLeadership{}})
 			s.after(election, n.kill)
 		},
 	}
@@ -89,9 +89,9 @@
 			b.Run(fmt.Sprintf("voters=%d/%s", nodes, how), func(b *testing.B) {
 				var times []time.Duration
 				for seed := range b.N {
-					s := newQuiet(uint64(seed+1), nodes)
+					s := newFaultFree(uint64(seed+1), nodes)
 					ends[how](s, s.leader())
-					times = append(times, s.accepted())
+					times = append(times, s.timeToAccept())
 				}
 				slices.Sort(times)
 				b.ReportMetric(float64(times[len(times)/2].Milliseconds()), "p50-ms")
