--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -3,27 +3,27 @@
 import "time"
 
 // reportsKept bounds the history that a lag needs.
-const reportsKept = 64
+const maxReports = 64
 
-func (e *engine) isDown() bool  { return e.down }
-func (e *engine) place() string { return e.dataCenter }
-func (s *service) isDown() bool { return false }
-func (s *service) place() string {
+func (e *engine) isDown() bool     { return e.down }
+func (e *engine) location() string { return e.dataCenter }
+func (s *service) isDown() bool    { return false }
+func (s *service) location() string {
 	return s.dataCenter
 }
 
 func (e *engine) sample(at time.Duration) {
 	if !e.down {
-		e.reports = keep(e.reports, report{at: at, running: len(e.running), waiting: len(e.waiting)})
+		e.reports = appendReport(e.reports, report{at: at, running: len(e.running), waiting: len(e.waiting)})
 	}
 }
 
 func (s *service) sample(at time.Duration) {
-	s.reports = keep(s.reports, report{at: at, running: s.running, waiting: len(s.waiting)})
+	s.reports = appendReport(s.reports, report{at: at, running: s.running, waiting: len(s.waiting)})
 }
 
-func keep(reports []report, r report) []report {
-	if len(reports) >= reportsKept {
+func appendReport(reports []report, r report) []report {
+	if len(reports) >= maxReports {
 		reports = append(reports[:0], reports[1:]...)
 	}
 	return append(reports, r)
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	baselineTries = 3
-	baselineEject = 2 * time.Second
+	baselineAttempts = 3
+	baselineEject    = 2 * time.Second
 	// priorityQueue is how many requests strict priority lets wait at one instance.
-	priorityQueue = 256
+	maxPriorityQueue = 256
 )
 
 // picker chooses among servers; it is what baselines differ in.
@@ -30,30 +30,30 @@
 	queued   bool
 	view     *model.View
 	random   *rand.Rand
-	requests map[policy.ID]*tracked
+	requests map[policy.ID]*baselineRequest
 	inFlight map[string]int
 	ejected  map[string]time.Time
 	leaving  map[string]bool
 	next     int
-	waiting  [model.Tiers][]*tracked
+	waiting  [model.Tiers][]*baselineRequest
 	running  map[string]int
 	actions  []policy.Action
 }
 
-type tracked struct {
+type baselineRequest struct {
 	policy.Arrival
-	tier    int
-	server  string
-	attempt int
-	got     int
-	sent    bool
+	tier     int
+	server   string
+	attempt  int
+	received int
+	sent     bool
 }
 
-func newBaseline(pick picker, queued bool) maker {
+func newBaseline(pick picker, queued bool) policyFactory {
 	return func(options policy.Options) policy.Core {
 		return &baseline{
 			pick: pick, queued: queued, view: model.NewView(nil), random: rand.New(rand.NewPCG(options.Seed, 7)),
-			requests: map[policy.ID]*tracked{}, inFlight: map[string]int{}, ejected: map[string]time.Time{}, leaving: map[string]bool{}, running: map[string]int{},
+			requests: map[policy.ID]*baselineRequest{}, inFlight: map[string]int{}, ejected: map[string]time.Time{}, leaving: map[string]bool{}, running: map[string]int{},
 		}
 	}
 }
@@ -94,11 +94,11 @@
 		}
 	case policy.Tokens:
 		if t := b.current(e.ID, e.Attempt); t != nil {
-			t.got += e.Count
+			t.received += e.Count
 		}
 	case policy.Finished:
 		if t := b.current(e.ID, e.Attempt); t != nil {
-			b.leave(t)
+			b.release(t)
 			delete(b.requests, e.ID)
 			b.drain(now)
 		}
@@ -117,7 +117,7 @@
 // Stats implements policy.Core.
 func (b *baseline) Stats() policy.Stats { return policy.Stats{} }
 
-func (b *baseline) current(id policy.ID, attempt int) *tracked {
+func (b *baseline) current(id policy.ID, attempt int) *baselineRequest {
 	if t := b.requests[id]; t != nil && t.attempt == attempt && t.server != "" {
 		return t
 	}
@@ -125,7 +125,7 @@
 }
 
 func (b *baseline) arrive(now time.Time, a policy.Arrival) {
-	t := &tracked{Arrival: a, tier: int(b.view.Classes[a.Class].GetTier())}
+	t := &baselineRequest{Arrival: a, tier: int(b.view.Classes[a.Class].GetTier())}
 	if b.view.Convictions[a.Digest] != nil {
 		b.refuse(t, lilacv1.ErrorKind_ERROR_KIND_CONVICTED)
 		return
@@ -149,7 +149,7 @@
 	for tier := range b.waiting {
 		kept := b.waiting[tier][:0]
 		for _, t := range b.waiting[tier] {
-			if b.room(t.Target) {
+			if b.hasSlot(t.Target) {
 				b.send(now, t)
 			} else {
 				kept = append(kept, t)
@@ -159,7 +159,7 @@
 	}
 }
 
-func (b *baseline) room(target string) bool {
+func (b *baseline) hasSlot(target string) bool {
 	slots := 0
 	for _, s := range b.view.Pools[target] {
 		slots += int(s.GetSlots())
@@ -172,8 +172,8 @@
 	for _, queue := range b.waiting {
 		sum += len(queue)
 	}
-	for tier := len(b.waiting) - 1; tier >= 0 && sum > priorityQueue; tier-- {
-		for len(b.waiting[tier]) > 0 && sum > priorityQueue {
+	for tier := len(b.waiting) - 1; tier >= 0 && sum > maxPriorityQueue; tier-- {
+		for len(b.waiting[tier]) > 0 && sum > maxPriorityQueue {
 			last := len(b.waiting[tier]) - 1
 			b.refuse(b.waiting[tier][last], lilacv1.ErrorKind_ERROR_KIND_OVERLOADED)
 			b.waiting[tier] = b.waiting[tier][:last]
@@ -182,7 +182,7 @@
 	}
 }
 
-func (b *baseline) send(now time.Time, t *tracked) {
+func (b *baseline) send(now time.Time, t *baselineRequest) {
 	var open []string
 	for _, s := range b.view.Pools[t.Target] {
 		name := s.GetName()
@@ -201,7 +201,7 @@
 	b.actions = append(b.actions, policy.Start{ID: t.ID, Server: t.server, Attempt: t.attempt})
 }
 
-func (b *baseline) leave(t *tracked) {
+func (b *baseline) release(t *baselineRequest) {
 	b.inFlight[t.server]--
 	b.running[t.Target]--
 }
@@ -216,7 +216,7 @@
 		b.waiting[t.tier] = slices.Delete(b.waiting[t.tier], i, i+1)
 		return
 	}
-	b.leave(t)
+	b.release(t)
 	b.actions = append(b.actions, policy.Stop{ID: id, Server: t.server, Attempt: t.attempt})
 	b.drain(now)
 }
@@ -226,12 +226,12 @@
 	if t == nil {
 		return
 	}
-	b.leave(t)
+	b.release(t)
 	if e.Crashed || !e.Sent {
 		b.ejected[t.server] = now.Add(baselineEject)
 	}
 	maySend := t.Idempotent || e.Refused || !e.Sent && !t.sent
-	if maySend && t.got == 0 && t.attempt < baselineTries {
+	if maySend && t.received == 0 && t.attempt < baselineAttempts {
 		b.send(now, t)
 	} else {
 		b.refuse(t, lilacv1.ErrorKind_ERROR_KIND_BACKEND_FAILED)
@@ -239,9 +239,9 @@
 	b.drain(now)
 }
 
-func (b *baseline) refuse(t *tracked, kind fault.Kind) {
+func (b *baseline) refuse(t *baselineRequest, kind fault.Kind) {
 	delete(b.requests, t.ID)
-	if t.got > 0 {
+	if t.received > 0 {
 		b.actions = append(b.actions, policy.Broken{ID: t.ID, Kind: kind})
 		return
 	}
--- a/internal/bench/burst_test.go
+++ b/internal/bench/burst_test.go
@@ -13,7 +13,7 @@
 	t.Parallel()
 	for _, seed := range seeds {
 		f := &fleets[0]
-		s := &scenario{name: "proof-burst", length: 55 * time.Second, load: 0.8, reportLag: steadyLag, burstAt: 10 * time.Second, burstFor: 20 * time.Second, burstTimes: 3, burstOne: true}
+		s := &scenario{name: "proof-burst", length: 55 * time.Second, load: 0.8, reportLag: steadyLag, burstAt: 10 * time.Second, burstFor: 20 * time.Second, burstCapacity: 3, burstAtOneInstance: true}
 		w := newWorld(f, s, seed, policy.New)
 		started := map[*call]time.Duration{}
 		w.onStart = func(_ *instance, k *call, _ policy.Start) {
@@ -22,7 +22,7 @@
 			}
 		}
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		inTime, missed := 0, 0
 		for k, at := range started {
 			if k.class.name != f.burst || at-k.at > k.class.first {
--- a/internal/bench/cache.go
+++ b/internal/bench/cache.go
@@ -17,7 +17,7 @@
 }
 
 // hit counts the leading blocks that the cache holds.
-func (c *cache) hit(prefix []uint64) int {
+func (c *cache) matchedBlocks(prefix []uint64) int {
 	for i, hash := range prefix {
 		if _, held := c.used[hash]; !held {
 			return i
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -9,7 +9,7 @@
 	// prefillToken is the engine time for one prompt token that isn't cached.
 	prefillToken = 120 * time.Microsecond
 	// chunk is how many prompt tokens one step takes in.
-	chunk = 256
+	prefillChunk = 256
 	// engineQueue is how many requests wait at an engine before it refuses.
 	engineQueue = 32
 	// cacheBlocks is the prefix cache's size.
@@ -22,7 +22,7 @@
 
 // engineSpeed gives the time of a step and what each request adds to it; two
 // engines of ten are half as fast, since engines carry uneven load.
-func engineSpeed(i int) (base, each time.Duration) {
+func engineSpeed(i int) (base, perRequest time.Duration) {
 	if i == 2 || i == 7 {
 		return 26 * time.Millisecond, 4400 * time.Microsecond
 	}
@@ -38,37 +38,37 @@
 	seq      uint64
 	prefill  int
 	// began is the number of tokens that the attempt started from.
-	began int
+	startTokens int
 	// made counts the answer's tokens, those of earlier attempts included.
-	made    int
-	stopped bool
-	at      backend
+	generated int
+	stopped   bool
+	at        backend
 	// imported jobs come with their KV cache; carried counts the tokens in it
 	// that their caller has not got yet.
-	imported bool
-	carried  int
+	imported    bool
+	undelivered int
 }
 
 // engine batches continuously: each step gives every running request a token,
 // after its prompt was taken in chunk by chunk.
 type engine struct {
-	world      *world
-	name       string
-	dataCenter string
-	base, each time.Duration
-	slow       float64
-	running    []*job
-	waiting    []*job
-	stepping   bool
-	ill        illness
-	down       bool
-	epoch      int
-	seq        uint64
-	cache      cache
-	cacheSeq   uint64
-	reports    []report
-	crashes    int
-	busy       time.Duration
+	world            *world
+	name             string
+	dataCenter       string
+	base, perRequest time.Duration
+	slowdown         float64
+	running          []*job
+	waiting          []*job
+	stepping         bool
+	fault            engineFault
+	down             bool
+	epoch            int
+	seq              uint64
+	cache            cache
+	cacheSeq         uint64
+	reports          []report
+	crashes          int
+	busy             time.Duration
 }
 
 type report struct {
@@ -78,7 +78,7 @@
 
 // accept takes a job in, or refuses it for load.
 func (e *engine) accept(j *job) bool {
-	if len(e.waiting) >= engineQueue || e.ill == refusing {
+	if len(e.waiting) >= engineQueue || e.fault == refusing {
 		return false
 	}
 	e.seq++
@@ -91,11 +91,11 @@
 	})
 	e.waiting = slices.Insert(e.waiting, at, j)
 	e.replay(j)
-	e.wake()
+	e.schedule()
 	return true
 }
 
-func (e *engine) wake() {
+func (e *engine) schedule() {
 	if e.stepping || e.down {
 		return
 	}
@@ -118,39 +118,39 @@
 		if j.imported {
 			continue
 		}
-		cached := e.cache.hit(j.call.prefix) * blockTokens
-		j.prefill = max(j.call.prompt+j.made-cached, 1)
+		cached := e.cache.matchedBlocks(j.call.prefix) * blockTokens
+		j.prefill = max(j.call.prompt+j.generated-cached, 1)
 		if j.attempt > 1 {
-			e.world.tally.redone += j.prefill
+			e.world.tally.recomputed += j.prefill
 		}
 	}
 }
 
 func (e *engine) step() {
 	e.stepping = true
-	left, decoding := chunk, 0
+	remaining, decoding := prefillChunk, 0
 	for _, j := range e.running {
 		if j.prefill == 0 {
 			decoding++
 			continue
 		}
-		take := min(j.prefill, left)
+		take := min(j.prefill, remaining)
 		j.prefill -= take
-		left -= take
+		remaining -= take
 	}
-	length := e.base + time.Duration(len(e.running))*e.each + time.Duration(chunk-left)*prefillToken
-	length = time.Duration(float64(length) * e.slow)
+	length := e.base + time.Duration(len(e.running))*e.perRequest + time.Duration(prefillChunk-remaining)*prefillToken
+	length = time.Duration(float64(length) * e.slowdown)
 	e.busy += length
 	epoch := e.epoch
 	e.world.clock.after(length, func() {
 		if e.epoch == epoch {
-			e.stepped()
+			e.finishStep()
 		}
 	})
 }
 
 // stepped hands out the tokens of a step and begins the next one.
-func (e *engine) stepped() {
+func (e *engine) finishStep() {
 	e.stepping = false
 	kept := e.running[:0]
 	for _, j := range e.running {
@@ -161,20 +161,20 @@
 			kept = append(kept, j)
 			continue
 		}
-		j.made++
-		e.world.tally.made++
-		if j.made == 1 || j.attempt > 1 {
+		j.generated++
+		e.world.tally.generated++
+		if j.generated == 1 || j.attempt > 1 {
 			e.cache.store(j.call.prefix)
 		}
-		if j.call.crashes && j.made >= crashAfter {
-			e.world.tally.taken++
+		if j.call.crashes && j.generated >= crashAfter {
+			e.world.tally.crashedByRequest++
 			e.crash(restartTime)
 			return
 		}
-		if e.ill == timingOut && e.cutOff(j) {
+		if e.fault == timingOut && e.dropAnswer(j) {
 			continue
 		}
-		done := j.made >= j.call.output
+		done := j.generated >= j.call.output
 		e.world.deliver(e.dataCenter, j, done)
 		if !done {
 			kept = append(kept, j)
@@ -182,7 +182,7 @@
 	}
 	clear(e.running[len(kept):])
 	e.running = kept
-	e.wake()
+	e.schedule()
 }
 
 // crash drops all that runs and waits; callers see their connections reset.
--- a/internal/bench/illness.go
+++ b/internal/bench/engine_faults.go
@@ -3,10 +3,10 @@
 import "github.com/lilacbridge/lilacbridge/request/policy"
 
 // illness is what an engine that runs does wrong.
-type illness int
+type engineFault int
 
 const (
-	healthy illness = iota
+	healthy engineFault = iota
 	// refusing engines refuse all new work for load.
 	refusing
 	// timingOut engines begin each answer and drop it after some tokens, as
@@ -15,11 +15,11 @@
 )
 
 // dropAfter is the number of tokens that a timing-out engine makes of an answer.
-const dropAfter = 10
+const tokensBeforeDrop = 10
 
 // cutOff drops the attempt once the engine made its few tokens.
-func (e *engine) cutOff(j *job) bool {
-	if j.made-j.began <= dropAfter || !e.world.linked(e.dataCenter, j.instance.dataCenter) {
+func (e *engine) dropAnswer(j *job) bool {
+	if j.generated-j.startTokens <= tokensBeforeDrop || !e.world.connected(e.dataCenter, j.instance.dataCenter) {
 		return false
 	}
 	j.stopped = true
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -30,7 +30,7 @@
 	// idempotent is the share of requests that may be sent twice.
 	idempotent float64
 	// patience is how long a caller waits for the first token.
-	patience time.Duration
+	firstTokenTimeout time.Duration
 }
 
 // fleet is one of the users' settings.
@@ -73,24 +73,24 @@
 		name: "agence", dataCenters: []string{"dakar-a", "thies-a", "saint-louis-a"},
 		engines: "redaction", service: "guichet", burst: "officers", weights: weights(1, 0.2),
 		classes: []class{
-			{name: "alerts", tier: 0, first: ms(420), between: ms(65), share: 50, late: runLate, rate: 4, prompt: 200, output: 80, spread: 0.5, shared: 8, histories: 1, idempotent: 1, patience: 10 * time.Second},
-			{name: "officers", tier: 1, first: ms(800), between: ms(65), share: 50, late: runLate, rate: 3.5, prompt: 300, output: 160, spread: 0.7, shared: 10, histories: 2, idempotent: 1, patience: 10 * time.Second},
-			{name: "summaries", tier: 2, first: ms(3000), between: ms(100), share: 100, late: refuse, rate: 2, prompt: 800, output: 280, spread: 0.7, shared: 6, histories: 1, idempotent: 1, patience: 30 * time.Second},
-			{name: "digests", tier: 3, first: ms(15000), between: ms(200), share: 100, late: runLate, rate: 1, prompt: 800, output: 450, spread: 0.8, shared: 6, histories: 1, idempotent: 1, patience: 60 * time.Second},
-			{name: "registrations", tier: 0, service: true, first: ms(1000), share: 50, late: runLate, rate: 15, prompt: 50, idempotent: 0, patience: 10 * time.Second},
-			{name: "profiles", tier: 1, service: true, first: ms(500), share: 50, late: runLate, rate: 60, prompt: 20, idempotent: 1, patience: 10 * time.Second},
+			{name: "alerts", tier: 0, first: ms(420), between: ms(65), share: 50, late: runLate, rate: 4, prompt: 200, output: 80, spread: 0.5, shared: 8, histories: 1, idempotent: 1, firstTokenTimeout: 10 * time.Second},
+			{name: "officers", tier: 1, first: ms(800), between: ms(65), share: 50, late: runLate, rate: 3.5, prompt: 300, output: 160, spread: 0.7, shared: 10, histories: 2, idempotent: 1, firstTokenTimeout: 10 * time.Second},
+			{name: "summaries", tier: 2, first: ms(3000), between: ms(100), share: 100, late: refuse, rate: 2, prompt: 800, output: 280, spread: 0.7, shared: 6, histories: 1, idempotent: 1, firstTokenTimeout: 30 * time.Second},
+			{name: "digests", tier: 3, first: ms(15000), between: ms(200), share: 100, late: runLate, rate: 1, prompt: 800, output: 450, spread: 0.8, shared: 6, histories: 1, idempotent: 1, firstTokenTimeout: 60 * time.Second},
+			{name: "registrations", tier: 0, service: true, first: ms(1000), share: 50, late: runLate, rate: 15, prompt: 50, idempotent: 0, firstTokenTimeout: 10 * time.Second},
+			{name: "profiles", tier: 1, service: true, first: ms(500), share: 50, late: runLate, rate: 60, prompt: 20, idempotent: 1, firstTokenTimeout: 10 * time.Second},
 		},
 	},
 	{
 		name: "madryn", dataCenters: []string{"chubut-a", "rionegro-a", "tierradelfuego-a"},
 		engines: "asistente-lm", service: "agenda-app", burst: "voyages", weights: weights(0.5, 1),
 		classes: []class{
-			{name: "dispatch", tier: 0, first: ms(420), between: ms(65), share: 50, late: runLate, rate: 3, prompt: 150, output: 100, spread: 0.5, shared: 6, histories: 1, idempotent: 1, patience: 10 * time.Second},
-			{name: "voyages", tier: 1, first: ms(2500), between: ms(80), share: 50, late: runLate, rate: 1.5, prompt: 1800, output: 650, spread: 0.6, shared: 96, histories: 4, idempotent: 1, patience: 30 * time.Second},
-			{name: "tides", tier: 2, first: ms(2000), between: ms(100), share: 100, late: refuse, rate: 2, prompt: 500, output: 160, spread: 0.6, shared: 4, histories: 1, idempotent: 1, patience: 30 * time.Second},
-			{name: "crew-notes", tier: 3, first: ms(15000), between: ms(200), share: 100, late: runLate, rate: 1, prompt: 700, output: 300, spread: 0.8, shared: 4, histories: 1, idempotent: 1, patience: 60 * time.Second},
-			{name: "bookings", tier: 0, service: true, first: ms(1000), share: 50, late: runLate, rate: 10, prompt: 50, idempotent: 0, patience: 10 * time.Second},
-			{name: "slot-checks", tier: 1, service: true, first: ms(500), share: 50, late: runLate, rate: 60, prompt: 20, idempotent: 1, patience: 10 * time.Second},
+			{name: "dispatch", tier: 0, first: ms(420), between: ms(65), share: 50, late: runLate, rate: 3, prompt: 150, output: 100, spread: 0.5, shared: 6, histories: 1, idempotent: 1, firstTokenTimeout: 10 * time.Second},
+			{name: "voyages", tier: 1, first: ms(2500), between: ms(80), share: 50, late: runLate, rate: 1.5, prompt: 1800, output: 650, spread: 0.6, shared: 96, histories: 4, idempotent: 1, firstTokenTimeout: 30 * time.Second},
+			{name: "tides", tier: 2, first: ms(2000), between: ms(100), share: 100, late: refuse, rate: 2, prompt: 500, output: 160, spread: 0.6, shared: 4, histories: 1, idempotent: 1, firstTokenTimeout: 30 * time.Second},
+			{name: "crew-notes", tier: 3, first: ms(15000), between: ms(200), share: 100, late: runLate, rate: 1, prompt: 700, output: 300, spread: 0.8, shared: 4, histories: 1, idempotent: 1, firstTokenTimeout: 60 * time.Second},
+			{name: "bookings", tier: 0, service: true, first: ms(1000), share: 50, late: runLate, rate: 10, prompt: 50, idempotent: 0, firstTokenTimeout: 10 * time.Second},
+			{name: "slot-checks", tier: 1, service: true, first: ms(500), share: 50, late: runLate, rate: 60, prompt: 20, idempotent: 1, firstTokenTimeout: 10 * time.Second},
 		},
 	},
 }
--- a/internal/bench/fluid.go
+++ b/internal/bench/fluid.go
@@ -36,9 +36,9 @@
 }
 
 type fluidJob struct {
-	call *call
-	left float64
-	end  time.Duration
+	call      *call
+	remaining float64
+	deadline  time.Duration
 }
 
 // fluid is the divisible machine.
@@ -51,9 +51,9 @@
 
 func (m *fluid) arrive(k *call) {
 	m.advance(k.at)
-	end := k.at + k.class.first + time.Duration(k.output-1)*k.class.between
-	j := &fluidJob{call: k, left: float64(k.output), end: end}
-	at, _ := slices.BinarySearchFunc(m.jobs, j, func(a, b *fluidJob) int { return int(a.end - b.end) })
+	deadline := k.at + k.class.first + time.Duration(k.output-1)*k.class.between
+	j := &fluidJob{call: k, remaining: float64(k.output), deadline: deadline}
+	at, _ := slices.BinarySearchFunc(m.jobs, j, func(a, b *fluidJob) int { return int(a.deadline - b.deadline) })
 	m.jobs = slices.Insert(m.jobs, at, j)
 	m.prune()
 }
@@ -68,7 +68,7 @@
 		victim := 0
 		for i := range m.jobs[:at+1] {
 			a, b := m.jobs[i], m.jobs[victim]
-			if a.call.class.tier > b.call.class.tier || a.call.class.tier == b.call.class.tier && a.left > b.left {
+			if a.call.class.tier > b.call.class.tier || a.call.class.tier == b.call.class.tier && a.remaining > b.remaining {
 				victim = i
 			}
 		}
@@ -79,8 +79,8 @@
 func (m *fluid) missed() int {
 	work := 0.0
 	for i, j := range m.jobs {
-		work += j.left
-		if m.now+time.Duration(work/m.speed*float64(time.Second)) > j.end {
+		work += j.remaining
+		if m.now+time.Duration(work/m.speed*float64(time.Second)) > j.deadline {
 			return i
 		}
 	}
@@ -92,11 +92,11 @@
 	m.now = to
 	for len(m.jobs) > 0 {
 		j := m.jobs[0]
-		if j.left > work {
-			j.left -= work
+		if j.remaining > work {
+			j.remaining -= work
 			return
 		}
-		work -= j.left
+		work -= j.remaining
 		m.done = append(m.done, j.call)
 		m.jobs = m.jobs[1:]
 	}
--- a/internal/bench/instance.go
+++ b/internal/bench/instance.go
@@ -9,7 +9,7 @@
 )
 
 // maker makes a policy for one instance.
-type maker func(options policy.Options) policy.Core
+type policyFactory func(options policy.Options) policy.Core
 
 // instance is the shell of one core: it carries events in and actions out.
 type instance struct {
@@ -19,21 +19,21 @@
 	core       policy.Core
 	live       map[policy.ID]*call
 	jobs       map[policy.ID]*job
-	heard      map[string]time.Duration
+	lastDigest map[string]time.Duration
 	// kept is the stopped attempt that the next action moves elsewhere.
-	kept    *job
-	remote  int
-	started int
+	pendingMove *job
+	remote      int
+	started     int
 	// firsts counts first starts, retries starts after an attempt that may have run.
-	firsts, retries int
+	firstStarts, retries int
 	// misled counts refusals that said "not run" of calls that ran.
-	misled int
-	dead   bool
+	falseNotRun int
+	dead        bool
 }
 
-func newInstance(w *world, i int, seed uint64, make maker) *instance {
+func newInstance(w *world, i int, seed uint64, make policyFactory) *instance {
 	in := &instance{world: w, name: instanceName(i), dataCenter: w.fleet.dataCenter(i)}
-	in.live, in.jobs, in.heard = map[policy.ID]*call{}, map[policy.ID]*job{}, map[string]time.Duration{}
+	in.live, in.jobs, in.lastDigest = map[policy.ID]*call{}, map[policy.ID]*job{}, map[string]time.Duration{}
 	in.core = make(policy.Options{Instance: in.name, DataCenter: in.dataCenter, Incarnation: "1", Seed: seed + uint64(i), Weights: w.fleet.weights})
 	return in
 }
@@ -55,7 +55,7 @@
 	if k.class.service {
 		target = in.world.fleet.service
 	}
-	in.world.clock.after(k.class.patience, func() { in.giveUp(k) })
+	in.world.clock.after(k.class.firstTokenTimeout, func() { in.abandon(k) })
 	in.step(policy.Arrival{
 		ID: id, Class: k.class.name, Team: teamName(k.team), Target: target, Digest: k.digest,
 		PromptTokens: k.prompt, Prefix: k.blocks(), Idempotent: k.idempotent,
@@ -63,8 +63,8 @@
 }
 
 // giveUp ends a call whose caller has seen nothing for too long.
-func (in *instance) giveUp(k *call) {
-	if k.outcome != pending || k.got > 0 {
+func (in *instance) abandon(k *call) {
+	if k.outcome != pending || k.received > 0 {
 		return
 	}
 	in.step(policy.Canceled{ID: policy.ID(k.id)})
@@ -76,7 +76,7 @@
 	k.ended = in.world.clock.now
 	delete(in.live, policy.ID(k.id))
 	delete(in.jobs, policy.ID(k.id))
-	in.world.left--
+	in.world.openCalls--
 }
 
 // perform must not call step: actions are gathered in the core's own slice.
@@ -85,7 +85,7 @@
 	case policy.Start:
 		in.start(a)
 	case policy.Stop:
-		in.stop(a, movesOn(a, rest))
+		in.stop(a, resumesElsewhere(a, rest))
 	case policy.Refuse:
 		in.refuse(a)
 	case policy.Broken:
@@ -109,7 +109,7 @@
 		in.world.onRefuse(in, k, a)
 	}
 	if a.NotRun == lilacv1.NotRun_NOT_RUN_TRUE && k.runs > 0 {
-		in.misled++
+		in.falseNotRun++
 	}
 	k.refusal = fault.Name(a.Kind)
 	in.end(k, refused)
@@ -123,23 +123,23 @@
 	if in.world.onStart != nil {
 		in.world.onStart(in, k, a)
 	}
-	j := &job{call: k, instance: in, attempt: a.Attempt, priority: a.Priority, made: k.got, began: k.got}
+	j := &job{call: k, instance: in, attempt: a.Attempt, priority: a.Priority, generated: k.received, startTokens: k.received}
 	in.jobs[a.ID] = j
 	in.countStart(k, a.Attempt)
 	k.lastStart, k.server = in.world.clock.now, a.Server
 	b := in.world.backends[a.Server]
 	j.at = b
 	in.started++
-	if b.place() != in.dataCenter {
+	if b.location() != in.dataCenter {
 		in.remote++
 	}
-	if !in.world.linked(in.dataCenter, b.place()) {
-		in.world.clock.after(connectLimit, func() { in.fail(j, policy.Failed{}) })
+	if !in.world.connected(in.dataCenter, b.location()) {
+		in.world.clock.after(connectTimeout, func() { in.fail(j, policy.Failed{}) })
 		return
 	}
-	if old := in.kept; a.ResumeFrom != "" && old != nil && old.call == k {
-		in.kept = nil
-		in.carry(old, j, b.(*engine))
+	if old := in.pendingMove; a.ResumeFrom != "" && old != nil && old.call == k {
+		in.pendingMove = nil
+		in.moveKV(old, j, b.(*engine))
 		return
 	}
 	in.send(j, b)
@@ -148,7 +148,7 @@
 // countStart counts what the servers see, whatever the core says of itself.
 func (in *instance) countStart(k *call, attempt int) {
 	if attempt == 1 {
-		in.firsts++
+		in.firstStarts++
 		return
 	}
 	k.restarts++
@@ -158,7 +158,7 @@
 }
 
 func (in *instance) send(j *job, b backend) {
-	delay := latency(in.dataCenter, b.place())
+	delay := latency(in.dataCenter, b.location())
 	in.world.clock.after(delay, func() { in.reach(j, b, delay) })
 }
 
@@ -179,26 +179,26 @@
 	}
 }
 
-func (in *instance) stop(a policy.Stop, keep bool) {
+func (in *instance) stop(a policy.Stop, appendReport bool) {
 	j := in.jobs[a.ID]
 	if j == nil || j.attempt != a.Attempt {
 		return
 	}
 	delete(in.jobs, a.ID)
-	if keep {
-		in.kept = j
+	if appendReport {
+		in.pendingMove = j
 		return
 	}
-	in.halt(j)
+	in.cancelAttempt(j)
 }
 
 // halt lets the server know that nobody waits for this attempt any more.
-func (in *instance) halt(j *job) {
-	place := j.at.place()
-	if !in.world.linked(in.dataCenter, place) {
+func (in *instance) cancelAttempt(j *job) {
+	location := j.at.location()
+	if !in.world.connected(in.dataCenter, location) {
 		return
 	}
-	in.world.clock.after(latency(in.dataCenter, place), func() { j.stopped = true })
+	in.world.clock.after(latency(in.dataCenter, location), func() { j.stopped = true })
 }
 
 func (in *instance) fail(j *job, f policy.Failed) {
@@ -219,10 +219,10 @@
 	}
 	k := j.call
 	now := in.world.clock.now
-	if k.got == 0 {
+	if k.received == 0 {
 		k.first = now
 	}
-	k.got++
+	k.received++
 	k.last = now
 	in.step(policy.Tokens{ID: id, Attempt: j.attempt, Count: 1})
 	if done && in.jobs[id] == j {
@@ -242,15 +242,15 @@
 		if other == in {
 			continue
 		}
-		if w.linked(in.dataCenter, other.dataCenter) && w.random.Float64() >= max(digestLoss, w.scenario.digestLoss) {
+		if w.connected(in.dataCenter, other.dataCenter) && w.random.Float64() >= max(digestLoss, w.scenario.digestLoss) {
 			late := time.Duration(w.random.Float64() * float64(w.scenario.digestDelay))
 			w.clock.after(latency(in.dataCenter, other.dataCenter)+late, func() {
-				other.heard[in.name] = w.clock.now
+				other.lastDigest[in.name] = w.clock.now
 				other.step(policy.PeerDigest{Digest: digest})
 			})
 		}
-		if last, known := in.heard[other.name]; known && w.clock.now-last > peerTimeout {
-			delete(in.heard, other.name)
+		if last, known := in.lastDigest[other.name]; known && w.clock.now-last > peerTimeout {
+			delete(in.lastDigest, other.name)
 			in.step(policy.PeerGone{Instance: other.name})
 		}
 	}
@@ -260,7 +260,7 @@
 func (in *instance) kill() {
 	in.dead = true
 	for _, j := range in.jobs {
-		in.halt(j)
+		in.cancelAttempt(j)
 	}
 	for _, k := range in.world.calls {
 		if in.live[policy.ID(k.id)] == k {
@@ -270,11 +270,11 @@
 }
 
 // loseRemote ends attempts across a cut once they were silent for too long.
-func (in *instance) loseRemote() {
+func (in *instance) failPartitioned() {
 	for _, k := range in.world.calls {
 		j := in.jobs[policy.ID(k.id)]
-		if j != nil && j.instance == in && !in.world.linked(in.dataCenter, j.at.place()) {
-			in.world.clock.after(silenceLimit, func() { in.fail(j, policy.Failed{Sent: true}) })
+		if j != nil && j.instance == in && !in.world.connected(in.dataCenter, j.at.location()) {
+			in.world.clock.after(silenceTimeout, func() { in.fail(j, policy.Failed{Sent: true}) })
 		}
 	}
 }
--- a/internal/bench/proof_test.go
+++ b/internal/bench/proof_test.go
@@ -16,27 +16,27 @@
 const overloaded = lilacv1.ErrorKind_ERROR_KIND_OVERLOADED
 
 // proofFleet is the Agence's fleet with classes that run late and callers that wait.
-func proofFleet(burst string, patience time.Duration) *fleet {
+func testFleet(burst string, firstTokenTimeout time.Duration) *fleet {
 	f := fleets[0]
 	f.burst = burst
 	f.classes = append([]class(nil), f.classes...)
 	for i := range f.classes {
 		f.classes[i].late = runLate
-		f.classes[i].patience = patience
+		f.classes[i].firstTokenTimeout = firstTokenTimeout
 	}
 	return &f
 }
 
 // sound fails the test on any invariant that a core saw broken, on a refusal
 // that lied and on a call that ran twice.
-func sound(t *testing.T, seed uint64, w *world) *Result {
+func checkInvariants(t *testing.T, seed uint64, w *world) *Result {
 	t.Helper()
 	out := w.result(Product)
 	for name, count := range out.Violations {
 		t.Errorf("seed %d: invariant %s broken %d times", seed, name, count)
 	}
-	if out.Misled > 0 || out.RanTwice > 0 {
-		t.Errorf("seed %d: %d refusals said not run of calls that ran, %d calls ran twice", seed, out.Misled, out.RanTwice)
+	if out.FalseNotRun > 0 || out.RanTwice > 0 {
+		t.Errorf("seed %d: %d refusals said not run of calls that ran, %d calls ran twice", seed, out.FalseNotRun, out.RanTwice)
 	}
 	return out
 }
@@ -49,8 +49,8 @@
 	is := is.New(t)
 	shedAbove := 0
 	for _, seed := range seeds {
-		f := proofFleet("officers", 60*time.Second)
-		s := &scenario{name: "proof-tiers", length: 35 * time.Second, load: 0.9, reportLag: steadyLag, burstAt: 5 * time.Second, burstFor: 25 * time.Second, burstTimes: 3, burstOne: true, digestLoss: 0.3, digestDelay: 600 * time.Millisecond}
+		f := testFleet("officers", 60*time.Second)
+		s := &scenario{name: "proof-tiers", length: 35 * time.Second, load: 0.9, reportLag: steadyLag, burstAt: 5 * time.Second, burstFor: 25 * time.Second, burstCapacity: 3, burstAtOneInstance: true, digestLoss: 0.3, digestDelay: 600 * time.Millisecond}
 		w := newWorld(f, s, seed, policy.New)
 		killed := false
 		w.onRefuse = func(in *instance, k *call, a policy.Refuse) {
@@ -75,7 +75,7 @@
 			}
 		}
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 	}
 	is.True(shedAbove > 0) // the runs did shed tiers above the lowest
 }
@@ -87,20 +87,20 @@
 	is := is.New(t)
 	const window = 20 * time.Second
 	for _, seed := range seeds {
-		f := proofFleet("alerts", 90*time.Second)
-		s := &scenario{name: "proof-share", length: 65 * time.Second, load: 0.8, reportLag: steadyLag, burstAt: 5 * time.Second, burstFor: 60 * time.Second, burstTimes: 3}
+		f := testFleet("alerts", 90*time.Second)
+		s := &scenario{name: "proof-share", length: 65 * time.Second, load: 0.8, reportLag: steadyLag, burstAt: 5 * time.Second, burstFor: 60 * time.Second, burstCapacity: 3}
 		s.faults = func(w *world) {
 			w.clock.after(25*time.Second, func() { w.engines[1].crash(20 * time.Second) })
 			w.clock.after(25*time.Second, func() { w.engines[3].crash(20 * time.Second) })
 		}
 		w := newWorld(f, s, seed, policy.New)
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		for i := range f.classes {
 			for from := s.burstAt; from+window <= s.burstAt+s.burstFor; from += window {
 				served := 0
 				for _, k := range w.calls {
-					if k.class == &f.classes[i] && k.got > 0 && k.first >= from && k.first < from+window {
+					if k.class == &f.classes[i] && k.received > 0 && k.first >= from && k.first < from+window {
 						served++
 					}
 				}
@@ -109,17 +109,17 @@
 				}
 			}
 		}
-		is.True(longestServed(w, "digests") < longestWaitBound)
+		is.True(longestServed(w, "digests") < maxWaitBound)
 	}
 }
 
 // longestWaitBound is the wait that docs/notes/fairness.md states for this load.
-const longestWaitBound = 30 * time.Second
+const maxWaitBound = 30 * time.Second
 
 func longestServed(w *world, class string) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range w.calls {
-		if k.class.name == class && k.got > 0 {
+		if k.class.name == class && k.received > 0 {
 			longest = max(longest, k.wait())
 		}
 	}
@@ -132,7 +132,7 @@
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
-		f := proofFleet("alerts", 30*time.Second)
+		f := testFleet("alerts", 30*time.Second)
 		s := &scenario{name: "proof-leaving", length: 25 * time.Second, load: 1.1, reportLag: steadyLag, digestLoss: 0.2}
 		told := map[string]time.Duration{}
 		s.faults = func(w *world) {
@@ -152,7 +152,7 @@
 			}
 		}
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 	}
 }
 
@@ -162,7 +162,7 @@
 func TestCrashingRequestCostsTwoServersAtMost(t *testing.T) {
 	t.Parallel()
 	for _, seed := range append(seeds, 5, 6, 7, 8, 16, 24, 34) {
-		f := proofFleet("alerts", 60*time.Second)
+		f := testFleet("alerts", 60*time.Second)
 		s := &scenario{name: "proof-crashing", length: 25 * time.Second, load: 0.6, reportLag: steadyLag, digestLoss: 0.1}
 		s.faults = func(w *world) {
 			w.clock.after(8*time.Second, func() { w.sendCrashing(int(seed) % instanceCount) })
@@ -172,7 +172,7 @@
 		}
 		w := newWorld(f, s, seed, policy.New)
 		w.run(generate(f, s, seed))
-		if out := sound(t, seed, w); out.Crashes > 2 {
+		if out := checkInvariants(t, seed, w); out.Crashes > 2 {
 			t.Errorf("seed %d: %d servers lost to one request", seed, out.Crashes)
 		}
 		for _, k := range w.calls {
@@ -188,7 +188,7 @@
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
-		f := proofFleet("alerts", 30*time.Second)
+		f := testFleet("alerts", 30*time.Second)
 		s := &scenario{name: "proof-retries", length: 40 * time.Second, load: 1, reportLag: staleLag}
 		s.faults = func(w *world) {
 			for i := 0; i < engineCount; i += 2 {
@@ -199,7 +199,7 @@
 		}
 		w := newWorld(f, s, seed, policy.New)
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		for _, in := range w.instances {
 			stats := in.core.Stats()
 			again := float64(stats.Retries + stats.Moved)
@@ -217,7 +217,7 @@
 func TestOutageConvictsNobody(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
-		f := proofFleet("alerts", 60*time.Second)
+		f := testFleet("alerts", 60*time.Second)
 		s := &scenario{name: "proof-outage", length: 20 * time.Second, load: 0.8, reportLag: steadyLag, digestLoss: 0.1}
 		s.faults = func(w *world) {
 			order := w.random.Perm(engineCount)
@@ -228,7 +228,7 @@
 		}
 		w := newWorld(f, s, seed, policy.New)
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		if len(w.convicted) > 0 {
 			t.Errorf("seed %d: %d innocent requests convicted", seed, len(w.convicted))
 		}
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -12,17 +12,17 @@
 
 // row is what one policy did for one class in one scenario.
 type row struct {
-	class    *class
-	calls    int
-	met      int
-	metFirst int
-	between  int
-	answered int
-	good     int
-	broken   int
-	gaveUp   int
-	refusals map[string]int
-	longest  time.Duration
+	class          *class
+	calls          int
+	met            int
+	metFirst       int
+	between        int
+	answered       int
+	good           int
+	broken         int
+	abandonedCalls int
+	refusals       map[string]int
+	longest        time.Duration
 	// longestServed is the longest wait of those that were answered.
 	longestServed time.Duration
 }
@@ -43,17 +43,17 @@
 	// GoodTokens are those of answers within their targets.
 	GoodTokens int
 	// MadeTokens were generated, WastedTokens of these reached no whole answer.
-	MadeTokens, WastedTokens int
+	GeneratedTokens, WastedTokens int
 	// RedoneTokens are prompt tokens computed again in later attempts, MovedTokens
 	// those, answers included, whose KV cache went to another engine.
-	RedoneTokens, MovedTokens int
-	Length                    time.Duration
-	Restarts                  int
-	RanTwice                  int
-	Misled                    int
-	Crashes                   int
-	RemoteShare               float64
-	Violations                map[string]uint64
+	RecomputedTokens, KVTokensMoved int
+	Length                          time.Duration
+	Restarts                        int
+	RanTwice                        int
+	FalseNotRun                     int
+	Crashes                         int
+	RemoteShare                     float64
+	Violations                      map[string]uint64
 	// Estimate sums up how far the predicted answer lengths were off.
 	Estimate estimate.ErrorStats
 }
@@ -81,10 +81,10 @@
 			}
 		}
 	}
-	out.MadeTokens = w.tally.made
-	out.WastedTokens = w.tally.made - answeredTokens
-	out.RedoneTokens = w.tally.redone
-	out.MovedTokens = w.tally.moved
+	out.GeneratedTokens = w.tally.generated
+	out.WastedTokens = w.tally.generated - answeredTokens
+	out.RecomputedTokens = w.tally.recomputed
+	out.KVTokensMoved = w.tally.kvTokensMoved
 	w.addInstances(out)
 	return out
 }
@@ -94,7 +94,7 @@
 	for _, in := range w.instances {
 		started += in.started
 		remote += in.remote
-		out.Misled += in.misled
+		out.FalseNotRun += in.falseNotRun
 		stats := in.core.Stats()
 		out.Estimate.Add(stats.Estimates)
 		for name, count := range stats.Violations {
@@ -120,7 +120,7 @@
 	case broken:
 		r.broken++
 	default:
-		r.gaveUp++
+		r.abandonedCalls++
 	}
 	if k.metFirst() {
 		r.metFirst++
@@ -161,7 +161,7 @@
 
 func (out *Result) goodRate() float64 { return float64(out.GoodTokens) / out.Length.Seconds() }
 
-func (out *Result) wastedShare() float64 { return share(out.WastedTokens, out.MadeTokens) }
+func (out *Result) wastedShare() float64 { return share(out.WastedTokens, out.GeneratedTokens) }
 
 // WriteTable prints the summary and the rows by class.
 func WriteTable(to io.Writer, results []*Result) {
@@ -178,15 +178,15 @@
 			writeRow(to, out, r)
 		}
 		fmt.Fprintf(to, "%-15s %-13s %6s %7.2f %7s %7s %9.0f  wasted %.2f%% (%d) redone prompt %d moved %d restarts %d remote %.0f%% crashes %d twice %d misled %d%s\n",
-			out.Policy, "ALL", "", out.weighted(), "", "", out.goodRate(), out.wastedShare(), out.WastedTokens, out.RedoneTokens, out.MovedTokens,
-			out.Restarts, out.RemoteShare, out.Crashes, out.RanTwice, out.Misled, out.estimateText()+out.violationText())
+			out.Policy, "ALL", "", out.weighted(), "", "", out.goodRate(), out.wastedShare(), out.WastedTokens, out.RecomputedTokens, out.KVTokensMoved,
+			out.Restarts, out.RemoteShare, out.Crashes, out.RanTwice, out.FalseNotRun, out.estimateText()+out.violationText())
 	}
 }
 
 func writeRow(to io.Writer, out *Result, r *row) {
 	fmt.Fprintf(to, "%-15s %-13s %6d %7.2f %7.2f %7.2f %9.0f %6d %5d %8.2f %8.2f  %s\n",
 		out.Policy, r.class.name, r.calls, r.attainment(), share(r.metFirst, r.calls), share(r.between, r.calls),
-		float64(r.good)/out.Length.Seconds(), r.broken, r.gaveUp, r.longest.Seconds(), r.longestServed.Seconds(), r.refusalText())
+		float64(r.good)/out.Length.Seconds(), r.broken, r.abandonedCalls, r.longest.Seconds(), r.longestServed.Seconds(), r.refusalText())
 }
 
 func (out *Result) estimateText() string {
@@ -258,7 +258,7 @@
 		for _, r := range out.rows {
 			fmt.Fprintf(to, "%s,%s,%s,%s,%d,%d,%.3f,%.3f,%.3f,%.1f,%d,%d,%.3f,%.3f,%.3f,%s\n",
 				out.Fleet, out.Scenario, out.Policy, r.class.name, r.class.tier, r.calls, r.attainment(), share(r.metFirst, r.calls),
-				share(r.between, r.calls), float64(r.good)/out.Length.Seconds(), r.broken, r.gaveUp, r.longest.Seconds(), r.longestServed.Seconds(),
+				share(r.between, r.calls), float64(r.good)/out.Length.Seconds(), r.broken, r.abandonedCalls, r.longest.Seconds(), r.longestServed.Seconds(),
 				out.wastedShare(), r.refusalText())
 		}
 	}
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -19,7 +19,7 @@
 // namedPolicy is a policy under test.
 type namedPolicy struct {
 	name string
-	make maker
+	make policyFactory
 }
 
 // Product is the name of our own policy in the table.
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -10,9 +10,9 @@
 
 	burstAt, burstFor time.Duration
 	// burstTimes is the burst class's demand in times of the fleet's capacity.
-	burstTimes float64
+	burstCapacity float64
 	// burstOne sends the whole burst to one instance.
-	burstOne bool
+	burstAtOneInstance bool
 
 	longAt, longUntil time.Duration
 	longFactor        float64
@@ -38,8 +38,8 @@
 func capacity() float64 {
 	sum := 0.0
 	for i := range engineCount {
-		base, each := engineSpeed(i)
-		sum += engineSlots / (base + each*engineSlots).Seconds()
+		base, perRequest := engineSpeed(i)
+		sum += engineSlots / (base + perRequest*engineSlots).Seconds()
 	}
 	return sum
 }
@@ -49,7 +49,7 @@
 	for i := range f.classes {
 		if k := &f.classes[i]; k.name == f.burst {
 			mean := k.output * 1.25
-			return s.burstTimes * capacity() / (k.rate * mean)
+			return s.burstCapacity * capacity() / (k.rate * mean)
 		}
 	}
 	return 1
@@ -57,11 +57,11 @@
 
 var scenarios = []scenario{
 	{name: "steady", length: runLength, load: 1, reportLag: steadyLag},
-	{name: "burst", length: runLength, load: 0.8, reportLag: steadyLag, burstAt: faultAt, burstFor: 20 * time.Second, burstTimes: 3},
-	{name: "burst-one", length: runLength, load: 0.8, reportLag: steadyLag, burstAt: faultAt, burstFor: 20 * time.Second, burstTimes: 3, burstOne: true},
-	{name: "straggler", length: runLength, load: 0.9, reportLag: steadyLag, faults: straggle},
+	{name: "burst", length: runLength, load: 0.8, reportLag: steadyLag, burstAt: faultAt, burstFor: 20 * time.Second, burstCapacity: 3},
+	{name: "burst-one", length: runLength, load: 0.8, reportLag: steadyLag, burstAt: faultAt, burstFor: 20 * time.Second, burstCapacity: 3, burstAtOneInstance: true},
+	{name: "straggler", length: runLength, load: 0.9, reportLag: steadyLag, faults: slowDownEngines},
 	{name: "crash", length: runLength, load: 0.9, reportLag: staleLag, faults: crash},
-	{name: "cut", length: runLength, load: 0.9, reportLag: steadyLag, faults: cut},
+	{name: "cut", length: runLength, load: 0.9, reportLag: steadyLag, faults: partitionDataCenter},
 	{name: "crashing-request", length: runLength, load: 0.9, reportLag: steadyLag, faults: crashingRequest},
 	{name: "long-answers", length: runLength, load: 0.9, reportLag: steadyLag, longAt: faultAt, longUntil: 70 * time.Second, longFactor: 2.5},
 	{name: "drain", length: runLength, load: 1, reportLag: steadyLag, faults: drain},
@@ -70,11 +70,11 @@
 }
 
 // straggle makes two engines six times slower for a minute.
-func straggle(w *world) {
+func slowDownEngines(w *world) {
 	for _, i := range []int{0, 4} {
 		e := w.engines[i]
-		w.clock.after(faultAt, func() { e.slow = 6 })
-		w.clock.after(faultAt+60*time.Second, func() { e.slow = 1 })
+		w.clock.after(faultAt, func() { e.slowdown = 6 })
+		w.clock.after(faultAt+60*time.Second, func() { e.slowdown = 1 })
 	}
 }
 
@@ -88,31 +88,31 @@
 }
 
 const (
-	drainNotice = 5 * time.Second
-	drainAway   = 15 * time.Second
-	drainEvery  = 10 * time.Second
-	drained     = 8
+	drainNotice    = 5 * time.Second
+	drainAbsence   = 15 * time.Second
+	drainEvery     = 10 * time.Second
+	drainedEngines = 8
 )
 
 // drain takes eight engines out in turn, as a platform does that wants its
 // instances back: little notice, then each is gone, and later replaced.
 func drain(w *world) {
-	for n := range drained {
+	for n := range drainedEngines {
 		e := w.engines[n]
-		w.clock.after(faultAt+time.Duration(n)*drainEvery, func() { w.leave(e, drainNotice, drainAway) })
+		w.clock.after(faultAt+time.Duration(n)*drainEvery, func() { w.drainEngine(e, drainNotice, drainAbsence) })
 	}
 }
 
 // cut separates the last data centre from the others, silently, for 30 s.
-func cut(w *world) {
+func partitionDataCenter(w *world) {
 	dc := w.fleet.dataCenters[2]
 	w.clock.after(faultAt, func() {
-		w.cutOff = dc
+		w.isolatedDataCenter = dc
 		for _, in := range w.instances {
-			in.loseRemote()
+			in.failPartitioned()
 		}
 	})
-	w.clock.after(faultAt+30*time.Second, func() { w.cutOff = "" })
+	w.clock.after(faultAt+30*time.Second, func() { w.isolatedDataCenter = "" })
 }
 
 // crashingRequest is sent, and after each end sent again at the next instance.
--- a/internal/bench/service.go
+++ b/internal/bench/service.go
@@ -28,11 +28,11 @@
 		return false
 	}
 	s.waiting = append(s.waiting, j)
-	s.wake()
+	s.schedule()
 	return true
 }
 
-func (s *service) wake() {
+func (s *service) schedule() {
 	for s.running < serviceSlots && len(s.waiting) > 0 {
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
@@ -52,6 +52,6 @@
 		if !j.stopped {
 			s.world.deliver(s.dataCenter, j, true)
 		}
-		s.wake()
+		s.schedule()
 	})
 }
--- a/internal/bench/storm_test.go
+++ b/internal/bench/storm_test.go
@@ -8,7 +8,7 @@
 	"github.com/lilacbridge/lilacbridge/request/retry"
 )
 
-const stormFor = 30 * time.Second
+const stormLength = 30 * time.Second
 
 // storm takes half of the engines down at once; of the rest one refuses all new
 // work and the others drop each answer after a few tokens.
@@ -17,17 +17,17 @@
 		for i, e := range w.engines {
 			switch {
 			case i%2 == 0:
-				e.crash(stormFor)
+				e.crash(stormLength)
 			case i == 1:
-				e.ill = refusing
+				e.fault = refusing
 			default:
-				e.ill = timingOut
+				e.fault = timingOut
 			}
 		}
 	})
-	w.clock.after(8*time.Second+stormFor, func() {
+	w.clock.after(8*time.Second+stormLength, func() {
 		for _, e := range w.engines {
-			e.ill = healthy
+			e.fault = healthy
 		}
 	})
 }
@@ -39,14 +39,14 @@
 func TestRetriesDoNotMultiplyLoad(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
-		f := proofFleet("alerts", 30*time.Second)
+		f := testFleet("alerts", 30*time.Second)
 		s := &scenario{name: "proof-storm", length: 40 * time.Second, load: 1, reportLag: staleLag, faults: storm}
 		w := newWorld(f, s, seed, policy.New)
 		w.run(generate(f, s, seed))
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		for _, in := range w.instances {
 			again := in.retries + int(in.core.Stats().Moved)
-			if allowed := retry.Burst + f.weights.RetryShare*float64(in.firsts); float64(again) > allowed {
+			if allowed := retry.Burst + f.weights.RetryShare*float64(in.firstStarts); float64(again) > allowed {
 				t.Errorf("seed %d: %s started %d requests again, %.0f allowed", seed, in.name, again, allowed)
 			}
 		}
--- a/internal/bench/suspects_test.go
+++ b/internal/bench/suspects_test.go
@@ -28,7 +28,7 @@
 
 // run plays one trial and returns the world after its end.
 func (c copies) run(seed uint64) *world {
-	f := proofFleet("alerts", 60*time.Second)
+	f := testFleet("alerts", 60*time.Second)
 	s := &scenario{name: "proof-copies", length: 25 * time.Second, load: 0.6, reportLag: steadyLag, digestLoss: c.loss}
 	s.faults = func(w *world) {
 		r := rand.New(rand.NewPCG(seed, 17))
@@ -57,7 +57,7 @@
 
 // run plays one trial and returns the world after its end.
 func (o outages) run(seed uint64) *world {
-	f := proofFleet("alerts", 60*time.Second)
+	f := testFleet("alerts", 60*time.Second)
 	s := &scenario{name: "proof-outages", length: 25 * time.Second, load: o.load, reportLag: steadyLag, digestLoss: 0.1}
 	s.faults = func(w *world) {
 		r := rand.New(rand.NewPCG(seed, 18))
@@ -98,7 +98,7 @@
 	for _, c := range cases {
 		for _, seed := range c.seeds {
 			w := c.copies.run(seed)
-			if out := sound(t, seed, w); out.Crashes > 2 {
+			if out := checkInvariants(t, seed, w); out.Crashes > 2 {
 				t.Errorf("%v, seed %d: %d servers lost to one request", c.copies, seed, out.Crashes)
 			}
 			if n := w.unanswered(); n > 0 {
@@ -116,7 +116,7 @@
 	o := outages{engines: 3, span: 5 * time.Second, load: 0.8}
 	for _, seed := range []uint64{1011, 1013, 1018, 1021, 1043, 1066} {
 		w := o.run(seed)
-		sound(t, seed, w)
+		checkInvariants(t, seed, w)
 		if n := w.convictedInnocents(); n > 0 {
 			t.Errorf("seed %d: %d innocent requests convicted", seed, n)
 		}
@@ -131,9 +131,9 @@
 	for _, o := range []outages{{2, 5 * time.Second, 0.6, true}, {3, 5 * time.Second, 0.6, true}} {
 		for _, seed := range []uint64{1000, 1001, 1002} {
 			w := o.run(seed)
-			sound(t, seed, w)
-			if w.tally.taken > 2 || w.convictedInnocents() > 0 {
-				t.Errorf("%v, seed %d: %d servers lost to one request, %d innocents convicted", o, seed, w.tally.taken, w.convictedInnocents())
+			checkInvariants(t, seed, w)
+			if w.tally.crashedByRequest > 2 || w.convictedInnocents() > 0 {
+				t.Errorf("%v, seed %d: %d servers lost to one request, %d innocents convicted", o, seed, w.tally.crashedByRequest, w.convictedInnocents())
 			}
 		}
 	}
@@ -152,17 +152,17 @@
 
 // unanswered counts the innocent calls to engines without a whole answer.
 func (w *world) unanswered() int {
-	without := 0
+	unanswered := 0
 	for _, k := range w.calls {
 		if !k.class.service && k.outcome != answered {
-			without++
+			unanswered++
 		}
 	}
-	return without
+	return unanswered
 }
 
 // spoiled counts invariants broken.
-func (w *world) spoiled() int {
+func (w *world) violations() int {
 	all := 0
 	for _, count := range w.result(Product).Violations {
 		all += int(count)
@@ -171,7 +171,7 @@
 }
 
 // repeat plays trials on a few workers.
-func repeat(run func(seed uint64) *world, look func(w *world)) {
+func repeat(run func(seed uint64) *world, inspect func(w *world)) {
 	tasks := make([]func() *Result, *trials)
 	results := make(chan *world, *trials)
 	for i := range tasks {
@@ -180,7 +180,7 @@
 	perform(tasks, 0)
 	close(results)
 	for w := range results {
-		look(w)
+		inspect(w)
 	}
 }
 
@@ -195,7 +195,7 @@
 	}
 	for _, c := range cases {
 		b.Run(c.String(), func(b *testing.B) {
-			over, four, without, spoiled := 0, 0, 0, 0
+			over, four, unanswered, violations := 0, 0, 0, 0
 			repeat(c.run, func(w *world) {
 				lost := w.result(Product).Crashes
 				if lost > 2 {
@@ -204,14 +204,14 @@
 				if lost > 3 {
 					four++
 				}
-				without += w.unanswered()
-				spoiled += w.spoiled()
+				unanswered += w.unanswered()
+				violations += w.violations()
 			})
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(float64(over), "over-two")
 			b.ReportMetric(float64(four), "over-three")
-			b.ReportMetric(float64(without), "unanswered")
-			b.ReportMetric(float64(spoiled), "violations")
+			b.ReportMetric(float64(unanswered), "unanswered")
+			b.ReportMetric(float64(violations), "violations")
 		})
 	}
 }
@@ -227,24 +227,24 @@
 	}
 	for _, o := range cases {
 		b.Run(o.String(), func(b *testing.B) {
-			innocent, runs, extra, without, spoiled := 0, 0, 0, 0, 0
+			innocent, runs, extra, unanswered, violations := 0, 0, 0, 0, 0
 			repeat(o.run, func(w *world) {
 				if n := w.convictedInnocents(); n > 0 {
 					innocent += n
 					runs++
 				}
-				if w.tally.taken > 2 {
+				if w.tally.crashedByRequest > 2 {
 					extra++
 				}
-				without += w.unanswered()
-				spoiled += w.spoiled()
+				unanswered += w.unanswered()
+				violations += w.violations()
 			})
 			b.ReportMetric(0, "ns/op")
 			b.ReportMetric(float64(innocent), "innocents")
 			b.ReportMetric(float64(runs), "runs")
 			b.ReportMetric(float64(extra), "over-two")
-			b.ReportMetric(float64(without), "unanswered")
-			b.ReportMetric(float64(spoiled), "violations")
+			b.ReportMetric(float64(unanswered), "unanswered")
+			b.ReportMetric(float64(violations), "violations")
 		})
 	}
 }
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -28,7 +28,7 @@
 	// crashes is true for the request that crashes each engine that runs it.
 	crashes bool
 
-	got      int
+	received int
 	first    time.Duration
 	last     time.Duration
 	ended    time.Duration
@@ -80,7 +80,7 @@
 
 // wait is how long the caller waited for the first token, or for the refusal.
 func (k *call) wait() time.Duration {
-	if k.got > 0 || k.outcome == answered {
+	if k.received > 0 || k.outcome == answered {
 		return k.first - k.at
 	}
 	return k.ended - k.at
@@ -172,7 +172,7 @@
 func newCall(f *fleet, s *scenario, index int, at time.Duration, r *rand.Rand) *call {
 	k := &f.classes[index]
 	c := &call{class: k, at: at, team: pickTeam(r), instance: r.IntN(instanceCount)}
-	if s.burstFor > 0 && s.burstOne && k.name == f.burst && at >= s.burstAt && at < s.burstAt+s.burstFor {
+	if s.burstFor > 0 && s.burstAtOneInstance && k.name == f.burst && at >= s.burstAt && at < s.burstAt+s.burstFor {
 		c.instance = 0
 	}
 	c.idempotent = r.Float64() < k.idempotent
@@ -185,8 +185,8 @@
 	c.prompt = max(c.prompt, (k.shared+1)*blockTokens)
 	c.prefix = prefixOf(index, c.team, history, k.shared, c.prompt, id)
 	// A team's own habit moves the median: estimates by class and team can learn it.
-	habit := 0.7 + 0.6*float64(c.team)/(teamCount-1)
-	median := k.output * habit
+	teamFactor := 0.7 + 0.6*float64(c.team)/(teamCount-1)
+	median := k.output * teamFactor
 	if s.longAt > 0 && at >= s.longAt && at < s.longUntil && k.tier >= 1 {
 		median *= s.longFactor
 	}
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -11,74 +11,74 @@
 )
 
 const (
-	nearLatency    = 500 * time.Microsecond
-	farLatency     = 25 * time.Millisecond
-	reportEvery    = 200 * time.Millisecond
-	digestEvery    = 500 * time.Millisecond
-	digestLoss     = 0.02
-	peerTimeout    = 3 * time.Second
-	connectLimit   = time.Second
-	silenceLimit   = 3 * time.Second
-	convictTime    = 150 * time.Millisecond
-	cacheEvery     = 500 * time.Millisecond
-	cacheLoss      = 0.05
-	resendPause    = 20 * time.Millisecond
-	resends        = 16
-	drainLimit     = 150 * time.Second
-	crashingFirst  = 1 << 40
-	crashingDigest = "crashing"
+	nearLatency        = 500 * time.Microsecond
+	farLatency         = 25 * time.Millisecond
+	reportInterval     = 200 * time.Millisecond
+	digestInterval     = 500 * time.Millisecond
+	digestLoss         = 0.02
+	peerTimeout        = 3 * time.Second
+	connectTimeout     = time.Second
+	silenceTimeout     = 3 * time.Second
+	convictionDelay    = 150 * time.Millisecond
+	cacheEventInterval = 500 * time.Millisecond
+	cacheLoss          = 0.05
+	resendPollInterval = 20 * time.Millisecond
+	maxResends         = 16
+	drainLimit         = 150 * time.Second
+	firstCrashingID    = 1 << 40
+	crashingDigest     = "crashing"
 )
 
 // tally counts what the engines did, over the whole run.
 type tally struct {
-	made   int
-	redone int
+	generated  int
+	recomputed int
 	// moved counts tokens, prompts included, whose KV cache went to another
 	// engine, vanished the engines that left.
-	moved    int
-	vanished int
+	kvTokensMoved int
+	terminated    int
 	// taken counts engines that a crashing request took down; an outage that
 	// hits one of those while it is down takes nothing more.
-	taken int
+	crashedByRequest int
 }
 
 // backend is an engine or a plain service.
 type backend interface {
 	accept(j *job) bool
 	isDown() bool
-	place() string
+	location() string
 	sample(at time.Duration)
 	reportAt(at time.Duration) (report, bool)
 }
 
 // world is one run.
 type world struct {
-	clock     clock
-	fleet     *fleet
-	scenario  *scenario
-	random    *rand.Rand
-	view      *model.View
-	engines   []*engine
-	backends  map[string]backend
-	names     []string
-	instances []*instance
-	calls     []*call
-	crashing  []*call
-	left      int
-	cutOff    string
-	tally     tally
-	revision  uint64
-	convicted []*lilacv1.Conviction
+	clock              clock
+	fleet              *fleet
+	scenario           *scenario
+	random             *rand.Rand
+	view               *model.View
+	engines            []*engine
+	backends           map[string]backend
+	names              []string
+	instances          []*instance
+	calls              []*call
+	crashing           []*call
+	openCalls          int
+	isolatedDataCenter string
+	tally              tally
+	revision           uint64
+	convicted          []*lilacv1.Conviction
 	// onRefuse and onStart let tests look at each such action as it is taken.
 	onRefuse func(in *instance, k *call, a policy.Refuse)
 	onStart  func(in *instance, k *call, a policy.Start)
 }
 
-func newWorld(f *fleet, s *scenario, seed uint64, make maker) *world {
+func newWorld(f *fleet, s *scenario, seed uint64, make policyFactory) *world {
 	w := &world{fleet: f, scenario: s, random: rand.New(rand.NewPCG(seed, 99)), backends: map[string]backend{}, view: f.view(), revision: 1}
 	for i := range engineCount {
-		base, each := engineSpeed(i)
-		e := &engine{world: w, name: engineName(i), dataCenter: f.dataCenter(i), base: base, each: each, slow: 1}
+		base, perRequest := engineSpeed(i)
+		e := &engine{world: w, name: engineName(i), dataCenter: f.dataCenter(i), base: base, perRequest: perRequest, slowdown: 1}
 		w.engines = append(w.engines, e)
 		w.add(e.name, e)
 	}
@@ -97,8 +97,8 @@
 }
 
 // linked tells whether two data centres reach each other.
-func (w *world) linked(a, b string) bool {
-	return a == b || w.cutOff == "" || a != w.cutOff && b != w.cutOff
+func (w *world) connected(a, b string) bool {
+	return a == b || w.isolatedDataCenter == "" || a != w.isolatedDataCenter && b != w.isolatedDataCenter
 }
 
 func latency(a, b string) time.Duration {
@@ -110,7 +110,7 @@
 
 // deliver carries one token, or a service's answer, to the instance.
 func (w *world) deliver(from string, j *job, done bool) {
-	if !w.linked(from, j.instance.dataCenter) {
+	if !w.connected(from, j.instance.dataCenter) {
 		return
 	}
 	w.clock.after(latency(from, j.instance.dataCenter), func() { j.instance.token(j, done) })
@@ -118,7 +118,7 @@
 
 // reset carries the news of a broken connection.
 func (w *world) reset(from string, j *job) {
-	if !w.linked(from, j.instance.dataCenter) {
+	if !w.connected(from, j.instance.dataCenter) {
 		return
 	}
 	w.clock.after(latency(from, j.instance.dataCenter), func() {
@@ -129,27 +129,27 @@
 // run plays the arrivals and returns when every call has ended.
 func (w *world) run(calls []*call) {
 	w.calls = calls
-	w.left = len(calls)
+	w.openCalls = len(calls)
 	for _, k := range calls {
-		w.clock.after(k.at, func() { w.alive(k.instance).arrive(k) })
+		w.clock.after(k.at, func() { w.liveInstance(k.instance).arrive(k) })
 	}
 	for i, in := range w.instances {
 		in.step(policy.Configured{View: w.view})
 		w.every(time.Duration(i)*time.Millisecond, policy.TickInterval, func() { in.step(policy.Tick{}) })
-		w.every(time.Duration(i)*60*time.Millisecond, digestEvery, in.sendDigest)
+		w.every(time.Duration(i)*60*time.Millisecond, digestInterval, in.sendDigest)
 	}
 	if w.scenario.faults != nil {
 		w.scenario.faults(w)
 	}
-	w.every(0, reportEvery, w.report)
-	w.every(0, cacheEvery, w.cacheEvents)
-	for w.clock.now < w.scenario.length+drainLimit && (w.left > 0 || w.clock.now < w.scenario.length) {
+	w.every(0, reportInterval, w.report)
+	w.every(0, cacheEventInterval, w.cacheEvents)
+	for w.clock.now < w.scenario.length+drainLimit && (w.openCalls > 0 || w.clock.now < w.scenario.length) {
 		w.clock.next()
 	}
 }
 
 // alive returns the instance, or the next one that still runs.
-func (w *world) alive(i int) *instance {
+func (w *world) liveInstance(i int) *instance {
 	for w.instances[i%instanceCount].dead {
 		i++
 	}
@@ -178,7 +178,7 @@
 		}
 		age := w.clock.now - r.at
 		for _, in := range w.instances {
-			if w.linked(b.place(), in.dataCenter) {
+			if w.connected(b.location(), in.dataCenter) {
 				in.step(policy.LoadReport{Server: name, Running: r.running, Waiting: r.waiting, KVUsed: float64(r.running) / engineSlots, Age: age})
 			}
 		}
@@ -199,8 +199,8 @@
 			continue
 		}
 		for _, in := range w.instances {
-			if w.linked(e.dataCenter, in.dataCenter) {
-				w.clock.after(cacheEvery, func() { in.step(event) })
+			if w.connected(e.dataCenter, in.dataCenter) {
+				w.clock.after(cacheEventInterval, func() { in.step(event) })
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 
 // convict shares a conviction with every instance that is reached.
 func (w *world) convict(from *instance, c policy.Convict) {
-	w.clock.after(convictTime, func() {
+	w.clock.after(convictionDelay, func() {
 		w.revision++
 		w.convicted = append(w.convicted, &lilacv1.Conviction{Digest: c.Digest, Team: c.Team, Servers: c.Servers})
 		view := *w.view
@@ -219,7 +219,7 @@
 		}
 		w.view = &view
 		for _, in := range w.instances {
-			if w.linked(from.dataCenter, in.dataCenter) {
+			if w.connected(from.dataCenter, in.dataCenter) {
 				in.step(policy.Configured{View: w.view})
 			}
 		}
@@ -229,26 +229,26 @@
 // sendCrashing sends the crashing request to the next instance; its caller
 // sends it again as soon as an answer or error came.
 func (w *world) sendCrashing(n int) {
-	if n >= resends {
+	if n >= maxResends {
 		return
 	}
 	k := &call{
-		id: crashingFirst + uint64(len(w.crashing)), class: &w.fleet.classes[1], at: w.clock.now, team: 2, instance: n % instanceCount,
+		id: firstCrashingID + uint64(len(w.crashing)), class: &w.fleet.classes[1], at: w.clock.now, team: 2, instance: n % instanceCount,
 		prompt: 200, output: 200, digest: crashingDigest, idempotent: true, crashes: true,
 		prefix: prefixOf(77, 2, 0, 12, 200, 1),
 	}
 	w.crashing = append(w.crashing, k)
-	w.left++
+	w.openCalls++
 	w.instances[k.instance].arrive(k)
 	var watch func()
 	watch = func() {
 		if k.outcome == pending {
-			w.clock.after(resendPause, watch)
+			w.clock.after(resendPollInterval, watch)
 			return
 		}
 		w.sendCrashing(n + 1)
 	}
-	w.clock.after(resendPause, watch)
+	w.clock.after(resendPollInterval, watch)
 }
 
 func instanceName(i int) string { return fmt.Sprintf("entry-%d", i) }
