--- a/internal/capacity/size_bench_test.go
+++ b/internal/capacity/size_bench_test.go
@@ -48,11 +48,11 @@
 }
 
 // heapOf reports the heap that what make returns holds on to.
-func heapOf(b *testing.B, build func() any) {
+func reportRetainedHeap(b *testing.B, build func() any) {
 	before := heap()
-	kept := build()
+	retained := build()
 	after := heap()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(retained)
 	b.ReportMetric(float64(after)-float64(before), "heap-B")
 	b.ReportMetric(0, "ns/op")
 }
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkViewHeap(b *testing.B) {
-	held := func(teams, servers int) func() any {
+	load := func(teams, servers int) func() any {
 		return func() any {
 			h := config.NewFollower()
 			if err := h.Load(snapshot(teams, servers)); err != nil {
@@ -75,17 +75,17 @@
 		}
 	}
 	for _, n := range teamSizes {
-		b.Run(fmt.Sprint("teams/n=", n), func(b *testing.B) { heapOf(b, held(n, 0)) })
+		b.Run(fmt.Sprint("teams/n=", n), func(b *testing.B) { reportRetainedHeap(b, load(n, 0)) })
 	}
 	for _, n := range replicaSizes {
-		b.Run(fmt.Sprint("servers/n=", n), func(b *testing.B) { heapOf(b, held(0, n)) })
+		b.Run(fmt.Sprint("servers/n=", n), func(b *testing.B) { reportRetainedHeap(b, load(0, n)) })
 	}
 }
 
 func BenchmarkCoreHeap(b *testing.B) {
 	for _, n := range replicaSizes {
 		s := snapshot(100, n)
-		b.Run(fmt.Sprint("n=", n), func(b *testing.B) { heapOf(b, func() any { return newCore(s) }) })
+		b.Run(fmt.Sprint("n=", n), func(b *testing.B) { reportRetainedHeap(b, func() any { return newCore(s) }) })
 	}
 }
 
@@ -116,7 +116,7 @@
 			for b.Loop() {
 				id++
 				now = now.Add(time.Millisecond)
-				start := startOf(core.Step(now, policy.Arrival{ID: id, Class: "class-1", Team: "team-1", Target: "model-0", Digest: fmt.Sprint(id), PromptTokens: 200, Idempotent: true}))
+				start := firstStart(core.Step(now, policy.Arrival{ID: id, Class: "class-1", Team: "team-1", Target: "model-0", Digest: fmt.Sprint(id), PromptTokens: 200, Idempotent: true}))
 				if start == nil {
 					b.Fatal("not started at once")
 				}
@@ -128,7 +128,7 @@
 	}
 }
 
-func startOf(actions []policy.Action) *policy.Start {
+func firstStart(actions []policy.Action) *policy.Start {
 	for _, action := range actions {
 		if start, ok := action.(policy.Start); ok {
 			return &start
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -16,9 +16,9 @@
 
 const (
 	// The ports below the range from which systems take outgoing ones.
-	firstPort = 10_000
-	lastPort  = 32_767
-	tries     = 200
+	firstPort   = 10_000
+	lastPort    = 32_767
+	maxAttempts = 200
 )
 
 // ErrNoPort is the error of a machine on which every port tried was taken.
@@ -35,7 +35,7 @@
 // ListenBelowClients listens at 127.0.0.1, at a port that no outgoing
 // connection gets. It returns ErrNoPort where it finds none.
 func ListenBelowClients() (net.Listener, error) {
-	for range tries {
+	for range maxAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort+1)
 		listener, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port))
 		if err == nil {
--- a/internal/style/style_test.go
+++ b/internal/style/style_test.go
@@ -35,7 +35,7 @@
 	for _, decl := range file.Decls {
 		switch d := decl.(type) {
 		case *ast.FuncDecl:
-			if d.Name.IsExported() && d.Doc == nil && (d.Recv == nil || exportedReceiver(d)) && !wellKnown[d.Name.Name] {
+			if d.Name.IsExported() && d.Doc == nil && (d.Recv == nil || exportedReceiver(d)) && !conventionalMethods[d.Name.Name] {
 				names = append(names, d.Name.Name)
 			}
 		case *ast.GenDecl:
@@ -46,7 +46,7 @@
 }
 
 // wellKnown methods say all in their name by the language's custom.
-var wellKnown = map[string]bool{"Close": true, "Error": true, "String": true, "Unwrap": true, "Len": true, "Less": true, "Swap": true, "Push": true, "Pop": true, "ReadByte": true}
+var conventionalMethods = map[string]bool{"Close": true, "Error": true, "String": true, "Unwrap": true, "Len": true, "Less": true, "Swap": true, "Push": true, "Pop": true, "ReadByte": true}
 
 func exportedReceiver(d *ast.FuncDecl) bool {
 	expr := d.Recv.List[0].Type
@@ -91,22 +91,22 @@
 }
 
 // lifeSpan orders the folders from the longest-lived to the shortest-lived.
-var lifeSpan = map[string]int{"process": 0, "version": 1, "connection": 2, "request": 3}
+var lifetimeRank = map[string]int{"process": 0, "version": 1, "connection": 2, "request": 3}
 
 func TestLongerLivedPackagesImportNoShorterLivedOne(t *testing.T) {
 	const module = "github.com/lilacbridge/lilacbridge/"
 	for _, path := range sources(t) {
 		folder := strings.Split(filepath.ToSlash(strings.TrimPrefix(path, root+"/")), "/")[0]
-		own, ok := lifeSpan[folder]
+		rank, ok := lifetimeRank[folder]
 		if !ok || strings.HasSuffix(path, "_test.go") {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		is.New(t).NoErr(err)
 		for _, imported := range file.Imports {
-			rest, ours := strings.CutPrefix(strings.Trim(imported.Path.Value, `"`), module)
-			other, known := lifeSpan[strings.Split(rest, "/")[0]]
-			if ours && known && other > own {
+			rest, inModule := strings.CutPrefix(strings.Trim(imported.Path.Value, `"`), module)
+			importedRank, known := lifetimeRank[strings.Split(rest, "/")[0]]
+			if inModule && known && importedRank > rank {
 				t.Errorf("%s imports %s, which lives shorter", path, rest)
 			}
 		}
