--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -1,5 +1,5 @@
-// Package capacity turns the output of the project's size benchmarks into
-// slopes, and the slopes into the cost of each role at the size to design for.
+// Package capacity fits lines through the results of the scaling benchmarks and
+// projects the cost of each role at the design size.
 package capacity
 
 import (
@@ -15,7 +15,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Sample is one metric of one benchmark at one size.
+// Sample is the value of one metric of one benchmark at one size.
 type Sample struct {
 	// Bench is the benchmark's name without its size, such as "Traffic".
 	Bench string
@@ -24,8 +24,8 @@
 	Value float64
 }
 
-// Read takes the samples out of the output of "go test -bench". The size is
-// the number after the last "=" of a benchmark's name.
+// Read parses the output of "go test -bench". The size is the number after the
+// last "=" in a benchmark's name; lines without one are skipped.
 func Read(r io.Reader) ([]Sample, error) {
 	var samples []Sample
 	scanner := bufio.NewScanner(r)
@@ -49,7 +49,7 @@
 	return samples, scanner.Err()
 }
 
-// splitName cuts "BenchmarkTraffic/entries=64-12" into "Traffic" and 64.
+// splitName splits "BenchmarkTraffic/entries=64-12" into "Traffic" and 64.
 func splitName(name string) (string, float64, bool) {
 	name = strings.TrimPrefix(name, "Benchmark")
 	if dash := strings.LastIndexByte(name, '-'); dash > strings.LastIndexByte(name, '=') {
@@ -67,18 +67,17 @@
 	return name[:max(slash, 0)], size, slash >= 0
 }
 
-// Fit is a line through the samples of one metric.
+// Fit is a line fitted through the samples of one metric.
 type Fit struct {
 	Sizes []float64
-	// Slope and Intercept of value = Intercept + Slope * size.
+	// value = Intercept + Slope * size.
 	Slope, Intercept float64
-	// Spread is the largest distance of a sample from the line, as a share of
-	// the largest value.
+	// Spread is the largest residual as a fraction of the largest value.
 	Spread float64
 }
 
-// FitLine fits a line through the samples of the benchmark's metric. It tells
-// false for fewer than two sizes.
+// FitLine fits a line through the samples of the benchmark's metric. It reports
+// false if there are fewer than two distinct sizes.
 func FitLine(samples []Sample, bench, unit string) (Fit, bool) {
 	var chosen []Sample
 	for _, s := range samples {
@@ -102,5 +101,5 @@
 	return f, true
 }
 
-// At returns the value of the line at a size.
+// At returns the fitted value at size.
 func (f Fit) At(size float64) float64 { return f.Intercept + f.Slope*size }
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -25,7 +25,7 @@
 	is.True(math.Abs(fit.Slope-1) < 1e-9)
 	is.True(math.Abs(fit.At(1100)-7692) < 1e-6)
 	_, ok = FitLine(samples, "Size/teams=45000", "ns/op")
-	is.True(!ok) // one size is no slope
+	is.True(!ok) // a slope needs two sizes
 }
 
 func TestReportCountsWhatIsOverAndMissing(t *testing.T) {
--- a/internal/capacity/size_bench_test.go
+++ b/internal/capacity/size_bench_test.go
@@ -47,7 +47,7 @@
 	return stats.HeapAlloc
 }
 
-// heapOf reports the heap that what make returns holds on to.
+// reportRetainedHeap reports the heap retained by the value that build returns.
 func reportRetainedHeap(b *testing.B, build func() any) {
 	before := heap()
 	retained := build()
@@ -106,8 +106,8 @@
 	}
 }
 
-// BenchmarkCoreRequest takes a request through the core: arrival, start, first
-// token, end.
+// BenchmarkCoreRequest measures one request in the policy core: arrival, start,
+// first token and end.
 func BenchmarkCoreRequest(b *testing.B) {
 	for _, n := range replicaSizes {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
@@ -118,7 +118,7 @@
 				now = now.Add(time.Millisecond)
 				start := firstStart(core.Step(now, policy.Arrival{ID: id, Class: "class-1", Team: "team-1", Target: "model-0", Digest: fmt.Sprint(id), PromptTokens: 200, Idempotent: true}))
 				if start == nil {
-					b.Fatal("not started at once")
+					b.Fatal("the request was not started immediately")
 				}
 				core.Step(now, policy.Sent{ID: id, Attempt: start.Attempt})
 				core.Step(now, policy.Tokens{ID: id, Attempt: start.Attempt, Count: 1})
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// BenchmarkCoreDigest takes in one digest while the digests of n instances are known.
+// BenchmarkCoreDigest measures one received digest while the digests of n instances are known.
 func BenchmarkCoreDigest(b *testing.B) {
 	for _, n := range nodeSizes {
 		b.Run(fmt.Sprint("n=", n), func(b *testing.B) {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,9 +1,9 @@
-// Package loopback finds addresses for processes that stop and start again on
-// one machine.
+// Package loopback allocates loopback addresses for processes that are restarted
+// on one machine.
 //
-// It guards against a port that is lost between two lives of a process: the
-// kernel may give a port that nobody listens at to an outgoing connection. It
-// shows as "address already in use" at the second start.
+// While a process is down, the kernel may assign its port to an outgoing
+// connection, and the restart fails with "address already in use". The addresses
+// of this package are not used for outgoing connections.
 package loopback
 
 import (
@@ -15,25 +15,27 @@
 )
 
 const (
-	// The ports below the range from which systems take outgoing ones.
+	// Ports below the ephemeral range, from which the kernel assigns ports to
+	// outgoing connections.
 	firstPort   = 10_000
 	lastPort    = 32_767
 	maxAttempts = 200
 )
 
-// ErrNoPort is the error of a machine on which every port tried was taken.
-var ErrNoPort = errors.New("found no free loopback port from 10000 to 32767; end processes that hold some")
+// ErrNoPort is returned when all ports tried are in use.
+var ErrNoPort = errors.New("no free loopback port found from 10000 to 32767; stop processes that listen in this range")
 
-// Listen listens at a port of an address of this process alone. It holds since
-// outgoing connections are from 127.0.0.1, and another process has another
-// address. Only Linux gives all of 127.0.0.0/8 to the loopback interface.
+// Listen listens on a free port of a loopback address derived from the process
+// ID. The port stays available after the listener is closed: outgoing connections
+// use 127.0.0.1, and other processes use other addresses. It needs Linux, which
+// assigns all of 127.0.0.0/8 to the loopback interface.
 func Listen() (net.Listener, error) {
 	pid := os.Getpid()
 	return net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid>>16&63, pid>>8&255, pid&255))
 }
 
-// ListenBelowClients listens at 127.0.0.1, at a port that no outgoing
-// connection gets. It returns ErrNoPort where it finds none.
+// ListenBelowClients listens on 127.0.0.1, on a port below the ephemeral range.
+// It returns ErrNoPort if it finds no free port.
 func ListenBelowClients() (net.Listener, error) {
 	for range maxAttempts {
 		port := firstPort + rand.IntN(lastPort-firstPort+1)
--- a/internal/style/style_test.go
+++ b/internal/style/style_test.go
@@ -1,4 +1,4 @@
-// Package style checks habits of the house that the linter does not know.
+// Package style checks project conventions that the linter does not cover.
 package style
 
 import (
@@ -45,7 +45,7 @@
 	return names
 }
 
-// wellKnown methods say all in their name by the language's custom.
+// conventionalMethods need no doc comment, since Go convention defines them.
 var conventionalMethods = map[string]bool{"Close": true, "Error": true, "String": true, "Unwrap": true, "Len": true, "Less": true, "Swap": true, "Push": true, "Pop": true, "ReadByte": true}
 
 func exportedReceiver(d *ast.FuncDecl) bool {
@@ -90,7 +90,7 @@
 	}
 }
 
-// lifeSpan orders the folders from the longest-lived to the shortest-lived.
+// lifetimeRank orders the folders by the lifetime of their objects, longest first.
 var lifetimeRank = map[string]int{"process": 0, "version": 1, "connection": 2, "request": 3}
 
 func TestLongerLivedPackagesImportNoShorterLivedOne(t *testing.T) {
@@ -107,7 +107,7 @@
 			rest, inModule := strings.CutPrefix(strings.Trim(imported.Path.Value, `"`), module)
 			importedRank, known := lifetimeRank[strings.Split(rest, "/")[0]]
 			if inModule && known && importedRank > rank {
-				t.Errorf("%s imports %s, which lives shorter", path, rest)
+				t.Errorf("%s imports %s, whose objects have a shorter lifetime", path, rest)
 			}
 		}
 	}
