--- a/internal/proof/check_test.go
+++ b/internal/proof/check_test.go
@@ -10,17 +10,17 @@
 	"github.com/lilacbridge/lilacbridge/process/replica"
 )
 
-// nearlyAll is how many entries a process may be behind when it begins to count,
-// and a few that come meanwhile.
+// maxCatchUpEntries is the number of entries by which a process may be behind when
+// it becomes a voter: the product's limit of 64, and some appended meanwhile.
 const maxCatchUpEntries = 64 + 16
 
-// slot is what stands committed at one index.
+// entryDigest identifies the entry committed at one index.
 type entryDigest struct {
 	term, digest uint64
 }
 
-// invariants are those that no single process can check, beside the counts of
-// those that the product checks itself. The first that breaks stops the run.
+// invariants checks properties that span processes, and counts the checks made by
+// the product itself. The first violation ends the run.
 type invariants struct {
 	sim     *sim
 	checked uint64
@@ -29,13 +29,14 @@
 	votes   map[string]string
 	lostIDs map[string]bool
 	digests map[uint64]entryDigest
-	// voters are the identities that were ever seen to count.
+	// voters holds the identities that have been voters.
 	voters map[string]bool
-	// committed holds, in order, entries with a term in which they were committed at last.
+	// committed holds committed indexes in order, each with a term by which it was
+	// committed.
 	committed []commit
 }
 
-// commit is an index that was committed in the term or before.
+// commit is an index that was committed in this term or an earlier one.
 type commit struct{ term, index uint64 }
 
 func newInvariants(s *sim) *invariants {
@@ -53,11 +54,11 @@
 	return holds
 }
 
-// emptied notes an identity whose disk is lost: it must never be heard of again.
+// diskLost records an identity whose disk is lost; it must not send messages again.
 func (v *invariants) diskLost(n *node) { v.lostIDs[n.identity()] = true }
 
 func (v *invariants) messageSent(n *node, m *lilacv1.RaftMessage) {
-	v.check(!v.lostIDs[m.GetFrom()], "no word by an emptied disk", "%s still speaks as %s", n.name, m.GetFrom())
+	v.check(!v.lostIDs[m.GetFrom()], "no message from a lost identity", "%s still sends as %s", n.name, m.GetFrom())
 	if m.GetKind() != lilacv1.RaftMessageKind_RAFT_MESSAGE_KIND_VOTE_REPLY || m.GetReject() {
 		return
 	}
@@ -91,8 +92,8 @@
 	}
 }
 
-// counted checks that a process has nearly all of the leader's log when it begins
-// to count for the quorum.
+// membersChanged checks that a process has nearly all of the leader's log when it
+// becomes a voter.
 func (v *invariants) membersChanged(leader *node, members []*lilacv1.RaftMember) {
 	last := leader.runner.Status().LastIndex
 	for _, member := range members {
@@ -105,11 +106,11 @@
 			continue
 		}
 		has := n.runner.Status().LastIndex
-		v.check(has+maxCatchUpEntries >= last, "a voter counts once it has the log", "%s counts with %d entries of %d", n.name, has, last)
+		v.check(has+maxCatchUpEntries >= last, "a new voter has nearly all of the log", "%s became a voter with %d entries of %d", n.name, has, last)
 	}
 }
 
-// applied checks that all processes apply the same at an index, now and later.
+// entryApplied checks that all processes apply the same entry at an index.
 func (v *invariants) entryApplied(n *node, entry *lilacv1.RaftEntry) {
 	now := entryDigest{term: entry.GetTerm(), digest: xxhash.Sum64(entry.GetData())}
 	before, seen := v.digests[entry.GetIndex()]
@@ -120,7 +121,8 @@
 	}
 }
 
-// elected checks that a term has one leader, and that it has all that is committed.
+// leaderElected checks that a term has one leader and that the leader has all
+// committed entries.
 func (v *invariants) leaderElected(n *node, term uint64) {
 	id := n.runner.Status().ID
 	status := n.runner.Status()
@@ -133,10 +135,10 @@
 	}
 	for _, c := range slices.Backward(v.committed) {
 		if c.term >= term {
-			continue // It may have been committed by a later leader.
+			continue // A later leader may have committed it.
 		}
 		has := status.LastIndex > c.index && (status.SnapshotIndex >= c.index || n.runner.TermAt(c.index) == v.digests[c.index].term)
 		v.check(has, "leader completeness", "%s leads term %d without entry %d, committed by term %d", n.name, term, c.index, c.term)
-		return // The entries before follow by log matching.
+		return // Log matching covers the earlier entries.
 	}
 }
--- a/internal/proof/cut_kills_test.go
+++ b/internal/proof/cut_kills_test.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// longestKill is above the time that a killed process stays away, and
-	// longestFreeze is that of a frozen one.
+	// maxKillTime bounds the time until a killed process restarts, maxFreezeTime the
+	// time for which a process is frozen.
 	maxKillTime, maxFreezeTime = 3 * time.Second, 8 * time.Second
-	// backFelt is how long a process that is back may still not answer, or be
-	// passed over.
+	// recoveryBound is how long a process may still not answer, or be avoided, after
+	// it is back.
 	recoveryBound = cutNoticeBound
 )
 
-// strike ends, freezes or restarts a process at some moment of the cut, on
-// either side: a second fault before the first has healed. With three state
-// processes that leaves none of two sides a quorum.
+// injectFault kills, freezes or restarts a process on either side at a random time
+// during the cut. With three state processes, neither side may have a quorum then.
 func (c *cutoffs) injectFault(length time.Duration) {
 	c.sim.after(c.between(0, length), func() {
 		n := c.sim.nodes[c.rng.IntN(len(c.sim.nodes))]
 		switch c.rng.IntN(4) {
 		case 0:
 			e := c.entries.list[c.rng.IntN(len(c.entries.list))]
-			c.sim.note("%s starts again", e.name)
+			c.sim.note("%s restarts", e.name)
 			e.start(c.entries)
-			// It serves nobody until it has loaded, for which it has as long.
+			// It serves no requests until it has loaded the configuration, which has the
+			// same time limit.
 			c.restartedAt[e.name] = c.sim.now
 			c.revisionAccepted(c.newest)
 		case 1:
@@ -36,11 +36,12 @@
 	})
 }
 
-// isDown tells whether the state process is struck, or was a moment ago.
+// wasDown reports whether the state process is down because of injectFault or may
+// still be recovering.
 func (c *cutoffs) wasDown(n *node) bool {
 	to, cutoffWithFaults := c.downUntil[n.name]
 	return cutoffWithFaults && c.sim.now < to+recoveryBound
 }
 
-// answers tells whether the state process runs at this moment.
+// answers reports whether the state process is running and not frozen.
 func (n *node) answers() bool { return n.runner != nil && n.sim.now >= n.frozenUntil }
--- a/internal/proof/cutoff_test.go
+++ b/internal/proof/cutoff_test.go
@@ -6,69 +6,71 @@
 	"time"
 )
 
-// cutMode is which direction a cut loses.
+// cutMode is the direction in which a cut drops messages.
 type cutMode int
 
 const (
 	cutBoth cutMode = iota
-	// cutOut loses what the data centre sends, cutIn what it should get.
+	// cutOut drops messages from the data centre, cutIn messages to it.
 	cutOut
 	cutIn
 	cutModes
 )
 
 const (
-	// settledBy is when the state processes have a leader and callers begin,
-	// firstCut when the first data centre is cut off.
+	// callersStart is when the state processes have a leader and callers start;
+	// firstCut is when the first data centre is cut off.
 	callersStart, firstCut = 8 * time.Second, 12 * time.Second
-	// A cut lasts from shortest to longest; the second one comes at most
-	// againWithin after the first has healed.
+	// A cut lasts from minCutTime to maxCutTime; the second cut of a data centre
+	// starts at most maxRecutDelay after the first has healed.
 	minCutTime, maxCutTime = 4 * time.Second, 20 * time.Second
 	maxRecutDelay          = time.Second
-	// longSnapshots is how many entries more than in other runs lie between snapshots.
+	// extraSnapshotInterval is added to the number of log entries between snapshots.
 	extraSnapshotInterval = 100
-	// aloneFelt is how long a state process may still be passed over.
+	// isolationRecovery is how long an entry may avoid its state process after its
+	// isolation has ended.
 	isolationRecovery = 4 * time.Second
-	// settlePoll is how often it is looked whether the state processes have settled.
+	// settlePollInterval is the interval of checks whether the state processes have settled.
 	settlePollInterval = 100 * time.Millisecond
-	// keptAlive is how long a connection that is cut one way still carries the other.
+	// oneWayKeepAlive is how long a connection that is cut in one direction still
+	// works in the other.
 	oneWayKeepAlive = 4 * time.Second
 )
 
-// cutoffs cuts each data centre off in turn, in any of three ways, heals it and
-// cuts it off again at once, and checks what both sides serve meanwhile.
+// cutoffs partitions each data centre in turn, in a random cutMode, heals it, cuts
+// it off a second time shortly afterwards, and checks what both sides serve.
 type cutoffs struct {
 	sim     *sim
 	entries *entries
 	rng     *rand.Rand
-	// number counts the cuts; center is the one cut off, -1 if none is.
+	// cutNumber counts the cuts; center is the data centre cut off, -1 if none is.
 	cutNumber, center int
 	mode              cutMode
 	cutAt             time.Duration
-	// newest is the newest revision that anyone was told is accepted.
+	// newest is the newest revision reported as accepted.
 	newest uint64
-	// healedAt is when a data centre's last cut healed.
+	// healedAt is when the last cut of a data centre ended.
 	healedAt [dataCenters]time.Duration
-	// aloneTo is until when an entry, by name, reaches no state process.
+	// isolatedUntil is until when an entry, by name, reaches no state process.
 	isolatedUntil map[string]time.Duration
-	// downTo is until when a state process, by name, is struck; see strike.
+	// downUntil is until when a state process, by name, may be down; see injectFault.
 	downUntil map[string]time.Duration
-	// begunAt is when an entry, by name, last started again.
+	// restartedAt is when an entry, by name, last restarted.
 	restartedAt map[string]time.Duration
 	done        bool
-	// running is how many requests a backend server, by name, works on.
+	// runningRequests is the number of requests at a backend server, by name.
 	runningRequests map[string]int
-	// keys are the requests whose end the ledger has confirmed.
+	// endedKeys are the requests whose outcome the ledger has confirmed.
 	endedKeys []endedKey
 	serial    int
 }
 
 func newCutoffs(s *sim, group *entries, seed uint64) *cutoffs {
 	c := &cutoffs{sim: s, entries: group, rng: rand.New(rand.NewPCG(seed, 5)), center: -1, isolatedUntil: map[string]time.Duration{}, downUntil: map[string]time.Duration{}, restartedAt: map[string]time.Duration{}, runningRequests: map[string]int{}}
-	// A link between two processes loses nothing but what a cut loses.
+	// Links lose messages only through cuts.
 	s.loss = 0
-	// Nobody who was a moment behind needs a snapshot, as with the product's own
-	// interval; after a long cut it takes seconds.
+	// As with the production interval, a process that is slightly behind needs no
+	// snapshot; after a long cut its transfer takes seconds.
 	s.snapshotEvery += extraSnapshotInterval
 	for _, e := range group.list {
 		newCaller(c, e).start()
@@ -79,8 +81,8 @@
 	return c
 }
 
-// turn cuts the next data centre off, twice, and goes on once the change that
-// was accepted meanwhile must be in force there.
+// cutNext cuts off the next data centre twice, and continues once the changes
+// accepted meanwhile must be in force there.
 func (c *cutoffs) cutNext(centers, modes []int) {
 	if len(centers) == 0 {
 		c.done = true
@@ -116,15 +118,15 @@
 	})
 }
 
-// leaveAlone cuts an entry of another data centre off from the state processes:
-// those who follow it must leave it.
+// isolateEntry cuts off a random entry from all state processes, unless it is in the
+// data centre being cut: the entries that follow it must choose another source.
 func (c *cutoffs) isolateEntry(length time.Duration) {
 	e := c.entries.list[c.rng.IntN(len(c.entries.list))]
 	if e.center() == c.center {
 		return
 	}
 	c.isolatedUntil[e.name] = c.sim.now + length
-	c.sim.note("%s alone", e.name)
+	c.sim.note("%s isolated from the state processes", e.name)
 	var links []string
 	for _, n := range c.sim.nodes {
 		links = append(links, e.name+">"+n.name, n.name+">"+e.name)
@@ -139,13 +141,14 @@
 	})
 }
 
-// isAlone tells whether the entry does not reach its own data centre's state
-// process, or may pass it over since it did not.
+// isIsolated reports whether the entry does not reach the state process of its own
+// data centre, or may still avoid it after an isolation.
 func (c *cutoffs) isIsolated(e *entry) bool {
 	return c.sim.now < c.isolatedUntil[e.name]+isolationRecovery
 }
 
-// inForce checks that every entry has soon what was accepted by now.
+// checkInForce checks that every entry has the newest accepted revision within
+// inForceBound.
 func (c *cutoffs) checkInForce(then func()) {
 	newest := c.newest
 	c.sim.after(inForceBound, func() {
@@ -156,8 +159,8 @@
 	})
 }
 
-// whenSettled waits until the state process has caught up: the next cut must
-// leave a quorum of those that have.
+// whenSettled waits until the state processes have caught up: the next cut must
+// leave a quorum of processes that have.
 func (c *cutoffs) whenSettled(then func()) {
 	if c.sim.settled() {
 		then()
@@ -166,8 +169,8 @@
 	c.sim.after(settlePollInterval, func() { c.whenSettled(then) })
 }
 
-// accepted checks that a change is in force in time on the side with a quorum,
-// whatever the other side does.
+// revisionAccepted checks that a change is in force in time on the side with a
+// quorum, independent of the other side.
 func (c *cutoffs) revisionAccepted(revision uint64) {
 	c.newest = max(c.newest, revision)
 	at := c.sim.now
@@ -180,7 +183,8 @@
 	})
 }
 
-// cutOf returns the number of the cut that the entry is behind, 0 for none.
+// activeCut returns the number of the cut that affects the entry's data centre, 0
+// for none.
 func (c *cutoffs) activeCut(e *entry) int {
 	if c.center != e.center() {
 		return 0
@@ -188,17 +192,17 @@
 	return c.cutNumber
 }
 
-// givenUp tells whether connections between the two have ended by now.
+// connectionClosed reports whether connections between the two have timed out.
 func (c *cutoffs) connectionClosed(from, to string) bool {
 	return c.sim.now-c.cutAt > oneWayKeepAlive && (c.sim.cut[from+">"+to] || c.sim.cut[to+">"+from])
 }
 
 func (e *entry) center() int { return int(e.self.DataCenter[3] - '0') }
 
-// ownState is the state process of the entry's data centre.
+// ownState returns the state process of the entry's data centre.
 func (e *entry) ownState() *node { return e.sim.nodes[e.center()%len(e.sim.nodes)] }
 
-// rests tells that callers begin nothing more, so that all can come to rest.
+// stopped reports whether callers start no more calls, so that the run can settle.
 func (c *cutoffs) stopped() bool { return c.sim.healed }
 
 func (c *cutoffs) nextName(name string) string {
--- a/internal/proof/disk_test.go
+++ b/internal/proof/disk_test.go
@@ -12,32 +12,33 @@
 	"github.com/lilacbridge/lilacbridge/process/wal"
 )
 
-// inode is a file's content; synced is how much of it a crash leaves for sure.
+// inode is the content of a file. The first synced bytes survive a crash.
 type inode struct {
 	data   []byte
 	synced int
 }
 
-// nameChange is a change of names that a crash may undo, until the folder is synced.
+// nameChange is a change to the directory that a crash may undo until the folder
+// is synced.
 type nameChange func(names map[string]*inode)
 
-// disk is a data folder in memory. A crash keeps what was synced, a random
-// part of what was not, and a random first part of the changes of names.
+// disk is a data folder in memory. A crash keeps synced data, a random part of
+// unsynced data, and a random prefix of the unsynced directory changes.
 type disk struct {
 	rng     *rand.Rand
 	names   map[string]*inode
 	durable map[string]*inode
 	changes []nameChange
-	// space is the number of bytes that may still be written; negative means any.
+	// space is the number of bytes that can still be written; negative means no limit.
 	space int
-	// failSync makes the next sync fail.
+	// failSync makes the next file sync fail.
 	failSync bool
-	// crashIn makes the machine stop in the middle of the so-manyth write or
-	// sync from now; 0 means never.
+	// crashAfter makes the machine crash during the operation with this number,
+	// counted from now, of those that modify the disk; 0 means never.
 	crashAfter int
 }
 
-// crashed is thrown where the machine stops in the middle of an operation.
+// crashed is the panic value of a simulated machine crash during an operation.
 type crashed struct{}
 
 var _ wal.Folder = (*disk)(nil)
@@ -60,7 +61,7 @@
 	d.changes = append(d.changes, c)
 }
 
-// crash leaves what a stop of the machine leaves.
+// crash replaces the disk's state with one that a machine crash may leave.
 func (d *disk) crash() {
 	for _, c := range d.changes[:d.rng.IntN(len(d.changes)+1)] {
 		c(d.durable)
@@ -75,7 +76,7 @@
 	d.space, d.failSync, d.crashAfter = -1, false, 0
 }
 
-// tear keeps a random part of what was not synced, now and then with a bad byte.
+// tear keeps a random part of the unsynced data, in some cases with a corrupt byte.
 func (d *disk) tear(file *inode) {
 	extra := len(file.data) - file.synced
 	if extra == 0 {
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -23,19 +23,19 @@
 	entryCallTimeout  = 2 * time.Second
 	entryPollInterval = 200 * time.Millisecond
 	leaseMs           = 3000
-	// latestOffer is how late a snapshot may come a second time.
+	// maxRedeliveryDelay bounds the delay of a duplicate snapshot.
 	maxRedeliveryDelay = 10 * time.Second
-	// inForce is how soon a change must be in force at every entry.
+	// inForceBound is the time within which a change must be in force at every entry.
 	inForceBound = 13 * time.Second
 )
 
-// entry is an entry instance: its membership, the revisions that it follows,
-// and its hold on the one lease for orders.
+// entry is an entry instance: its membership, its configuration, and its grant of
+// the lease for orders.
 type entry struct {
 	sim  *sim
 	name string
 	self member.Peer
-	// rate is how fast its clock runs.
+	// rate is the speed of its clock relative to simulated time.
 	rate        float64
 	frozenUntil time.Duration
 	members     *member.Core
@@ -44,23 +44,25 @@
 	grant       lease.Grant
 	busy        map[string]bool
 	live        []string
-	// life and epoch tell answers to an earlier life or target.
+	// incarnation and targetEpoch identify responses to an earlier incarnation or
+	// target.
 	incarnation, targetEpoch int
 	sequence                 uint64
 	knownAt                  time.Duration
 	known                    uint64
-	// plain serves requests; nil in runs without them.
+	// policySim serves requests; nil in runs without them.
 	policySim *policySim
 }
 
-// entries are all entry instances and what was seen of them.
+// entries holds all entry instances and what has been observed of them.
 type entries struct {
 	sim  *sim
 	rng  *rand.Rand
 	list []*entry
-	// seen are the digests of the configurations that were in force, by revision.
+	// seen holds the digests of the configurations that were in force, by revision.
 	seen map[uint64]map[uint64]bool
-	// acted is the greatest fencing number that an order was given with, by whom.
+	// maxFencing is the greatest fencing number of an order; leaseHolders maps
+	// fencing numbers to their holders.
 	maxFencing   uint64
 	leaseHolders map[uint64]string
 }
@@ -87,7 +89,7 @@
 
 func (e *entry) running() bool { return e.sim.now >= e.frozenUntil }
 
-// start begins a new life with an empty memory.
+// start begins a new incarnation without any state.
 func (e *entry) start(group *entries) {
 	var seeds []member.Peer
 	for _, other := range group.list {
@@ -126,7 +128,7 @@
 	e.sim.after(member.TickInterval, func() { e.tick(group, incarnation) })
 }
 
-// act gives an order, if the lease still holds at this moment.
+// giveOrder gives an order if the lease is still valid.
 func (e *entry) giveOrder(group *entries) {
 	if !e.grant.Valid(e.clock()) {
 		return
@@ -134,13 +136,13 @@
 	number := e.grant.Fencing()
 	holder := fmt.Sprint(e.name, "/", e.incarnation)
 	v := e.sim.invariants
-	v.check(number >= group.maxFencing, "orders come from the newest holder", "%s acts with %d after %d acted", holder, number, group.maxFencing)
+	v.check(number >= group.maxFencing, "orders come from the newest lease holder", "%s gives an order with %d after one with %d", holder, number, group.maxFencing)
 	before, seen := group.leaseHolders[number]
-	v.check(!seen || before == holder, "one holder for each number", "%s and %s hold %d", before, holder, number)
+	v.check(!seen || before == holder, "one lease holder per fencing number", "%s and %s hold %d", before, holder, number)
 	group.maxFencing, group.leaseHolders[number] = max(group.maxFencing, number), holder
 }
 
-// reach runs a function at another process after a delay, if the link lets it through.
+// transmit runs a function at another process after a delay unless the message is lost.
 func (s *sim) transmit(rng *rand.Rand, from, to string, run func()) {
 	if s.cut[from+">"+to] || rng.Float64() < s.loss {
 		return
@@ -153,8 +155,8 @@
 	})
 }
 
-// reachOnline is reach over a connection that needs both directions: one that is
-// cut one way only is given up after a while, by its keep-alive.
+// transmitOnConnection is transmit over a connection that needs both directions. The
+// keep-alive closes a connection that is cut in one direction.
 func (s *sim) transmitOnConnection(rng *rand.Rand, from, to string, run func()) {
 	if s.cutoffs == nil || !s.cutoffs.connectionClosed(from, to) {
 		s.transmit(rng, from, to, run)
@@ -196,7 +198,8 @@
 	}
 }
 
-// exchange carries a digest there and the answer back, one at a time with each peer.
+// exchange sends a digest to a peer and takes its reply. There is at most one
+// exchange with a peer at a time.
 func (e *entry) exchange(group *entries, a member.Exchange) {
 	name, incarnation := a.Peer.Name, e.incarnation
 	if e.busy[name] {
@@ -236,7 +239,7 @@
 	}
 }
 
-// source is whom a target means, and what it can give.
+// source is the process that a target denotes, and its configuration.
 type source struct {
 	name     string
 	running  func() bool
@@ -260,8 +263,8 @@
 		known: func() (uint64, time.Duration) { return other.known, e.sim.now - other.knownAt }}
 }
 
-// poll asks the target for what is newer, again and again; it stands for the
-// stream of updates of the product.
+// poll requests newer revisions from the target at intervals; it replaces the update
+// stream of the production code.
 func (e *entry) poll(group *entries, target spread.Target, epoch int) {
 	from := e.source(group, target)
 	answered := false
@@ -305,11 +308,11 @@
 		if e.running() {
 			e.follow(group, spread.StreamFailed{Target: target})
 		}
-		// A frozen entry finds its stream broken when it wakes, by the tick.
+		// A frozen entry detects the broken stream on a tick after it resumes.
 	})
 }
 
-// offerAgain lets a snapshot come a second time, late, as from a slow sender.
+// redeliverSnapshot delivers a duplicate of a snapshot late, as from a slow sender.
 func (e *entry) redeliverSnapshot(group *entries, parts []*lilacv1.SnapshotPart) {
 	incarnation := e.incarnation
 	e.sim.after(time.Duration(group.rng.Int64N(int64(maxRedeliveryDelay))), func() {
@@ -331,7 +334,7 @@
 		_ = e.config.Apply(revisions)
 	}
 	now := e.config.Revision()
-	e.sim.invariants.check(now >= before, "configuration never goes back", "%s went from %d to %d", e.name, before, now)
+	e.sim.invariants.check(now >= before, "the configuration revision never decreases", "%s went from %d to %d", e.name, before, now)
 	if now != before {
 		e.sim.note("%s has revision %d", e.name, now)
 		if group.seen[now] == nil {
@@ -349,9 +352,9 @@
 	return xxhash.Sum64(b)
 }
 
-// askLease asks the leader for the lease, as the product's entries do.
+// askLease requests the lease from the leader, as production entries do.
 func (e *entry) askLease(group *entries, incarnation int) {
-	// At the end of a run nothing more is asked, so that all can come to rest.
+	// No more requests at the end of a run, so that it can settle.
 	resting := e.sim.healed && e.sim.operators.open == 0
 	if e.incarnation != incarnation || resting {
 		return
@@ -375,7 +378,7 @@
 			}
 			reply := decode(o.Result).GetLease()
 			e.sim.transmit(group.rng, leader.name, e.name, func() {
-				// A frozen holder reads the answer when it wakes.
+				// A frozen holder reads the reply when it resumes.
 				e.sim.after(max(0, e.frozenUntil-e.sim.now), func() {
 					if e.incarnation == incarnation {
 						e.grant.Update(sent, reply)
--- a/internal/proof/entry_faults_test.go
+++ b/internal/proof/entry_faults_test.go
@@ -7,7 +7,7 @@
 	"github.com/lilacbridge/lilacbridge/version/config"
 )
 
-// faults freezes and restarts entries, and cuts data centres off.
+// faults freezes and restarts entries and partitions data centres at random.
 func (group *entries) faults() {
 	s := group.sim
 	if s.healed {
@@ -20,7 +20,7 @@
 		s.note("%s frozen for %s", e.name, length)
 		e.frozenUntil = s.now + length
 	case 1:
-		s.note("%s starts again", e.name)
+		s.note("%s restarts", e.name)
 		e.start(group)
 	default:
 		group.cutCenter(group.rng.IntN(dataCenters), time.Duration(group.rng.Int64N(int64(15*time.Second))), cutBoth)
@@ -28,7 +28,8 @@
 	s.after(time.Duration(group.rng.Int64N(int64(8*time.Second))), group.faults)
 }
 
-// places returns who stands where, state processes and backend servers included.
+// places returns all processes and backend servers, and the index of the data
+// centre of each.
 func (group *entries) places() (names []string, where map[string]int) {
 	where = map[string]int{}
 	put := func(name string, center int) {
@@ -47,7 +48,7 @@
 	return names, where
 }
 
-// cutCenter cuts a data centre off, all that stands there included.
+// cutCenter cuts off all processes and backend servers of a data centre.
 func (group *entries) cutCenter(center int, length time.Duration, mode cutMode) {
 	s := group.sim
 	s.note("dc-%d cut off, mode %d", center, mode)
@@ -76,7 +77,7 @@
 	})
 }
 
-// upToDate tells whether all entries hold the newest revision.
+// upToDate reports whether all entries have the leader's revision.
 func (group *entries) upToDate() bool {
 	leader := group.sim.leader()
 	if leader == nil {
@@ -90,7 +91,7 @@
 	return true
 }
 
-// verify makes every revision anew from the audit trail and compares what the
+// verify rebuilds every revision from the audit trail and compares it with what the
 // entries had in force.
 func (group *entries) verify() {
 	v := group.sim.invariants
@@ -98,7 +99,7 @@
 	follower := config.NewFollower()
 	for _, revision := range revisions {
 		err := follower.Apply([]*lilacv1.Revision{revision})
-		v.check(err == nil, "revisions follow each other", "%v", err)
+		v.check(err == nil, "revisions are consecutive", "%v", err)
 		want := configDigest(follower.Config())
 		for got := range group.seen[revision.GetNumber()] {
 			v.check(got == want, "the same configuration everywhere", "revision %d differs at an entry", revision.GetNumber())
--- a/internal/proof/faults_test.go
+++ b/internal/proof/faults_test.go
@@ -6,7 +6,7 @@
 	"github.com/lilacbridge/lilacbridge/process/replica"
 )
 
-// faults begins a random fault every now and then until the run is healed.
+// faults injects random faults at random intervals until the run is healed.
 func (s *sim) faults() {
 	if s.healed {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// split cuts the processes into two sides.
+// partition splits the processes into two random sides that do not reach each other.
 func (s *sim) partition() {
 	side := map[string]bool{}
 	for _, n := range s.nodes {
@@ -67,7 +67,7 @@
 	}
 }
 
-// shutDown ends a process gracefully: a leader hands over first.
+// shutDown ends a process gracefully: a leader transfers leadership first.
 func (s *sim) shutDown(n *node) {
 	s.note("%s shuts down", n.name)
 	n.process(replica.Request{Event: replica.TransferLeadership{}})
@@ -79,7 +79,7 @@
 	})
 }
 
-// cutOff loses all that the node sends (out) or should get (in), for a while.
+// cutOff drops all messages from the node (out) or to it (in) for up to 10 s.
 func (s *sim) cutOff(n *node, out, in bool) {
 	s.note("%s cut off, out %t, in %t", n.name, out, in)
 	var links []string
@@ -111,8 +111,8 @@
 	s.after(time.Duration(s.faultRNG.Int64N(int64(6*time.Second))), func() { n.disk.space = -1 })
 }
 
-// loseDisk empties a disk, unless one is lost already and its repair has not
-// been reported done: two lost disks of three are more than a quorum survives.
+// emptyDisk replaces the node's disk by an empty one, unless the repair of another
+// lost disk is still in progress: three voters do not survive the loss of two disks.
 func (s *sim) emptyDisk(n *node) {
 	if s.lost != "" || !s.allVoters() {
 		return
@@ -124,7 +124,7 @@
 	s.note("%s lost its disk", n.name)
 }
 
-// whole tells whether all processes are voters under their present identity.
+// allVoters reports whether all processes are voters under their current identities.
 func (s *sim) allVoters() bool {
 	leader := s.leader()
 	if leader == nil {
@@ -143,7 +143,8 @@
 	return len(voters) == len(s.nodes)
 }
 
-// repaired ends the loss of a disk; the next one may come at once.
+// repaired ends the loss of a disk. In half of the cases another disk is lost
+// immediately afterwards.
 func (s *sim) repaired(name string) {
 	s.note("%s repaired", name)
 	if s.lost != name {
@@ -182,7 +183,7 @@
 	}
 }
 
-// settled tells whether all processes have applied the same and are voters.
+// settled reports whether all processes are voters and have applied the whole log.
 func (s *sim) settled() bool {
 	if !s.allVoters() {
 		return false
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -14,17 +14,17 @@
 
 var (
 	firstSeed = flag.Uint64("seed", 1, "first seed of the randomised runs")
-	runs      = flag.Int("runs", 0, "number of randomised runs; 0 runs the tests")
-	onlyKind  = flag.String("kind", "", "kind of the randomised runs; empty for all in turn")
-	showTrace = flag.Bool("trace", false, "print what happens")
+	runs      = flag.Int("runs", 0, "number of randomised runs; 0 means the tests")
+	onlyKind  = flag.String("kind", "", "kind of the randomised runs; empty means all in turn")
+	showTrace = flag.Bool("trace", false, "print the trace")
 )
 
 var profiles = []profile{heavy, busy, churn, fleet, cutoff, cutoffWithFaults, scripted}
 
-// healTime is how long a run may take to settle once healed.
+// settleTimeout bounds the time until a run settles after all faults have ended.
 const settleTimeout = 90 * time.Second
 
-// report is what one run gave.
+// report is the outcome of one run.
 type report struct {
 	checked, trace uint64
 	failure        string
@@ -32,7 +32,7 @@
 	history        int
 }
 
-// runSeed makes one run: faults for a while, then healing, then the checks.
+// runSeed performs one run: a period with faults, recovery, and the final checks.
 func runSeed(p profile, seed uint64, log io.Writer) report {
 	s := newSim(p, seed, log)
 	s.operators = newOperators(s)
@@ -56,18 +56,18 @@
 	s.run(p.faultTime+settleTimeout, done)
 	v := s.invariants
 	if v.failure == "" {
-		v.check(done(), "all settles once healed", "%d calls open, settled %t, accepted since %d", s.operators.open, s.settled(), s.operators.afterHealed)
+		v.check(done(), "the run settles after the faults", "%d calls open, settled %t, %d accepted since", s.operators.open, s.settled(), s.operators.afterHealed)
 	}
 	if v.failure == "" && s.entries != nil {
 		last := s.now
 		s.run(s.now+inForceBound, s.entries.upToDate)
-		v.check(s.entries.upToDate(), "in force everywhere in time", "not %s after the last change", inForceBound)
-		s.note("in force everywhere %s after all had settled", s.now-last)
-		// Requests for leases may still be on their way.
+		v.check(s.entries.upToDate(), "a change is in force everywhere in time", "not within %s after the last change", inForceBound)
+		s.note("in force everywhere %s after the run settled", s.now-last)
+		// Lease requests may still be in flight.
 		s.run(s.now+3*time.Second, never)
 		rest := func() bool { return s.operators.open == 0 && s.settled() }
 		s.run(s.now+settleTimeout, rest)
-		v.check(rest(), "all comes to rest", "%d calls open, settled %t", s.operators.open, s.settled())
+		v.check(rest(), "all calls end", "%d calls open, settled %t", s.operators.open, s.settled())
 	}
 	if v.failure == "" {
 		s.operators.verify()
@@ -83,7 +83,8 @@
 	return report{checked: v.checked, trace: s.trace.Sum64(), failure: v.failure, accepted: len(s.operators.accepted), history: len(s.operators.history)}
 }
 
-// TestMain makes the randomised runs if -runs is given; see `make proof`.
+// TestMain performs randomised runs instead of the tests if -runs is given; see
+// "make proof".
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if *runs == 0 {
@@ -102,11 +103,11 @@
 	broken, accepted, history := 0, 0, 0
 	kinds := slices.DeleteFunc(slices.Clone(profiles), func(p profile) bool { return *onlyKind != "" && p.name != *onlyKind })
 	if len(kinds) == 0 {
-		fmt.Printf("no kind of runs is called %q; see profiles\n", *onlyKind)
+		fmt.Printf("unknown kind of runs %q; see the variable profiles\n", *onlyKind)
 		return 1
 	}
 	for i := range *runs {
-		// Each seed gives one run of each kind.
+		// One run of each kind per seed.
 		p, seed := kinds[i%len(kinds)], *firstSeed+uint64(i/len(kinds))
 		r := runSeed(p, seed, log)
 		checked += r.checked
@@ -125,8 +126,7 @@
 	return 0
 }
 
-// Runs of all kinds, side by side: they find again what once went wrong, and
-// whatever breaks now.
+// Runs the first seeds of each kind in parallel.
 func TestFixedSeeds(t *testing.T) {
 	for _, p := range profiles {
 		t.Run(p.name, func(t *testing.T) {
@@ -138,41 +138,41 @@
 	}
 }
 
-// fixedSeeds is how many seeds of a kind the tests run; a run of the two kinds
-// with callers or scripts takes as long as several of the others.
+// fixedSeeds returns the number of seeds that the tests run of a kind; runs with
+// cutoffs or scripts take several times as long as the others.
 func fixedSeeds(p profile) uint64 {
 	switch {
 	case p.cutoffs:
-		return 1 // More seeds stand in tests of their own.
+		return 1 // Other tests run more seeds.
 	case p.scripts:
 		return 4
 	}
 	return 12
 }
 
-// Each of these runs once broke an invariant; the comment tells which.
+// Each of these seeds has found a fault, which its comment describes.
 func TestSeedsThatOnceFailed(t *testing.T) {
 	t.Parallel()
 	seeds := []uint64{
-		3056, // Crash between an installed snapshot and the record that resets the log: the next start took the log for damaged.
-		4064, // The same, after a full disk.
-		2953, // Founder cut off after founding: the others gave up their identities on old answers, and no group could form.
+		3056, // Crash between the installation of a snapshot and the record that resets the log: the next start reported a damaged log.
+		4064, // The same after a full disk.
+		2953, // Bootstrapping node cut off after creating the group: the others discarded their identities because of outdated responses, and no group formed.
 		3346, // The same with five processes.
-		4700, // A process frozen in the founding woke to messages of a group that had died, and was bound to it for ever.
+		4700, // A process frozen during bootstrap resumed to messages of a group that no longer existed, and was bound to that group permanently.
 	}
 	for _, seed := range seeds {
 		is.New(t).Equal(runSeed(heavy, seed, nil).failure, "")
 	}
-	// The driver checked a history while a call was still open.
+	// The simulation checked a history while a call was still open.
 	for _, seed := range []uint64{5036, 5068} {
 		is.New(t).Equal(runSeed(fleet, seed, nil).failure, "")
 	}
-	// Each new snapshot made a slow transfer begin again: a voter never caught up.
+	// Each new snapshot restarted a slow transfer, so that a voter never caught up.
 	is.New(t).Equal(runSeed(cutoff, 360, nil).failure, "")
 }
 
-// A run that fails must fail again from its number alone, or nobody can find
-// out why. The same seed twice gives the same events in the same order.
+// A failed run must be reproducible from its seed: the same seed gives the same
+// events in the same order.
 func TestSameSeedGivesTheSameTrace(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/internal/proof/scripts_test.go
+++ b/internal/proof/scripts_test.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// scriptWait bounds each stage of a script.
+	// stageTimeout bounds each stage of a script.
 	stageTimeout = 8 * time.Second
-	// scriptLength is the longest that a script takes; none begins later in a run.
+	// maxScriptTime is the longest duration of a script; none starts later in a run.
 	maxScriptTime = 3*stageTimeout + time.Second
-	// scriptPoll is how often a script looks whether all have settled.
+	// scriptPollInterval is the interval of checks whether all processes have settled.
 	scriptPollInterval = 50 * time.Millisecond
-	// lagStep is by how much answers to a leader fall behind at a time, shorter
-	// than an election timeout, and lagPause how long it stays so.
+	// lagStep is the increment of the delay of responses to a leader, shorter than an
+	// election timeout; lagPause is the time between two increments.
 	lagStep, lagPause = 800 * time.Millisecond, 1200 * time.Millisecond
 )
 
-// scripts play schedules against single guards of the log, which chance does not
-// find: each begins once all five processes have settled, draws its parts and
-// moments from the seed, and ends with all links healed.
+// scripts runs schedules that random faults rarely produce, each aimed at one safety
+// rule of the log. A script starts when all five processes have settled, takes its
+// nodes and times from the seed, and ends with all links healed.
 type scripts struct {
 	sim *sim
 	rng *rand.Rand
-	// elected is told of the next leader; it may be nil.
+	// elected is called with each new leader; it may be nil.
 	elected func(n *node)
-	// unheard is a leader that does not hear of the next candidacy; nil for none.
+	// deafLeader is a leader that gets no messages from the next candidate; nil for
+	// none.
 	deafLeader *node
-	// stage tells a stage from those that have ended.
+	// stage is the number of the current stage.
 	stage int
 }
 
@@ -45,7 +46,7 @@
 	return shortest + time.Duration(c.rng.Int64N(int64(longest-shortest)))
 }
 
-// next plays a script as soon as all have settled.
+// next starts a script as soon as all processes have settled.
 func (c *scripts) next() {
 	s := c.sim
 	if s.now > s.profile.faultTime-maxScriptTime {
@@ -70,7 +71,7 @@
 	}
 }
 
-// parts returns the leader first, and the others in an order by chance.
+// shuffledNodes returns the leader first, then the others in random order.
 func (c *scripts) shuffledNodes() []*node {
 	leader := c.sim.leader()
 	all := []*node{leader}
@@ -82,7 +83,7 @@
 	return all
 }
 
-// split cuts all links between the two sides.
+// partition cuts all links between the two sides, and no others.
 func (c *scripts) partition(one, other []*node) {
 	clear(c.sim.cut)
 	for _, a := range one {
@@ -92,7 +93,7 @@
 	}
 }
 
-// end heals all and goes on.
+// finish heals all links and continues with the next script.
 func (c *scripts) finish() {
 	c.stage++
 	c.elected, c.deafLeader = nil, nil
@@ -101,8 +102,8 @@
 	c.next()
 }
 
-// whenElected goes on at the moment at which one of the processes becomes the
-// leader, before any of its messages arrives; it ends the script if none does.
+// onElected calls then when one of the processes becomes the leader, before any of its
+// messages arrives. It ends the script if none does within stageTimeout.
 func (c *scripts) onElected(among []*node, then func(n *node)) {
 	c.stage++
 	stage := c.stage
@@ -139,9 +140,9 @@
 	return left
 }
 
-// oldTerm lets entries of an old term reach a quorum under a later leader, while
-// one with an entry of a term between waits to be elected: a leader that commits
-// them by count loses them.
+// oldTermCommit lets entries of an old term reach a quorum under a later leader,
+// while a node with an entry of a term in between may still be elected. A leader
+// that commits entries of an earlier term by counting replicas loses them.
 func (c *scripts) oldTermCommit(all []*node) {
 	c.sim.note("script: old term")
 	few, many := all[:2], all[2:]
@@ -159,10 +160,10 @@
 	})
 }
 
-// lateAnswers lets the answers to a leader fall far behind and then cuts what it
-// sends: it goes on hearing a quorum that has long followed another one.
+// delayedResponses delays the responses to a leader and then cuts its outgoing
+// links: it still receives responses from a quorum that follows another leader.
 func (c *scripts) delayedResponses(all []*node) {
-	c.sim.note("script: late answers")
+	c.sim.note("script: delayed responses")
 	s, leader := c.sim, all[0]
 	steps := 3
 	for i := range steps {
@@ -176,10 +177,10 @@
 	})
 }
 
-// twoRemovals takes two voters out at a leader that reaches one other voter only:
-// what is left of the five would have a quorum on each side.
+// concurrentRemovals requests the removal of two voters from a leader that reaches
+// only one other voter: with both removed, each side would have a quorum.
 func (c *scripts) concurrentRemovals(all []*node) {
-	c.sim.note("script: two removals")
+	c.sim.note("script: concurrent removals")
 	few, many := all[:2], all[2:]
 	c.partition(few, many)
 	for _, n := range many[:2] {
@@ -190,10 +191,10 @@
 	c.onElected(many, func(*node) { c.sim.after(time.Second, c.finish) })
 }
 
-// healedVoter cuts a follower off and heals it: the leader that all others hear
-// must stay, in its term.
+// reconnectedVoter cuts off a follower and heals it: the leader must stay in its
+// term.
 func (c *scripts) reconnectedVoter(all []*node) {
-	c.sim.note("script: healed voter")
+	c.sim.note("script: reconnected voter")
 	s, leader := c.sim, all[0]
 	term := leader.runner.Status().Term
 	c.partition(all[1:2], append([]*node{leader}, all[2:]...))
@@ -201,16 +202,16 @@
 		clear(s.cut)
 		s.after(3*time.Second, func() {
 			now := leader.runner.Status()
-			s.invariants.check(now.Role == replica.Leader && now.Term == term, "a healed voter leaves the leader alone", "%s led term %d and is %s in %d", leader.name, term, now.Role, now.Term)
+			s.invariants.check(now.Role == replica.Leader && now.Term == term, "a reconnected voter does not disrupt the leader", "%s led term %d and is %s in %d", leader.name, term, now.Role, now.Term)
 			c.finish()
 		})
 	})
 }
 
-// lateHandOver lets the word that hands the office over come late: the leader has
-// gone on by then, and the one that campaigns lacks what was accepted meanwhile.
+// delayedLeadershipTransfer delays the message that transfers leadership: the leader
+// has resumed accepting proposals by then, and the candidate lacks those entries.
 func (c *scripts) delayedLeadershipTransfer(all []*node) {
-	c.sim.note("script: late hand-over")
+	c.sim.note("script: delayed leadership transfer")
 	s, leader := c.sim, all[0]
 	c.deafLeader = leader
 	for _, n := range all[1:] {
@@ -225,7 +226,7 @@
 	})
 }
 
-// campaigns is told of each candidacy.
+// candidacyStarted is called when a node becomes a candidate.
 func (c *scripts) candidacyStarted(n *node) {
 	if c.deafLeader != nil {
 		c.sim.cut[n.name+">"+c.deafLeader.name] = true
--- a/internal/proof/sim_test.go
+++ b/internal/proof/sim_test.go
@@ -1,6 +1,6 @@
-// Package proof drives the replicated log, its files and the state machine
-// above it under one seeded heap of events: the product's own code, with a
-// simulated clock, network and disk. The same seed gives the same run.
+// Package proof runs deterministic simulations of the replicated log, its files
+// and its state machine. The production code runs on a simulated clock, network
+// and disk; all events come from one queue, and a seed determines the whole run.
 package proof
 
 import (
@@ -25,7 +25,7 @@
 	heartbeat = 100 * time.Millisecond
 	election  = time.Second
 	tick      = heartbeat / 2
-	// maxBackground is the longest delay of work beside the turns.
+	// maxBackground is the longest delay of background work.
 	maxBackground = 2 * time.Second
 )
 
@@ -50,89 +50,91 @@
 	return last
 }
 
-// node is one state process with its disk.
+// node is a state process with its disk.
 type node struct {
 	sim     *sim
 	name    string
 	disk    *disk
 	runner  *replica.Runner
 	machine *state.Machine
-	// frozenUntil is when a stopped process goes on; waiting is what came meanwhile.
+	// frozenUntil is the time at which a suspended process resumes; pending holds
+	// the requests received until then.
 	frozenUntil time.Duration
 	pending     []replica.Request
-	// bootstrap is as in the settings; it stays set when the disk is lost.
+	// bootstrap is the process's setting; it stays true after the disk is lost.
 	bootstrap bool
-	// leases judges the leases of machine by the node's clock.
+	// leases checks the leases of machine by the node's clock.
 	leases *state.LeaseClock
-	// id is the identity that the process had when it last ran.
+	// id is the identity of the process when it last ran.
 	id  string
 	rng *rand.Rand
-	// later draws the delays of work beside the turns.
+	// backgroundRNG draws the delays of background work.
 	backgroundRNG *rand.Rand
 }
 
-// profile is a kind of run.
+// profile configures one kind of run.
 type profile struct {
 	name string
-	// faultTime is how long faults happen, at most faultGap apart.
+	// faultTime is the part of the run with faults, at most faultGap apart.
 	faultTime, faultGap time.Duration
-	// pause is the longest pause of an operator between two calls.
+	// pause is the longest pause between two calls of an operator.
 	pause time.Duration
-	// kinds is how many kinds of faults may happen; see fault.
+	// kinds is the number of kinds of faults that may occur; see sim.fault.
 	kinds int
-	// spikes is how many messages in a hundred take seconds.
+	// delaySpikes is the percentage of messages delayed by up to 4 s.
 	delaySpikes int
-	// nodes is the number of processes; 0 means three, now and then five.
+	// nodes is the number of processes; 0 means three or, in one run of five, five.
 	nodes int
-	// appendBytes bounds the entries of one message.
+	// appendBytes limits the size of the entries in one message.
 	appendBytes int
-	// chunkBytes is the part of a snapshot in one message; 0 means 400.
+	// chunkBytes is the size of a snapshot chunk in one message; 0 means 400.
 	chunkBytes int
-	// slow is the longest usual delay of a message.
+	// maxDelay is the upper bound of the message delay without spikes.
 	maxDelay time.Duration
-	// reads is how many calls in four are reads.
+	// reads is the number of reads in four calls.
 	reads int
-	// anyLeader lets reads go to any process that takes itself for the leader.
+	// anyLeader sends reads to any process that believes it is the leader.
 	anyLeader bool
-	// entries adds entry instances that follow the revisions.
+	// entries adds entry instances that follow the configuration revisions.
 	entries bool
-	// scripts plays schedules against single guards; no other faults happen.
+	// scripts runs scripted schedules, each aimed at one safety rule, without other
+	// faults.
 	scripts bool
-	// cutoffs cuts data centres off by a plan, with callers at the entries; no
-	// other faults happen.
+	// cutoffs partitions data centres one after the other, with callers at the
+	// entries and without other faults.
 	cutoffs bool
-	// strikes adds to each cut a process that ends, hangs or starts again.
+	// extraFaults kills, freezes or restarts a process during each cut.
 	extraFaults bool
 }
 
 var (
-	// heavy runs have little time without a fault.
+	// heavy has frequent faults.
 	heavy = profile{name: "heavy", faultTime: 40 * time.Second, faultGap: 3 * time.Second, pause: 700 * time.Millisecond, kinds: 12, delaySpikes: 1, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 1}
-	// busy runs make many changes between faults.
+	// busy has many changes between faults.
 	busy = profile{name: "busy", faultTime: 60 * time.Second, faultGap: 8 * time.Second, pause: 150 * time.Millisecond, kinds: 14, delaySpikes: 5, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 2, anyLeader: true}
-	// churn runs change the leader all the time, with one entry a message.
+	// churn has frequent leader changes and one log entry per message.
 	churn = profile{name: "churn", faultTime: 60 * time.Second, faultGap: 3 * time.Second, pause: 150 * time.Millisecond, kinds: 9, delaySpikes: 3, nodes: 5, appendBytes: 1, maxDelay: 400 * time.Millisecond, reads: 2, anyLeader: true}
-	// fleet runs have entries in three data centres that are cut off in turn.
+	// fleet has entries in three data centres, which are cut off at random.
 	fleet = profile{name: "fleet", faultTime: 60 * time.Second, faultGap: 15 * time.Second, pause: 400 * time.Millisecond, kinds: 14, delaySpikes: 1, appendBytes: 600, maxDelay: 60 * time.Millisecond, reads: 1, entries: true}
-	// scripted runs play schedules that chance does not find; a snapshot is one message.
+	// scripted runs schedules that random faults rarely produce. A snapshot is one message.
 	scripted = profile{name: "scripted", faultTime: 80 * time.Second, pause: 400 * time.Millisecond, delaySpikes: 3, nodes: 5, appendBytes: 1, chunkBytes: 1 << 20, maxDelay: 60 * time.Millisecond, reads: 2, anyLeader: true, scripts: true}
-	// cutoff runs have each data centre cut off in turn, and callers on both sides.
+	// cutoff partitions each data centre in turn, with callers on both sides.
 	cutoff = profile{name: "cutoff", faultTime: 3 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, maxDelay: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true}
-	// struck runs are those of cutoff with a second fault in each cut.
+	// cutoffWithFaults is cutoff with a second fault during each cut.
 	cutoffWithFaults = profile{name: "struck", faultTime: 4 * time.Minute, pause: 4 * time.Second, nodes: 3, appendBytes: 600, chunkBytes: 100, maxDelay: 60 * time.Millisecond, reads: 1, entries: true, cutoffs: true, extraFaults: true}
 )
 
-// sim is one run.
+// sim is one simulation run.
 type sim struct {
 	profile profile
-	// Each part draws from its own source, so that a change of one part leaves
-	// the others' draws as they were.
+	// Each component has its own source of random numbers, so that a change to one
+	// component does not change the numbers that the others draw.
 	rng, faultRNG, callRNG *rand.Rand
 	now                    time.Duration
 	queue                  eventHeap
 	seq                    uint64
 	nodes                  []*node
-	// cut holds the links that lose everything, by "from>to".
+	// cut holds the links that lose all messages, as "from>to".
 	cut        map[string]bool
 	loss, dup  float64
 	maxDelay   time.Duration
@@ -145,7 +147,7 @@
 	entries    *entries
 	cutoffs    *cutoffs
 	scripts    *scripts
-	// lag delays all messages to a process, by its name.
+	// extraDelay is added to each message to a process, by process name.
 	extraDelay    map[string]time.Duration
 	snapshotEvery uint64
 	segmentBytes  int64
@@ -189,7 +191,7 @@
 	}
 }
 
-// run lets time pass until the moment, or until an invariant breaks or done holds.
+// run processes events until the given time, a violated invariant or done.
 func (s *sim) run(until time.Duration, done func() bool) {
 	for len(s.queue) > 0 && s.queue[0].at <= until && s.invariants.failure == "" && !done() {
 		e := heap.Pop(&s.queue).(event)
@@ -217,7 +219,7 @@
 			Heartbeat: heartbeat, Election: election, Folder: n.disk, Machine: n.machine, Transport: n, SnapshotEvery: s.snapshotEvery,
 			SegmentBytes: s.segmentBytes, ChunkBytes: cmp.Or(s.profile.chunkBytes, 400), AppendBytes: s.profile.appendBytes, Clock: func() time.Duration { return s.now },
 			Random: n.rng.Uint64, Background: n.background, Observe: func(a replica.Action) { s.invariants.observe(n, a) }})
-		if !s.invariants.check(err == nil, "starts after any crash", "%s: %v", n.name, err) {
+		if !s.invariants.check(err == nil, "restart after a crash", "%s: %v", n.name, err) {
 			return
 		}
 		n.runner, n.id = runner, runner.Status().ID
@@ -226,21 +228,22 @@
 	})
 }
 
-// background runs work a while after the turn that wanted it, as a goroutine
-// would: other turns, a kill or a crash in the middle of it come between.
+// background runs work after a random delay, as a goroutine would: other requests,
+// a kill or a crash may come first.
 func (n *node) background(work func()) {
 	runner := n.runner
 	n.sim.after(time.Duration(n.backgroundRNG.Int64N(int64(maxBackground))), func() { n.runBackground(runner, work) })
 }
 
-// resume runs the work unless the process has ended; a frozen one does it later.
+// runBackground runs the work unless the process has ended; a frozen process runs
+// it when it resumes.
 func (n *node) runBackground(runner *replica.Runner, work func()) {
 	switch {
 	case n.runner == nil || n.runner != runner:
 	case n.sim.now < n.frozenUntil:
 		n.sim.after(n.frozenUntil-n.sim.now, func() { n.runBackground(runner, work) })
 	default:
-		n.sim.note("%s ends work beside its turns", n.name)
+		n.sim.note("%s runs background work", n.name)
 		n.runUntilCrash(work)
 	}
 }
@@ -250,17 +253,18 @@
 		return
 	}
 	n.process(replica.Request{Event: replica.Tick{}})
-	// Clocks drift: a twentieth either way.
+	// Clock drift of up to 5 % in either direction.
 	n.sim.after(tick-tick/20+time.Duration(n.rng.Int64N(int64(tick/10))), func() { n.tick(runner) })
 }
 
-// guard runs a part of the process; a crash of the machine may end it anywhere.
+// runUntilCrash runs code of the process, which a simulated machine crash may
+// interrupt at any disk operation.
 func (n *node) runUntilCrash(run func()) {
 	defer func() {
 		switch r := recover().(type) {
 		case nil:
 		case crashed:
-			n.sim.note("%s stops in the middle", n.name)
+			n.sim.note("%s crashes during an operation", n.name)
 			n.kill()
 		default:
 			panic(r)
@@ -269,7 +273,7 @@
 	run()
 }
 
-// identity is the one on the disk; a process may take a fresh one while it runs.
+// identity returns the process's current identity, which may change while it runs.
 func (n *node) identity() string {
 	if n.runner != nil {
 		n.id = n.runner.Status().ID
@@ -296,7 +300,7 @@
 	})
 }
 
-// freeze stops the process as SIGSTOP does; what comes meanwhile waits.
+// freeze suspends the process as SIGSTOP does; requests are queued meanwhile.
 func (n *node) freeze(length time.Duration) {
 	s := n.sim
 	s.note("%s frozen for %s", n.name, length)
@@ -314,7 +318,7 @@
 	})
 }
 
-// kill ends the process; it starts again after a while.
+// kill ends the process, which restarts after a random delay of up to 3 s.
 func (n *node) kill() {
 	if n.runner == nil {
 		return
@@ -327,7 +331,7 @@
 	n.sim.after(time.Duration(n.rng.Int64N(int64(3*time.Second))), n.start)
 }
 
-// Send carries messages with delay, loss, repetition and reordering.
+// Send delivers messages with delay, loss, duplication and reordering.
 func (n *node) Send(address string, messages []*lilacv1.RaftMessage) {
 	s := n.sim
 	for _, m := range messages {
@@ -371,7 +375,7 @@
 	return nil
 }
 
-// leaders are those that take themselves for the leader and run.
+// leaders returns the running processes that believe they are the leader.
 func (s *sim) leaders() []*node {
 	var all []*node
 	for _, n := range s.nodes {
--- a/internal/proof/takeover_test.go
+++ b/internal/proof/takeover_test.go
@@ -11,10 +11,10 @@
 	"github.com/lilacbridge/lilacbridge/process/replica"
 )
 
-// quiet runs have no faults but those that a test makes.
+// faultFree has no faults except those injected by a test.
 var faultFree = profile{name: "quiet", maxDelay: 30 * time.Millisecond, appendBytes: 1 << 20}
 
-// newQuiet returns a run that has settled under a leader.
+// newFaultFree returns a run that has settled with a leader.
 func newFaultFree(seed uint64, nodes int) *sim {
 	p := faultFree
 	p.nodes = nodes
@@ -24,7 +24,7 @@
 	return s
 }
 
-// accepted lets time pass until a proposal is accepted, tried each 10 ms.
+// timeToAccept proposes every 10 ms and returns the time until a proposal is accepted.
 func (s *sim) timeToAccept() time.Duration {
 	startedAt, done := s.now, false
 	var try func()
@@ -39,9 +39,9 @@
 	return s.now - startedAt
 }
 
-// A voter that was cut off for ten seconds comes back. The leader that all
-// others hear must stay, in its term, and accept statements without a pause.
-func TestHealedVoterLeavesTheLeaderAlone(t *testing.T) {
+// A voter that was cut off for ten seconds is reconnected. The leader must stay in
+// its term and continue to accept proposals.
+func TestReconnectedVoterDoesNotDisruptLeader(t *testing.T) {
 	is := is.New(t)
 	for seed := uint64(1); seed <= 10; seed++ {
 		s := newFaultFree(seed, 3)
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// BenchmarkTimeWithoutLeader gives the simulated time from the end of a leader
-// to the next accepted proposal, with the settings' default timeouts and up to
-// 36 ms from process to process.
+// BenchmarkTimeWithoutLeader measures the simulated time from the loss of a leader
+// to the next accepted proposal, with the default timeouts and message delays of up
+// to 36 ms.
 func BenchmarkTimeWithoutLeader(b *testing.B) {
 	ends := map[string]func(s *sim, n *node){
 		"killed": func(_ *sim, n *node) { n.kill() },
