--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -14,32 +14,34 @@
 )
 
 const (
-	// endsWithin bounds each claim and statement, whatever is cut.
+	// callBound bounds each claim and statement, whichever links are cut.
 	callBound = 5 * time.Second
-	// refusedWithin bounds those that begin within lostFor after a refusal: one
-	// round, in which the hints of other calls may change who is asked for longer.
+	// noQuorumBound bounds those that start within noQuorumMemory after a refusal
+	// without a quorum: one round over the processes, which leader hints from other
+	// calls may prolong.
 	noQuorumBound, noQuorumMemory = 2500 * time.Millisecond, 1900 * time.Millisecond
-	// passedOver is how long a state process that gave no answer holds up nobody
-	// else, but one call that tries it, by a clock that drifts.
+	// silentRetryInterval is the time after an unanswered attempt in which no call
+	// tries that state process again; then one call at a time does. It allows for
+	// clock drift.
 	silentRetryInterval = 1900 * time.Millisecond
-	// ownAnswer is how soon the own data centre's state process answers once it
-	// has noticed that it is cut off, for which it has noticedBy.
+	// localReplyBound bounds the answer of the state process in the own data centre
+	// once it has detected a cut, which takes it up to cutNoticeBound.
 	localReplyBound, cutNoticeBound = 500 * time.Millisecond, 4 * time.Second
 	callPause                       = 1500 * time.Millisecond
 )
 
-// caller is the part of an entry that claims, and states, for those who call it.
+// caller is the part of an entry that issues claims and statements for its clients.
 type caller struct {
 	cuts  *cutoffs
 	sim   *sim
 	entry *entry
 	core  *stateclient.Core
 	calls uint64
-	// refused is when the last search failed; silent is since when a state
-	// process is known to give no answer.
+	// noQuorumAt is when a call last failed without a quorum; silentSince is when a
+	// state process last gave no answer, by address.
 	noQuorumAt  time.Duration
 	silentSince map[string]time.Duration
-	// probing marks those of the silent that a call tries again.
+	// probing marks silent processes that a call is retrying.
 	probing map[string]bool
 }
 
@@ -55,7 +57,7 @@
 	k.sim.after(k.cuts.between(callersStart, callersStart+callPause), k.next)
 }
 
-// next makes one call at a time out of several that may be open.
+// next starts a call; several calls may be open at a time.
 func (k *caller) next() {
 	if k.cuts.stopped() {
 		return
@@ -77,7 +79,7 @@
 	number    uint64
 	command   *lilacv1.Command
 	startedAt time.Duration
-	// doubtful is true once an attempt had no answer, or one that says so.
+	// inDoubt is true once an attempt had no answer or an unknown outcome.
 	inDoubt bool
 	result  *lilacv1.CommandResult
 	end     func(result *lilacv1.CommandResult, err error)
@@ -128,8 +130,8 @@
 	c.end(c.result, err)
 }
 
-// try sends the call to one state process and gives the client its answer, or
-// the silence after the timeout.
+// attempt sends the call to one state process and passes the answer, or a timeout, to
+// the client core.
 func (c *stateCall) attempt(a stateclient.Attempt) {
 	k, s := c.caller, c.caller.sim
 	since, down := k.silentSince[a.Address]
@@ -169,7 +171,7 @@
 	s.after(a.Timeout, func() { finish(nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_TIMEOUT, "no answer in time")) })
 }
 
-// serve answers as a state process's service does.
+// serve answers a command as the service of a state process does.
 func (n *node) serve(c *lilacv1.Command, reply func(*lilacv1.CommandResult, error)) {
 	if claim := c.GetClaim(); claim != nil && n.answers() {
 		if answer, final := n.machine.FinalReply(claim); final {
@@ -191,8 +193,8 @@
 	return &lilacv1.ClaimRequest{Team: "team", Key: key, Digest: make([]byte, 32), Instance: "front-" + k.entry.name, Incarnation: k.entry.name + "/1", Attempt: attempt, NowUnixMs: 1}
 }
 
-// claim asks to run a request that entries of other data centres may hold too,
-// as when its caller sends it again elsewhere.
+// claim claims a key that entries of other data centres may claim too, as when a
+// client retries a request elsewhere.
 func (k *caller) claim() {
 	c := k.cuts
 	c.serial++
@@ -201,7 +203,7 @@
 	request := k.claimOf(key, attempt)
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}, func(result *lilacv1.CommandResult, err error) {
 		if err != nil {
-			// It is not sent. A claim that may stand all the same is given up.
+			// The request is not sent. A claim that may have been granted is released.
 			if fault.NotRunOf(err) != lilacv1.NotRun_NOT_RUN_TRUE {
 				k.outcome(key, attempt, lilacv1.ClaimState_CLAIM_STATE_NOT_RUN)
 			}
@@ -220,7 +222,7 @@
 	})
 }
 
-// outcome tells how a claim ended, again and again until the ledger has it.
+// outcome reports the outcome of a claim, and retries until the ledger has it.
 func (k *caller) outcome(key, attempt string, state lilacv1.ClaimState) {
 	o := &lilacv1.OutcomeRequest{Team: "team", Key: key, Attempt: attempt, State: state, NowUnixMs: 1}
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Outcome{Outcome: o}}, func(_ *lilacv1.CommandResult, err error) {
@@ -237,13 +239,13 @@
 	})
 }
 
-// endedKey is a request whose end the ledger has confirmed, at the index or before.
+// endedKey is a request whose outcome the ledger has confirmed at index or earlier.
 type endedKey struct {
 	key   string
 	index uint64
 }
 
-// lastApplied is the last index that any state process has applied.
+// lastApplied returns the highest index that a state process has applied.
 func (s *sim) lastApplied() uint64 {
 	last := uint64(0)
 	for _, n := range s.nodes {
@@ -254,8 +256,8 @@
 	return last
 }
 
-// askEnded sends a request again that ended; it must be answered if the own data
-// centre's state process knows the end.
+// claimEnded claims the key of a finished request again. It must be answered if the
+// state process of the own data centre knows the outcome.
 func (k *caller) claimEnded() {
 	c := k.cuts
 	if len(c.endedKeys) == 0 {
@@ -265,7 +267,7 @@
 	key, request := ended.key, k.claimOf(ended.key, c.nextName("again"))
 	own := k.entry.ownState()
 	known := !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own) && own.runner.Status().AppliedIndex >= ended.index
-	// What the own process does not know yet, another one may.
+	// Another process may know an outcome that the own one does not know yet.
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}, func(result *lilacv1.CommandResult, err error) {
 		answered := err == nil && result.GetClaim().GetState() == lilacv1.ClaimState_CLAIM_STATE_RAN && !result.GetClaim().GetGranted()
 		known = known && !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own)
@@ -273,16 +275,16 @@
 	})
 }
 
-// passesOver tells whether the state process gave this entry no answer a moment
-// ago. One that leads with a frozen voter, while the other voter still catches
-// up after a cut, answers nothing that needs the log, and is not asked then for
-// what it knows either.
+// skips reports whether the entry avoids the state process because of a recent
+// attempt without an answer. A leader with one frozen voter, while the other voter
+// catches up after a cut, does not answer requests that need the log; it is then not
+// asked for known outcomes either.
 func (k *caller) skips(n *node) bool {
 	since, silentSince := k.silentSince[n.name]
 	return silentSince && (k.probing[n.name] || k.sim.now-since < silentRetryInterval+localReplyBound)
 }
 
-// state gives a statement; the operators check what became of it.
+// propose issues a statement; operators checks its outcome.
 func (k *caller) propose() {
 	o, cut := k.sim.operators, k.cuts.activeCut(k.entry)
 	in := statement{command: k.cuts.nextName(k.entry.name)}
--- a/internal/proof/entries_test.go
+++ b/internal/proof/entries_test.go
@@ -334,7 +334,7 @@
 		_ = e.config.Apply(revisions)
 	}
 	now := e.config.Revision()
-	e.sim.invariants.check(now >= before, "the configuration revision never decreases", "%s went from %d to %d", e.name, before, now)
+	e.sim.invariants.check(now >= before, "configuration never goes back", "%s went from %d to %d", e.name, before, now)
 	if now != before {
 		e.sim.note("%s has revision %d", e.name, now)
 		if group.seen[now] == nil {
--- a/internal/proof/operators_test.go
+++ b/internal/proof/operators_test.go
@@ -19,25 +19,25 @@
 	answerTimeout = 3 * time.Second
 )
 
-// operators give racing statements and claims, resend what was not answered,
-// and read; what they saw is checked for linearizability at the end.
+// operators issues concurrent statements, claims and reads, and retries those without
+// an answer. The recorded history is checked for linearizability at the end.
 type operators struct {
 	sim         *sim
 	logicalTime int64
 	serial      int
 	history     []porcupine.Operation
-	// open counts calls that have not ended.
+	// open is the number of calls in progress.
 	open int
-	// accepted are the numbers of accepted statements; refused those whose every
-	// try was answered "not run".
+	// accepted maps accepted statements to their revisions; refused holds statements
+	// of which all attempts were answered with "not run".
 	accepted map[string]uint64
 	refused  []string
-	// runs counts by key how often a claimed request ran.
+	// runs counts the executions of a claimed request, by key.
 	runs        map[string]int
 	afterHealed int
 }
 
-// seen is what an operator learns: the newest revision and its command.
+// observation is the result of a read: the newest revision and its command.
 type observation struct {
 	revision uint64
 	command  string
@@ -48,7 +48,7 @@
 	ifRevision uint64
 }
 
-// answer to a statement: accepted as revision, a conflict, or unknown.
+// answer is the outcome of a statement: accepted as revision, a conflict, or unknown.
 type answer struct {
 	revision uint64
 	conflict bool
@@ -68,7 +68,7 @@
 	return o.logicalTime
 }
 
-// next begins the operator's next call, unless the run is about to end.
+// next starts the operator's next call unless the run is about to end.
 func (o *operators) next(operator int, known *uint64) {
 	if o.sim.healed && o.afterHealed > 2*operatorCount {
 		return
@@ -88,12 +88,12 @@
 	}
 }
 
-// call is one command that is sent, with the same bytes, until it is answered.
+// call is one command, sent with the same bytes until it is answered.
 type call struct {
 	operators *operators
 	event     func() replica.Event
 	attempts  int
-	// doubtful is true once a try may have run although it was not answered.
+	// inDoubt is true once an unanswered attempt may have been executed.
 	inDoubt bool
 	ended   bool
 	end     func(result []byte, err error)
@@ -117,7 +117,7 @@
 		return
 	}
 	if c.attempts == maxAttempts {
-		c.finish(nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "given up"))
+		c.finish(nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, "no answer after the last attempt"))
 		return
 	}
 	c.attempts++
@@ -147,7 +147,7 @@
 	}
 	n.process(replica.Request{Event: c.event(), Reply: func(outcome replica.Outcome) {
 		if s.callRNG.Float64() < s.loss {
-			return // The answer is lost; the caller sends again after its wait.
+			return // The answer is lost; the caller retries after answerTimeout.
 		}
 		s.after(s.delay(), func() { c.reply(outcome, answered) })
 	}})
@@ -189,7 +189,7 @@
 	return result
 }
 
-// state gives a statement, often with the number that another one has too.
+// propose issues a statement, often conditional on the same revision as another one.
 func (o *operators) propose(operator int, known *uint64, next func()) {
 	o.serial++
 	in := statement{command: fmt.Sprint("command-", o.serial)}
@@ -243,14 +243,14 @@
 	o.history = append(o.history, porcupine.Operation{ClientId: operator, Input: in, Call: startedAt, Output: out, Return: o.clock()})
 }
 
-// read asks for the newest revision by a linearizable read.
+// read gets the newest revision by a linearizable read.
 func (o *operators) read(known *uint64, next func()) {
 	startedAt := o.clock()
 	target := o.sim.nodes[o.sim.callRNG.IntN(len(o.sim.nodes))]
 	if leaders := o.sim.leaders(); len(leaders) > 0 {
 		target = leaders[0]
 		if o.sim.profile.anyLeader {
-			// It may not know yet that another one leads.
+			// It may not know yet that another process leads.
 			target = leaders[o.sim.callRNG.IntN(len(leaders))]
 		}
 	}
@@ -288,7 +288,8 @@
 	return observation{revision: audit[0].GetNumber(), command: audit[0].GetCommandId()}
 }
 
-// claim asks to run a request that others may hold too, and runs it if granted.
+// claim claims a key that other operators may claim too, and runs the request if
+// granted.
 func (o *operators) claim(operator int, next func()) {
 	o.serial++
 	key := fmt.Sprint("key-", o.serial/3)
@@ -311,8 +312,8 @@
 	})
 }
 
-// model is the configuration as operators see it: one number that grows by one
-// with each accepted statement.
+// model is the sequential specification for the linearizability check: a revision
+// that increases by one with each accepted statement.
 var model = porcupine.Model{
 	Init: func() any { return observation{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -330,9 +331,9 @@
 	},
 }
 
-// resolve finds in the audit trail what became of calls that were given up: one
-// that stands there took effect at any time since its begin, one that does not
-// had none.
+// resolve looks up calls with an unknown outcome in the audit trail. A call that is
+// in the trail may have taken effect at any time since its start; one that is not
+// had no effect.
 func (o *operators) resolve(numbers map[string]uint64) []porcupine.Operation {
 	var history []porcupine.Operation
 	for _, call := range o.history {
@@ -349,22 +350,22 @@
 	return history
 }
 
-// verify checks at the end that nothing accepted was lost, nothing refused
-// ran, all processes hold the same state, and the history is linearizable.
+// verify checks that no accepted statement was lost, no refused statement ran, all
+// processes hold the same state, and the history is linearizable.
 func (o *operators) verify() {
 	v := o.sim.invariants
 	first := o.sim.nodes[0]
 	revisions, complete := first.machine.Since(0, 1<<20)
-	v.check(complete, "audit trail is whole", "")
+	v.check(complete, "the audit trail is complete", "")
 	numbers := map[string]uint64{}
 	for _, revision := range revisions {
 		numbers[revision.GetCommandId()] = revision.GetNumber()
 	}
 	for _, id := range sortedKeys(o.accepted) {
-		v.check(numbers[id] == o.accepted[id], "accepted is never lost", "%s was accepted as %d and stands as %d", id, o.accepted[id], numbers[id])
+		v.check(numbers[id] == o.accepted[id], "accepted is never lost", "%s was accepted as %d and is recorded as %d", id, o.accepted[id], numbers[id])
 	}
 	for _, id := range o.refused {
-		v.check(numbers[id] == 0, "not run did not run", "%s stands as revision %d", id, numbers[id])
+		v.check(numbers[id] == 0, "not run did not run", "%s is recorded as revision %d", id, numbers[id])
 	}
 	want, err := first.machine.Snapshot()
 	v.check(err == nil, "snapshot", "%v", err)
--- a/internal/proof/plain_test.go
+++ b/internal/proof/policy_test.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// plainTick is coarser than policy.TickInterval, for speed.
+	// policyTick is longer than policy.TickInterval to reduce the number of events.
 	policyTick   = 50 * time.Millisecond
 	requestPause = 2400 * time.Millisecond
 	answerTokens = 8
-	// A server that runs n requests takes plainStep for each of n and plainBase
-	// more between two tokens.
+	// The time between two tokens of a server with n running requests is
+	// (n + stepBase) * stepPerRequest.
 	stepPerRequest, stepBase = 6 * time.Millisecond, 4
 	serverSlots              = 6
 	burstSize                = 8
-	// plainPoll is how often an entry asks each server for its load.
+	// loadPollInterval is the interval at which an entry polls each server's load.
 	loadPollInterval = 500 * time.Millisecond
-	// dialLimit is how long a new connection is tried.
+	// dialTimeout bounds the attempt to open a connection.
 	dialTimeout = 2 * time.Second
-	// cutKnownBy is when an entry behind a full cut knows of it.
+	// cutDetectionBound is the time within which an entry detects a full cut.
 	cutDetectionBound = 2500 * time.Millisecond
-	// decidedWithin bounds the decision on an idempotent request while its own
-	// data centre has free places; what other entries run there is known from
+	// decisionBound bounds the time to start an idempotent request while its own
+	// data centre has free slots. The requests of other entries there are known from
 	// their digests, which are up to a second old.
 	decisionBound = 2 * time.Second
-	// ownAnswered bounds the whole answer of one that stayed in its own data
-	// centre, farAnswered of one that was sent over a link before it was cut.
+	// localAnswerBound bounds the time to a complete answer from the own data centre,
+	// remoteAnswerBound that of a request sent over a link before it was cut.
 	localAnswerBound, remoteAnswerBound = 8 * time.Second, 25 * time.Second
-	// resendEvery is how often a connection sends again what a cut lost, and
-	// keepAlive when it is given up.
+	// retransmitInterval is the interval at which a connection retransmits lost
+	// data; keepAliveTimeout is when it is closed.
 	retransmitInterval, keepAliveTimeout = 300 * time.Millisecond, 11 * time.Second
 )
 
 func serverName(center int) string { return fmt.Sprint("engine-", center) }
 
-// plain is the part of an entry that serves idempotent requests: the product's
-// policy over one backend server in each data centre.
+// policySim is the part of an entry that serves idempotent requests: the production
+// policy over one simulated backend server in each data centre.
 type policySim struct {
 	cuts   *cutoffs
 	sim    *sim
@@ -57,9 +57,9 @@
 	attempt   int
 	server    string
 	received  int
-	// far is true once it was sent to another data centre.
+	// remote is true once it was sent to another data centre.
 	remote bool
-	// cut is the cut that the entry was behind, and knew of, at the arrival.
+	// cut is the cut that the entry had detected at the arrival, 0 for none.
 	cut int
 }
 
@@ -90,8 +90,9 @@
 	p.sim.after(p.cuts.between(0, loadPollInterval), p.poll)
 }
 
-// poll asks the servers how many requests they run. Without it the lost answers
-// of others' requests would hold places of a server that is cut off one way.
+// poll requests the number of running requests from each server. Without it, lost
+// answers to other entries would occupy slots of a server that is cut off in one
+// direction.
 func (p *policySim) poll() {
 	if p.cuts.stopped() {
 		return
@@ -164,7 +165,8 @@
 	p.step(policy.Arrival{ID: r.id, Class: "alerts", Team: "team", Target: "redaction", Digest: fmt.Sprint(p.entry.name, r.id), PromptTokens: 50, MaxTokens: 2 * answerTokens, Idempotent: true})
 }
 
-// answeredBy checks that the whole answer comes in time, unless it may be late.
+// checkAnsweredBy checks that the complete answer arrives within bound, unless late
+// returns true.
 func (p *policySim) checkAnsweredBy(r *idempotentRequest, bound time.Duration, late func() bool) {
 	p.sim.after(bound, func() {
 		p.sim.invariants.check(p.open[r.id] != r || late(), "idempotent requests are answered in time",
@@ -172,7 +174,8 @@
 	})
 }
 
-// free tells whether the own data centre's server has a place for one more.
+// hasFreeSlot reports whether the server of the own data centre can take one more
+// request.
 func (p *policySim) hasFreeSlot() bool {
 	count := 0
 	for _, e := range p.cuts.entries.list {
@@ -183,8 +186,8 @@
 	return count <= serverSlots/2
 }
 
-// start sends the request; over a kept connection what is cut is lost without
-// a word, a new one is not had.
+// start sends the request. On an open connection, a cut loses data silently; a new
+// connection fails with a timeout.
 func (p *policySim) start(a policy.Start) {
 	r, s := p.open[a.ID], p.sim
 	if r == nil {
@@ -210,8 +213,8 @@
 	})
 }
 
-// carry sends over the attempt's connection, which resends what a cut lost until
-// it is given up.
+// sendOnConnection sends over the attempt's connection, which retransmits data lost
+// by a cut until it is closed.
 func (p *policySim) sendOnConnection(r *idempotentRequest, a policy.Start, from, to string, run func()) {
 	startedAt := p.sim.now
 	var try func()
@@ -235,7 +238,7 @@
 	}
 }
 
-// token is one token that came back.
+// tokenReceived handles one token of the answer.
 func (p *policySim) tokenReceived(r *idempotentRequest, a policy.Start) {
 	if p.open[r.id] != r || r.attempt != a.Attempt || r.server == "" {
 		return
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -56,12 +56,12 @@
 	s.run(p.faultTime+settleTimeout, done)
 	v := s.invariants
 	if v.failure == "" {
-		v.check(done(), "the run settles after the faults", "%d calls open, settled %t, %d accepted since", s.operators.open, s.settled(), s.operators.afterHealed)
+		v.check(done(), "all settles once healed", "%d calls open, settled %t, %d accepted since", s.operators.open, s.settled(), s.operators.afterHealed)
 	}
 	if v.failure == "" && s.entries != nil {
 		last := s.now
 		s.run(s.now+inForceBound, s.entries.upToDate)
-		v.check(s.entries.upToDate(), "a change is in force everywhere in time", "not within %s after the last change", inForceBound)
+		v.check(s.entries.upToDate(), "in force everywhere in time", "not within %s after the last change", inForceBound)
 		s.note("in force everywhere %s after the run settled", s.now-last)
 		// Lease requests may still be in flight.
 		s.run(s.now+3*time.Second, never)
