--- a/internal/bench/backend.go
+++ b/internal/bench/backend.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// reportsKept bounds the history that a lag needs.
+// maxReports is the number of load reports kept to simulate the report lag.
 const maxReports = 64
 
 func (e *engine) isDown() bool     { return e.down }
@@ -32,7 +32,7 @@
 func (e *engine) reportAt(at time.Duration) (report, bool)  { return newest(e.reports, at) }
 func (s *service) reportAt(at time.Duration) (report, bool) { return newest(s.reports, at) }
 
-// newest returns the last report that isn't younger than at.
+// newest returns the latest report made at the given time or earlier.
 func newest(reports []report, at time.Duration) (report, bool) {
 	for i := len(reports) - 1; i >= 0; i-- {
 		if reports[i].at <= at {
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -15,16 +15,16 @@
 const (
 	baselineAttempts = 3
 	baselineEject    = 2 * time.Second
-	// priorityQueue is how many requests strict priority lets wait at one instance.
+	// maxPriorityQueue is the queue capacity of an instance with strict priority.
 	maxPriorityQueue = 256
 )
 
-// picker chooses among servers; it is what baselines differ in.
+// picker chooses one of the servers.
 type picker func(b *baseline, servers []string) string
 
-// baseline is a policy as plain routers have it: it sends at once to a picked
-// server, tries up to three times, avoids a crashed server for two seconds and
-// one that the platform lists as leaving.
+// baseline is a policy as in common routers: it sends each request immediately to
+// the picked server, with up to three attempts. It avoids servers that the platform
+// lists as leaving, and a crashed server for two seconds.
 type baseline struct {
 	pick     picker
 	queued   bool
@@ -108,10 +108,10 @@
 	return b.actions
 }
 
-// Digest implements policy.Core; baselines tell nothing.
+// Digest implements policy.Core; the digest of a baseline is empty.
 func (b *baseline) Digest(time.Time) *lilacv1.Digest { return &lilacv1.Digest{} }
 
-// Loads implements policy.Core; baselines tell nothing.
+// Loads implements policy.Core; the report of a baseline is empty.
 func (b *baseline) Loads(time.Time) loadboard.Report { return loadboard.Report{} }
 
 // Stats implements policy.Core.
@@ -140,8 +140,8 @@
 	b.shed()
 }
 
-// drain starts what waits, most urgent tier first, while this instance's
-// static share of the slots has room.
+// drain starts waiting requests, most urgent tier first, while this instance's
+// static share of the slots is not used up.
 func (b *baseline) drain(now time.Time) {
 	if !b.queued {
 		return
--- a/internal/bench/burst_test.go
+++ b/internal/bench/burst_test.go
@@ -7,8 +7,10 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// In a burst at one instance each request starts at the last moment at which it
-// can be on time by the estimate. A fifth of those came a little late all the same, while others that could have met their target waited.
+// In a burst at one instance, each request is started at the last time at which the
+// estimate still predicts that it meets its target. With a too optimistic estimate, a
+// fifth of these requests missed it narrowly, while others that could have met theirs
+// waited.
 func TestStartsInTimeMeetTheirTarget(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
--- a/internal/bench/cache.go
+++ b/internal/bench/cache.go
@@ -1,6 +1,6 @@
 package bench
 
-// cache is a prefix cache with the oldest block dropped first.
+// cache is a prefix cache with least-recently-used eviction of blocks.
 type cache struct {
 	used    map[uint64]uint64
 	order   []cacheUse
@@ -16,7 +16,7 @@
 	tick uint64
 }
 
-// hit counts the leading blocks that the cache holds.
+// matchedBlocks returns the number of leading blocks that are in the cache.
 func (c *cache) matchedBlocks(prefix []uint64) int {
 	for i, hash := range prefix {
 		if _, held := c.used[hash]; !held {
@@ -30,7 +30,7 @@
 	if c.used == nil {
 		c.used = make(map[uint64]uint64)
 	}
-	// The last block is touched first, so that it is dropped first.
+	// The last block is touched first, so that it is evicted first.
 	for i := len(prefix) - 1; i >= 0; i-- {
 		hash := prefix[i]
 		c.tick++
--- a/internal/bench/clock.go
+++ b/internal/bench/clock.go
@@ -1,8 +1,8 @@
-// Package bench runs policies over small fake engines in virtual time.
+// Package bench runs routing policies on simulated engines in virtual time.
 //
-// It is no cluster simulator: engines, services, links and callers are fakes at
-// the interfaces that a policy.Core sees, just rich enough to measure its
-// decisions. Every run is a pure function of fleet, scenario, policy and seed.
+// Engines, services, links and callers are simulated only as far as a policy.Core
+// observes them, to measure its decisions. Every run is a pure function of fleet,
+// scenario, policy and seed.
 package bench
 
 import "time"
@@ -16,7 +16,7 @@
 	run func()
 }
 
-// clock is a heap of events in virtual time; equal times run in order of entry.
+// clock is an event queue in virtual time. Events of equal time run in insertion order.
 type clock struct {
 	now    time.Duration
 	seq    uint64
@@ -65,7 +65,7 @@
 	}
 }
 
-// next runs the earliest event; it returns false when none is left.
+// next runs the earliest event. It returns false if there is none.
 func (c *clock) next() bool {
 	if len(c.events) == 0 {
 		return false
--- a/internal/bench/drain_test.go
+++ b/internal/bench/drain_test.go
@@ -9,11 +9,11 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// Eight engines are taken back in turn, each with a few seconds' notice. Answers
-// move with their KV cache while tokens are still on their way from the old
-// engine: one that came twice, or none at all, would spoil the answer. Every
-// third answer must not be made twice.
-func TestMovedAnswersComeWhole(t *testing.T) {
+// Eight engines are reclaimed in turn, each with a few seconds' notice. Answers move
+// with their KV cache while tokens from the old engine are still in flight; a
+// duplicate or lost token would corrupt the answer. One third of the requests are not
+// idempotent.
+func TestMovedAnswersAreComplete(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	for _, seed := range seeds[:2] {
--- a/internal/bench/engine.go
+++ b/internal/bench/engine.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// prefillToken is the engine time for one prompt token that isn't cached.
+	// prefillToken is the engine time for one uncached prompt token.
 	prefillToken = 120 * time.Microsecond
-	// chunk is how many prompt tokens one step takes in.
+	// prefillChunk is the number of prompt tokens processed in one step.
 	prefillChunk = 256
-	// engineQueue is how many requests wait at an engine before it refuses.
+	// engineQueue is the capacity of an engine's queue; an engine refuses further requests.
 	engineQueue = 32
-	// cacheBlocks is the prefix cache's size.
+	// cacheBlocks is the capacity of the prefix cache.
 	cacheBlocks = 2500
-	// restartTime is how long an engine that a request crashed stays down.
+	// restartTime is the downtime of an engine after a crash caused by a request.
 	restartTime = 15 * time.Second
-	// crashAfter is the number of tokens after which the crashing request strikes.
+	// crashAfter is the number of tokens after which a crashing request crashes the engine.
 	crashAfter = 3
 )
 
-// engineSpeed gives the time of a step and what each request adds to it; two
-// engines of ten are half as fast, since engines carry uneven load.
+// engineSpeed returns the base time of a step and the time added per request. Two of
+// ten engines are half as fast as the others.
 func engineSpeed(i int) (base, perRequest time.Duration) {
 	if i == 2 || i == 7 {
 		return 26 * time.Millisecond, 4400 * time.Microsecond
@@ -29,7 +29,7 @@
 	return 13 * time.Millisecond, 2200 * time.Microsecond
 }
 
-// job is one attempt at one engine.
+// job is one attempt at a backend.
 type job struct {
 	call     *call
 	instance *instance
@@ -37,20 +37,20 @@
 	priority int
 	seq      uint64
 	prefill  int
-	// began is the number of tokens that the attempt started from.
+	// startTokens is the number of tokens received before the attempt.
 	startTokens int
-	// made counts the answer's tokens, those of earlier attempts included.
+	// generated counts the tokens of the answer, including those of earlier attempts.
 	generated int
 	stopped   bool
 	at        backend
-	// imported jobs come with their KV cache; carried counts the tokens in it
-	// that their caller has not got yet.
+	// imported jobs arrive with their KV cache; undelivered counts the tokens in it
+	// that the caller has not received yet.
 	imported    bool
 	undelivered int
 }
 
-// engine batches continuously: each step gives every running request a token,
-// after its prompt was taken in chunk by chunk.
+// engine simulates continuous batching with chunked prefill: each step generates a
+// token for every running request whose prompt has been processed.
 type engine struct {
 	world            *world
 	name             string
@@ -76,7 +76,7 @@
 	running, waiting int
 }
 
-// accept takes a job in, or refuses it for load.
+// accept enqueues a job. It returns false if the engine is overloaded.
 func (e *engine) accept(j *job) bool {
 	if len(e.waiting) >= engineQueue || e.fault == refusing {
 		return false
@@ -149,7 +149,7 @@
 	})
 }
 
-// stepped hands out the tokens of a step and begins the next one.
+// finishStep delivers the tokens of a step and starts the next one.
 func (e *engine) finishStep() {
 	e.stepping = false
 	kept := e.running[:0]
@@ -185,7 +185,7 @@
 	e.schedule()
 }
 
-// crash drops all that runs and waits; callers see their connections reset.
+// crash drops all running and waiting jobs; their connections are reset.
 func (e *engine) crash(downFor time.Duration) {
 	if e.down {
 		return
--- a/internal/bench/engine_faults.go
+++ b/internal/bench/engine_faults.go
@@ -2,22 +2,22 @@
 
 import "github.com/lilacbridge/lilacbridge/request/policy"
 
-// illness is what an engine that runs does wrong.
+// engineFault is a fault of an engine that is up.
 type engineFault int
 
 const (
 	healthy engineFault = iota
-	// refusing engines refuse all new work for load.
+	// refusing engines reject all new work as overload.
 	refusing
-	// timingOut engines begin each answer and drop it after some tokens, as
-	// overloaded ones do behind a gateway that gives up.
+	// timingOut engines abort each answer after some tokens, as overloaded engines
+	// behind a gateway with a timeout do.
 	timingOut
 )
 
-// dropAfter is the number of tokens that a timing-out engine makes of an answer.
+// tokensBeforeDrop is the number of tokens of an answer after which a timingOut engine aborts it.
 const tokensBeforeDrop = 10
 
-// cutOff drops the attempt once the engine made its few tokens.
+// dropAnswer aborts the attempt after tokensBeforeDrop tokens. It reports whether it did.
 func (e *engine) dropAnswer(j *job) bool {
 	if j.generated-j.startTokens <= tokensBeforeDrop || !e.world.connected(e.dataCenter, j.instance.dataCenter) {
 		return false
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -9,31 +9,32 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// class is a request class with what its callers send.
+// class is a request class with its workload.
 type class struct {
 	name string
 	tier uint32
-	// service requests go to the plain service and have no tokens.
+	// service is true for requests to the plain service, which have no tokens.
 	service bool
 	first   time.Duration
 	between time.Duration
 	share   uint32
 	late    lilacv1.LatePolicy
-	// rate is the arrivals a second of the whole fleet at load 1.
+	// rate is the number of arrivals per second in the whole fleet at load 1.
 	rate float64
-	// prompt and output are medians in tokens; spread is the sigma of the logarithm.
+	// prompt and output are medians in tokens; spread is the sigma of the
+	// log-normal distribution of the output.
 	prompt, output, spread float64
-	// shared is how many blocks of the prompt a team's requests have in common.
+	// shared is the number of leading prompt blocks that requests of a team share.
 	shared int
-	// histories is how many different shared prompts a team has.
+	// histories is the number of different shared prefixes of a team.
 	histories int
-	// idempotent is the share of requests that may be sent twice.
+	// idempotent is the fraction of requests that may be executed twice.
 	idempotent float64
-	// patience is how long a caller waits for the first token.
+	// firstTokenTimeout is how long a caller waits for the first token.
 	firstTokenTimeout time.Duration
 }
 
-// fleet is one of the users' settings.
+// fleet is the configuration and workload of one deployment.
 type fleet struct {
 	name        string
 	dataCenters []string
@@ -66,8 +67,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// fleets are today's two users, by the brief; rates, lengths and targets are
-// the bench's own assumptions.
+// fleets are the two known deployments. Rates, lengths and targets are assumptions
+// of the bench.
 var fleets = []fleet{
 	{
 		name: "agence", dataCenters: []string{"dakar-a", "thies-a", "saint-louis-a"},
@@ -101,7 +102,7 @@
 func serviceName(i int) string { return fmt.Sprintf("service-%02d", i) }
 func teamName(i int) string    { return fmt.Sprintf("team-%02d", i) }
 
-// view is the configuration that every instance holds.
+// view returns the configuration of every instance.
 func (f *fleet) view() *model.View {
 	snapshot := &lilacv1.Snapshot{Revision: 1}
 	for _, k := range f.classes {
--- a/internal/bench/fluid.go
+++ b/internal/bench/fluid.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// bound gives, for each class, the attained share and the good tokens of a
-// relaxed schedule that knows all lengths and loads: the pool is one machine
-// without latency or prompt costs, divisible at will, that runs the earliest
-// latest-end first and gives up the lowest tier's largest rest where an end
-// would be missed. Plain services count as met. It is an upper mark, no proof.
+// bound computes, for each class, the attainment and the good tokens of a relaxed
+// schedule with full knowledge of lengths and loads. The pool is one divisible
+// machine without latency or prompt costs. It runs the job with the earliest
+// deadline first; if a deadline would be missed, it drops the job of the lowest tier
+// with the most work remaining. Requests to plain services count as met. The result is
+// a reference value, not a proven upper bound.
 func bound(f *fleet, calls []*call) map[string]*row {
 	rows := make(map[string]*row)
 	for i := range f.classes {
@@ -58,7 +59,7 @@
 	m.prune()
 }
 
-// prune gives up jobs until the rest meet their ends.
+// prune drops jobs until the others meet their deadlines.
 func (m *fluid) prune() {
 	for {
 		at := m.missed()
--- a/internal/bench/instance.go
+++ b/internal/bench/instance.go
@@ -8,10 +8,11 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// maker makes a policy for one instance.
+// policyFactory creates the policy of one instance.
 type policyFactory func(options policy.Options) policy.Core
 
-// instance is the shell of one core: it carries events in and actions out.
+// instance is an entry instance: it passes events to its policy core and performs
+// the actions.
 type instance struct {
 	world      *world
 	name       string
@@ -20,13 +21,13 @@
 	live       map[policy.ID]*call
 	jobs       map[policy.ID]*job
 	lastDigest map[string]time.Duration
-	// kept is the stopped attempt that the next action moves elsewhere.
+	// pendingMove is the stopped attempt that the next action moves to another engine.
 	pendingMove *job
 	remote      int
 	started     int
-	// firsts counts first starts, retries starts after an attempt that may have run.
+	// firstStarts counts first attempts, retries attempts after one that may have run.
 	firstStarts, retries int
-	// misled counts refusals that said "not run" of calls that ran.
+	// falseNotRun counts refusals with "not run" of calls that did run.
 	falseNotRun int
 	dead        bool
 }
@@ -62,7 +63,7 @@
 	})
 }
 
-// giveUp ends a call whose caller has seen nothing for too long.
+// abandon ends a call whose caller has received no token within its timeout.
 func (in *instance) abandon(k *call) {
 	if k.outcome != pending || k.received > 0 {
 		return
@@ -79,7 +80,7 @@
 	in.world.openCalls--
 }
 
-// perform must not call step: actions are gathered in the core's own slice.
+// perform must not call step: the core reuses the slice of actions.
 func (in *instance) perform(action policy.Action, rest []policy.Action) {
 	switch a := action.(type) {
 	case policy.Start:
@@ -145,7 +146,8 @@
 	in.send(j, b)
 }
 
-// countStart counts what the servers see, whatever the core says of itself.
+// countStart counts attempts as the servers see them, independent of the core's
+// own counters.
 func (in *instance) countStart(k *call, attempt int) {
 	if attempt == 1 {
 		in.firstStarts++
@@ -162,7 +164,7 @@
 	in.world.clock.after(delay, func() { in.reach(j, b, delay) })
 }
 
-// reach is the moment at which an attempt comes to its server.
+// reach handles the arrival of an attempt at its server.
 func (in *instance) reach(j *job, b backend, delay time.Duration) {
 	if j.stopped {
 		return
@@ -192,7 +194,7 @@
 	in.cancelAttempt(j)
 }
 
-// halt lets the server know that nobody waits for this attempt any more.
+// cancelAttempt tells the server that the attempt is no longer needed.
 func (in *instance) cancelAttempt(j *job) {
 	location := j.at.location()
 	if !in.world.connected(in.dataCenter, location) {
@@ -231,7 +233,8 @@
 	}
 }
 
-// sendDigest tells the other instances, and notices those that fell silent.
+// sendDigest sends a digest to the other instances, and detects instances from
+// which none arrived within peerTimeout.
 func (in *instance) sendDigest() {
 	w := in.world
 	if in.dead {
@@ -256,7 +259,7 @@
 	}
 }
 
-// kill ends the instance at once; its callers see their connections break.
+// kill stops the instance immediately; the connections of its callers break.
 func (in *instance) kill() {
 	in.dead = true
 	for _, j := range in.jobs {
@@ -269,7 +272,7 @@
 	}
 }
 
-// loseRemote ends attempts across a cut once they were silent for too long.
+// failPartitioned fails attempts across a partition after silenceTimeout.
 func (in *instance) failPartitioned() {
 	for _, k := range in.world.calls {
 		j := in.jobs[policy.ID(k.id)]
--- a/internal/bench/kv.go
+++ b/internal/bench/kv.go
@@ -7,16 +7,17 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// What moving an answer's KV cache takes, as the bench assumes it: 128 KB for a
-// token at 5 GB/s inside a data centre and at 1.3 GB/s between two, and some
-// time for the calls. Computing a token of a prompt takes prefillToken.
+// Assumed cost of moving the KV cache of an answer: 128 KB per token at 5 GB/s
+// within a data centre and at 1.3 GB/s between two, plus a fixed time for the
+// calls. Recomputing a prompt token takes prefillToken.
 const (
 	kvFixed    = 10 * time.Millisecond
 	kvToken    = 25 * time.Microsecond
 	kvTokenFar = 100 * time.Microsecond
 )
 
-// movesOn tells whether the stopped attempt goes on elsewhere with its KV cache.
+// resumesElsewhere reports whether the stopped attempt continues on another engine
+// with its KV cache.
 func resumesElsewhere(stop policy.Stop, rest []policy.Action) bool {
 	for _, action := range rest {
 		if start, ok := action.(policy.Start); ok && start.ID == stop.ID {
@@ -26,8 +27,8 @@
 	return false
 }
 
-// carry exports the old attempt at its engine and imports it at the new one's.
-// An engine that no longer holds it makes the new attempt compute its prefix.
+// moveKV exports the old attempt from its engine and imports it at the new one. If
+// the old engine no longer has it, the new attempt recomputes its prefix.
 func (in *instance) moveKV(old, j *job, to *engine) {
 	from := old.at.(*engine)
 	out := latency(in.dataCenter, from.dataCenter)
@@ -45,7 +46,7 @@
 	})
 }
 
-// transfer is the time of export and import, without the ways of the calls.
+// transfer returns the time of export and import, without the latency of the calls.
 func (in *instance) transfer(from, to *engine, held int) time.Duration {
 	token := kvToken
 	if from.dataCenter != in.dataCenter || to.dataCenter != in.dataCenter {
@@ -54,8 +55,8 @@
 	return kvFixed + time.Duration(float64(held)*float64(token)*from.slowdown)
 }
 
-// export takes an answer that has begun out of the engine; held is its length
-// with its prompt, in tokens.
+// export removes a started answer from the engine; held is its length in tokens,
+// including its prompt.
 func (e *engine) export(j *job) (held int, ok bool) {
 	if e.down || j.stopped || j.prefill > 0 || !slices.Contains(e.running, j) {
 		return 0, false
@@ -64,7 +65,7 @@
 	return j.call.prompt + j.generated, true
 }
 
-// replay delivers what the old engine made after its stream was left.
+// replay delivers tokens that the old engine generated after its stream was closed.
 func (e *engine) replay(j *job) {
 	for range j.undelivered {
 		j.generated++
@@ -73,12 +74,12 @@
 	j.undelivered = 0
 }
 
-// listLag is how late the platform's list tells that a server leaves, at most.
+// listLag is the largest delay with which the platform's list shows that a server is leaving.
 const listLag = 1500 * time.Millisecond
 
-// leave tells the instances, each by its own look at the platform's list, that
-// the engine is leaving; it vanishes after the notice, and a new one takes its
-// place later.
+// drainEngine marks the engine as leaving on the platform's list, which each instance
+// reads with its own delay. The engine is terminated after the notice and replaced
+// later.
 func (w *world) drainEngine(e *engine, notice, absence time.Duration) {
 	notify := func(leaving bool) {
 		for _, in := range w.instances {
@@ -91,7 +92,7 @@
 	w.clock.after(notice+absence, func() { notify(false) })
 }
 
-// vanish is a crash that nobody is to blame for.
+// terminate stops the engine without counting it as crashed.
 func (e *engine) terminate(absence time.Duration) {
 	e.crash(absence)
 	e.crashes--
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -22,7 +22,8 @@
 	barWidth   = 8
 )
 
-// Plot draws the weighted attainment by scenario and policy, one part by fleet.
+// Plot writes a PNG file with the weighted attainment by scenario and policy, one
+// chart per fleet.
 func Plot(file string, results []*Result) error {
 	var parts []*plot.Plot
 	for i := range fleets {
@@ -80,7 +81,7 @@
 		p.Legend.Add(name, bars)
 	}
 	p.NominalX(scenarios...)
-	// The last place stays free for the legend.
+	// Space for the legend.
 	p.X.Max = float64(len(scenarios)) + 0.3
 	return p
 }
--- a/internal/bench/proof_test.go
+++ b/internal/bench/proof_test.go
@@ -10,12 +10,13 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// seeds are fixed; each one that ever failed stays here.
+// seeds are the fixed seeds of the tests. Seeds that have failed are kept.
 var seeds = []uint64{1, 2, 3, 4}
 
 const overloaded = lilacv1.ErrorKind_ERROR_KIND_OVERLOADED
 
-// proofFleet is the Agence's fleet with classes that run late and callers that wait.
+// testFleet returns the fleet agence with the given burst class, where late requests
+// run and callers wait for the given time.
 func testFleet(burst string, firstTokenTimeout time.Duration) *fleet {
 	f := fleets[0]
 	f.burst = burst
@@ -27,23 +28,23 @@
 	return &f
 }
 
-// sound fails the test on any invariant that a core saw broken, on a refusal
-// that lied and on a call that ran twice.
+// checkInvariants reports a test error for each invariant violation counted by a core,
+// for false "not run" refusals and for calls that ran twice.
 func checkInvariants(t *testing.T, seed uint64, w *world) *Result {
 	t.Helper()
 	out := w.result(Product)
 	for name, count := range out.Violations {
-		t.Errorf("seed %d: invariant %s broken %d times", seed, name, count)
+		t.Errorf("seed %d: invariant %s violated %d times", seed, name, count)
 	}
 	if out.FalseNotRun > 0 || out.RanTwice > 0 {
-		t.Errorf("seed %d: %d refusals said not run of calls that ran, %d calls ran twice", seed, out.FalseNotRun, out.RanTwice)
+		t.Errorf("seed %d: %d calls that ran were refused as not run, %d calls ran twice", seed, out.FalseNotRun, out.RanTwice)
 	}
 	return out
 }
 
-// A team's registrations of a lower tier go through at one instance while
-// urgent ones are turned away at another: the burst hits one instance only,
-// digests are lost and late, and each instance decides by what it last heard.
+// One instance admits requests of a lower tier while another one sheds urgent
+// requests. It can happen when a burst hits only one instance and digests are lost or
+// late, since each instance decides by the last digests it received.
 func TestNoTierIsShedWhileALowerOneIsAdmittedAnywhere(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -67,8 +68,8 @@
 					}
 				}
 			}
-			// An instance dies at the moment it sheds; the others must not
-			// go on by what it said.
+			// An instance stops when it sheds a request. The others must
+			// not keep using its last digest.
 			if seed%2 == 0 && !killed && k.class.tier < 3 {
 				killed = true
 				w.clock.after(0, in.kill)
@@ -80,8 +81,8 @@
 	is.True(shedAbove > 0) // the runs did shed tiers above the lowest
 }
 
-// In a long burst of the most urgent tier a nightly digest would wait until
-// the burst ends: strict priority never comes to it. The pool shrinks too.
+// With strict priority, the lowest tier is starved in a long burst of the most urgent
+// tier. The pool also shrinks during the burst.
 func TestEveryClassIsServedInALongBurst(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -113,7 +114,7 @@
 	}
 }
 
-// longestWaitBound is the wait that docs/notes/fairness.md states for this load.
+// maxWaitBound is the longest wait stated in docs/notes/fairness.md for this load.
 const maxWaitBound = 30 * time.Second
 
 func longestServed(w *world, class string) time.Duration {
@@ -126,10 +127,9 @@
 	return longest
 }
 
-// A server is being taken out, but the platform's list reaches one instance
-// only. The others go on sending it new work, queued and retried requests
-// included, and its shutdown cuts them off.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// A server is leaving, but the platform's list reaches only one instance. If the
+// others keep sending it new, queued or retried requests, its shutdown breaks them.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
 		f := testFleet("alerts", 30*time.Second)
@@ -156,9 +156,9 @@
 	}
 }
 
-// One request makes each engine that runs it crash. Its caller sends it again
-// at the next instance, and again; a second caller does so at the same time.
-// Without a shared suspicion each send takes another engine down.
+// A request crashes each engine that runs it. Its caller, and for some seeds a second
+// caller, resends it to one instance after the other. Unless the instances share
+// suspects, each attempt crashes another engine.
 func TestCrashingRequestCostsTwoServersAtMost(t *testing.T) {
 	t.Parallel()
 	for _, seed := range append(seeds, 5, 6, 7, 8, 16, 24, 34) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// Half of the engines fail at once. If each failure made a retry, and each
-// retry failed again, the other half would drown in them.
+// Half of the engines fail at the same time. If each failure caused a retry, and
+// each retry failed again, retries would overload the other half.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
@@ -210,10 +210,10 @@
 	}
 }
 
-// Half of the engines die one after the other within seconds; no request is
-// to blame. Those that ran on the first are suspects and tried on others, and
-// some of those die too. Two crashes looked like proof, so that innocent
-// requests were refused everywhere for a day.
+// Half of the engines fail one after the other within seconds, independent of any
+// request. The requests of the first become suspects and are retried on others, some
+// of which fail too. Two crashes must not convict a request here: it would be refused
+// everywhere for a day.
 func TestOutageConvictsNobody(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 12; seed++ {
--- a/internal/bench/report.go
+++ b/internal/bench/report.go
@@ -10,7 +10,7 @@
 	"github.com/lilacbridge/lilacbridge/request/estimate"
 )
 
-// row is what one policy did for one class in one scenario.
+// row is the result of one policy for one class in one scenario.
 type row struct {
 	class          *class
 	calls          int
@@ -23,7 +23,7 @@
 	abandonedCalls int
 	refusals       map[string]int
 	longest        time.Duration
-	// longestServed is the longest wait of those that were answered.
+	// longestServed is the longest wait among answered calls.
 	longestServed time.Duration
 }
 
@@ -36,16 +36,17 @@
 	return 100 * float64(part) / float64(whole)
 }
 
-// Result is one run's outcome.
+// Result is the result of one run.
 type Result struct {
 	Fleet, Scenario, Policy string
 	rows                    []*row
-	// GoodTokens are those of answers within their targets.
+	// GoodTokens counts the tokens of answers within their targets.
 	GoodTokens int
-	// MadeTokens were generated, WastedTokens of these reached no whole answer.
+	// GeneratedTokens counts all tokens generated, WastedTokens those that are not part
+	// of a complete answer.
 	GeneratedTokens, WastedTokens int
-	// RedoneTokens are prompt tokens computed again in later attempts, MovedTokens
-	// those, answers included, whose KV cache went to another engine.
+	// RecomputedTokens counts prompt tokens computed again in later attempts,
+	// KVTokensMoved tokens, including answers, whose KV cache was moved to another engine.
 	RecomputedTokens, KVTokensMoved int
 	Length                          time.Duration
 	Restarts                        int
@@ -54,7 +55,7 @@
 	Crashes                         int
 	RemoteShare                     float64
 	Violations                      map[string]uint64
-	// Estimate sums up how far the predicted answer lengths were off.
+	// Estimate aggregates the errors of the predicted answer lengths.
 	Estimate estimate.ErrorStats
 }
 
@@ -148,7 +149,8 @@
 	return strings.Join(kinds, " ")
 }
 
-// weighted is the attainment over classes with the weights 4, 3, 2 and 1 by tier.
+// weighted returns the mean attainment of the classes with the weights 4, 3, 2 and 1
+// by tier.
 func (out *Result) weighted() float64 {
 	sum, weight := 0.0, 0.0
 	for _, r := range out.rows {
@@ -163,7 +165,7 @@
 
 func (out *Result) wastedShare() float64 { return share(out.WastedTokens, out.GeneratedTokens) }
 
-// WriteTable prints the summary and the rows by class.
+// WriteTable writes the rows by class and the totals of each result.
 func WriteTable(to io.Writer, results []*Result) {
 	group := ""
 	for _, out := range results {
@@ -177,7 +179,7 @@
 		for _, r := range out.rows {
 			writeRow(to, out, r)
 		}
-		fmt.Fprintf(to, "%-15s %-13s %6s %7.2f %7s %7s %9.0f  wasted %.2f%% (%d) redone prompt %d moved %d restarts %d remote %.0f%% crashes %d twice %d misled %d%s\n",
+		fmt.Fprintf(to, "%-15s %-13s %6s %7.2f %7s %7s %9.0f  wasted %.2f%% (%d) recomputed prompt tokens %d moved KV tokens %d restarts %d remote %.0f%% crashes %d ran twice %d false not-run %d%s\n",
 			out.Policy, "ALL", "", out.weighted(), "", "", out.goodRate(), out.wastedShare(), out.WastedTokens, out.RecomputedTokens, out.KVTokensMoved,
 			out.Restarts, out.RemoteShare, out.Crashes, out.RanTwice, out.FalseNotRun, out.estimateText()+out.violationText())
 	}
@@ -205,7 +207,7 @@
 	return strings.Join(names, "")
 }
 
-// WriteSummary prints one line by fleet, scenario and policy.
+// WriteSummary writes one line per fleet, scenario and policy.
 func WriteSummary(to io.Writer, results []*Result) {
 	fmt.Fprintf(to, "\n%-8s %-17s %-15s %9s %7s %7s %7s %7s %9s %8s\n", "fleet", "scenario", "policy", "weighted%", "tier0%", "tier1%", "tier2%", "tier3%", "good t/s", "wasted%")
 	for _, out := range results {
@@ -224,8 +226,8 @@
 	}
 }
 
-// WriteLosses lists each class in which a baseline attained more than the
-// product in the same scenario, by more than half a point.
+// WriteLosses lists each class in which the attainment of a baseline exceeds that of
+// the production policy in the same scenario by more than half a percentage point.
 func WriteLosses(to io.Writer, results []*Result) {
 	const least = 0.5
 	products := map[string]*Result{}
@@ -251,7 +253,7 @@
 	fmt.Fprintf(to, "baseline ahead by more than %.1f points: %d rows\n", least, count)
 }
 
-// WriteCSV writes one line by class.
+// WriteCSV writes a header and one line per result and class.
 func WriteCSV(to io.Writer, results []*Result) {
 	fmt.Fprintln(to, "fleet,scenario,policy,class,tier,calls,met_percent,first_percent,between_percent,good_tokens_per_s,broken,abandoned,longest_wait_s,longest_served_wait_s,wasted_percent,refusals")
 	for _, out := range results {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -8,11 +8,11 @@
 	"github.com/lilacbridge/lilacbridge/request/policy"
 )
 
-// Request says what to run; an empty field means all of its kind.
+// Request selects the runs; an empty field selects all of its kind.
 type Request struct {
 	Fleet, Scenario, Policy string
 	Seed                    uint64
-	// Workers is how many runs go on at once; 0 means three.
+	// Workers is the number of concurrent runs; 0 means three.
 	Workers int
 }
 
@@ -22,10 +22,10 @@
 	make policyFactory
 }
 
-// Product is the name of our own policy in the table.
+// Product is the name of the production policy in the table.
 const Product = "lilacbridge"
 
-// boundName is the relaxed schedule's name in the table.
+// boundName is the name of the relaxed schedule in the table.
 const boundName = "upper-bound"
 
 var policies = []namedPolicy{
@@ -38,7 +38,8 @@
 
 const defaultWorkers = 3
 
-// Run plays the runs that the request names and returns results in a fixed order.
+// Run performs the selected runs and returns their results in a fixed order. It
+// returns an error if the request selects no run.
 func Run(q Request) ([]*Result, error) {
 	var tasks []func() *Result
 	for i := range fleets {
@@ -51,7 +52,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		return nil, fmt.Errorf("nothing to run for fleet %q, scenario %q, policy %q; leave one empty for all", q.Fleet, q.Scenario, q.Policy)
+		return nil, fmt.Errorf("no run matches fleet %q, scenario %q, policy %q; an empty value selects all", q.Fleet, q.Scenario, q.Policy)
 	}
 	return perform(tasks, q.Workers), nil
 }
@@ -86,7 +87,8 @@
 	return out
 }
 
-// perform runs the tasks on a few workers; results keep the tasks' order.
+// perform runs the tasks on the given number of workers. Results are in the order of
+// the tasks.
 func perform(tasks []func() *Result, workers int) []*Result {
 	if workers <= 0 {
 		workers = min(defaultWorkers, runtime.GOMAXPROCS(0))
--- a/internal/bench/scenario.go
+++ b/internal/bench/scenario.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// scenario is a load and the faults that come with it.
+// scenario is a load with faults.
 type scenario struct {
 	name   string
 	length time.Duration
 	load   float64
 
 	burstAt, burstFor time.Duration
-	// burstTimes is the burst class's demand in times of the fleet's capacity.
+	// burstCapacity is the demand of the burst class as a multiple of the fleet's capacity.
 	burstCapacity float64
-	// burstOne sends the whole burst to one instance.
+	// burstAtOneInstance sends the whole burst to the first instance.
 	burstAtOneInstance bool
 
 	longAt, longUntil time.Duration
 	longFactor        float64
 
 	reportLag time.Duration
-	// digestLoss is the share of digests lost, digestDelay the most that one is
-	// late besides its way; 0 means the bench's usual.
+	// digestLoss is the fraction of digests lost, at least the default of the
+	// bench. digestDelay is the largest delay of a digest in addition to the latency.
 	digestLoss  float64
 	digestDelay time.Duration
 	faults      func(w *world)
@@ -28,13 +28,13 @@
 const (
 	faultAt   = 30 * time.Second
 	runLength = 120 * time.Second
-	// overloadLength is that of the run in which all classes come three times as often.
+	// overloadLength is the length of the run with three times the load.
 	overloadLength = 60 * time.Second
 	steadyLag      = 300 * time.Millisecond
 	staleLag       = 5 * time.Second
 )
 
-// capacity is the tokens a second that the ten engines make at full batches.
+// capacity returns the tokens per second that all engines generate with full batches.
 func capacity() float64 {
 	sum := 0.0
 	for i := range engineCount {
@@ -44,7 +44,8 @@
 	return sum
 }
 
-// burstFactor is how far the burst class must grow to demand burstTimes the capacity.
+// burstFactor returns the factor on the arrival rate with which the burst class
+// demands burstCapacity times the capacity.
 func (s *scenario) burstFactor(f *fleet) float64 {
 	for i := range f.classes {
 		if k := &f.classes[i]; k.name == f.burst {
@@ -69,7 +70,7 @@
 	{name: "late-reports", length: runLength, load: 1.05, reportLag: staleLag},
 }
 
-// straggle makes two engines six times slower for a minute.
+// slowDownEngines makes two engines six times slower for a minute.
 func slowDownEngines(w *world) {
 	for _, i := range []int{0, 4} {
 		e := w.engines[i]
@@ -78,7 +79,7 @@
 	}
 }
 
-// crash takes three engines down, one after the other, for 30 s each.
+// crash stops three engines, one after the other, for 30 s each.
 func crash(w *world) {
 	for n, i := range []int{1, 5, 6} {
 		e := w.engines[i]
@@ -94,8 +95,8 @@
 	drainedEngines = 8
 )
 
-// drain takes eight engines out in turn, as a platform does that wants its
-// instances back: little notice, then each is gone, and later replaced.
+// drain terminates eight engines in turn, as a platform that reclaims its instances
+// does: each gets a short notice, is terminated, and is replaced later.
 func drain(w *world) {
 	for n := range drainedEngines {
 		e := w.engines[n]
@@ -103,7 +104,8 @@
 	}
 }
 
-// cut separates the last data centre from the others, silently, for 30 s.
+// partitionDataCenter separates the last data centre from the others for 30 s,
+// without connection resets.
 func partitionDataCenter(w *world) {
 	dc := w.fleet.dataCenters[2]
 	w.clock.after(faultAt, func() {
@@ -115,7 +117,8 @@
 	w.clock.after(faultAt+30*time.Second, func() { w.isolatedDataCenter = "" })
 }
 
-// crashingRequest is sent, and after each end sent again at the next instance.
+// crashingRequest sends a request that crashes engines, and resends it to the next
+// instance each time it ends.
 func crashingRequest(w *world) {
 	w.clock.after(faultAt, func() { w.sendCrashing(0) })
 }
--- a/internal/bench/service.go
+++ b/internal/bench/service.go
@@ -9,11 +9,11 @@
 	// serviceTime is the median time of one call to a plain service.
 	serviceTime  = 60 * time.Millisecond
 	serviceSigma = 0.5
-	// serviceQueue is how many calls wait at a service before it refuses.
+	// serviceQueue is the capacity of a service's queue; a service refuses further calls.
 	serviceQueue = 64
 )
 
-// service is a plain service: some slots, a queue, and no tokens.
+// service is a plain service with slots and a queue. Its answers have no tokens.
 type service struct {
 	world      *world
 	name       string
--- a/internal/bench/storm_test.go
+++ b/internal/bench/storm_test.go
@@ -10,8 +10,8 @@
 
 const stormLength = 30 * time.Second
 
-// storm takes half of the engines down at once; of the rest one refuses all new
-// work and the others drop each answer after a few tokens.
+// storm crashes half of the engines at the same time. Of the others, one refuses all
+// new requests and the rest abort each answer after a few tokens.
 func storm(w *world) {
 	w.clock.after(8*time.Second, func() {
 		for i, e := range w.engines {
@@ -32,10 +32,11 @@
 	})
 }
 
-// Half of the engines fail at once, and the others are too busy for what comes
-// over: one refuses, the rest begin answers and drop them. Each dropped answer
-// was sent again, was dropped again, and kept the engines too busy: every call
-// ran four times. The servers' own count is compared, not the core's.
+// Half of the engines fail at the same time, and the others are overloaded by the
+// additional requests: one refuses, the rest start answers and abort them. Without a
+// retry budget, each aborted answer was retried and aborted again, which kept the
+// engines overloaded, and every call ran four times. The test counts attempts at the
+// servers instead of using the core's counters.
 func TestRetriesDoNotMultiplyLoad(t *testing.T) {
 	t.Parallel()
 	for _, seed := range seeds {
--- a/internal/bench/suspects_test.go
+++ b/internal/bench/suspects_test.go
@@ -14,8 +14,8 @@
 // go test ./internal/bench -run '^$' -bench 'Copies|Outages' -benchtime 1x -suspect-trials 80.
 var trials = flag.Int("suspect-trials", 12, "seeded runs of each benchmark of crashing requests")
 
-// copies is a crashing request that is sent several times before anyone
-// suspects it; each sender sends again after each end.
+// copies is a crashing request that is sent several times before it is suspected.
+// Each sender resends it whenever it ends.
 type copies struct {
 	sends, instances int
 	within           time.Duration
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("%dcopies-%dinstances-%v-loss%.0f%%", c.sends, c.instances, c.within, 100*c.loss)
 }
 
-// run plays one trial and returns the world after its end.
+// run simulates one trial and returns its final state.
 func (c copies) run(seed uint64) *world {
 	f := testFleet("alerts", 60*time.Second)
 	s := &scenario{name: "proof-copies", length: 25 * time.Second, load: 0.6, reportLag: steadyLag, digestLoss: c.loss}
@@ -42,12 +42,13 @@
 	return w
 }
 
-// outages is a number of engines that fail within a span, no request to blame.
+// outages is a number of engines that fail within a time span, independent of any
+// request.
 type outages struct {
 	engines int
 	span    time.Duration
 	load    float64
-	// crashing sends a request that does crash engines, in the midst of it.
+	// crashing adds a request that crashes engines in the middle of the span.
 	crashing bool
 }
 
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("%dengines-%v-load%.1f-crashing=%t", o.engines, o.span, o.load, o.crashing)
 }
 
-// run plays one trial and returns the world after its end.
+// run simulates one trial and returns its final state.
 func (o outages) run(seed uint64) *world {
 	f := testFleet("alerts", 60*time.Second)
 	s := &scenario{name: "proof-outages", length: 25 * time.Second, load: o.load, reportLag: steadyLag, digestLoss: 0.1}
@@ -74,23 +75,23 @@
 	return w
 }
 
-// A caller, or its library, sends a crashing request again after a moment, or
-// several times at once, before anyone suspects it. Its copies ran on a server
-// each; those that died with one server were tried again by two instances in
-// the same moment; a crash while the order to stop was on its way was nobody's.
-// Each way a third server was lost.
+// A caller or its library sends copies of a crashing request at the same time or
+// shortly after each other, before it is suspected. A third server was lost when
+// each copy ran on its own server, when two instances retried copies of one crashed
+// server at the same time, and when a crash was attributed to no request since the
+// order to stop the copy was still in flight.
 func TestCopiesCostTwoServersAtMost(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		copies copies
-		// Each seed lost three servers with one of the guards out.
+		// Each seed loses three servers if one of the safeguards is disabled.
 		seeds []uint64
 	}{
 		{copies{3, 1, 100 * time.Millisecond, 0.02}, []uint64{1009, 1027, 1071, 1083, 1087}},
 		{copies{2, 2, 100 * time.Millisecond, 0.02}, []uint64{1001, 1003, 1008, 1058}},
 		{copies{3, 3, 100 * time.Millisecond, 0.02}, []uint64{1004, 1012, 1017, 1032, 1039}},
 		{copies{3, 3, 600 * time.Millisecond, 0.1}, []uint64{1023, 1025}},
-		// A copy was stopped while it took down a server where nothing else ran.
+		// A copy was stopped while it crashed a server on which nothing else ran.
 		{copies{3, 3, 300 * time.Millisecond, 0.02}, []uint64{1009}},
 		{copies{4, 2, 100 * time.Millisecond, 0.02}, []uint64{1009, 1047}},
 		{copies{6, 6, 600 * time.Millisecond, 0.1}, []uint64{1057, 1113}},
@@ -108,9 +109,9 @@
 	}
 }
 
-// Three engines fail within five seconds; no request is to blame. Suspects of
-// the first two were tried while the third was about to fail, and a trial that
-// met it convicted its request. Each seed did so without the pause.
+// Three engines fail within five seconds, independent of any request. Suspects of the
+// first two were tried while the third was about to fail, and a trial on the third
+// convicted its request. Each seed fails without the pause before trials.
 func TestSmallOutageConvictsNobody(t *testing.T) {
 	t.Parallel()
 	o := outages{engines: 3, span: 5 * time.Second, load: 0.8}
@@ -123,9 +124,9 @@
 	}
 }
 
-// A request crashes engines while others fail by themselves. Its two crashes
-// were put down to the outage, and the trial after that took a third server;
-// peers that had pardoned it ran its next copy in spite of the conviction.
+// A request crashes engines while others fail independently. Its two crashes were
+// attributed to the outage, and the following trial crashed a third server; instances
+// that had cleared the request ran its next copy despite the conviction.
 func TestCrashingRequestInAnOutageCostsTwoServersAtMost(t *testing.T) {
 	t.Parallel()
 	for _, o := range []outages{{2, 5 * time.Second, 0.6, true}, {3, 5 * time.Second, 0.6, true}} {
@@ -139,7 +140,7 @@
 	}
 }
 
-// convictedInnocents counts convictions of requests that crash nothing.
+// convictedInnocents counts convictions of requests that crash no engine.
 func (w *world) convictedInnocents() int {
 	innocent := 0
 	for _, conviction := range w.convicted {
@@ -150,7 +151,7 @@
 	return innocent
 }
 
-// unanswered counts the innocent calls to engines without a whole answer.
+// unanswered counts the innocent calls to engines without a complete answer.
 func (w *world) unanswered() int {
 	unanswered := 0
 	for _, k := range w.calls {
@@ -161,7 +162,7 @@
 	return unanswered
 }
 
-// spoiled counts invariants broken.
+// violations counts invariant violations.
 func (w *world) violations() int {
 	all := 0
 	for _, count := range w.result(Product).Violations {
@@ -170,7 +171,7 @@
 	return all
 }
 
-// repeat plays trials on a few workers.
+// repeat runs the trials in parallel and calls inspect with each final state.
 func repeat(run func(seed uint64) *world, inspect func(w *world)) {
 	tasks := make([]func() *Result, *trials)
 	results := make(chan *world, *trials)
@@ -216,8 +217,8 @@
 	}
 }
 
-// BenchmarkOutages counts innocents convicted, and the servers that a crashing
-// request took besides.
+// BenchmarkOutages counts convictions of innocent requests, and the trials in which a
+// crashing request crashed more than two servers.
 func BenchmarkOutages(b *testing.B) {
 	const span = 5 * time.Second
 	cases := []outages{
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -13,7 +13,7 @@
 // blockTokens is the length of a prefix block in tokens.
 const blockTokens = 16
 
-// call is one request as its caller made it, and what became of it.
+// call is one request of a caller and its outcome.
 type call struct {
 	id         uint64
 	class      *class
@@ -25,7 +25,7 @@
 	prefix     []uint64
 	digest     string
 	idempotent bool
-	// crashes is true for the request that crashes each engine that runs it.
+	// crashes is true for a request that crashes each engine that runs it.
 	crashes bool
 
 	received int
@@ -37,9 +37,9 @@
 	restarts int
 	ranTwice bool
 	runs     int
-	// mayHaveRun is true where the last attempt failed after it was sent.
+	// mayHaveRun is true if the last attempt failed after it was sent.
 	mayHaveRun bool
-	// lastStart and server are those of the latest attempt.
+	// lastStart and server are the start time and server of the latest attempt.
 	lastStart time.Duration
 	server    string
 }
@@ -54,8 +54,8 @@
 	abandoned
 )
 
-// met tells whether the answer came whole and within its class's targets. The
-// gap between tokens is the mean over the answer, stalls included.
+// met reports whether the answer was complete and within the targets of its class.
+// The time between tokens is the mean over the answer, including stalls.
 func (k *call) met() bool { return k.metFirst() && k.metBetween() }
 
 func (k *call) metFirst() bool {
@@ -72,13 +72,13 @@
 	return (k.last-k.first)/time.Duration(k.output-1) <= k.class.between
 }
 
-// ran counts one run at a server.
+// ran counts one execution at a server.
 func (k *call) ran() {
 	k.runs++
 	k.ranTwice = k.ranTwice || !k.idempotent && k.runs > 1
 }
 
-// wait is how long the caller waited for the first token, or for the refusal.
+// wait returns the time to the first token, or to the end of a call without tokens.
 func (k *call) wait() time.Duration {
 	if k.received > 0 || k.outcome == answered {
 		return k.first - k.at
@@ -90,10 +90,10 @@
 	return max(1, int(median*math.Exp(sigma*r.NormFloat64())))
 }
 
-// maxOutput bounds one answer, as engines do.
+// maxOutput is the largest number of tokens in an answer.
 const maxOutput = 4000
 
-// teamShares makes two teams large: together they send half of the requests.
+// pickTeam returns a random team. Two large teams send half of the requests.
 func pickTeam(r *rand.Rand) int {
 	if u := r.Float64(); u < 0.3 {
 		return 0
@@ -112,7 +112,7 @@
 	return h
 }
 
-// blocks gives the hashes of a prompt's blocks their ends.
+// blocks returns the prefix hashes with the end of each block in tokens.
 func (c *call) blocks() []policy.Block {
 	all := make([]policy.Block, len(c.prefix))
 	for i, hash := range c.prefix {
@@ -121,7 +121,7 @@
 	return all
 }
 
-// prefixOf makes the chained hashes of a prompt: shared blocks first.
+// prefixOf returns the chained block hashes of a prompt, shared blocks first.
 func prefixOf(classIndex, team, history, shared, prompt int, id uint64) []uint64 {
 	blocks := prompt / blockTokens
 	hashes := make([]uint64, 0, blocks)
@@ -137,7 +137,7 @@
 	return hashes
 }
 
-// generate makes all arrivals of a run; they are the same for every policy.
+// generate returns all arrivals of a run. They are the same for every policy.
 func generate(f *fleet, s *scenario, seed uint64) []*call {
 	var calls []*call
 	for index := range f.classes {
@@ -184,7 +184,7 @@
 	}
 	c.prompt = max(c.prompt, (k.shared+1)*blockTokens)
 	c.prefix = prefixOf(index, c.team, history, k.shared, c.prompt, id)
-	// A team's own habit moves the median: estimates by class and team can learn it.
+	// The median depends on the team, so that estimates per class and team can learn it.
 	teamFactor := 0.7 + 0.6*float64(c.team)/(teamCount-1)
 	median := k.output * teamFactor
 	if s.longAt > 0 && at >= s.longAt && at < s.longUntil && k.tier >= 1 {
--- a/internal/bench/world.go
+++ b/internal/bench/world.go
@@ -29,16 +29,17 @@
 	crashingDigest     = "crashing"
 )
 
-// tally counts what the engines did, over the whole run.
+// tally counts the work and faults of the engines over the whole run.
 type tally struct {
 	generated  int
 	recomputed int
-	// moved counts tokens, prompts included, whose KV cache went to another
-	// engine, vanished the engines that left.
+	// kvTokensMoved counts tokens, including prompts, whose KV cache was moved to
+	// another engine.
 	kvTokensMoved int
-	terminated    int
-	// taken counts engines that a crashing request took down; an outage that
-	// hits one of those while it is down takes nothing more.
+	// terminated counts engines terminated by the platform.
+	terminated int
+	// crashedByRequest counts engines crashed by a crashing request. One that is down
+	// already because of an outage is not counted.
 	crashedByRequest int
 }
 
@@ -51,7 +52,7 @@
 	reportAt(at time.Duration) (report, bool)
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
 	clock              clock
 	fleet              *fleet
@@ -69,7 +70,7 @@
 	tally              tally
 	revision           uint64
 	convicted          []*lilacv1.Conviction
-	// onRefuse and onStart let tests look at each such action as it is taken.
+	// onRefuse and onStart are test hooks called for each such action.
 	onRefuse func(in *instance, k *call, a policy.Refuse)
 	onStart  func(in *instance, k *call, a policy.Start)
 }
@@ -96,7 +97,7 @@
 	w.names = append(w.names, name)
 }
 
-// linked tells whether two data centres reach each other.
+// connected reports whether two data centres reach each other.
 func (w *world) connected(a, b string) bool {
 	return a == b || w.isolatedDataCenter == "" || a != w.isolatedDataCenter && b != w.isolatedDataCenter
 }
@@ -108,7 +109,7 @@
 	return farLatency
 }
 
-// deliver carries one token, or a service's answer, to the instance.
+// deliver sends one token, or a service's answer, to the instance.
 func (w *world) deliver(from string, j *job, done bool) {
 	if !w.connected(from, j.instance.dataCenter) {
 		return
@@ -116,7 +117,7 @@
 	w.clock.after(latency(from, j.instance.dataCenter), func() { j.instance.token(j, done) })
 }
 
-// reset carries the news of a broken connection.
+// reset sends a connection reset to the instance.
 func (w *world) reset(from string, j *job) {
 	if !w.connected(from, j.instance.dataCenter) {
 		return
@@ -126,7 +127,7 @@
 	})
 }
 
-// run plays the arrivals and returns when every call has ended.
+// run simulates the arrivals until every call has ended.
 func (w *world) run(calls []*call) {
 	w.calls = calls
 	w.openCalls = len(calls)
@@ -148,7 +149,7 @@
 	}
 }
 
-// alive returns the instance, or the next one that still runs.
+// liveInstance returns the instance with this index, or the next one that is alive.
 func (w *world) liveInstance(i int) *instance {
 	for w.instances[i%instanceCount].dead {
 		i++
@@ -165,8 +166,8 @@
 	w.clock.after(first, again)
 }
 
-// report delivers each backend's load as it was a lag ago; a crashed engine's
-// last reports go on describing the past for that long.
+// report delivers the load of each backend with the scenario's lag. The last reports
+// of a crashed engine are therefore still delivered for that long.
 func (w *world) report() {
 	lag := w.scenario.reportLag
 	for _, name := range w.names {
@@ -185,7 +186,7 @@
 	}
 }
 
-// cacheEvents publishes what the prefix caches stored and dropped, late and with gaps.
+// cacheEvents publishes the changes of the prefix caches, with delay and losses.
 func (w *world) cacheEvents() {
 	for _, e := range w.engines {
 		c := &e.cache
@@ -206,7 +207,7 @@
 	}
 }
 
-// convict shares a conviction with every instance that is reached.
+// convict distributes a conviction to all instances that are reachable.
 func (w *world) convict(from *instance, c policy.Convict) {
 	w.clock.after(convictionDelay, func() {
 		w.revision++
@@ -226,8 +227,8 @@
 	})
 }
 
-// sendCrashing sends the crashing request to the next instance; its caller
-// sends it again as soon as an answer or error came.
+// sendCrashing sends the crashing request to the instance with this index. Its caller
+// resends it to the next instance as soon as it ends.
 func (w *world) sendCrashing(n int) {
 	if n >= maxResends {
 		return
