--- a/daemon/entry/reports.go
+++ b/daemon/entry/reports.go
@@ -23,14 +23,14 @@
 
 var _ engine.ReportHandler = reports{}
 
-// OnLoad implements engine.Reports. The core receives the report's age instead of its
+// OnLoad implements engine.ReportHandler. The core receives the report's age instead of its
 // wall-clock time.
 func (r reports) OnLoad(server string, load *engine.Load) {
 	age := max(0, time.Since(time.UnixMilli(load.MeasuredUnixMs)))
 	r.relay.Post(policy.LoadReport{Server: server, Running: load.Running, Waiting: load.Waiting, KVUsed: load.KVUsed, Age: age})
 }
 
-// OnCacheEvents implements engine.Reports.
+// OnCacheEvents implements engine.ReportHandler.
 func (r reports) OnCacheEvents(server string, events []engine.CacheEvent) {
 	for _, event := range events {
 		r.relay.Post(policy.CacheEvent{
