--- a/daemon/state/documents.go
+++ b/daemon/state/documents.go
@@ -38,7 +38,7 @@
 
 var _ gateway.DocumentStore = (*documents)(nil)
 
-// Put implements gateway.Documents.
+// Put implements gateway.DocumentStore.
 func (d *documents) Put(ctx context.Context, content []byte) error {
 	decoded, err := d.decode(content)
 	if err == nil {
@@ -79,7 +79,7 @@
 	}, nil
 }
 
-// Get implements gateway.Documents.
+// Get implements gateway.DocumentStore.
 func (d *documents) Get(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, documentTimeout)
 	defer cancel()
