--- a/connection/operator/query.go
+++ b/connection/operator/query.go
@@ -16,7 +16,7 @@
 	"github.com/lilacbridge/lilacbridge/version/table"
 )
 
-// auditLimit bounds the revisions fetched for a query without LIMIT.
+// auditLimit bounds the revisions that one query fetches.
 const auditLimit = 1000
 
 func (h *handler) query(ctx context.Context, show *statement.Show, text string) (*Reply, error) {
