--- a/daemon/entry/daemon.go
+++ b/daemon/entry/daemon.go
@@ -113,7 +113,7 @@
 // Reload applies changed settings of a gateway: its seeds and time bounds. All other
 // fields take effect at the next start.
 func (d *Daemon) Reload(s *settings.Entry) error {
-	if err := s.SameProcess(&d.settings.Common); err != nil {
+	if err := s.ValidateReload(&d.settings.Common); err != nil {
 		return err
 	}
 	if d.gateway != nil && s.Gateway == nil {
@@ -182,7 +182,7 @@
 		kratos.Version(build.Version),
 		kratos.Server(d.servers()...),
 		kratos.Signal(syscall.SIGTERM, syscall.SIGINT),
-		kratos.StopTimeout(d.settings.Closing()),
+		kratos.StopTimeout(d.settings.CloseTimeout()),
 		// Drains before the framework closes its servers.
 		kratos.BeforeStop(func(context.Context) error {
 			d.gossip.Leave()
@@ -226,9 +226,9 @@
 // change may take to come into force.
 func (d *Daemon) timing() spread.Timing {
 	if d.settings.Gateway != nil {
-		return spread.Quick
+		return spread.FastTiming
 	}
-	return spread.Usual
+	return spread.DefaultTiming
 }
 
 // onView applies a new revision, through the gateway if there is one.
--- a/faultsoak/run_test.go
+++ b/faultsoak/run_test.go
@@ -17,43 +17,45 @@
 )
 
 const (
-	// revocation is the bound in the settings, slack what a busy machine may add.
+	// revocation is the bound in the settings. slack is added to bounds for scheduling
+	// delays on a busy machine.
 	revocation = 5 * time.Second
 	slack      = 3 * time.Second
-	// drainBound is how long a leaving server may get new work.
+	// drainBound is how long a draining server may get new requests.
 	drainBound = 4 * time.Second
-	// appliedWithin is the bound in the settings on documents that entries don't have.
+	// appliedWithin is the bound in the settings on how long an entry may lack a document.
 	appliedWithin = 3 * time.Second
-	// largeRoutes are as many as operators add at once, thrice.
-	largeRoutes = 4200
-	// callTimeout is the longest time that a caller waits.
+	// fillerRoutes is three times the number of routes that operators add at once.
+	fillerRoutes = 4200
+	// callTimeout is the timeout of a caller.
 	callTimeout = 3 * time.Second
 )
 
-// run is one seeded run of the soak.
+// run is one seeded run of the test.
 type run struct {
 	fleet   *fleet
-	begun   time.Time
+	started time.Time
 	checked atomic.Int64
-	serial  atomic.Int64
+	lastID  atomic.Int64
 	stop    chan struct{}
 	callers sync.WaitGroup
 	faults  sync.WaitGroup
 
 	mu       sync.Mutex
 	problems []string
-	held     map[*process]bool
+	busy     map[*process]bool
 	calls    map[string]*call
-	stops    []stopTime
+	stops    []gracefulStop
 	document documentState
-	// needy are the servers that name a limit now, limits the times in which some did.
-	needy  map[*standin.Server]bool
-	limits []limitTime
-	hurts  []*hurt
+	// limited are the servers that currently advertise a limit, limits the periods that
+	// have ended.
+	limited map[*standin.Server]bool
+	limits  []limitPeriod
+	outages []*outage
 }
 
 // stopTime is a graceful stop of an entry.
-type stopTime struct {
+type gracefulStop struct {
 	entry *process
 	at    time.Time
 }
@@ -64,69 +66,70 @@
 	entry          *process
 	sent, ended    time.Time
 	status         int
-	cut            bool
-	// deniedUntil is until when an entry may not know the route.
-	deniedUntil time.Time
+	interrupted    bool
+	// routeKnownBy is when every entry must know the route.
+	routeKnownBy time.Time
 }
 
-// documentState is what the operator sent and what was acknowledged.
+// documentState holds the document that the operator sent and what was acknowledged.
 type documentState struct {
 	version, acked uint64
-	// added are the routes that versions have added, and more that make documents
-	// large enough to leave the processes' memory of single revisions soon.
+	// added are the routes added by the versions, and fillerRoutes others that make documents
+	// large enough for processes to soon discard their history of single revisions.
 	added []string
-	// newest is the route that the last acknowledged version added, at ackedAt.
+	// newest is the route added by the last acknowledged version. It was acknowledged at
+	// ackedAt.
 	newest  string
 	ackedAt time.Time
-	// keys are in force, revoked holds when the acknowledgement came.
+	// keys are valid. revoked holds the others with the time of the acknowledgement.
 	keys    []string
 	revoked map[string]time.Time
 }
 
 func newRun(f *fleet) *run {
-	added := make([]string, largeRoutes)
-	source := rand.New(rand.NewPCG(1, largeRoutes))
+	added := make([]string, fillerRoutes)
+	source := rand.New(rand.NewPCG(1, fillerRoutes))
 	for i := range added {
 		added[i] = strconv.FormatUint(source.Uint64(), 36)
 	}
 	return &run{
-		fleet: f, begun: time.Now(), stop: make(chan struct{}), held: make(map[*process]bool), needy: make(map[*standin.Server]bool), calls: make(map[string]*call),
+		fleet: f, started: time.Now(), stop: make(chan struct{}), busy: make(map[*process]bool), limited: make(map[*standin.Server]bool), calls: make(map[string]*call),
 		document: documentState{keys: []string{"key-0", "key-1", "key-2", "key-3"}, revoked: make(map[string]time.Time), added: added},
 	}
 }
 
-func (r *run) broken(check, format string, args ...any) {
+func (r *run) violation(check, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.problems = append(r.problems, check+": "+fmt.Sprintf(format, args...))
 }
 
-// check counts a look at a promise.
+// check counts a check of a guarantee and records a violation unless it holds.
 func (r *run) check(holds bool, name, format string, args ...any) {
 	r.checked.Add(1)
 	if !holds {
-		r.broken(name, format, args...)
+		r.violation(name, format, args...)
 	}
 }
 
-// busy takes a process for one fault at a time; false while another has it.
-func (r *run) busy(p *process) bool {
+// acquire reserves a process for one fault. It returns false if it is already reserved.
+func (r *run) acquire(p *process) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.held[p] {
+	if r.busy[p] {
 		return false
 	}
-	r.held[p] = true
+	r.busy[p] = true
 	return true
 }
 
-func (r *run) free(p *process) {
+func (r *run) release(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.held, p)
+	delete(r.busy, p)
 }
 
-func (r *run) later(do func()) {
+func (r *run) background(do func()) {
 	r.faults.Add(1)
 	go func() {
 		defer r.faults.Done()
@@ -143,18 +146,18 @@
 
 func (r *run) restart(p *process) {
 	if err := p.start(r.fleet.folder); err != nil {
-		r.broken("harness", "%s does not start: %v", p.name, err)
+		r.violation("harness", "%s does not start: %v", p.name, err)
 	}
 }
 
-func (r *run) stopping(p *process) {
+func (r *run) recordStop(p *process) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stops = append(r.stops, stopTime{p, time.Now()})
+	r.stops = append(r.stops, gracefulStop{p, time.Now()})
 }
 
-// text is the document of the moment. The list of teams may come in any order, so
-// a version's text is made once.
+// text encodes the current document. The order of the teams is not deterministic, so it is
+// called once for each version.
 func (d *documentState) text() ([]byte, error) {
 	teams := make(map[string][]string)
 	for i, key := range d.keys {
@@ -164,31 +167,32 @@
 }
 
 // change sends a new version of the document until it is acknowledged.
-func (r *run) change() { r.later(func() { r.put(func(*documentState) {}) }) }
+func (r *run) change() { r.background(func() { r.put(func(*documentState) {}) }) }
 
-// revoke takes the last key but one away.
+// revoke removes the last key from the document, unless it is the only one.
 func (r *run) revoke() {
-	r.later(func() {
-		taken := ""
+	r.background(func() {
+		revoked := ""
 		r.put(func(d *documentState) {
 			if n := len(d.keys); n > 1 {
-				taken, d.keys = d.keys[n-1], d.keys[:n-1]
+				revoked, d.keys = d.keys[n-1], d.keys[:n-1]
 			}
 		})
-		if taken != "" {
+		if revoked != "" {
 			r.mu.Lock()
-			r.document.revoked[taken] = time.Now()
+			r.document.revoked[revoked] = time.Now()
 			r.mu.Unlock()
 		}
 	})
 }
 
-var putting sync.Mutex
+// putMu serializes put.
+var putMu sync.Mutex
 
-// put sends one version to the state processes in turn, as an operator does.
+// put sends a new version to the state processes in turn until one acknowledges it.
 func (r *run) put(edit func(*documentState)) {
-	putting.Lock()
-	defer putting.Unlock()
+	putMu.Lock()
+	defer putMu.Unlock()
 	r.mu.Lock()
 	edit(&r.document)
 	r.document.version += 1 + uint64(rand.IntN(3))
@@ -197,7 +201,7 @@
 	text, err := r.document.text()
 	r.mu.Unlock()
 	if err != nil {
-		r.broken("harness", "%v", err)
+		r.violation("harness", "%v", err)
 		return
 	}
 	client := &http.Client{Timeout: time.Second}
@@ -225,8 +229,8 @@
 	}
 }
 
-// readBack checks on any state process that no older document is shown than was
-// acknowledged before the question.
+// readBack checks that a state process shows no document older than the one acknowledged
+// before the request.
 func (r *run) readBack(p *process) (version uint64, ok bool) {
 	r.mu.Lock()
 	acked := r.document.acked
@@ -246,12 +250,12 @@
 	if json.NewDecoder(resp.Body).Decode(&document) != nil {
 		return 0, false
 	}
-	r.check(document.Version >= acked, "older document", "%s shows version %d, %d was acknowledged", p.name, document.Version, acked)
+	r.check(document.Version >= acked, "older document", "%s shows version %d although %d was acknowledged", p.name, document.Version, acked)
 	return document.Version, true
 }
 
-// callFrom sends requests to one entry over kept connections until the run ends.
-func (r *run) callFrom(entry *process, pause time.Duration) {
+// sendRequests sends requests to one entry over keep-alive connections until the run ends.
+func (r *run) sendRequests(entry *process, pause time.Duration) {
 	defer r.callers.Done()
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableCompression: true}}
 	routes := []string{"book", "look", "plan", "review"}
@@ -261,41 +265,40 @@
 			return
 		case <-time.After(pause):
 		}
-		r.one(client, entry, r.routeOf(routes[rand.IntN(len(routes))]))
+		r.sendOne(client, entry, r.pickRoute(routes[rand.IntN(len(routes))]))
 	}
 }
 
-// routeOf gives the route, or now and then the one that was added last.
-func (r *run) routeOf(usual string) string {
+// pickRoute returns the usual route or, once in newestRouteInterval, the newest one.
+func (r *run) pickRoute(usual string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.document.newest == "" || rand.IntN(newestEvery) != 0 {
+	if r.document.newest == "" || rand.IntN(newestRouteInterval) != 0 {
 		return usual
 	}
 	return r.document.newest
 }
 
-// newestEvery is how many requests come for one on the newest route.
-const newestEvery = 8
+const newestRouteInterval = 8
 
-func (r *run) one(client *http.Client, entry *process, route string) {
+func (r *run) sendOne(client *http.Client, entry *process, route string) {
 	r.mu.Lock()
 	key := r.document.keys[0]
-	// Now and then a key that was taken away, to see that it runs nowhere.
-	for taken := range r.document.revoked {
+	// Sometimes use a revoked key, with which no request may run.
+	for revoked := range r.document.revoked {
 		if rand.IntN(4) == 0 {
-			key = taken
+			key = revoked
 		}
 	}
-	denied := r.document.ackedAt.Add(appliedWithin + slack)
+	routeKnownBy := r.document.ackedAt.Add(appliedWithin + slack)
 	r.mu.Unlock()
-	c := &call{id: fmt.Sprintf("id-%d", r.serial.Add(1)), route: route, deniedUntil: denied, key: key, entry: entry, sent: time.Now()}
+	c := &call{id: fmt.Sprintf("id-%d", r.lastID.Add(1)), route: route, routeKnownBy: routeKnownBy, key: key, entry: entry, sent: time.Now()}
 	r.mu.Lock()
 	r.calls[c.id] = c
 	r.mu.Unlock()
 	req, err := standin.NewRequest(entry.callers, route, c.id, key, route == "plan" || route == "review")
 	if err != nil {
-		r.broken("harness", "%v", err)
+		r.violation("harness", "%v", err)
 		return
 	}
 	resp, err := client.Do(req)
@@ -310,37 +313,37 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c.cut, c.ended = err != nil, time.Now()
+	c.interrupted, c.ended = err != nil, time.Now()
 }
 
-// checkAnswer: each caller gets its own, whole answer.
+// checkAnswer checks that a successful response is complete and belongs to its request.
 func (r *run) checkAnswer(c *call, resp *http.Response, body string) {
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	want := standin.Answer(c.id)
+	want := standin.ResponseBody(c.id)
 	if c.route == "plan" || c.route == "review" {
 		want = ""
 		for number := range 8 {
 			want += standin.Event(number + 1)
 		}
 	}
-	r.check(body == want && standin.Signed(resp.Header, c.id), "own whole answer", "%s on %s got %q", c.id, c.route, body)
+	r.check(body == want && standin.Signed(resp.Header, c.id), "correct answer", "%s on %s got %q", c.id, c.route, body)
 }
 
-// recovered waits until nearly all requests are served again.
-func (r *run) recovered() {
-	end := time.Now().Add(settle * 2)
+// waitForRecovery waits until nearly all requests are served again.
+func (r *run) waitForRecovery() {
+	end := time.Now().Add(settleTime * 2)
 	for time.Now().Before(end) {
 		time.Sleep(500 * time.Millisecond)
-		if r.servedLately() {
+		if r.servingRecently() {
 			return
 		}
 	}
-	r.broken("recovery", "less than 9 in 10 requests are served %v after the last fault", settle*2)
+	r.violation("recovery", "fewer than 9 in 10 requests are served %v after the last fault", settleTime*2)
 }
 
-func (r *run) servedLately() bool {
+func (r *run) servingRecently() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asked, served := 0, 0
@@ -348,7 +351,7 @@
 		_, revoked := r.document.revoked[c.key]
 		if !revoked && !c.ended.IsZero() && time.Since(c.sent) < 2*time.Second {
 			asked++
-			if c.status == http.StatusOK && !c.cut {
+			if c.status == http.StatusOK && !c.interrupted {
 				served++
 			}
 		}
@@ -356,7 +359,7 @@
 	return asked > 10 && served*10 >= asked*9
 }
 
-// removeData makes a state process begin with an empty folder.
+// removeData deletes the data folder of a state process.
 func removeData(p *process) error {
 	if p.data == "" {
 		return nil
--- a/loadgen/backend.go
+++ b/loadgen/backend.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Backend is a stand-in backend server that is asked for its counts.
+// Backend is a stand-in backend server whose counters are read.
 type Backend struct {
 	Name    string
 	Address string
 }
 
-// Counts is what the backend servers say that they ran.
+// Counts holds what the backend servers report to have run.
 type Counts struct {
-	// Runs by request, over all servers.
+	// Runs is the number of runs of each request over all servers, by Request.Ref.
 	Runs map[string]int
-	// TokensMade and TokensSaved sum over all engines.
-	TokensMade  int
-	TokensSaved int
-	// Silent names the servers that did not answer: their counts are lacking.
-	Silent []string
+	// TokensGenerated and TokensAvoided are sums over all engines.
+	TokensGenerated int
+	TokensAvoided   int
+	// Unreachable names the servers that did not answer. Their counts are missing.
+	Unreachable []string
 }
 
 type backendStats struct {
-	Runs        map[string]int `json:"runs"`
-	Refs        map[string]int `json:"refs"`
-	TokensMade  int            `json:"tokens_made"`
-	TokensSaved int            `json:"tokens_saved"`
+	Runs            map[string]int `json:"runs"`
+	Refs            map[string]int `json:"refs"`
+	TokensGenerated int            `json:"tokens_made"`
+	TokensAvoided   int            `json:"tokens_saved"`
 }
 
-// runs returns the runs by request; services count keys apart from them.
+// runs returns the number of runs by request. Services count those by key separately.
 func (s *backendStats) runs() map[string]int {
 	if s.Refs != nil {
 		return s.Refs
@@ -42,18 +42,18 @@
 	return s.Runs
 }
 
-// Snapshot is the counts of each server at one time; nil where it was silent.
+// Snapshot holds the counters of each server at one time; nil if it did not answer.
 type Snapshot map[string]*backendStats
 
-// statsTimeout bounds the question to one server.
+// statsTimeout bounds the request to one server.
 const statsTimeout = 2 * time.Second
 
-// Ask asks all backend servers for their counts.
-func Ask(ctx context.Context, backends []Backend) Snapshot {
+// FetchStats reads the counters of all backend servers concurrently.
+func FetchStats(ctx context.Context, backends []Backend) Snapshot {
 	answers := make([]*backendStats, len(backends))
 	var calls sync.WaitGroup
 	for i, backend := range backends {
-		calls.Go(func() { answers[i] = ask(ctx, backend.Address) })
+		calls.Go(func() { answers[i] = fetchStats(ctx, backend.Address) })
 	}
 	calls.Wait()
 	snapshot := make(Snapshot, len(backends))
@@ -63,40 +63,40 @@
 	return snapshot
 }
 
-// Since returns what was counted after an earlier snapshot. A server that
-// counts less than before was started anew: all that it counts is new.
+// Since returns the difference to an earlier snapshot. A server whose total has decreased
+// was restarted, so that all of its counts are new.
 func (s Snapshot) Since(before Snapshot) Counts {
 	counts := Counts{Runs: make(map[string]int)}
 	for _, name := range slices.Sorted(maps.Keys(s)) {
-		now, then := s[name], before[name]
-		if now == nil {
-			counts.Silent = append(counts.Silent, name)
+		later, earlier := s[name], before[name]
+		if later == nil {
+			counts.Unreachable = append(counts.Unreachable, name)
 			continue
 		}
-		if then == nil || now.total() < then.total() {
-			then = &backendStats{}
+		if earlier == nil || later.total() < earlier.total() {
+			earlier = &backendStats{}
 		}
-		for ref, n := range now.runs() {
-			if n -= then.runs()[ref]; n > 0 {
+		for ref, n := range later.runs() {
+			if n -= earlier.runs()[ref]; n > 0 {
 				counts.Runs[ref] += n
 			}
 		}
-		counts.TokensMade += now.TokensMade - then.TokensMade
-		counts.TokensSaved += now.TokensSaved - then.TokensSaved
+		counts.TokensGenerated += later.TokensGenerated - earlier.TokensGenerated
+		counts.TokensAvoided += later.TokensAvoided - earlier.TokensAvoided
 	}
 	return counts
 }
 
-// total only grows in the life of a server.
+// total never decreases until the server restarts.
 func (s *backendStats) total() int {
-	sum := s.TokensMade
+	sum := s.TokensGenerated
 	for _, n := range s.runs() {
 		sum += n
 	}
 	return sum
 }
 
-func ask(ctx context.Context, address string) *backendStats {
+func fetchStats(ctx context.Context, address string) *backendStats {
 	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/stats", nil)
--- a/standin/answer.go
+++ b/standin/answer.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// MedianWord before a number, as one word of the prompt, sets the median
-	// length of the answer in tokens. The router knows nothing of it.
-	MedianWord = "median="
-	// RefWord before a name, as one word of a prompt or body, lets GET /stats
-	// count how often that request ran.
-	RefWord = "ref:"
+	// MedianPrefix, followed by a number in one word of the prompt, sets the median length
+	// of the answer in tokens. The router does not interpret it.
+	MedianPrefix = "median="
+	// RefPrefix, followed by a name in one word of a prompt or body, makes GET /stats count
+	// the runs of that request.
+	RefPrefix = "ref:"
 
-	defaultMedian = 40
-	// sigma is the spread of the logarithm of lengths: one in twenty answers is
-	// longer than 3.7 times the median.
-	sigma = 0.8
-	// longest bounds an answer, in medians.
-	longest = 8
+	defaultMedianTokens = 40
+	// lengthSigma is the standard deviation of the logarithm of answer lengths: one in
+	// twenty answers is longer than 3.7 times the median.
+	lengthSigma = 0.8
+	// maxMedians bounds the length of an answer, as a multiple of the median.
+	maxMedians = 8
 )
 
 // Message is one turn of a conversation.
@@ -33,10 +33,10 @@
 	Content Content `json:"content"`
 }
 
-// Content is the text of a message. In JSON it may be a string or text parts.
+// Content is the text of a message. In JSON it is a string or a list of text parts.
 type Content string
 
-// UnmarshalJSON reads a string, null or a list of text parts.
+// UnmarshalJSON accepts a string, null or a list of text parts.
 func (c *Content) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err == nil {
@@ -55,21 +55,21 @@
 	return nil
 }
 
-// Answer returns the tokens that a model answers to the messages; joined they
-// are the text. maxTokens bounds their number; 0 means no bound.
+// Answer returns the tokens of a model's answer to the messages. Concatenated they are its
+// text. maxTokens bounds their number; 0 means no bound.
 func Answer(model string, messages []Message, maxTokens int) []string {
-	tokens := wholeAnswer(model, messages)
+	tokens := fullAnswer(model, messages)
 	if maxTokens > 0 && len(tokens) > maxTokens {
 		return tokens[:maxTokens]
 	}
 	return tokens
 }
 
-// Continue returns the rest of an answer whose beginning is the last message.
-// As with real engines, maxTokens bounds only the tokens still to come.
+// Continue returns the rest of an answer whose beginning is the last message. As in real
+// engines, maxTokens bounds only the returned tokens.
 func Continue(model string, messages []Message, maxTokens int) []string {
 	last := len(messages) - 1
-	tokens := wholeAnswer(model, messages[:last])
+	tokens := fullAnswer(model, messages[:last])
 	done := min(len(strings.Fields(string(messages[last].Content))), len(tokens))
 	tokens = tokens[done:]
 	if maxTokens > 0 && len(tokens) > maxTokens {
@@ -78,19 +78,19 @@
 	return tokens
 }
 
-func wholeAnswer(model string, messages []Message) []string {
+func fullAnswer(model string, messages []Message) []string {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(model)
-	median := defaultMedian
+	median := defaultMedianTokens
 	for _, message := range messages {
 		_, _ = hash.WriteString("\x00" + message.Role + "\x00" + string(message.Content))
-		if stated, ok := wordAfter(string(message.Content), MedianWord); ok {
-			median = atoiOr(stated, median)
+		if medianText, ok := wordAfter(string(message.Content), MedianPrefix); ok {
+			median = positiveOr(medianText, median)
 		}
 	}
 	random := rand.New(rand.NewPCG(hash.Sum64(), 0))
-	length := float64(median) * math.Exp(sigma*random.NormFloat64())
-	length = math.Min(math.Max(length, 1), float64(longest*median))
+	length := float64(median) * math.Exp(lengthSigma*random.NormFloat64())
+	length = math.Min(math.Max(length, 1), float64(maxMedians*median))
 	tokens := make([]string, int(length))
 	for i := range tokens {
 		tokens[i] = fmt.Sprintf(" %s%02x", syllables[random.IntN(len(syllables))], random.IntN(256))
@@ -110,10 +110,10 @@
 	return "", false
 }
 
-func atoiOr(text string, byDefault int) int {
+func positiveOr(text string, fallback int) int {
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 1 {
-		return byDefault
+		return fallback
 	}
 	return number
 }
