--- a/version/fleet/fleet.go
+++ b/version/fleet/fleet.go
@@ -56,7 +56,7 @@
 	ChecksFencing bool     `yaml:"checks_fencing"`
 }
 
-func bad(format string, args ...any) error {
+func invalid(format string, args ...any) error {
 	return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE, format, args...)
 }
 
@@ -66,9 +66,9 @@
 	decoder.KnownFields(true)
 	f := &Fleet{}
 	if err := decoder.Decode(f); errors.Is(err, io.EOF) {
-		return nil, bad("the file is empty; give classes, teams or servers")
+		return nil, invalid("the file is empty; give classes, teams or servers")
 	} else if err != nil {
-		return nil, bad("%v; see examples/ for a file that is right", err)
+		return nil, invalid("%v; see examples/ for a file that is right", err)
 	}
 	return f, f.check()
 }
@@ -77,7 +77,7 @@
 	seen := make(map[string]bool)
 	once := func(kind, name string) error {
 		if name == "" || seen[kind+name] {
-			return bad("%s %q has no name or stands twice; names are unique", kind, name)
+			return invalid("%s %q has no name or stands twice; names are unique", kind, name)
 		}
 		seen[kind+name] = true
 		return nil
@@ -87,7 +87,7 @@
 			return err
 		}
 		if !slices.Contains([]string{"", "run", "refuse"}, class.Late) {
-			return bad("class %s: late is %q; write run or refuse", class.Name, class.Late)
+			return invalid("class %s: late is %q; write run or refuse", class.Name, class.Late)
 		}
 	}
 	for _, team := range f.Teams {
@@ -100,7 +100,7 @@
 			return err
 		}
 		if server.Kind != "engine" && server.Kind != "service" {
-			return bad("server %s: kind is %q; write engine or service", server.Name, server.Kind)
+			return invalid("server %s: kind is %q; write engine or service", server.Name, server.Kind)
 		}
 	}
 	return nil
@@ -144,7 +144,7 @@
 	d.Lines = append(d.Lines, fmt.Sprintf("%s %s %s", mark, kind, name))
 }
 
-func mark(exists bool) string {
+func symbol(exists bool) string {
 	if exists {
 		return "~"
 	}
@@ -158,19 +158,19 @@
 	for _, class := range f.Classes {
 		old, exists := view.Classes[class.Name]
 		if now := class.message(); !proto.Equal(old, now) {
-			d.add(mark(exists), "class", class.Name, &lilacv1.Change{Op: &lilacv1.Change_SetClass{SetClass: now}})
+			d.add(symbol(exists), "class", class.Name, &lilacv1.Change{Op: &lilacv1.Change_SetClass{SetClass: now}})
 		}
 	}
 	for _, team := range f.Teams {
 		old, exists := view.Teams[team.Name]
 		if now := team.message(); !proto.Equal(old, now) {
-			d.add(mark(exists), "team", team.Name, &lilacv1.Change{Op: &lilacv1.Change_SetTeam{SetTeam: now}})
+			d.add(symbol(exists), "team", team.Name, &lilacv1.Change{Op: &lilacv1.Change_SetTeam{SetTeam: now}})
 		}
 	}
 	for _, server := range f.Servers {
 		old, exists := view.Servers[server.Name]
 		if now := server.message(old.GetDraining()); !proto.Equal(old, now) {
-			d.add(mark(exists), "server", server.Name, &lilacv1.Change{Op: &lilacv1.Change_SetServer{SetServer: now}})
+			d.add(symbol(exists), "server", server.Name, &lilacv1.Change{Op: &lilacv1.Change_SetServer{SetServer: now}})
 		}
 	}
 	if prune {
--- a/version/model/view.go
+++ b/version/model/view.go
@@ -1,5 +1,6 @@
-// Package model gives an indexed, immutable view of one revision of the
-// configuration: classes, teams, backend servers and their states.
+// Package model provides an indexed, immutable view of one revision of the
+// configuration: classes, teams, backend servers and their states. It also defines the
+// order of tiers and ranks.
 package model
 
 import (
@@ -12,34 +13,34 @@
 // Ranks is the number of ranks within a tier; rank 0 is the most urgent.
 const Ranks = 3
 
-// Levels is the number of tiers with their ranks, in order of urgency.
+// Levels is the number of combinations of tier and rank.
 const Levels = Tiers * Ranks
 
-// Level is the place of a tier's rank among them.
+// Level numbers the combinations by tier first, then by rank.
 func Level(tier, rank int) int { return tier*Ranks + min(rank, Ranks-1) }
 
-// Positions is the number of ranks with their tiers.
+// Positions is the number of positions; see Position.
 const Positions = Tiers * Ranks
 
-// Position is the order of urgency in which requests start, are given room and stay at
-// engines: what all tiers ask
-// for in short urgent work goes before the bulk of any.
+// Position numbers the combinations by rank first, then by tier. This is the order in
+// which requests start, are allotted capacity and are kept at engines: the short urgent
+// work of all tiers precedes the bulk work of any tier.
 func Position(tier, rank int) int { return min(rank, Ranks-1)*Tiers + tier }
 
-// TierOf is the tier of a place.
-func TierOf(place int) int { return place % Tiers }
+// TierOf returns the tier of a position.
+func TierOf(position int) int { return position % Tiers }
 
-// RankOf is the rank of a place.
-func RankOf(place int) int { return place / Tiers }
+// RankOf returns the rank of a position.
+func RankOf(position int) int { return position / Tiers }
 
-// PositionOf is the place of a level.
+// PositionOf returns the position of a level.
 func PositionOf(level int) int { return Position(level/Ranks, level%Ranks) }
 
-// View is a revision as the request path reads it. It is never changed once
-// made, so any goroutine may read it without a lock.
+// View is a revision of the configuration, indexed for the request path. It is
+// immutable, so any goroutine may read it without a lock.
 type View struct {
 	Revision uint64
-	// Recoveries counts those of the state processes from a lost majority.
+	// Recoveries is how often the state processes were recovered after a lost majority.
 	Recoveries  uint32
 	Classes     map[string]*lilacv1.Class
 	Teams       map[string]*lilacv1.Team
@@ -47,13 +48,14 @@
 	Instances   map[string]*lilacv1.InstanceState
 	Convictions map[string]*lilacv1.Conviction
 	Orders      []*lilacv1.ModelOrder
-	// Pools holds the backend servers of each model or service, in order of name.
+	// Pools maps each model or service to its backend servers, sorted by
+	// name. NewView relies on the order of the snapshot.
 	Pools map[string][]*lilacv1.Server
-	// Document is the gateway's; nil before the first one.
+	// Document is the gateway document, or nil before the first.
 	Document *lilacv1.Document
 }
 
-// NewView indexes a snapshot, which must not be changed afterwards.
+// NewView indexes a snapshot. The caller must not modify the snapshot afterwards.
 func NewView(s *lilacv1.Snapshot) *View {
 	v := &View{
 		Revision:    s.GetRevision(),
--- a/version/prefix/prefix.go
+++ b/version/prefix/prefix.go
@@ -19,7 +19,7 @@
 func Words(texts ...string) int {
 	count := 0
 	for _, text := range texts {
-		eachWord(text, func(string) { count++ })
+		forEachWord(text, func(string) { count++ })
 	}
 	return count
 }
@@ -40,12 +40,12 @@
 		}
 	}
 	for _, text := range texts {
-		eachWord(text, add)
+		forEachWord(text, add)
 	}
 	return blocks
 }
 
-func eachWord(text string, f func(string)) {
+func forEachWord(text string, f func(string)) {
 	start := -1
 	for i, r := range text {
 		switch {
--- a/version/routing/document.go
+++ b/version/routing/document.go
@@ -1,8 +1,8 @@
-// Package routing is the configuration of the gateway: routes by host and path,
-// the services behind them, the teams with their keys, and limits.
+// Package routing is the configuration of the gateway: routes by host and path, the
+// services behind them, the teams with their keys, and limits.
 //
-// A Document is what operators send, decoded and checked. A Table is the same
-// indexed for the request path; it is never changed once made.
+// A Document is the decoded and validated configuration that operators send. A Table is
+// an immutable index of it for the request path.
 package routing
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Kind says what may be repeated on a route.
+// Kind tells whether requests of a route may be repeated.
 type Kind int
 
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota
-	// NonIdempotent requests run at most once for each attempt of the caller.
+	// NonIdempotent requests run at most once per attempt of the caller.
 	NonIdempotent
-	// Streaming requests are answered by a series of events.
+	// Streaming requests are answered by a stream of events.
 	Streaming
 )
 
-// Document is a whole configuration of the gateway.
+// Document is a complete configuration of the gateway.
 type Document struct {
-	// Version grows with each document, in uneven steps.
+	// Version increases with each document, not necessarily by 1.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -35,37 +35,37 @@
 	Limits   Limits
 }
 
-// Route sends the requests of a host whose path begins with PathPrefix to one
-// or more services.
+// Route sends the requests for Host whose path begins with PathPrefix to one or more
+// services.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time that a caller waits.
 	Timeout time.Duration
-	// TargetLatency is the time to the answer, or to the first event of a stream, within
-	// which a request counts in full.
+	// TargetLatency is the time to the response, or to the first event of a stream, within
+	// which a request meets its target.
 	TargetLatency time.Duration
-	// EventGap is the longest pause between two events of a stream that is on
-	// time; 0 for routes without streams.
+	// EventGap is the maximum time between two events of a stream that meets its target;
+	// 0 for routes without streams.
 	EventGap time.Duration
 	// Priority 0 is the most urgent.
 	Priority int
 	Backends []Backend
-	// MaxAttempts is how many backend servers one request may be sent to; 0
-	// means no bound but the policy's own.
+	// MaxAttempts is the number of backend servers that a request may be sent to; 0 means
+	// that only the limits of the policy apply.
 	MaxAttempts int
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may go on at another backend server after their last event.
+	// Resumable streams may continue at another backend server after their last event.
 	Resumable bool
 }
 
-// Repeatable tells whether a request of the route may run again.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable }
 
-// Backend is a service with its share of a route's requests.
+// Backend is a service with its weight among the services of a route.
 type Backend struct {
 	Service string
 	Weight  int
@@ -74,24 +74,24 @@
 // Service is a pool of backend servers.
 type Service struct {
 	Name string
-	// HealthPath answers whether a server is well.
+	// HealthPath is the path of the health check of a server.
 	HealthPath string
-	// Connections is how many a server takes from all callers together.
+	// Connections is how many connections a server accepts in total.
 	Connections int
-	// Engine is nil for plain services.
+	// Engine is nil for services that are not model engines.
 	Engine *Engine
 }
 
-// Engine is what all model engines of a service have in common.
+// Engine holds the properties that all model engines of a service share.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the number of concurrent requests.
 	Slots int
-	// CacheTokens is the size of the KV cache.
+	// CacheTokens is the size of the KV cache in tokens.
 	CacheTokens int
-	// EventTokens is how many tokens an event of a stream holds.
+	// EventTokens is the number of tokens in an event of a stream.
 	EventTokens int
-	// FetchTime is how long one token of KV cache takes from engine to engine; 0 if
-	// it can't be fetched.
+	// FetchTime is the time to transfer one token of KV cache between engines; 0 if that
+	// is not supported.
 	FetchTime time.Duration
 }
 
@@ -99,17 +99,17 @@
 type Team struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route where HasPriority is set.
+	// Priority overrides that of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what callers may send.
+// Limits limits what callers may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout is how long a header may take, IdleTimeout how long a
-	// connection may stay without a request.
+	// HeaderTimeout limits reading a header, IdleTimeout the time a connection stays open
+	// without a request.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -119,60 +119,60 @@
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
-// Validate returns why the document can't come into force, naming the route and
-// the field; nil if it can.
+// Validate returns an error that names the route and the field if the document is not
+// valid.
 func (d *Document) Validate() error {
 	services := make(map[string]bool, len(d.Services))
 	for i := range d.Services {
 		services[d.Services[i].Name] = true
 	}
-	type place struct{ host, prefix string }
-	places := make(map[place]string, len(d.Routes))
+	type match struct{ host, prefix string }
+	routes := make(map[match]string, len(d.Routes))
 	for i := range d.Routes {
 		r := &d.Routes[i]
 		if err := r.validate(services); err != nil {
 			return err
 		}
-		at := place{r.Host, r.PathPrefix}
-		if other, taken := places[at]; taken {
-			return invalid("route %q has the host and path prefix of route %q; give each its own", r.Name, other)
+		key := match{r.Host, r.PathPrefix}
+		if other, exists := routes[key]; exists {
+			return invalid("routes %q and %q have the same host and path prefix; make them differ", r.Name, other)
 		}
-		places[at] = r.Name
+		routes[key] = r.Name
 	}
 	return d.validateTeams()
 }
 
 func (r *Route) validate(services map[string]bool) error {
 	if r.Timeout <= 0 {
-		return invalid("route %q has no timeout; write one above 0", r.Name)
+		return invalid("route %q has no timeout; set one above 0", r.Name)
 	}
 	if len(r.Backends) == 0 {
-		return invalid("route %q names no service; name one", r.Name)
+		return invalid("route %q has no service; add one", r.Name)
 	}
 	total := 0
 	for _, backend := range r.Backends {
 		if !services[backend.Service] {
-			return invalid("route %q names service %q, which the document does not hold; add the service or name another", r.Name, backend.Service)
+			return invalid("route %q refers to service %q, which is not in the document; add the service or use another", r.Name, backend.Service)
 		}
 		if backend.Weight < 0 {
-			return invalid("route %q gives service %q a weight below 0; write 0 or more", r.Name, backend.Service)
+			return invalid("route %q gives service %q a weight below 0; use 0 or more", r.Name, backend.Service)
 		}
 		total += backend.Weight
 	}
 	if total == 0 {
-		return invalid("the weights of route %q add up to 0; give at least one service a weight", r.Name)
+		return invalid("the weights of route %q add up to 0; give at least one service a weight above 0", r.Name)
 	}
 	return nil
 }
 
 func (d *Document) validateTeams() error {
-	holders := make(map[string]string)
+	teams := make(map[string]string)
 	for _, team := range d.Teams {
 		for _, key := range team.Keys {
-			if other, taken := holders[key]; taken && other != team.Name {
-				return invalid("teams %q and %q share a key; give each its own", other, team.Name)
+			if other, exists := teams[key]; exists && other != team.Name {
+				return invalid("teams %q and %q have the same key; give each its own", other, team.Name)
 			}
-			holders[key] = team.Name
+			teams[key] = team.Name
 		}
 	}
 	return nil
--- a/version/routing/routing_test.go
+++ b/version/routing/routing_test.go
@@ -21,12 +21,12 @@
 	}
 }
 
-func TestInvalidDocumentsNameRouteAndRemedy(t *testing.T) {
+func TestValidateNamesRouteAndRemedy(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(document().Validate())
 	cases := map[string]struct {
-		spoil func(*Document)
-		wants []string
+		corrupt func(*Document)
+		wants   []string
 	}{
 		"unknown service":     {func(d *Document) { d.Routes[1].Backends[0].Service = "none" }, []string{"drafts", "none", "add the service"}},
 		"same host and path":  {func(d *Document) { d.Routes[1].PathPrefix = "/p/" }, []string{"drafts", "plans"}},
@@ -39,7 +39,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := document()
-			c.spoil(d)
+			c.corrupt(d)
 			err := d.Validate()
 			if err == nil {
 				t.Fatal("accepted")
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(document(), 1)
 	is.Equal(table.Match("a.example", "/p/drafts/1").Name, "drafts")
@@ -65,7 +65,7 @@
 	is.Equal(table.TeamByKey("k9"), nil)
 }
 
-func TestWeightsSplitTheDraws(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	is := is.New(t)
 	route := &document().Routes[0]
 	counts := make(map[string]int)
@@ -75,7 +75,7 @@
 	is.Equal(counts, map[string]int{"engines": 900, "desk": 100})
 }
 
-func TestViewMakesClassesOfRoutesAndPriorities(t *testing.T) {
+func TestViewCreatesClassPerRouteAndPriority(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(document(), 9)
 	view := View(table, []Server{
@@ -85,7 +85,7 @@
 	is.Equal(view.Revision, uint64(9))
 	plans := view.Classes["plans"]
 	is.Equal(plans.GetTier(), uint32(1))
-	is.Equal(plans.GetBetweenTokensMs(), uint32(100)) // a pause of 300 ms, events of 3 tokens
+	is.Equal(plans.GetBetweenTokensMs(), uint32(100)) // 300 ms between events of 3 tokens
 	is.Equal(plans.GetMaxAttempts(), uint32(2))
 	urgent := view.Classes[ClassName(&table.Document.Routes[0], 0)]
 	is.Equal(urgent.GetTier(), uint32(0))
@@ -94,7 +94,7 @@
 	is.True(server.GetDraining())
 	is.Equal(server.GetSlots(), uint32(64))
 	is.Equal(server.GetIdentity(), "i-1")
-	is.Equal(len(view.Servers), 1) // of a service that the document doesn't hold
+	is.Equal(len(view.Servers), 1) // i-2 belongs to a service that is not in the document
 	is.Equal(Priority(&table.Document.Routes[0], &table.Document.Teams[0]), 0)
 	is.Equal(Priority(&table.Document.Routes[0], &table.Document.Teams[1]), 1)
 }
--- a/version/routing/table.go
+++ b/version/routing/table.go
@@ -8,7 +8,7 @@
 // Table is a document indexed for the request path.
 type Table struct {
 	Document *Document
-	// Revision is the number under which the replicated log holds the document.
+	// Revision is the number of the revision that holds the document.
 	Revision uint64
 
 	byHost   map[string][]*Route
@@ -16,7 +16,7 @@
 	services map[string]*Service
 }
 
-// NewTable indexes a valid document, which must not be changed afterwards.
+// NewTable indexes a valid document. The caller must not modify it afterwards.
 func NewTable(document *Document, revision uint64) *Table {
 	t := &Table{
 		Document: document, Revision: revision,
@@ -42,7 +42,7 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix of the path, or nil.
+// Match returns the route for host whose path prefix is the longest that matches, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -52,28 +52,28 @@
 	return nil
 }
 
-// RequiresKeys tells whether requests need a key where their route isn't public.
+// RequiresKeys reports whether requests need a key on routes that are not public.
 func (t *Table) RequiresKeys() bool { return len(t.Document.Teams) > 0 }
 
-// TeamByKey returns the team that holds the key, or nil.
+// TeamByKey returns the team with the key, or nil.
 func (t *Table) TeamByKey(key string) *Team { return t.byKey[key] }
 
-// Service returns the service of that name, or nil.
+// Service returns the named service, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick returns the service that a draw from 0 up to, but not including, 1 falls
-// on by the route's weights.
+// Pick returns the service that the number draw in [0, 1) selects by the route's
+// weights.
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, backend := range r.Backends {
 		total += backend.Weight
 	}
-	left := int(draw * float64(total))
+	remaining := int(draw * float64(total))
 	for _, backend := range r.Backends {
-		if left < backend.Weight {
+		if remaining < backend.Weight {
 			return backend.Service
 		}
-		left -= backend.Weight
+		remaining -= backend.Weight
 	}
 	return r.Backends[len(r.Backends)-1].Service
 }
--- a/version/routing/view.go
+++ b/version/routing/view.go
@@ -8,26 +8,26 @@
 	"github.com/lilacbridge/lilacbridge/version/model"
 )
 
-// Server is a backend server as the list of backend servers tells of it.
+// Server is a backend server in the platform's list.
 type Server struct {
-	// Name is the identity of one start of the server.
+	// Name identifies one start of the server.
 	Name string
-	// Identity is what the server calls itself; a later start may bear it again.
+	// Identity is the name that the server reports; it may stay the same after a restart.
 	Identity   string
 	Service    string
 	Address    string
 	DataCenter string
 	Slots      int
-	// Leaving servers get no new work.
+	// Leaving servers get no new requests.
 	Leaving bool
 }
 
-// NoTeam is the team of requests without one: on public routes, and where the
-// document holds no teams.
+// NoTeam is the team of requests that have none: on public routes, and if the document
+// has no teams.
 const NoTeam = "-"
 
-// ClassName names the class of a route's requests at a priority. The team's
-// priority may take the place of the route's, so a route may have several.
+// ClassName returns the class of a route's requests at a priority. A team's priority may
+// override that of the route, so a route may have several classes.
 func ClassName(route *Route, priority int) string {
 	if priority == route.Priority {
 		return route.Name
@@ -35,7 +35,7 @@
 	return route.Name + "@" + strconv.Itoa(priority)
 }
 
-// Priority is that of the team's requests on the route.
+// Priority returns the priority of the team's requests on the route. team may be nil.
 func Priority(route *Route, team *Team) int {
 	if team != nil && team.HasPriority {
 		return team.Priority
@@ -43,8 +43,8 @@
 	return route.Priority
 }
 
-// View gives the policy the document and the servers in its own terms: each
-// route and priority is a class, each service a pool.
+// View translates the document and the servers into the model of the policy: each
+// combination of route and priority becomes a class, each service a pool.
 func View(t *Table, servers []Server, convictions map[string]*lilacv1.Conviction) *model.View {
 	s := &lilacv1.Snapshot{Revision: t.Revision, Teams: []*lilacv1.Team{{Name: NoTeam}}}
 	priorities := make(map[int]bool)
@@ -57,16 +57,16 @@
 	}
 	for i := range t.Document.Routes {
 		r := &t.Document.Routes[i]
-		s.Classes = append(s.Classes, class(t, r, r.Priority))
+		s.Classes = append(s.Classes, newClass(t, r, r.Priority))
 		for priority := range priorities {
 			if priority != r.Priority {
-				s.Classes = append(s.Classes, class(t, r, priority))
+				s.Classes = append(s.Classes, newClass(t, r, priority))
 			}
 		}
 	}
 	for i := range servers {
 		if service := t.Service(servers[i].Service); service != nil {
-			s.Servers = append(s.Servers, server(&servers[i], service))
+			s.Servers = append(s.Servers, newServer(&servers[i], service))
 		}
 	}
 	view := model.NewView(s)
@@ -74,18 +74,18 @@
 	return view
 }
 
-// shareOfAll is divided among the classes as their guaranteed shares, in permille.
-const shareOfAll = 200
+// totalSharePermille is divided among the classes as their guaranteed shares.
+const totalSharePermille = 200
 
-// maxRank is the last place within a tier.
+// maxRank is the least urgent rank within a tier.
 const maxRank = 2
 
-func class(t *Table, r *Route, priority int) *lilacv1.Class {
+func newClass(t *Table, r *Route, priority int) *lilacv1.Class {
 	c := &lilacv1.Class{
 		Name: ClassName(r, priority), Tier: uint32(min(max(priority, 0), model.Tiers-1)),
 		FirstTokenMs: uint32(r.TargetLatency.Milliseconds()), MaxAttempts: uint32(r.MaxAttempts),
 		Rank:          uint32(min(max(r.Priority, 0), maxRank)),
-		SharePermille: uint32(max(1, shareOfAll/max(len(t.Document.Routes), 1))),
+		SharePermille: uint32(max(1, totalSharePermille/max(len(t.Document.Routes), 1))),
 		Late:          lilacv1.LatePolicy_LATE_POLICY_RUN_WITH_ROOM,
 	}
 	if service := t.Service(r.Backends[0].Service); r.EventGap > 0 && service != nil && service.Engine != nil {
@@ -94,19 +94,19 @@
 	return c
 }
 
-func server(s *Server, service *Service) *lilacv1.Server {
-	made := &lilacv1.Server{
+func newServer(s *Server, service *Service) *lilacv1.Server {
+	server := &lilacv1.Server{
 		Name: s.Name, Identity: s.Identity, Address: s.Address, DataCenter: s.DataCenter,
 		Kind: lilacv1.ServerKind_SERVER_KIND_SERVICE, Serves: []string{s.Service},
 		Slots: uint32(s.Slots), Draining: s.Leaving,
 	}
 	if service.Engine != nil {
-		made.Kind = lilacv1.ServerKind_SERVER_KIND_ENGINE
-		made.CacheTokens = uint64(service.Engine.CacheTokens)
-		made.CacheTokenNs = uint32(service.Engine.FetchTime.Nanoseconds())
-		if made.Slots == 0 {
-			made.Slots = uint32(service.Engine.Slots)
+		server.Kind = lilacv1.ServerKind_SERVER_KIND_ENGINE
+		server.CacheTokens = uint64(service.Engine.CacheTokens)
+		server.CacheTokenNs = uint32(service.Engine.FetchTime.Nanoseconds())
+		if server.Slots == 0 {
+			server.Slots = uint32(service.Engine.Slots)
 		}
 	}
-	return made
+	return server
 }
--- a/version/statement/grammar.go
+++ b/version/statement/grammar.go
@@ -126,7 +126,7 @@
 	Before string `parser:"'KEYS' 'BEFORE' @String"`
 }
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Hex", Pattern: `[0-9a-f]{64}`},
 	{Name: "String", Pattern: `"(\\.|[^"\\])*"`},
 	{Name: "Duration", Pattern: `\d+(\.\d+)?(ms|us|s|m|h)\b`},
@@ -138,7 +138,7 @@
 })
 
 var parser = participle.MustBuild[Statement](
-	participle.Lexer(words),
+	participle.Lexer(tokens),
 	participle.Elide("Space"),
 	participle.Unquote("String"),
 	participle.CaseInsensitive("Ident"),
--- a/version/statement/parse.go
+++ b/version/statement/parse.go
@@ -15,8 +15,8 @@
 const (
 	// MaxLength is the longest statement, in bytes.
 	MaxLength = 16 << 10
-	// farthestWord is how many letters may differ for a word to be suggested.
-	farthestWord = 3
+	// maxEditDistance is how many letters may differ for a word to be suggested.
+	maxEditDistance = 3
 )
 
 // Parse reads one statement. Its error gives the column, what was expected and
@@ -27,15 +27,15 @@
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
-		return nil, explain(err)
+		return nil, convertError(err)
 	}
 	return parsed, nil
 }
 
-func explain(err error) error {
+func convertError(err error) error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
-		return atToken(unexpected.Unexpected, expected(unexpected.Message()))
+		return tokenError(unexpected.Unexpected, expected(unexpected.Message()))
 	}
 	var parseError participle.Error
 	if errors.As(err, &parseError) {
@@ -51,7 +51,7 @@
 	return strings.TrimSuffix(rest, ")")
 }
 
-func atToken(token lexer.Token, expect string) error {
+func tokenError(token lexer.Token, expect string) error {
 	found := fmt.Sprintf("%q", token.Value)
 	if token.EOF() {
 		found = "the end"
@@ -69,7 +69,7 @@
 // nearest returns the key word with the fewest letters to change, or "" if all
 // are far.
 func nearest(found string) string {
-	best, word := farthestWord, ""
+	best, word := maxEditDistance, ""
 	if len(found) < best {
 		best = len(found)
 	}
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -22,14 +22,14 @@
 // Select applies WHERE, ORDER BY and LIMIT of the query to the table, in place.
 func (t *Table) Select(query *statement.Show) error {
 	for _, condition := range query.Where {
-		column, err := t.column(condition.Column)
+		column, err := t.columnIndex(condition.Column)
 		if err != nil {
 			return err
 		}
-		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return !holds(row[column], condition) })
+		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return !matches(row[column], condition) })
 	}
 	if query.OrderBy != "" {
-		column, err := t.column(query.OrderBy)
+		column, err := t.columnIndex(query.OrderBy)
 		if err != nil {
 			return err
 		}
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func (t *Table) column(name string) (int, error) {
+func (t *Table) columnIndex(name string) (int, error) {
 	for i, column := range t.Columns {
 		if strings.EqualFold(column, name) {
 			return i, nil
@@ -55,7 +55,7 @@
 	return 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no column %q; there are %s", name, strings.Join(t.Columns, ", "))
 }
 
-func holds(value string, condition statement.Condition) bool {
+func matches(value string, condition statement.Condition) bool {
 	if strings.EqualFold(condition.Op, "CONTAINS") {
 		return strings.Contains(value, condition.Value)
 	}
@@ -77,15 +77,15 @@
 
 // compare orders numbers and durations by size, all else as text.
 func compare(a, b string) int {
-	x, okX := number(a)
-	y, okY := number(b)
+	x, okX := parseNumber(a)
+	y, okY := parseNumber(b)
 	if okX && okY {
 		return cmp.Compare(x, y)
 	}
 	return cmp.Compare(a, b)
 }
 
-func number(text string) (float64, bool) {
+func parseNumber(text string) (float64, bool) {
 	if value, err := strconv.ParseFloat(text, 64); err == nil {
 		return value, true
 	}
