--- a/version/fleet/fleet.go
+++ b/version/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet reads a YAML file of classes, teams and backend servers, and
-// finds the changes that bring a running configuration to it.
+// Package fleet reads a YAML file of classes, teams and backend servers, and computes
+// the changes that bring a running configuration in line with it.
 package fleet
 
 import (
@@ -32,7 +32,7 @@
 	FirstTokenMs    uint32 `yaml:"first_token_ms"`
 	BetweenTokensMs uint32 `yaml:"between_tokens_ms"`
 	SharePermille   uint32 `yaml:"share_permille"`
-	// Late is run or refuse. Default run.
+	// Late is what happens to late requests: run or refuse. Default run.
 	Late string `yaml:"late"`
 }
 
@@ -60,47 +60,47 @@
 	return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE, format, args...)
 }
 
-// Parse reads a file strictly: an unknown field is an error with its line.
+// Parse decodes and validates a file. An unknown field is an error that names its line.
 func Parse(data []byte) (*Fleet, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	f := &Fleet{}
 	if err := decoder.Decode(f); errors.Is(err, io.EOF) {
-		return nil, invalid("the file is empty; give classes, teams or servers")
+		return nil, invalid("the file is empty; add classes, teams or servers")
 	} else if err != nil {
-		return nil, invalid("%v; see examples/ for a file that is right", err)
+		return nil, invalid("%v; see examples/ for a valid file", err)
 	}
 	return f, f.check()
 }
 
 func (f *Fleet) check() error {
 	seen := make(map[string]bool)
-	once := func(kind, name string) error {
+	checkUnique := func(kind, name string) error {
 		if name == "" || seen[kind+name] {
-			return invalid("%s %q has no name or stands twice; names are unique", kind, name)
+			return invalid("%s %q has no name or is defined twice; names must be unique", kind, name)
 		}
 		seen[kind+name] = true
 		return nil
 	}
 	for _, class := range f.Classes {
-		if err := once("class", class.Name); err != nil {
+		if err := checkUnique("class", class.Name); err != nil {
 			return err
 		}
 		if !slices.Contains([]string{"", "run", "refuse"}, class.Late) {
-			return invalid("class %s: late is %q; write run or refuse", class.Name, class.Late)
+			return invalid("class %s: late is %q; use run or refuse", class.Name, class.Late)
 		}
 	}
 	for _, team := range f.Teams {
-		if err := once("team", team.Name); err != nil {
+		if err := checkUnique("team", team.Name); err != nil {
 			return err
 		}
 	}
 	for _, server := range f.Servers {
-		if err := once("server", server.Name); err != nil {
+		if err := checkUnique("server", server.Name); err != nil {
 			return err
 		}
 		if server.Kind != "engine" && server.Kind != "service" {
-			return invalid("server %s: kind is %q; write engine or service", server.Name, server.Kind)
+			return invalid("server %s: kind is %q; use engine or service", server.Name, server.Kind)
 		}
 	}
 	return nil
@@ -132,16 +132,16 @@
 	}
 }
 
-// Diff is the changes that bring a configuration to a Fleet, with a line for
-// each that an operator can read.
+// Diff holds the changes that bring a configuration in line with a Fleet, with one
+// readable line per change in Lines.
 type Diff struct {
 	Changes []*lilacv1.Change
 	Lines   []string
 }
 
-func (d *Diff) add(mark, kind, name string, change *lilacv1.Change) {
+func (d *Diff) add(symbol, kind, name string, change *lilacv1.Change) {
 	d.Changes = append(d.Changes, change)
-	d.Lines = append(d.Lines, fmt.Sprintf("%s %s %s", mark, kind, name))
+	d.Lines = append(d.Lines, fmt.Sprintf("%s %s %s", symbol, kind, name))
 }
 
 func symbol(exists bool) string {
@@ -151,8 +151,8 @@
 	return "+"
 }
 
-// Diff compares the file with a running configuration. Objects that the file
-// lacks are dropped only if prune is set. A server's draining state is kept.
+// Diff compares the file with a running configuration. Objects that are not in the file
+// are dropped only if prune is set. The draining state of servers is kept.
 func (f *Fleet) Diff(view *model.View, prune bool) *Diff {
 	d := &Diff{}
 	for _, class := range f.Classes {
@@ -208,7 +208,7 @@
 	d.sortDrops()
 }
 
-// sortDrops puts the drops, which stand last, in the order of their names.
+// sortDrops sorts the drops, which come last, by kind and name.
 func (d *Diff) sortDrops() {
 	first := slices.IndexFunc(d.Lines, func(line string) bool { return strings.HasPrefix(line, "-") })
 	if first < 0 {
--- a/version/packed/bench_test.go
+++ b/version/packed/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// routesText is the text of n routes with names as random as operators' are.
+// routesText returns n routes with random names, which compress as badly as real ones.
 func routesText(n int) []byte {
 	var text strings.Builder
 	source := rand.New(rand.NewPCG(2, 3))
@@ -20,7 +20,7 @@
 	return []byte(text.String())
 }
 
-// BenchmarkDocument gives what packing and unpacking a document costs, and its size.
+// BenchmarkDocument measures compressing and decompressing a document, and its size.
 func BenchmarkDocument(b *testing.B) {
 	for _, routes := range []int{400, 1400, 4200, 14000} {
 		text := routesText(routes)
--- a/version/packed/packed.go
+++ b/version/packed/packed.go
@@ -1,5 +1,5 @@
-// Package packed packs the text of the gateway's document: the log, the links
-// between processes and the trails hold it packed.
+// Package packed compresses the text of the gateway document. The replicated log, the
+// links between processes and the audit trail hold the compressed form.
 package packed
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// MaxText bounds the text of a document, in bytes. A document of 20,000 routes has
-// 4 MB, and the smallest instances 184 MB of memory.
+// MaxText is the maximum size of an uncompressed document in bytes. A document with
+// 20,000 routes has 4 MB, and the smallest instances have 184 MB of memory.
 const MaxText = 8 << 20
 
-// Document returns the document with its text packed, if that makes it shorter.
+// Document returns a document with the text, compressed if that makes it shorter.
 func Document(version uint64, text []byte) (*lilacv1.Document, error) {
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		return nil, err
 	}
@@ -28,27 +28,27 @@
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	if packed.Len() >= len(text) {
+	if compressed.Len() >= len(text) {
 		return &lilacv1.Document{Version: version, Content: text}, nil
 	}
-	return &lilacv1.Document{Version: version, Content: packed.Bytes(), Encoding: lilacv1.DocumentEncoding_DOCUMENT_ENCODING_DEFLATE}, nil
+	return &lilacv1.Document{Version: version, Content: compressed.Bytes(), Encoding: lilacv1.DocumentEncoding_DOCUMENT_ENCODING_DEFLATE}, nil
 }
 
-// Text returns the document's text as the operators sent it.
+// Text returns the uncompressed text of the document.
 func Text(d *lilacv1.Document) ([]byte, error) {
 	switch d.GetEncoding() {
 	case lilacv1.DocumentEncoding_DOCUMENT_ENCODING_UNSPECIFIED:
 		return d.GetContent(), nil
 	case lilacv1.DocumentEncoding_DOCUMENT_ENCODING_DEFLATE:
 	default:
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "document %d is packed by encoding %d, which this version does not know; run one version on all instances", d.GetVersion(), d.GetEncoding())
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "document %d has the unknown encoding %d; run the same version on all instances", d.GetVersion(), d.GetEncoding())
 	}
 	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(d.GetContent())), MaxText+1))
 	if err != nil {
-		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "document does not unpack; check the disks of the state processes, and put the document again")
+		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "cannot decompress the document; check the disks of the state processes and put the document again")
 	}
 	if len(text) > MaxText {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "document %d has more than %d bytes; put a shorter one", d.GetVersion(), MaxText)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "document %d is larger than %d bytes; put a smaller one", d.GetVersion(), MaxText)
 	}
 	return text, nil
 }
--- a/version/packed/packed_test.go
+++ b/version/packed/packed_test.go
@@ -10,7 +10,7 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-func TestTextComesBackAsItWas(t *testing.T) {
+func TestTextRoundTrip(t *testing.T) {
 	random := make([]byte, 4096)
 	source := rand.New(rand.NewPCG(1, 2))
 	for i := range random {
@@ -25,23 +25,23 @@
 			is.NoErr(err)
 			is.Equal(d.GetVersion(), uint64(7))
 			is.True(len(d.GetContent()) <= len(text))
-			again, err := Text(d)
+			got, err := Text(d)
 			is.NoErr(err)
-			is.Equal(string(again), string(text))
+			is.Equal(string(got), string(text))
 		})
 	}
 }
 
-// Guards against a document that unpacks to more than memory, is torn, or comes
-// from another version of the program.
-func TestBadDocumentsAreRefused(t *testing.T) {
+// A document that decompresses to more than MaxText, is truncated, or has the encoding
+// of another version must be rejected.
+func TestInvalidDocumentsAreRejected(t *testing.T) {
 	is := is.New(t)
 	huge, err := Document(1, make([]byte, MaxText+1))
 	is.NoErr(err)
-	torn, err := Document(1, []byte(strings.Repeat("route", 1000)))
+	truncated, err := Document(1, []byte(strings.Repeat("route", 1000)))
 	is.NoErr(err)
-	torn.Content = torn.Content[:len(torn.Content)/2]
-	for name, d := range map[string]*lilacv1.Document{"huge": huge, "torn": torn, "unknown": {Version: 1, Encoding: 99}} {
+	truncated.Content = truncated.Content[:len(truncated.Content)/2]
+	for name, d := range map[string]*lilacv1.Document{"huge": huge, "truncated": truncated, "unknown": {Version: 1, Encoding: 99}} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Text(d)
 			is.New(t).True(err != nil)
--- a/version/prefix/prefix.go
+++ b/version/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix counts the words of a prompt and hashes its prefix blocks, the
-// same at entry instances and at engines, so that both sides know a cached
-// prefix by the same numbers.
+// Package prefix counts the words of a prompt and hashes its prefix blocks. Entry
+// instances and engines compute the same hashes, so that both identify a cached prefix
+// by the same numbers.
 package prefix
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockWords is the number of words of one prefix block.
+// BlockWords is the number of words in a prefix block.
 const BlockWords = 16
 
-// separator keeps "ab c" and "a bc" apart.
+// separator makes the hashes of "ab c" and "a bc" differ.
 var separator = []byte{0}
 
-// Words counts the white-space separated words of the texts.
+// Words returns the number of words in the texts, separated by white space.
 func Words(texts ...string) int {
 	count := 0
 	for _, text := range texts {
@@ -24,9 +24,9 @@
 	return count
 }
 
-// Blocks returns the hash of each whole block of the texts' words, read as one
-// sequence. Each hash is xxhash64 over all words up to the block's end, so that
-// equal hashes mean equal prefixes. A last block that is not full has none.
+// Blocks returns the hash of each full block of the texts' words, taken as one sequence.
+// Each hash is xxhash64 over all words up to the end of the block, so that equal hashes
+// mean equal prefixes. An incomplete last block has no hash.
 func Blocks(texts ...string) []uint64 {
 	var blocks []uint64
 	digest := xxhash.New()
--- a/version/prefix/prefix_test.go
+++ b/version/prefix/prefix_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestBlocksAreChainedAndIgnoreTheKindOfWhiteSpace(t *testing.T) {
+func TestBlocksAreChainedAndIgnoreKindOfWhiteSpace(t *testing.T) {
 	is := is.New(t)
 	words := strings.Fields(strings.Repeat("one two three four ", 12))
 	all := Blocks(strings.Join(words, " "))
--- a/version/statement/compile.go
+++ b/version/statement/compile.go
@@ -14,8 +14,8 @@
 	return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_INVALID_CHANGE, format, args...)
 }
 
-// Changes returns what a statement other than SHOW changes. Each field that a
-// SET does not name keeps its value.
+// Changes returns the changes of a statement other than SHOW. Fields that a SET does not
+// name keep their values.
 func (s *Statement) Changes() ([]*lilacv1.Change, error) {
 	change, err := s.change()
 	if err != nil {
@@ -47,13 +47,13 @@
 	case s.Forget != nil:
 		return s.Forget.change()
 	}
-	return nil, invalid("SHOW changes nothing")
+	return nil, invalid("SHOW has no changes")
 }
 
 func (f *Forget) change() (*lilacv1.Change, error) {
 	date, err := time.Parse(time.DateOnly, f.Before)
 	if err != nil {
-		return nil, invalid("%q is no date; write one such as \"2026-06-01\"", f.Before)
+		return nil, invalid("%q is not a date; use one such as \"2026-06-01\"", f.Before)
 	}
 	return &lilacv1.Change{Op: &lilacv1.Change_ForgetKeysBeforeUnixMs{ForgetKeysBeforeUnixMs: date.UnixMilli()}}, nil
 }
@@ -61,7 +61,7 @@
 func milliseconds(text string) (uint32, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil || d.Milliseconds() < 1 || d.Milliseconds() > math.MaxUint32 {
-		return 0, invalid("%s is out of range; give 1ms to 1000h", text)
+		return 0, invalid("%s is out of range; use 1ms to 1000h", text)
 	}
 	return uint32(d.Milliseconds()), nil
 }
@@ -69,7 +69,7 @@
 func permille(text string) (uint32, error) {
 	percent, err := strconv.ParseFloat(strings.TrimSuffix(text, "%"), 64)
 	if err != nil || percent > 100 {
-		return 0, invalid("%s is no share; give 0%% to 100%%", text)
+		return 0, invalid("%s is not a valid share; use 0%% to 100%%", text)
 	}
 	return uint32(math.Round(percent * 10)), nil
 }
--- a/version/statement/grammar.go
+++ b/version/statement/grammar.go
@@ -1,8 +1,8 @@
-// Package statement reads the operators' language: queries over the whole
-// fleet and changes that take effect everywhere.
+// Package statement parses the operators' language: queries over the whole fleet, and
+// changes that take effect everywhere.
 //
-// The grammar is in this file; docs/OPERATING.md explains each statement. Key
-// words may be written in any case.
+// The grammar is in grammar.go; docs/OPERATING.md explains each statement. Keywords are
+// not case-sensitive.
 package statement
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Statement is one parsed statement. Exactly one of the pointers is set,
-// besides IfRevision.
+// Statement is a parsed statement. Apart from IfRevision, exactly one of the pointers is
+// set.
 type Statement struct {
 	Show       *Show    `parser:"(  'SHOW' @@"`
 	Set        *Set     `parser:" | 'SET' @@"`
@@ -26,7 +26,7 @@
 	End        struct{} `parser:"';'?"`
 }
 
-// Show is a query over one subject.
+// Show is a query for the rows of one subject.
 type Show struct {
 	Subject string      `parser:"@( 'REQUESTS' | 'SERVERS' | 'CLASSES' | 'TEAMS' | 'INSTANCES' | 'REVISIONS' | 'AUDIT' | 'LEASES' | 'CONVICTIONS' | 'MODELS' | 'STATE' )"`
 	Where   []Condition `parser:"( 'WHERE' @@ ( 'AND' @@ )* )?"`
@@ -102,27 +102,27 @@
 	Server string `parser:"| 'SERVER' @( Ident | String )"`
 }
 
-// Target names what DRAIN and RETURN act on.
+// Target is the server or instance that DRAIN and RETURN act on.
 type Target struct {
 	Server   string `parser:"  'SERVER' @( Ident | String )"`
 	Instance string `parser:"| 'INSTANCE' @( Ident | String )"`
 }
 
-// Order wishes a model or adapter on a backend server.
+// Order loads or unloads a model or adapter on a backend server.
 type Order struct {
 	Model   string `parser:"'MODEL' @( Ident | String )"`
 	Adapter string `parser:"( 'ADAPTER' @( Ident | String ) )?"`
 	Server  string `parser:"'ON' @( Ident | String )"`
 }
 
-// Lift ends the conviction of a request.
+// Lift removes the conviction of a request.
 type Lift struct {
 	Digest string `parser:"'CONVICTION' @( Hex | String )"`
 }
 
-// Forget ends the memory of ended keys of non-idempotent requests.
+// Forget deletes the records of finished non-idempotent requests.
 type Forget struct {
-	// Before is a date such as 2026-06-01, its begin in UTC.
+	// Before is a date such as 2026-06-01; it means the start of that day in UTC.
 	Before string `parser:"'KEYS' 'BEFORE' @String"`
 }
 
@@ -145,7 +145,7 @@
 	participle.UseLookahead(0),
 )
 
-// keywords are the words that an error may suggest.
+// keywords are the words that an error message may suggest.
 var keywords = []string{
 	"SHOW", "SET", "DROP", "DRAIN", "RETURN", "LOAD", "UNLOAD", "LIFT", "FORGET", "KEYS", "BEFORE", "IF", "REVISION",
 	"REQUESTS", "SERVERS", "CLASSES", "TEAMS", "INSTANCES", "REVISIONS", "AUDIT", "LEASES", "CONVICTIONS", "MODELS", "STATE",
--- a/version/statement/parse.go
+++ b/version/statement/parse.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// MaxLength is the longest statement, in bytes.
+	// MaxLength is the maximum length of a statement in bytes.
 	MaxLength = 16 << 10
-	// maxEditDistance is how many letters may differ for a word to be suggested.
-	maxEditDistance = 3
+	// editDistanceLimit is the edit distance from which a keyword is not suggested.
+	editDistanceLimit = 3
 )
 
-// Parse reads one statement. Its error gives the column, what was expected and
-// the nearest key word.
+// Parse parses one statement. A syntax error names the column, the expected token and
+// the most similar keyword.
 func Parse(text string) (*Statement, error) {
 	if len(text) > MaxLength {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the statement has %d bytes, %d are allowed; use apply with a file", len(text), MaxLength)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the statement has %d bytes, the limit is %d; use apply with a file", len(text), MaxLength)
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%v", err)
 }
 
-// expected takes what was expected out of the library's message, which ends
-// with "(expected …)" where it knows.
+// expected extracts the expected token from the message of the parser library, which
+// ends with "(expected …)" if it is known.
 func expected(message string) string {
 	_, rest, _ := strings.Cut(message, "(expected ")
 	return strings.TrimSuffix(rest, ")")
@@ -66,10 +66,10 @@
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, message)
 }
 
-// nearest returns the key word with the fewest letters to change, or "" if all
-// are far.
+// nearest returns the keyword with the smallest edit distance to found, or "" if found
+// is a keyword or no keyword is similar.
 func nearest(found string) string {
-	best, word := maxEditDistance, ""
+	best, word := editDistanceLimit, ""
 	if len(found) < best {
 		best = len(found)
 	}
@@ -85,7 +85,7 @@
 	return word
 }
 
-// distance is the Levenshtein distance, in letters.
+// distance returns the Levenshtein distance of a and b in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/version/statement/statement_test.go
+++ b/version/statement/statement_test.go
@@ -19,7 +19,7 @@
 	return changes[0]
 }
 
-func TestSetNamesOnlyWhatItChanges(t *testing.T) {
+func TestSetListsChangedFields(t *testing.T) {
 	is := is.New(t)
 	c := change(t, `set class alerts tier 0 first token 420ms share 7.5% late refuse if revision 41`)
 	is.Equal(c.GetSetClass().GetFirstTokenMs(), uint32(420))
@@ -57,7 +57,7 @@
 	is.Equal(*parsed.Show.Limit, 5)
 }
 
-func TestErrorsGiveColumnAndNearestWord(t *testing.T) {
+func TestErrorsNameColumnAndNearestKeyword(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"SHWO requests":               {"column 1", `"SHWO"`, "SHOW"},
 		"SET CLAS alerts TIER 1":      {"column 5", "CLASS"},
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -1,4 +1,4 @@
-// Package table filters, sorts and cuts the rows of an operator's query.
+// Package table filters, sorts and limits the rows of an operator's query.
 package table
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/lilacbridge/lilacbridge/version/statement"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query. Each row has one value per column.
 type Table struct {
 	Columns []string   `json:"columns" yaml:"columns"`
 	Rows    [][]string `json:"rows" yaml:"rows"`
 }
 
-// Select applies WHERE, ORDER BY and LIMIT of the query to the table, in place.
+// Select applies WHERE, ORDER BY and LIMIT of the query in place.
 func (t *Table) Select(query *statement.Show) error {
 	for _, condition := range query.Where {
 		column, err := t.columnIndex(condition.Column)
@@ -52,7 +52,7 @@
 			return i, nil
 		}
 	}
-	return 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no column %q; there are %s", name, strings.Join(t.Columns, ", "))
+	return 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no column %q; the columns are %s", name, strings.Join(t.Columns, ", "))
 }
 
 func matches(value string, condition statement.Condition) bool {
@@ -75,7 +75,7 @@
 	return order >= 0
 }
 
-// compare orders numbers and durations by size, all else as text.
+// compare compares numbers and durations by value, anything else as text.
 func compare(a, b string) int {
 	x, okX := parseNumber(a)
 	y, okY := parseNumber(b)
