--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -75,7 +75,7 @@
 func TestPlanIsReadStrictly(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown field", "duration: 5s\nrat: 4\n", "load.yaml:2: field rat not found"},
-		{"no unit", "duration: 5\n", "load.yaml:1: \"5\" is no duration"},
+		{"no unit", "duration: 5\n", "load.yaml:1: \"5\" is not a duration"},
 		{"no teams", "duration: 5s\n", "load.yaml:1: teams: missing"},
 		{"wrong kind", "duration: 5s\nteams: [{name: a}]\nflows: [{class: c, target: t, rate: 1, kind: mail}]\n", "kind is \"mail\""},
 	} {
--- a/process/logs/budget.go
+++ b/process/logs/budget.go
@@ -20,10 +20,10 @@
 	kinds
 )
 
-// perSecond is how many lines of a kind go out in a second. An entry that serves
+// linesPerSecond is how many lines of a kind go out in a second. An entry that serves
 // 36 requests a second, the size designed for, writes 80 lines of successes; the
 // budget leaves failures room when all requests fail at once.
-var perSecond = [kinds]int{Success: 200, Failure: 300, StateChange: 100}
+var linesPerSecond = [kinds]int{Success: 200, Failure: 300, StateChange: 100}
 
 var kindNames = [kinds]string{Success: "success", Failure: "failure", StateChange: "belief"}
 
@@ -35,7 +35,7 @@
 	mu      sync.Mutex
 	second  int64
 	written [kinds]int
-	left    [kinds]uint64
+	dropped [kinds]uint64
 }
 
 // New returns a Log over the logger.
@@ -64,10 +64,10 @@
 	defer l.mu.Unlock()
 	if second := l.now().Unix(); second != l.second {
 		l.second, l.written = second, [kinds]int{}
-		left, l.left = l.left, [kinds]uint64{}
+		left, l.dropped = l.dropped, [kinds]uint64{}
 	}
-	if l.written[kind] >= perSecond[kind] {
-		l.left[kind]++
+	if l.written[kind] >= linesPerSecond[kind] {
+		l.dropped[kind]++
 		return left, false
 	}
 	l.written[kind]++
--- a/process/logs/logs_test.go
+++ b/process/logs/logs_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
-	const lines = 3 * queuedLines
+	const lines = 3 * queueLength
 	for range lines {
 		n, err := w.Write([]byte("line\n"))
 		is.NoErr(err)
@@ -37,7 +37,7 @@
 	pipe.Close()
 	<-done
 	is.True(strings.Contains(text.String(), "log lines dropped"))
-	is.True(strings.Count(text.String(), "line\n") <= queuedLines+1)
+	is.True(strings.Count(text.String(), "line\n") <= queueLength+1)
 }
 
 // All requests fail at once. Their lines stay within the budget of a second, the
@@ -48,11 +48,11 @@
 	l := New(hclog.New(&hclog.LoggerOptions{Output: &text, JSONFormat: true}))
 	now := time.Unix(1_800_000_000, 0)
 	l.now = func() time.Time { return now }
-	for range 10 * perSecond[Failure] {
+	for range 10 * linesPerSecond[Failure] {
 		l.Line(Failure, "refused")
 	}
 	l.Line(StateChange, "document in force")
-	is.Equal(strings.Count(text.String(), `"refused"`), perSecond[Failure])
+	is.Equal(strings.Count(text.String(), `"refused"`), linesPerSecond[Failure])
 	is.Equal(strings.Count(text.String(), "document in force"), 1)
 	now = now.Add(time.Second)
 	l.Line(Success, "sent")
--- a/process/logs/story/story.go
+++ b/process/logs/story/story.go
@@ -17,9 +17,9 @@
 const (
 	// maxLine bounds one log line, in bytes.
 	maxLine = 1 << 20
-	// around is how long before the first line of a request, and after the last, a
+	// contextWindow is how long before the first line of a request, and after the last, a
 	// change of what its instance believed may have to do with it.
-	around = 3 * time.Second
+	contextWindow = 3 * time.Second
 )
 
 // line is one log line.
@@ -28,8 +28,8 @@
 	module  string
 	message string
 	fields  map[string]any
-	// place is the line's number among those of its reader.
-	place int
+	// index is the line's number among those of its reader.
+	index int
 }
 
 // Timeline holds the lines that were read.
@@ -50,7 +50,7 @@
 			s.Skipped++
 			continue
 		}
-		l.place = len(s.lines)
+		l.index = len(s.lines)
 		s.lines = append(s.lines, l)
 	}
 	return scanner.Err()
@@ -94,10 +94,10 @@
 	if len(own) == 0 {
 		return false
 	}
-	told := append(own, s.beliefs(own)...)
+	told := append(own, s.contextLines(own)...)
 	slices.SortStableFunc(told, func(a, b line) int {
 		if a.module == b.module {
-			return cmp.Compare(a.place, b.place)
+			return cmp.Compare(a.index, b.index)
 		}
 		return a.at.Compare(b.at)
 	})
@@ -108,14 +108,14 @@
 		}
 		fmt.Fprintf(w, "%s %s %-24s %s%s\n", mark, l.at.Format("15:04:05.000"), l.module, l.message, l.details())
 	}
-	if s.modules(own) > 1 {
+	if s.countModules(own) > 1 {
 		fmt.Fprintln(w, "lines of several instances: ordered by their clocks, which may disagree")
 	}
 	return true
 }
 
-// beliefs are the lines about no request that the same instances wrote meanwhile.
-func (s *Timeline) beliefs(own []line) []line {
+// contextLines are the lines about no request that the same instances wrote meanwhile.
+func (s *Timeline) contextLines(own []line) []line {
 	first, last := make(map[string]time.Time), make(map[string]time.Time)
 	for _, l := range own {
 		if at, ok := first[l.module]; !ok || l.at.Before(at) {
@@ -128,7 +128,7 @@
 	found := s.restarts(last)
 	for _, l := range s.lines {
 		begin, ok := first[l.module]
-		if ok && l.request() == "" && !l.at.Before(begin.Add(-around)) && !l.at.After(last[l.module].Add(around)) {
+		if ok && l.request() == "" && !l.at.Before(begin.Add(-contextWindow)) && !l.at.After(last[l.module].Add(contextWindow)) {
 			found = append(found, l)
 		}
 	}
@@ -143,7 +143,7 @@
 	seen := make(map[string]bool)
 	for _, l := range s.lines {
 		at, ok := last[l.module]
-		if ok && l.message == "started" && l.at.After(at.Add(around)) && !seen[l.module] {
+		if ok && l.message == "started" && l.at.After(at.Add(contextWindow)) && !seen[l.module] {
 			seen[l.module] = true
 			found = append(found, l)
 		}
@@ -151,7 +151,7 @@
 	return found
 }
 
-func (s *Timeline) modules(own []line) int {
+func (s *Timeline) countModules(own []line) int {
 	names := make(map[string]bool)
 	for _, l := range own {
 		names[l.module] = true
--- a/process/logs/writer.go
+++ b/process/logs/writer.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// queuedLines is how many lines may wait for a reader that is slow: a second's
+	// queueLength is how many lines may wait for a reader that is slow: a second's
 	// worth at the budget of all kinds together.
-	queuedLines = 1024
-	// flushTime bounds the wait for the last lines when the process ends.
-	flushTime = 200 * time.Millisecond
+	queueLength = 1024
+	// flushTimeout bounds the wait for the last lines when the process ends.
+	flushTimeout = 200 * time.Millisecond
 )
 
 // Writer passes lines on from a goroutine of its own.
@@ -35,7 +35,7 @@
 
 // NewWriter returns a Writer to out; Close ends its goroutine.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queuedLines), closing: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -59,7 +59,7 @@
 	w.once.Do(func() { close(w.closing) })
 	select {
 	case <-w.done:
-	case <-time.After(flushTime):
+	case <-time.After(flushTimeout):
 	}
 	return nil
 }
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -36,13 +36,13 @@
 func Handler(registry *prometheus.Registry) http.Handler {
 	ownFirst := prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := registry.Gather()
-		slices.SortStableFunc(families, func(a, b *dto.MetricFamily) int { return place(a) - place(b) })
+		slices.SortStableFunc(families, func(a, b *dto.MetricFamily) int { return sortGroup(a) - sortGroup(b) })
 		return families, err
 	})
 	return promhttp.HandlerFor(ownFirst, promhttp.HandlerOpts{Registry: registry})
 }
 
-func place(family *dto.MetricFamily) int {
+func sortGroup(family *dto.MetricFamily) int {
 	switch {
 	case !strings.HasPrefix(family.GetName(), ownPrefix):
 		return 2
@@ -57,13 +57,13 @@
 
 // Entry holds the counters of an entry instance.
 type Entry struct {
-	requests   *prometheus.CounterVec
-	refusals   *prometheus.CounterVec
-	attempts   *prometheus.CounterVec
-	firstToken *prometheus.HistogramVec
-	tokens     prometheus.Counter
-	saved      prometheus.Counter
-	broken     *prometheus.CounterVec
+	requests    *prometheus.CounterVec
+	refusals    *prometheus.CounterVec
+	attempts    *prometheus.CounterVec
+	firstToken  *prometheus.HistogramVec
+	tokens      prometheus.Counter
+	tokensSaved prometheus.Counter
+	violations  *prometheus.CounterVec
 }
 
 // NewEntry returns counters registered with registry.
@@ -72,15 +72,15 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{label})
 	}
 	e := &Entry{
-		requests:   counters("lilacbridge_requests_total", "Requests that passed the checks.", "class"),
-		refusals:   counters("lilacbridge_errors_total", "Errors answered to callers.", "kind"),
-		attempts:   counters("lilacbridge_attempts_total", "Attempts at backend servers, by how they ended.", "end"),
-		broken:     counters("lilacbridge_invariants_broken_total", "Broken invariants; must stay 0.", "invariant"),
-		tokens:     prometheus.NewCounter(prometheus.CounterOpts{Name: "lilacbridge_tokens_total", Help: "Tokens of answers that came."}),
-		saved:      prometheus.NewCounter(prometheus.CounterOpts{Name: "lilacbridge_tokens_saved_total", Help: "Tokens of broken answers that were not made again."}),
-		firstToken: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilacbridge_first_token_seconds", Help: "From arrival to the first token.", Buckets: firstTokenBuckets}, []string{"class"}),
+		requests:    counters("lilacbridge_requests_total", "Requests that passed the checks.", "class"),
+		refusals:    counters("lilacbridge_errors_total", "Errors answered to callers.", "kind"),
+		attempts:    counters("lilacbridge_attempts_total", "Attempts at backend servers, by how they ended.", "end"),
+		violations:  counters("lilacbridge_invariants_broken_total", "Broken invariants; must stay 0.", "invariant"),
+		tokens:      prometheus.NewCounter(prometheus.CounterOpts{Name: "lilacbridge_tokens_total", Help: "Tokens of answers that came."}),
+		tokensSaved: prometheus.NewCounter(prometheus.CounterOpts{Name: "lilacbridge_tokens_saved_total", Help: "Tokens of broken answers that were not made again."}),
+		firstToken:  prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilacbridge_first_token_seconds", Help: "From arrival to the first token.", Buckets: firstTokenBuckets}, []string{"class"}),
 	}
-	registry.MustRegister(e.requests, e.refusals, e.attempts, e.broken, e.tokens, e.saved, e.firstToken)
+	registry.MustRegister(e.requests, e.refusals, e.attempts, e.violations, e.tokens, e.tokensSaved, e.firstToken)
 	return e
 }
 
@@ -102,7 +102,7 @@
 func (e *Entry) Tokens(n int) { e.tokens.Add(float64(n)) }
 
 // Saved counts tokens that were not made again.
-func (e *Entry) Saved(n int) { e.saved.Add(float64(n)) }
+func (e *Entry) Saved(n int) { e.tokensSaved.Add(float64(n)) }
 
 // Broken counts a broken invariant.
-func (e *Entry) Broken(invariant string) { e.broken.WithLabelValues(invariant).Inc() }
+func (e *Entry) Broken(invariant string) { e.violations.WithLabelValues(invariant).Inc() }
--- a/process/secret/secret.go
+++ b/process/secret/secret.go
@@ -16,8 +16,8 @@
 
 const (
 	minKeyBytes = 16
-	// readableByOthers are the permission bits that no file of keys may have.
-	readableByOthers = 0o077
+	// groupAndOtherBits are the permission bits that no file of keys may have.
+	groupAndOtherBits = 0o077
 )
 
 // ReadKey reads a shared key; surrounding white space does not count.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "key file can't be read")
 	}
-	if info.Mode().Perm()&readableByOthers != 0 {
+	if info.Mode().Perm()&groupAndOtherBits != 0 {
 		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "key file %s can be read by others; run chmod 600 on it", file)
 	}
 	return os.ReadFile(file)
--- a/process/settings/entry.go
+++ b/process/settings/entry.go
@@ -9,64 +9,69 @@
 // Entry holds the settings of an entry instance.
 type Entry struct {
 	Common `yaml:",inline"`
-	// Callers is the address for callers' HTTP requests. No default, but where
-	// there is a gateway: then none.
+	// Callers is the listen address for callers' HTTP requests. Required unless Gateway
+	// is set; then default none.
 	Callers Address `yaml:"callers"`
-	// Operators is the address for operators' statements. As with Callers.
+	// Operators is the listen address for operators' statements. Required unless Gateway
+	// is set; then default none.
 	Operators Address `yaml:"operators"`
-	// State lists all state processes. No default.
+	// State lists all state processes. Required unless Seeds is set.
 	State []Peer `yaml:"state"`
-	// Entries lists the other entry instances that are known at start. Default none.
+	// Entries lists other entry instances that are known at the start. Default none.
 	Entries []Peer `yaml:"entries"`
-	// CallerKeyFile holds the key that callers' tokens are made with. No default.
+	// CallerKeyFile is a file with the key that callers' tokens are derived from.
+	// Required with Callers.
 	CallerKeyFile string `yaml:"caller_key_file"`
-	// OperatorTokensFile holds one "name token" a line. No default.
+	// OperatorTokensFile is a file with one "name token" per line. Required with
+	// Operators.
 	OperatorTokensFile string `yaml:"operator_tokens_file"`
 	// InstanceList is the URL of the platform's list of instances. Default none.
 	InstanceList string `yaml:"instance_list"`
-	// Gateway is set where callers' requests are routed by host and path.
+	// Gateway is set if callers' requests are routed by host and path.
 	Gateway *Gateway `yaml:"gateway"`
-	// DigestInterval lies between two exchanges of digests with the same entry, up
-	// to ten entries. Default 1s; less makes choices agree sooner and costs bytes.
+	// DigestInterval is the interval of digest exchanges with the same entry instance,
+	// for up to ten instances. Default 1s; shorter intervals make decisions agree sooner
+	// and cost bandwidth.
 	DigestInterval Duration `yaml:"digest_interval"`
-	// Limits bound what one caller may send.
+	// Limits limits what a caller may send.
 	Limits EntryLimits `yaml:"limits"`
-	// Policy holds the weights of the fleet.
+	// Policy holds the weights of the scheduling policy.
 	Policy Policy `yaml:"policy"`
-	// Drain is how long streams may go on after SIGTERM. Default 5m, under a gateway
+	// Drain is how long streams may continue after SIGTERM. Default 5m, with a gateway
 	// 0.66 of its grace time.
 	Drain Duration `yaml:"drain"`
-	// DrainLag is how long the instance goes on accepting after SIGTERM, while
-	// /readyz says no and the balancer has not looked yet. Default 3s, under a
-	// gateway a quarter of its grace time.
+	// DrainLag is how long the instance continues to accept requests after SIGTERM, until
+	// the load balancer has noticed that /readyz fails. Default 3s, with a gateway a
+	// quarter of its grace time.
 	DrainLag Duration `yaml:"drain_lag"`
 }
 
-// EntryLimits bound what one caller may send.
+// EntryLimits limits what a caller may send.
 type EntryLimits struct {
-	// BodyBytes is the largest body. Default 1048576.
+	// BodyBytes is the maximum size of a body. Default 1048576.
 	BodyBytes int64 `yaml:"body_bytes"`
-	// HeaderBytes is the largest header. Default 16384.
+	// HeaderBytes is the maximum size of a header. Default 16384.
 	HeaderBytes int `yaml:"header_bytes"`
-	// ReadTimeout is how long a caller may take to send its request. Default 10s.
+	// ReadTimeout limits how long a caller may take to send a request. Default 10s.
 	ReadTimeout Duration `yaml:"read_timeout"`
 }
 
-// Policy holds the weights by which fleets differ; see docs/OPERATING.md.
+// Policy holds the weights of the scheduling policy; see docs/OPERATING.md.
 type Policy struct {
-	// AttainmentWeight is what an answer within its targets is worth. Default 1.
+	// AttainmentWeight is the value of a response within its targets. Default 1.
 	AttainmentWeight float64 `yaml:"attainment_weight"`
-	// WasteWeight is what a wasted token costs. Default 0.5.
+	// WasteWeight is the cost of a wasted token. Default 0.5.
 	WasteWeight float64 `yaml:"waste_weight"`
-	// RemoteCost is the price of a data centre in another region, as added time.
+	// RemoteCost is the cost of a data centre in another region, as added latency.
 	// Default 50ms.
 	RemoteCost Duration `yaml:"remote_cost"`
-	// Regions names the region of each data centre; those of one region cost nothing to
-	// each other. Default: each data centre is a region of its own.
+	// Regions maps data centres to regions. RemoteCost does not apply within a region.
+	// Default: each data centre is a separate region.
 	Regions map[string]string `yaml:"regions"`
-	// SubsetSize is how many backend servers of a pool an instance uses; 0 means all up to 100.
+	// SubsetSize is the number of backend servers of a pool that an instance uses; 0 means
+	// all, up to 100.
 	SubsetSize int `yaml:"subset_size"`
-	// RetryShare is the retries allowed for each first try. Default 0.1.
+	// RetryShare is the maximum ratio of retries to first attempts. Default 0.1.
 	RetryShare float64 `yaml:"retry_share"`
 }
 
@@ -81,11 +86,11 @@
 	defaultWasteWeight = 0.5
 )
 
-// Validate checks the fields that their types can't, and fills in defaults.
+// Validate checks what the types of the fields can't, and sets defaults.
 func (e *Entry) Validate() error {
-	all := e.problems()
-	all = append(all, peerProblems("state", e.State)...)
-	all = append(all, peerProblems("entries", e.Entries)...)
+	all := e.validateCommon()
+	all = append(all, validatePeers("state", e.State)...)
+	all = append(all, validatePeers("entries", e.Entries)...)
 	required := func(missing bool, field string) {
 		if missing {
 			all = append(all, &Problem{Line: 1, Field: field, Message: "missing; add it, see docs/OPERATING.md"})
@@ -93,84 +98,84 @@
 	}
 	e.State = append(e.State, e.seedPeers()...)
 	required(len(e.State) == 0, "state")
-	alone := e.Gateway == nil
-	required(e.Callers.Value == "" && alone, "callers")
-	required(e.Operators.Value == "" && alone, "operators")
+	standalone := e.Gateway == nil
+	required(e.Callers.Value == "" && standalone, "callers")
+	required(e.Operators.Value == "" && standalone, "operators")
 	required(e.CallerKeyFile == "" && e.Callers.Value != "", "caller_key_file")
 	required(e.OperatorTokensFile == "" && e.Operators.Value != "", "operator_tokens_file")
 	if e.Gateway != nil {
 		required(e.Gateway.Callers.Value == "", "gateway.callers")
 		required(e.Gateway.Readiness.Value == "", "gateway.readiness")
 		required(e.Gateway.ServerList.Value == "", "gateway.server_list")
-		e.Gateway.fill()
+		e.Gateway.setDefaults()
 	}
 	if e.Policy.RetryShare < 0 || e.Policy.RetryShare > 1 {
-		all = append(all, &Problem{Line: 1, Field: "policy.retry_share", Message: "must lie between 0 and 1"})
+		all = append(all, &Problem{Line: 1, Field: "policy.retry_share", Message: "must be between 0 and 1"})
 	}
-	e.fill()
-	if e.Gateway != nil && e.CloseTimeout() < minClosing {
+	e.setDefaults()
+	if e.Gateway != nil && e.CloseTimeout() < minCloseTimeout {
 		all = append(all, &Problem{Line: 1, Field: "gateway.grace", Message: fmt.Sprintf(
-			"is %v, and drain_lag and drain take %v of it; %v must be left, so shorten them or leave them out",
-			e.Gateway.Grace.Duration, e.DrainLag.Duration+e.Drain.Duration, 2*minClosing)})
+			"is %v, and drain_lag and drain use %v of it; at least %v must remain, so shorten or omit them",
+			e.Gateway.Grace.Duration, e.DrainLag.Duration+e.Drain.Duration, 2*minCloseTimeout)})
 	}
 	return errors.Join(all...)
 }
 
-// CloseTimeout is how long listeners may take to close after the drain: half of what
-// is left of a gateway's grace time, the other half is for the process to end.
+// CloseTimeout returns how long listeners may take to close after the drain. With a
+// gateway it is half of the remaining grace time; the other half is for the process to
+// exit.
 func (e *Entry) CloseTimeout() time.Duration {
 	if e.Gateway == nil {
-		return defaultClosing
+		return defaultCloseTimeout
 	}
 	return (e.Gateway.Grace.Duration - e.DrainLag.Duration - e.Drain.Duration) / 2
 }
 
-// Gateway holds the settings of the interface for routed requests.
+// Gateway holds the settings of the gateway interface, which routes by host and path.
 type Gateway struct {
-	// Callers is the address for callers' requests. No default.
+	// Callers is the listen address for callers' requests. No default.
 	Callers Address `yaml:"callers"`
-	// Readiness is the address at which the balancer asks whether to send
-	// connections here. No default.
+	// Readiness is the listen address of the load balancer's readiness check. No default.
 	Readiness Address `yaml:"readiness"`
-	// ServerList is the address of the list of backend servers. No default.
+	// ServerList is the address of the platform's list of backend servers. No default.
 	ServerList Address `yaml:"server_list"`
-	// ListInterval is the pause between two readings of that list. Default 1s.
+	// ListInterval is the polling interval of that list. Default 1s.
 	ListInterval Duration `yaml:"list_every"`
-	// Revocation is how long after its acceptance a change that takes a key away
-	// may still be unknown to an instance; 0 means that there is no bound. Default 0.
+	// Revocation is the maximum time after acceptance until a change that revokes a key
+	// must be known to an instance; 0 means no limit. Default 0.
 	Revocation Duration `yaml:"revocation"`
-	// AppliedWithin is how long after its acceptance a document may still be unknown
-	// to an instance; one that may not have it calls no route or key unknown. 0 means
-	// that there is no bound. Default 0.
+	// AppliedWithin is the maximum time after acceptance until a document must be known to
+	// an instance. An instance that may lack a newer document reports no route or key as
+	// unknown. 0 means no limit. Default 0.
 	AppliedWithin Duration `yaml:"applied_within"`
-	// Grace is how long the process may take to end after SIGTERM; drain_lag and
-	// drain follow it where they are left out. Default 8s.
+	// Grace is how long the process may take to exit after SIGTERM. The defaults of
+	// drain_lag and drain depend on it. Default 8s.
 	Grace Duration `yaml:"grace"`
 }
 
 const (
-	// defaultListEvery keeps the list's age far below the 4 s within which a
-	// leaving server must get no new work.
-	defaultListEvery = time.Second
-	defaultGrace     = 8 * time.Second
-	// lagShare and drainShare are what the drain's two parts take of the grace
-	// time, unless set: 2 s until the balancer has noticed and 5.3 s for what runs,
-	// of 8 s. Together they reach into its last sixth: whoever still waits then has
-	// waited as long as a planned stop allows.
-	lagShare   = 0.25
-	drainShare = 0.6625
-	// defaultClosing is for entries without a gateway, which have no grace time.
-	defaultClosing = 10 * time.Second
-	// minClosing is the least time in which listeners close on a busy machine.
-	minClosing = 25 * time.Millisecond
+	// defaultListInterval keeps the age of the list well below the 4 s after which a
+	// leaving server must get no new requests.
+	defaultListInterval = time.Second
+	defaultGrace        = 8 * time.Second
+	// drainLagShare and drainShare are the default shares of DrainLag and Drain in the
+	// grace time: of 8 s, 2 s until the load balancer has noticed and 5.3 s for running
+	// requests. Together they extend into the last sixth of the grace time. Requests that
+	// still run by then have had all the time that a planned stop allows.
+	drainLagShare = 0.25
+	drainShare    = 0.6625
+	// defaultCloseTimeout applies without a gateway, when there is no grace time.
+	defaultCloseTimeout = 10 * time.Second
+	// minCloseTimeout is enough for listeners to close on a busy machine.
+	minCloseTimeout = 25 * time.Millisecond
 )
 
-func (g *Gateway) fill() {
-	g.ListInterval.Duration = g.ListInterval.Or(defaultListEvery)
+func (g *Gateway) setDefaults() {
+	g.ListInterval.Duration = g.ListInterval.Or(defaultListInterval)
 	g.Grace.Duration = g.Grace.Or(defaultGrace)
 }
 
-func (e *Entry) fill() {
+func (e *Entry) setDefaults() {
 	if e.Limits.BodyBytes == 0 {
 		e.Limits.BodyBytes = defaultBodyBytes
 	}
@@ -191,7 +196,7 @@
 	lag, drain := defaultDrainLag, defaultDrain
 	if e.Gateway != nil {
 		grace := float64(e.Gateway.Grace.Duration)
-		lag, drain = time.Duration(lagShare*grace), time.Duration(drainShare*grace)
+		lag, drain = time.Duration(drainLagShare*grace), time.Duration(drainShare*grace)
 	}
 	e.Drain.Duration = e.Drain.Or(drain)
 	e.DrainLag.Duration = e.DrainLag.Or(lag)
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -1,8 +1,8 @@
 // Package settings reads the YAML settings of every lilacbridge process.
 //
-// Reading is strict: an unknown field, a duration without a unit or an address
-// that is no IP number is an error that names the file, the line and the
-// remedy. A process that can't read its settings exits with ExitCode.
+// Reading is strict: an unknown field, a duration without a unit or an address that is
+// not an IP address is an error that names the file, the line and the remedy. A process
+// that can't read its settings exits with ExitCode.
 package settings
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// ExitCode is the exit status of a process whose settings are wrong.
+// ExitCode is the exit status of a process with invalid settings.
 const ExitCode = 2
 
-// Problem is one thing wrong in a settings file.
+// Problem is an error in a settings file.
 type Problem struct {
 	File    string
 	Line    int
@@ -32,7 +32,7 @@
 	Message string
 }
 
-// Error gives file:line: field: what is wrong and the remedy.
+// Error returns "file:line: field: message".
 func (p *Problem) Error() string {
 	field := p.Field
 	if field != "" {
@@ -41,35 +41,35 @@
 	return fmt.Sprintf("%s:%d: %s%s", p.File, p.Line, field, p.Message)
 }
 
-// Validator checks what the types of the fields can't; it returns *Problem
-// values joined, with lines taken from the fields' own Line.
+// Validator checks what the types of the fields can't. Validate returns joined *Problem
+// values; their File is set by Parse.
 type Validator interface{ Validate() error }
 
-// Load reads file into target strictly and validates it.
+// Load decodes file into target and validates it.
 func Load(file string, target Validator) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "settings file can't be read; name it with --settings")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "can't read the settings file; set its name with --settings")
 	}
 	return Parse(file, data, target)
 }
 
-// Parse is Load for data already read; file is only for messages.
+// Parse is like Load for data that has been read; file is only used in errors.
 func Parse(file string, data []byte, target Validator) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	err := decoder.Decode(target)
 	if errors.Is(err, io.EOF) {
-		return &Problem{File: file, Line: 1, Message: "the file is empty; start from one under examples/"}
+		return &Problem{File: file, Line: 1, Message: "the file is empty; start with a file from examples/"}
 	}
 	if err != nil {
-		return locate(file, err)
+		return withFile(file, err)
 	}
-	return locate(file, target.Validate())
+	return withFile(file, target.Validate())
 }
 
-// locate gives each problem of err the file that it stands in.
-func locate(file string, err error) error {
+// withFile converts the errors in err to *Problem values with File set to file.
+func withFile(file string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -77,14 +77,14 @@
 	if errors.As(err, &typeError) {
 		var all []error
 		for _, text := range typeError.Errors {
-			all = append(all, fromYAML(file, text))
+			all = append(all, yamlProblem(file, text))
 		}
 		return errors.Join(all...)
 	}
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		var all []error
 		for _, one := range joined.Unwrap() {
-			all = append(all, locate(file, one))
+			all = append(all, withFile(file, one))
 		}
 		return errors.Join(all...)
 	}
@@ -93,39 +93,40 @@
 		problem.File = file
 		return problem
 	}
-	return fromYAML(file, err.Error())
+	return yamlProblem(file, err.Error())
 }
 
-// fromYAML takes the line out of the YAML library's "line 3: …" messages.
-func fromYAML(file, text string) *Problem {
+// yamlProblem extracts the line from a message of the YAML library, "line 3: …".
+func yamlProblem(file, text string) *Problem {
 	text = strings.TrimPrefix(text, "yaml: ")
 	line := 0
 	if _, err := fmt.Sscanf(text, "line %d:", &line); err == nil {
 		_, text, _ = strings.Cut(text, ": ")
 	}
 	if strings.Contains(text, "not found in type") {
-		text += "; remove it or see docs/OPERATING.md for the fields"
+		text += "; remove it, or see docs/OPERATING.md for the fields"
 	}
 	return &Problem{File: file, Line: line, Message: text}
 }
 
-// Duration is a length of time with its unit, such as 500ms or 2s.
+// Duration is a duration with a unit, such as 500ms or 2s. Line is 0 if the field is
+// absent.
 type Duration struct {
 	time.Duration
 	Line int
 }
 
-// UnmarshalYAML refuses numbers without a unit.
+// UnmarshalYAML rejects numbers without a unit and negative durations.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil || parsed < 0 {
-		return &Problem{Line: node.Line, Message: fmt.Sprintf("%q is no duration; write a number with a unit, such as 500ms or 2s", node.Value)}
+		return &Problem{Line: node.Line, Message: fmt.Sprintf("%q is not a duration; use a number with a unit, such as 500ms or 2s", node.Value)}
 	}
 	d.Duration, d.Line = parsed, node.Line
 	return nil
 }
 
-// Or returns the duration, or the default where the field is absent.
+// Or returns the duration, or byDefault if the field is absent.
 func (d Duration) Or(byDefault time.Duration) time.Duration {
 	if d.Line == 0 {
 		return byDefault
@@ -133,16 +134,16 @@
 	return d.Duration
 }
 
-// Address is an IP number and port.
+// Address is an IP address with a port.
 type Address struct {
 	Value string
 	Line  int
 }
 
-// UnmarshalYAML refuses names: instances are reached by IP number.
+// UnmarshalYAML rejects host names: instances are reached by IP address.
 func (a *Address) UnmarshalYAML(node *yaml.Node) error {
 	if _, err := netip.ParseAddrPort(node.Value); err != nil {
-		return &Problem{Line: node.Line, Message: fmt.Sprintf("%q is no IP number with a port; write one such as 10.1.0.4:7100", node.Value)}
+		return &Problem{Line: node.Line, Message: fmt.Sprintf("%q is not an IP address with a port; use one such as 10.1.0.4:7100", node.Value)}
 	}
 	a.Value, a.Line = node.Value, node.Line
 	return nil
@@ -150,47 +151,47 @@
 
 func (a Address) String() string { return a.Value }
 
-// Peer is another process of lilacbridge.
+// Peer is another lilacbridge process.
 type Peer struct {
-	// Name as in that process's own settings.
+	// Name is the name in that process's own settings.
 	Name string `yaml:"name"`
-	// Address of its link listener.
+	// Address is the address of its link listener.
 	Address Address `yaml:"address"`
-	// DataCenter that it stands in.
+	// DataCenter is the data centre of the process.
 	DataCenter string `yaml:"data_center"`
 }
 
-// Common is what every daemon's settings hold.
+// Common holds the settings that every daemon has.
 type Common struct {
-	// Name of the process, unique in the fleet. No default.
+	// Name is the name of the process, unique in the fleet. No default.
 	Name string `yaml:"name"`
-	// DataCenter that the process stands in. No default.
+	// DataCenter is the data centre of the process. No default.
 	DataCenter string `yaml:"data_center"`
-	// Link is the address for lilacbridge's own processes. No default.
+	// Link is the listen address for other lilacbridge processes. No default.
 	Link Address `yaml:"link"`
-	// Advertise is where the other processes reach Link, where that differs, as
-	// behind an address translation. Default Link; the port must be the same.
+	// Advertise is the address at which other processes reach Link if it differs, for
+	// example behind address translation. Default Link; the port must be the same.
 	Advertise Address `yaml:"advertise"`
-	// Admin is the address of /metrics, /healthz, /readyz and pprof. No default.
+	// Admin is the listen address of /metrics, /healthz, /readyz and pprof. No default.
 	Admin Address `yaml:"admin"`
-	// LinkKeyFile holds the key that all processes share. No default; LinkKey may
-	// stand in its place.
+	// LinkKeyFile is a file with the key that all processes share. No default; LinkKey
+	// may be set instead.
 	LinkKeyFile string `yaml:"link_key_file"`
-	// LinkKey is that key itself, for platforms that can't keep a file private: it
-	// then only keeps strangers' processes apart, as after a reuse of addresses.
+	// LinkKey is the key itself, for platforms that can't keep a file private. It then
+	// only separates unrelated processes, for example after addresses are reused.
 	LinkKey string `yaml:"link_key"`
-	// Seeds are addresses at which other machines of the state processes are
-	// reached; their link listeners have the same port as the own one. Default none.
+	// Seeds are addresses of the state processes' machines. Their link listeners have the
+	// same port as that of this process. Default none.
 	Seeds []Address `yaml:"seeds"`
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
-	// GCPercent is by how much the heap may grow, in percent of what is in use, before
-	// it is collected. Less saves memory and takes processor time. Default 100, the
-	// runtime's own.
+	// GCPercent is the growth of the heap, in percent of the live heap, that triggers a
+	// garbage collection. Lower values save memory and cost processor time. Default 100,
+	// as in the Go runtime.
 	GCPercent int `yaml:"gc_percent"`
 }
 
-// AdvertisedLink is the address at which the other processes reach this one.
+// AdvertisedLink returns the address at which other processes reach this one.
 func (c *Common) AdvertisedLink() Address {
 	if c.Advertise.Value != "" {
 		return c.Advertise
@@ -198,10 +199,10 @@
 	return c.Link
 }
 
-// Shared returns the part of the settings that all kinds of daemons have.
+// Shared returns c, the settings that all kinds of daemons have.
 func (c *Common) Shared() *Common { return c }
 
-func (c *Common) problems() []error {
+func (c *Common) validateCommon() []error {
 	var all []error
 	required := func(value, field string) {
 		if value == "" {
@@ -214,24 +215,24 @@
 	required(c.Admin.Value, "admin")
 	required(c.LinkKeyFile+c.LinkKey, "link_key_file")
 	if c.GCPercent < 0 {
-		all = append(all, &Problem{Line: 1, Field: "gc_percent", Message: "is below 0; write how many percent the heap may grow, such as 50, or leave it out"})
+		all = append(all, &Problem{Line: 1, Field: "gc_percent", Message: "is below 0; set the percentage by which the heap may grow, such as 50, or omit it"})
 	}
 	if c.LinkKey != "" && len(c.LinkKey) < minLinkKey {
-		all = append(all, &Problem{Line: 1, Field: "link_key", Message: fmt.Sprintf("shorter than %d bytes; write a longer random key", minLinkKey)})
+		all = append(all, &Problem{Line: 1, Field: "link_key", Message: fmt.Sprintf("shorter than %d bytes; use a longer random key", minLinkKey)})
 	}
 	switch c.LogLevel {
 	case "", "debug", "info", "warn", "error":
 	default:
-		all = append(all, &Problem{Line: 1, Field: "log_level", Message: fmt.Sprintf("%q is no level; write debug, info, warn or error", c.LogLevel)})
+		all = append(all, &Problem{Line: 1, Field: "log_level", Message: fmt.Sprintf("%q is not a log level; use debug, info, warn or error", c.LogLevel)})
 	}
 	return all
 }
 
-// minLinkKey is the shortest key in bytes, as for keys in files.
+// minLinkKey is the minimum key length in bytes, the same as for keys in files.
 const minLinkKey = 16
 
-// seedPeers are the state processes behind the seeds, but for this process. They
-// are named by their machines' addresses, as each names itself.
+// seedPeers returns the state processes at the seeds, without this process. Each is
+// named after the address of its machine, as in its own settings.
 func (c *Common) seedPeers() []Peer {
 	own, err := netip.ParseAddrPort(c.AdvertisedLink().Value)
 	if err != nil {
@@ -249,41 +250,41 @@
 	return peers
 }
 
-// ValidateReload returns why the settings can't take the place of others while the
-// process runs; nil if they can.
+// ValidateReload returns an error if the settings can't replace old without a restart of
+// the process.
 func (c *Common) ValidateReload(old *Common) error {
 	var all []error
-	same := func(before, after, field string) {
+	unchanged := func(before, after, field string) {
 		if before != after {
-			all = append(all, &Problem{Line: 1, Field: field, Message: fmt.Sprintf("was %q and is %q; restart the process to change it", before, after)})
+			all = append(all, &Problem{Line: 1, Field: field, Message: fmt.Sprintf("changed from %q to %q; restart the process to apply this", before, after)})
 		}
 	}
-	same(old.Name, c.Name, "name")
-	same(old.DataCenter, c.DataCenter, "data_center")
-	same(old.Link.Value, c.Link.Value, "link")
-	same(old.Admin.Value, c.Admin.Value, "admin")
+	unchanged(old.Name, c.Name, "name")
+	unchanged(old.DataCenter, c.DataCenter, "data_center")
+	unchanged(old.Link.Value, c.Link.Value, "link")
+	unchanged(old.Admin.Value, c.Admin.Value, "admin")
 	return errors.Join(all...)
 }
 
-// unknownDataCenter is that of a seed until its process has named its own.
+// unknownDataCenter is the data centre of a seed until its process reports its own.
 const unknownDataCenter = "unknown"
 
-// isSeed tells whether this process is one of the seeds.
+// isSeed reports whether this process is one of the seeds.
 func (c *Common) isSeed() bool { return len(c.seedPeers()) < len(c.Seeds) }
 
-func peerProblems(field string, peers []Peer) []error {
+func validatePeers(field string, peers []Peer) []error {
 	var all []error
 	names := make(map[string]bool)
 	for _, peer := range peers {
 		line := max(peer.Address.Line, 1)
 		if peer.Name == "" || peer.Address.Value == "" {
-			all = append(all, &Problem{Line: line, Field: field, Message: "an entry lacks its name or address; write both"})
+			all = append(all, &Problem{Line: line, Field: field, Message: "an item has no name or no address; set both"})
 		}
 		if peer.DataCenter == "" {
-			all = append(all, &Problem{Line: line, Field: field, Message: fmt.Sprintf("address %s stands without a data centre; add data_center", peer.Address)})
+			all = append(all, &Problem{Line: line, Field: field, Message: fmt.Sprintf("address %s has no data centre; add data_center", peer.Address)})
 		}
 		if names[peer.Name] {
-			all = append(all, &Problem{Line: line, Field: field, Message: fmt.Sprintf("%q stands twice; names are unique", peer.Name)})
+			all = append(all, &Problem{Line: line, Field: field, Message: fmt.Sprintf("%q is listed twice; names must be unique", peer.Name)})
 		}
 		names[peer.Name] = true
 	}
--- a/process/settings/settings_test.go
+++ b/process/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const rightState = `name: state-1
+const validState = `name: state-1
 data_center: dakar-a
 link: 127.0.0.1:7201
 admin: 127.0.0.1:7301
@@ -22,32 +22,32 @@
 func TestDefaultsAndUnits(t *testing.T) {
 	is := is.New(t)
 	s := &State{}
-	is.NoErr(Parse("s.yaml", []byte(rightState), s))
+	is.NoErr(Parse("s.yaml", []byte(validState), s))
 	is.Equal(s.Election.Duration, 900*time.Millisecond)
 	is.Equal(s.Heartbeat.Duration, 200*time.Millisecond)
 	is.Equal(s.Peers[0].DataCenter, "thies-a")
 }
 
-func TestWrongSettingsNameFileLineAndRemedy(t *testing.T) {
+func TestInvalidSettingsNameFileLineAndRemedy(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, new string
 		wants    []string
 	}{
 		"unknown field":               {"data: data", "dtaa: data", []string{"s.yaml:6:", "dtaa", "remove it"}},
 		"duration without unit":       {"900ms", "900", []string{"s.yaml:7:", "unit"}},
-		"address by name":             {"127.0.0.1:7201", "localhost:7201", []string{"s.yaml:3:", "IP number"}},
+		"address by name":             {"127.0.0.1:7201", "localhost:7201", []string{"s.yaml:3:", "IP address"}},
 		"address without data centre": {`, data_center: thies-a`, "", []string{"s.yaml:9:", "data_center"}},
 		"missing field":               {"link_key_file: keys/link\n", "", []string{"link_key_file", "add it"}},
 		"election too short":          {"900ms", "500ms", []string{"s.yaml:7:", "three heartbeats"}},
-		"no YAML":                     {"name: state-1", "name: [", []string{"s.yaml:"}},
+		"invalid YAML":                {"name: state-1", "name: [", []string{"s.yaml:"}},
 		"peer twice":                  {"peers:\n", "peers:\n  - {name: state-2, address: \"127.0.0.1:1\", data_center: x}\n", []string{"s.yaml:10:", "twice"}},
 		"heap growth":                 {"name: state-1", "gc_percent: -5\nname: state-1", []string{"gc_percent", "below 0", "such as 50"}},
 		"level":                       {"name: state-1", "log_level: loud\nname: state-1", []string{"log_level", "debug, info"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(rightState, c.old, c.new, 1)
-			is.True(text != rightState)
+			text := strings.Replace(validState, c.old, c.new, 1)
+			is.True(text != validState)
 			err := Parse("s.yaml", []byte(text), &State{})
 			is.True(err != nil)
 			for _, want := range c.wants {
@@ -60,7 +60,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(rightState))
+	f.Add([]byte(validState))
 	f.Add([]byte(""))
 	f.Add([]byte("name: &a [*a]"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -81,9 +81,9 @@
   server_list: 10.200.0.61:8223
 `
 
-// An entry is told of addresses only, at which the platform reaches the state
-// processes: their links have the port of its own.
-func TestSeedsNameTheStateProcesses(t *testing.T) {
+// Seeds contain the addresses at which the platform reaches the state processes. Their
+// link listeners use the port of this process's link listener.
+func TestSeedsBecomeStatePeers(t *testing.T) {
 	is := is.New(t)
 	e := &Entry{}
 	is.NoErr(Parse("e.yaml", []byte(gatewayEntry), e))
@@ -97,26 +97,26 @@
 	}
 }
 
-// Six processes start at once with the same three seeds. Only those three found
-// the group: two groups would each take changes.
-func TestOnlySeedsFoundTheGroup(t *testing.T) {
+// Several processes start at once with the same seeds. Only the seeds may create the
+// group; a second group would accept changes independently.
+func TestOnlySeedsBootstrapTheGroup(t *testing.T) {
 	is := is.New(t)
-	text := strings.Replace(rightState, "peers:\n  - {name: state-2, address: \"127.0.0.1:7202\", data_center: thies-a}\n", "", 1) + "bootstrap: true\nseeds: [\"127.0.0.2:1\", \"127.0.0.3:1\"]\n"
+	text := strings.Replace(validState, "peers:\n  - {name: state-2, address: \"127.0.0.1:7202\", data_center: thies-a}\n", "", 1) + "bootstrap: true\nseeds: [\"127.0.0.2:1\", \"127.0.0.3:1\"]\n"
 	for _, c := range []struct {
-		seeds string
-		found bool
-		peers int
+		seeds     string
+		bootstrap bool
+		peers     int
 	}{{"\"127.0.0.2:1\", \"127.0.0.3:1\"", false, 2}, {"\"127.0.0.1:1\", \"127.0.0.3:1\"", true, 1}} {
 		s := &State{}
 		is.NoErr(Parse("s.yaml", []byte(strings.Replace(text, "\"127.0.0.2:1\", \"127.0.0.3:1\"", c.seeds, 1)), s))
-		is.Equal(s.Bootstrap, c.found)
+		is.Equal(s.Bootstrap, c.bootstrap)
 		is.Equal(len(s.Peers), c.peers)
 	}
 }
 
-// A settings file is changed while the process runs. What can't change without a
-// restart must be refused, or the process would answer where nobody asks.
-func TestChangedAddressesNeedARestart(t *testing.T) {
+// A settings file changes while the process runs. Changes that need a restart must be
+// rejected, or the settings would differ from the addresses that the process uses.
+func TestChangedAddressesRequireRestart(t *testing.T) {
 	is := is.New(t)
 	old, changed := &Entry{}, &Entry{}
 	is.NoErr(Parse("e.yaml", []byte(gatewayEntry), old))
@@ -126,14 +126,14 @@
 	is.True(err != nil && strings.Contains(err.Error(), "link") && strings.Contains(err.Error(), "restart"))
 }
 
-// The platform ends a process some seconds after SIGTERM, whatever it still does.
-// Drain and closing must fit into that, or answers that run are cut off.
-func TestDrainFitsIntoTheGraceTime(t *testing.T) {
+// The platform kills a process some seconds after SIGTERM. Drain and close must finish
+// within that time, or running responses are cut off.
+func TestDrainFitsIntoGraceTime(t *testing.T) {
 	is := is.New(t)
 	for _, grace := range []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, 30 * time.Second} {
 		e := &Entry{}
 		is.NoErr(Parse("e.yaml", []byte(gatewayEntry+"  grace: "+grace.String()+"\n"), e))
-		// An answer may be cut off in the last sixth of the grace time only.
+		// A response may only be cut off in the last sixth of the grace time.
 		is.True(e.DrainLag.Duration+e.Drain.Duration > grace*5/6+grace/20)
 		is.True(e.DrainLag.Duration+e.Drain.Duration+e.CloseTimeout() < grace)
 	}
