--- a/scripts/follow.sh
+++ b/scripts/follow.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Weighs real state processes, five voters, against the number of claims a second:
-# processor time, bytes of the links with packet headers, and resident memory of
-# the followers (their mean) and of the leader, in the format of "go test -bench",
-# for cmd/lilaccapacity.
+# Measures a group of five state processes by the number of claims per second:
+# processor time, network traffic with packet headers, and resident memory of the leader
+# and of the followers (mean). The output has the format of "go test -bench", for
+# cmd/lilaccapacity.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 source scripts/lib.sh
@@ -13,7 +13,7 @@
 CLAIM_SECONDS=10
 MEASURE_SECONDS=6
 
-# make_voters replaces the fleet's state processes by as many as at full size.
+# make_voters replaces the fleet's state processes by VOTERS ones.
 make_voters() {
   local template="$WORK/conf/${STATES[0]}.yaml" ports i j
   sed -n '/^peers:/q;p' "$template" > "$WORK/template"
@@ -33,11 +33,12 @@
   done
 }
 
-# figures FILE: "name leads cpu wire rss keys" of each state process; wire is bytes with headers.
+# figures FILE: writes "name leads cpu wire rss keys" of each state process; wire
+# is in bytes with packet headers.
 figures() {
   local name
   for name in "${STATES[@]}"; do
-    curl -s -m 5 "http://$(field "$name" admin)/metrics" | awk -v n="$name" -v h="$HEADER_BYTES" '
+    curl -s -m 5 "http://$(setting "$name" admin)/metrics" | awk -v n="$name" -v h="$HEADER_BYTES" '
       $1 == "lilacbridge_state_leads" { leads = $2 }
       $1 == "process_cpu_seconds_total" { cpu = $2 }
       $1 == "lilacbridge_state_claims" { keys = $2 }
@@ -48,7 +49,7 @@
   done | sort > "$1"
 }
 
-# lines RATE [PREFIX]: what each role spent between the figures before and after.
+# lines RATE [PREFIX]: prints the cost of each role between the two sets of figures.
 lines() {
   join "$WORK/before" "$WORK/after" | awk -v rate="$1" -v p="${2:-}" -v s="$MEASURE_SECONDS" '
     { role = $7 ? "leader" : "follower"; n[role]++; cpu[role] += $8 - $3; wire[role] += $9 - $4; rss[role] += $10; keys = $11; moved += $2 != $7 }
@@ -60,12 +61,13 @@
       } }'
 }
 
-# measure RATE [PREFIX]: figures at the beginning and the end of the time.
+# measure RATE [PREFIX]: records the figures before and after MEASURE_SECONDS and prints
+# the benchmark lines.
 measure() {
   figures "$WORK/before"
   sleep "$MEASURE_SECONDS"
   figures "$WORK/after"
-  lines "$@" || broken "the leader changed at $1 claims a second"
+  lines "$@" || record_failure "the leader changed at $1 claims per second"
 }
 
 prepare agence
@@ -78,8 +80,8 @@
     --rate "$rate" --duration "${CLAIM_SECONDS}s"
   sleep 2
   measure "$rate"
-  wait_end claims 20 && ((STATUS == 0)) || broken "$rate claims a second: $(tail -2 "$WORK/log/claims.log")"
+  wait_exit claims 20 && ((STATUS == 0)) || record_failure "$rate claims per second: $(tail -2 "$WORK/log/claims.log")"
 done
 cat "$WORK/log/claims.log" >&2
 stop_all
-verdict follow
+report_result follow
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,37 +1,38 @@
-# Functions that the demo, the failure runs and the soak share. Sourced by bash.
+# Functions shared by the scripts in this folder, to be sourced by bash.
 #
-# A fleet runs on free loopback ports in a temporary folder. Only processes that
-# this shell started are ever signalled, each by its id.
+# A fleet runs on free loopback ports in a temporary folder. Signals are only sent
+# to processes started by this shell, by process ID.
 
 WORK=""
 declare -A PID=()
 BIN="$PWD/bin"
-# Every file of a fleet uses ports 71xx or 72xx; see examples/.
+# The files in examples/ use ports 71xx and 72xx.
 PORT_PATTERN='127\.0\.0\.1:7[12][0-9][0-9]'
 
-# What a packet carries besides its data; see connection/packets.
+# Header bytes of a packet; see connection/packets.
 HEADER_BYTES=52
 
 say() { printf '%s\n' "$*"; }
 
-# machine: how busy the machine is besides; a starved one stalls every process.
-machine() {
+# print_machine_load prints the load and free memory of the machine, since an
+# overloaded machine delays every process.
+print_machine_load() {
   [[ -r /proc/loadavg && -r /proc/meminfo ]] || return 0
   say "machine: $(nproc) cores, load $(cut -d' ' -f1-2 /proc/loadavg), $(awk '/^MemAvailable/ { print int($2 / 1024) }' /proc/meminfo) MB of memory free"
 }
 
-broken() {
-  say "broken: $*" >&2
-  BROKEN+=("$*")
+record_failure() {
+  say "failed: $*" >&2
+  FAILURES+=("$*")
 }
-BROKEN=()
+FAILURES=()
 
-# prepare FLEET: maps every port of the fleet's files to a free one and makes keys.
+# prepare FLEET: copies the fleet's files with free ports and generates keys.
 prepare() {
-  machine
+  print_machine_load
   local fleet="$1" from to map=""
   WORK="$(mktemp -d "${TMPDIR:-/tmp}/lilacbridge.XXXXXX")"
-  trap 'finish_trap' EXIT
+  trap 'cleanup' EXIT
   trap 'exit 130' INT TERM
   mkdir -p "$WORK/log" "$WORK/keys" "$WORK/conf"
   make_keys
@@ -47,7 +48,7 @@
   mapfile -t ENTRIES < <(cd "$WORK/conf" && ls entry-*.yaml | sed 's/\.yaml$//')
 }
 
-# make_keys writes random keys that only their owner can read.
+# make_keys writes random keys with permissions for the owner only.
 make_keys() {
   local name
   (
@@ -59,7 +60,7 @@
   chmod 600 "$WORK"/keys/*
 }
 
-# start NAME COMMAND...: runs a process in the work folder, with a log of its own.
+# start NAME COMMAND...: starts a process in the work folder, with its own log.
 start() {
   local name="$1"
   shift
@@ -67,30 +68,31 @@
   PID[$name]=$!
 }
 
-# alive NAME
-alive() { [[ -n "${PID[$1]:-}" ]] && kill -0 "${PID[$1]}" 2> /dev/null; }
+# is_running NAME: reports whether the process runs.
+is_running() { [[ -n "${PID[$1]:-}" ]] && kill -0 "${PID[$1]}" 2> /dev/null; }
 
-# signal NAME SIGNAL
+# signal NAME SIGNAL: sends a signal to the process.
 signal() { kill "-$2" "${PID[$1]}" 2> /dev/null; }
 
-# wait_end NAME SECONDS: true when the process ended in time; its status in STATUS.
-wait_end() {
+# wait_exit NAME SECONDS: reports whether the process exits in time; sets STATUS to
+# its exit status.
+wait_exit() {
   local tries=$(($2 * 20))
-  while alive "$1" && ((tries-- > 0)); do sleep 0.05; done
-  alive "$1" && return 1
+  while is_running "$1" && ((tries-- > 0)); do sleep 0.05; done
+  is_running "$1" && return 1
   wait "${PID[$1]}" 2> /dev/null
   STATUS=$?
   unset "PID[$1]"
 }
 
-# kill_hard NAME: kill -9 and wait.
-kill_hard() {
+# kill_and_wait NAME: sends SIGKILL and waits for the exit.
+kill_and_wait() {
   signal "$1" KILL
   wait "${PID[$1]}" 2> /dev/null
   unset "PID[$1]"
 }
 
-# stop_all ends every process that is left: first politely, then by force.
+# stop_all stops all remaining processes with SIGTERM, and after 3 s with SIGKILL.
 stop_all() {
   local name
   for name in "${!PID[@]}"; do
@@ -100,19 +102,20 @@
   local tries=60
   while ((tries-- > 0)); do
     local left=0
-    for name in "${!PID[@]}"; do alive "$name" && left=1; done
+    for name in "${!PID[@]}"; do is_running "$name" && left=1; done
     ((left)) || break
     sleep 0.05
   done
   for name in "${!PID[@]}"; do
-    alive "$name" && signal "$name" KILL
+    is_running "$name" && signal "$name" KILL
     wait "${PID[$name]}" 2> /dev/null
     unset "PID[$name]"
   done
 }
 
-# finish_trap leaves no process behind, and the logs only where something broke.
-finish_trap() {
+# cleanup stops all processes and removes the work folder unless a check failed or
+# KEEP is set.
+cleanup() {
   local status=$?
   trap - EXIT INT TERM
   stop_all
@@ -124,18 +127,18 @@
   exit "$status"
 }
 
-# field NAME KEY: a top-level value of a process's settings.
-field() { sed -n "s/^$2: *//p" "$WORK/conf/$1.yaml" | head -1; }
+# setting NAME KEY: prints a top-level value of a process's settings.
+setting() { sed -n "s/^$2: *//p" "$WORK/conf/$1.yaml" | head -1; }
 
-# addresses KEY NAME...: that value of each, joined by commas.
+# addresses KEY NAME...: prints this setting of each process, separated by commas.
 addresses() {
   local key="$1" name all=()
   shift
-  for name in "$@"; do all+=("$(field "$name" "$key")"); done
+  for name in "$@"; do all+=("$(setting "$name" "$key")"); done
   (IFS=,; printf '%s' "${all[*]}")
 }
 
-# servers_of KIND: "name address model" of each server of the fleet's file.
+# servers_of KIND: prints "name address model" of each server in the fleet's file.
 servers_of() {
   sed -nE "s/^  - \{name: ([^,]+), address: \"([^\"]+)\",.* kind: $1, serves: \[([^]]+)\].*/\1 \2 \3/p" "$WORK/conf/fleet.yaml"
 }
@@ -152,35 +155,36 @@
 
 start_backends() {
   local list name address serves
-  list="$(field "${ENTRIES[0]}" instance_list)"
+  list="$(setting "${ENTRIES[0]}" instance_list)"
   list="${list#http://}"
   start platform "$BIN/lilacbridge-standin" platform --listen "${list%%/*}" --file conf/instances.json
   while read -r name address serves; do start_engine "$name" "$address" "$serves"; done < <(servers_of engine)
   while read -r name address serves; do start_service "$name" "$address"; done < <(servers_of service)
 }
 
-# start_fleet starts everything and waits until every entry takes requests. The
-# entries start first: without a configuration they must not call themselves ready.
+# start_fleet starts all processes and waits until every entry is ready. The entries
+# start first, to check that they are not ready without a configuration.
 start_fleet() {
   local name
   start_backends
   for name in "${ENTRIES[@]}"; do start_entry "$name"; done
-  not_ready "${ENTRIES[0]}" || broken "${ENTRIES[0]} without a configuration does not answer /readyz with 503"
+  not_ready "${ENTRIES[0]}" || record_failure "${ENTRIES[0]} does not answer /readyz with 503 without a configuration"
   for name in "${STATES[@]}"; do start_state "$name"; done
   for name in "${ENTRIES[@]}"; do
     if ! wait_ready "$name" 15; then
-      broken "$name is not ready after 15 s: $(curl -s -m 2 "http://$(field "$name" admin)/readyz" || true)"
+      record_failure "$name is not ready after 15 s: $(curl -s -m 2 "http://$(setting "$name" admin)/readyz" || true)"
       tail -5 "$WORK/log/$name.log" >&2
       return 1
     fi
   done
 }
 
-# not_ready NAME: true once /readyz answers 503; false on any other answer or none in 5 s.
+# not_ready NAME: succeeds once /readyz answers with 503; fails on any other answer, or
+# without one in 5 s.
 not_ready() {
   local tries=50 code
   while ((tries-- > 0)); do
-    code="$(curl -s -m 2 -o /dev/null -w '%{http_code}' "http://$(field "$1" admin)/readyz")"
+    code="$(curl -s -m 2 -o /dev/null -w '%{http_code}' "http://$(setting "$1" admin)/readyz")"
     [[ "$code" == 503 ]] && return 0
     [[ "$code" == 000 ]] || return 1
     sleep 0.1
@@ -188,49 +192,49 @@
   return 1
 }
 
-# wait_ready NAME SECONDS
+# wait_ready NAME SECONDS: waits until the entry is ready.
 wait_ready() {
   local tries=$(($2 * 10))
-  until curl -sf -m 2 -o /dev/null "http://$(field "$1" admin)/readyz"; do
-    ((tries-- > 0)) && alive "$1" || return 1
+  until curl -sf -m 2 -o /dev/null "http://$(setting "$1" admin)/readyz"; do
+    ((tries-- > 0)) && is_running "$1" || return 1
     sleep 0.1
   done
 }
 
-# ctl ARGUMENT...: the operators' client, at all entries in turn.
+# ctl ARGUMENT...: runs lilacctl with the endpoints of all entries.
 ctl() {
   "$BIN/lilacctl" --endpoint "$(addresses operators "${ENTRIES[@]}")" --token-file "$WORK/keys/operator.token" "$@"
 }
 
-# ctl_at ENTRY ARGUMENT...: the same at one entry.
-ctl_at() {
+# ctl_entry ENTRY ARGUMENT...: runs lilacctl with the endpoint of one entry.
+ctl_entry() {
   local entry="$1"
   shift
-  "$BIN/lilacctl" --endpoint "$(field "$entry" operators)" --token-file "$WORK/keys/operator.token" "$@"
+  "$BIN/lilacctl" --endpoint "$(setting "$entry" operators)" --token-file "$WORK/keys/operator.token" "$@"
 }
 
-# load ARGUMENT...: runs the load tool against all entries.
+# load ARGUMENT...: runs the load generator against all entries.
 load() {
   "$BIN/lilacload" run --plan "$WORK/conf/load.yaml" --fleet "$WORK/conf/fleet.yaml" --key-file "$WORK/keys/caller.key" \
     --entry "$(addresses callers "${ENTRIES[@]}")" "$@"
 }
 
-# fault ADDRESS JSON: sets a fault of a stand-in.
-fault() { curl -s -m 2 -o /dev/null -d "$2" "http://$1/fault"; }
+# set_fault ADDRESS JSON: configures a fault of a simulated backend server.
+set_fault() { curl -s -m 2 -o /dev/null -d "$2" "http://$1/fault"; }
 
-# leader: the state process that leads in the newest term, or nothing.
-leader() {
+# find_leader prints the state process that leads in the newest term, if any.
+find_leader() {
   ctl exec 'SHOW STATE WHERE role = "leader" ORDER BY term DESC LIMIT 1' 2> /dev/null | awk 'NR == 2 { print $1 }'
 }
 
-# verdict NAME: prints NAME: ok, or what broke and exits 1.
-verdict() {
-  machine
-  if ((${#BROKEN[@]} == 0)); then
+# report_result NAME: prints "NAME: ok", or the failures and exits with 1.
+report_result() {
+  print_machine_load
+  if ((${#FAILURES[@]} == 0)); then
     say "$1: ok"
     return 0
   fi
   local one
-  for one in "${BROKEN[@]}"; do say "$1: broken: $one"; done
+  for one in "${FAILURES[@]}"; do say "$1: failed: $one"; done
   exit 1
 }
--- a/scripts/lines.sh
+++ b/scripts/lines.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Counts lines of Go: product, the part that nodes decide together, tests.
+# Counts lines of Go: product code, its distributed decision logic, and tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 count() { # pattern... : lines of the tracked files that match, without generated code
@@ -8,12 +8,12 @@
 all=$(count '*.go')
 tests=$(count '*_test.go')
 product=$((all - tests))
-together=0
+decision_lines=0
 for folder in request process/replica process/wal process/ledger process/lease process/orders process/member \
   version/config version/spread connection/gossip connection/stateclient connection/orders connection/replicalink; do
   lines=$(($(count "$folder/*.go") - $(count "$folder/*_test.go")))
-  together=$((together + lines))
+  decision_lines=$((decision_lines + lines))
 done
 echo "product code:       $product lines"
-echo "decided together:   $together lines, $((100 * together / product)) in 100 of product code (a quarter or more is wanted)"
-echo "tests:              $tests lines, $((100 * tests / all)) in 100 of all (under a third is wanted)"
+echo "decision logic:     $decision_lines lines, $((100 * decision_lines / product)) % of product code (target: at least 25 %)"
+echo "tests:              $tests lines, $((100 * tests / all)) % of all code (target: under 33 %)"
--- a/scripts/weigh.sh
+++ b/scripts/weigh.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Weighs real idle processes against the number of teams: resident memory and
-# processor time of an entry and of the state processes, in the format of
+# Measures idle processes by the number of teams: resident memory, processor time and
+# network traffic of an entry and of the state processes. The output has the format of
 # "go test -bench", for cmd/lilaccapacity. FLEET=agence|madryn.
 set -uo pipefail
 cd "$(dirname "$0")/.."
@@ -8,12 +8,12 @@
 
 FLEET="${FLEET:-agence}"
 SIZES=(5000 15000 30000 45000)
-# One file of the operators' client may hold 10,000 changes at the most.
+# lilacctl apply accepts at most 10,000 changes in a file.
 CHUNK=5000
 SETTLE_SECONDS=4
 IDLE_SECONDS=10
 
-# add_teams FROM TO: makes the teams numbered from FROM up to, but not with, TO.
+# add_teams FROM TO: creates the teams with numbers from FROM to TO-1.
 add_teams() {
   local from="$1" last
   while ((from < $2)); do
@@ -22,23 +22,23 @@
       echo "teams:"
       seq "$from" $((last - 1)) | sed 's/.*/  - {name: cooperative-&, weight: 1, tokens_per_second: 500}/'
     } > "$WORK/teams.yaml"
-    ctl apply -f "$WORK/teams.yaml" > "$WORK/log/apply.log" 2>&1 || { broken "teams $from to $last: $(tail -1 "$WORK/log/apply.log")"; return 1; }
+    ctl apply -f "$WORK/teams.yaml" > "$WORK/log/apply.log" 2>&1 || { record_failure "teams $from to $last: $(tail -1 "$WORK/log/apply.log")"; return 1; }
     from=$last
   done
 }
 
-# metric NAME METRIC: a process's own figure.
-metric() { curl -s -m 2 "http://$(field "$1" admin)/metrics" | awk -v m="$2" '$1 == m { printf "%.6f", $2 }'; }
+# metric NAME METRIC: prints the value of a process's metric.
+metric() { curl -s -m 2 "http://$(setting "$1" admin)/metrics" | awk -v m="$2" '$1 == m { printf "%.6f", $2 }'; }
 
-# wire NAME: bytes of its links and control calls so far, with packet headers.
+# wire NAME: prints the total bytes of its links and control calls, with packet headers.
 wire() {
-  curl -s -m 2 "http://$(field "$1" admin)/metrics" | awk -v h="$HEADER_BYTES" '
+  curl -s -m 2 "http://$(setting "$1" admin)/metrics" | awk -v h="$HEADER_BYTES" '
     /^lilacbridge_(link|control_upstream)_bytes_total/ { sum += $2 }
     /^lilacbridge_(link|control_upstream)_packets_total/ { sum += $2 * h }
     END { printf "%.0f", sum }'
 }
 
-# weigh NAME ROLE TEAMS: one line of figures.
+# weigh NAME ROLE TEAMS: measures the process and prints a benchmark line.
 weigh() {
   local before after rss sent
   sent="$(wire "$1")"
@@ -52,18 +52,18 @@
 }
 
 prepare "$FLEET"
-start_fleet || verdict weigh
+start_fleet || report_result weigh
 done_teams=0
 for size in "${SIZES[@]}"; do
-  add_teams "$done_teams" "$size" || verdict weigh
+  add_teams "$done_teams" "$size" || report_result weigh
   done_teams=$size
   sleep "$SETTLE_SECONDS"
   weigh "${ENTRIES[0]}" entry "$size" &
-  now_leads="$(leader)"
-  weigh "$now_leads" leader "$size" &
-  for name in "${STATES[@]}"; do [[ "$name" == "$now_leads" ]] || follower="$name"; done
+  leader_name="$(find_leader)"
+  weigh "$leader_name" leader "$size" &
+  for name in "${STATES[@]}"; do [[ "$name" == "$leader_name" ]] || follower="$name"; done
   weigh "$follower" follower "$size" &
   wait $(jobs -p | tail -3)
 done
 stop_all
-verdict weigh
+report_result weigh
--- a/scripts/wide.sh
+++ b/scripts/wide.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A fleet of many real entries, so that they form trees: what each spends on
-# control while idle, how soon a change is in force at all, and whether they find
-# a new relay when one is killed. ENTRIES_WANTED=n; each takes about 40 MB.
+# Runs a fleet of many entries, which form trees. Measures the cost of control for each
+# idle entry and the time until a change is in force everywhere, and checks that the
+# entries choose a new relay when one is killed. ENTRIES_WANTED=n; an entry needs about
+# 40 MB.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 source scripts/lib.sh
@@ -10,11 +11,11 @@
 SETTLE_SECONDS="${SETTLE_SECONDS:-40}"
 IDLE_SECONDS=20
 CENTERS=(dakar-a thies-a saint-louis-a)
-# Ports of one entry: callers, operators, link, admin.
+# Ports per entry: callers, operators, link, admin.
 PORTS_EACH=4
 
-# make_entries replaces the fleet's entries by as many as wanted, known to each
-# other by the platform's list only.
+# make_entries replaces the fleet's entries by ENTRIES_WANTED entries, which discover
+# each other only by the platform's list.
 make_entries() {
   local template="$WORK/conf/${ENTRIES[0]}.yaml" ports i center name
   cp "$template" "$WORK/template"
@@ -35,12 +36,13 @@
   (IFS=,; printf '{"instances": [%s]}\n' "${list[*]}") > "$WORK/conf/instances.json"
 }
 
-# figures FILE: "name link polls cpu rss live" of each entry, bytes with packet headers.
+# figures FILE: writes "name link polls cpu rss live" of each entry; bytes include
+# packet headers.
 figures() {
   local name
   for name in "${ENTRIES[@]}"; do
-    alive "$name" || continue
-    curl -s -m 5 "http://$(field "$name" admin)/metrics" | awk -v n="$name" -v h="$HEADER_BYTES" '
+    is_running "$name" || continue
+    curl -s -m 5 "http://$(setting "$name" admin)/metrics" | awk -v n="$name" -v h="$HEADER_BYTES" '
       /^lilacbridge_link_bytes_total/ { link += $2 }
       /^lilacbridge_link_packets_total/ { link += $2 * h }
       /^lilacbridge_control_upstream_bytes_total/ { polls += $2 }
@@ -52,14 +54,14 @@
   done > "$1"
 }
 
-# spent BEFORE AFTER: mean and most of each figure, a second.
-spent() {
+# print_costs BEFORE AFTER: prints the mean and the maximum of each figure per second.
+print_costs() {
   join <(sort "$1") <(sort "$2") | awk -v s="$IDLE_SECONDS" '
-    function most(k, v) { if (v > max[k]) max[k] = v; sum[k] += v }
-    { most("links", ($7 - $2) / s / 1000); most("polls", ($8 - $3) / s / 1000)
-      most("control", ($7 - $2 + $8 - $3) / s / 1000); most("core", ($9 - $4) / s * 100); most("memory", $10 / 1048576) }
+    function add(k, v) { if (v > max[k]) max[k] = v; sum[k] += v }
+    { add("links", ($7 - $2) / s / 1000); add("polls", ($8 - $3) / s / 1000)
+      add("control", ($7 - $2 + $8 - $3) / s / 1000); add("core", ($9 - $4) / s * 100); add("memory", $10 / 1048576) }
     END {
-      printf "%-28s %8s %8s\n", "a node, idle", "mean", "most"
+      printf "%-28s %8s %8s\n", "an idle entry", "mean", "max"
       printf "%-28s %8.1f %8.1f  KB/s, with packet headers\n", "links", sum["links"] / NR, max["links"]
       printf "%-28s %8.1f %8.1f  KB/s\n", "polls", sum["polls"] / NR, max["polls"]
       printf "%-28s %8.1f %8.1f  KB/s\n", "links and polls", sum["control"] / NR, max["control"]
@@ -67,50 +69,51 @@
       printf "%-28s %8.1f %8.1f  MB resident\n", "memory", sum["memory"] / NR, max["memory"] }'
 }
 
-# behind NUMBER: how many live entries have not this revision.
-behind() {
+# count_outdated NUMBER: prints the number of live entries without this revision.
+count_outdated() {
   local name count=0
   for name in "${ENTRIES[@]}"; do
-    alive "$name" || continue
-    [[ "$(curl -s -m 5 "http://$(field "$name" admin)/metrics" | awk '$1 == "lilacbridge_revision" { print $2 }')" -ge "$1" ]] || count=$((count + 1))
+    is_running "$name" || continue
+    [[ "$(curl -s -m 5 "http://$(setting "$name" admin)/metrics" | awk '$1 == "lilacbridge_revision" { print $2 }')" -ge "$1" ]] || count=$((count + 1))
   done
   echo "$count"
 }
 
-# in_force REVISION WHAT: waits until all have the revision, and says how long that took.
+# in_force REVISION NAME: waits until all entries have the revision, and prints the time
+# that it took.
 in_force() {
-  local begun late tries=60
-  begun="$(date +%s%N)"
-  late="$(behind "$1")"
-  while ((late > 0 && tries-- > 0)); do
+  local started outdated tries=60
+  started="$(date +%s%N)"
+  outdated="$(count_outdated "$1")"
+  while ((outdated > 0 && tries-- > 0)); do
     sleep 0.2
-    late="$(behind "$1")"
+    outdated="$(count_outdated "$1")"
   done
-  ((late == 0)) || broken "$2: revision $1 is not in force at $late entries"
-  say "$2: in force at all, seen after $((($(date +%s%N) - begun) / 1000000)) ms of asking each"
+  ((outdated == 0)) || record_failure "$2: revision $1 is not in force at $outdated entries"
+  say "$2: in force at all entries after $((($(date +%s%N) - started) / 1000000)) ms, by polling"
 }
 
-change() { ctl_at "$1" exec "SET CLASS alerts FIRST TOKEN $2ms" | sed -n 's/^accepted as revision \([0-9]*\).*/\1/p'; }
+change() { ctl_entry "$1" exec "SET CLASS alerts FIRST TOKEN $2ms" | sed -n 's/^accepted as revision \([0-9]*\).*/\1/p'; }
 
 prepare agence
 make_entries
-start_fleet || verdict wide
-ctl apply -f "$WORK/conf/fleet.yaml" > /dev/null || broken "the fleet's file was not accepted"
+start_fleet || report_result wide
+ctl apply -f "$WORK/conf/fleet.yaml" > /dev/null || record_failure "the fleet's file was not accepted"
 say "$ENTRIES_WANTED entries in ${#CENTERS[@]} data centres"
 sleep "$SETTLE_SECONDS"
 figures "$WORK/before"
 sleep "$IDLE_SECONDS"
 figures "$WORK/after"
-spent "$WORK/before" "$WORK/after"
+print_costs "$WORK/before" "$WORK/after"
 known="$(awk '{ print $6 }' "$WORK/after" | sort -n | head -1)"
-((known == ENTRIES_WANTED - 1)) || broken "an entry knows of $known others, not of $((ENTRIES_WANTED - 1))"
+((known == ENTRIES_WANTED - 1)) || record_failure "an entry knows $known others instead of $((ENTRIES_WANTED - 1))"
 in_force "$(change "${ENTRIES[0]}" 411)" "a change"
 # The busiest is a relay.
 relay="$(join <(sort "$WORK/before") <(sort "$WORK/after") | awk '{ print $7 - $2, $1 }' | sort -rn | awk 'NR == 1 { print $2 }')"
 say "killing $relay"
-kill_hard "$relay"
+kill_and_wait "$relay"
 other="${ENTRIES[0]}"
 [[ "$other" == "$relay" ]] && other="${ENTRIES[1]}"
-in_force "$(change "$other" 412)" "a change at once after its end"
+in_force "$(change "$other" 412)" "a change directly after its end"
 stop_all
-verdict wide
+report_result wide
