--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# lilacbridge: build, test, prove and show. See README.md.
+# Build, test, simulation and demo targets of lilacbridge. See README.md.
 SHELL := /bin/bash
 GOBIN := $(shell go env GOPATH)/bin
 STATICCHECK_VERSION := v0.8.2
@@ -14,14 +14,14 @@
 build:
 	go build -ldflags '$(LDFLAGS)' -o bin/ ./cmd/...
 
-# The tests that KNOWN-RED.txt names are passed over; .ci/run prints them.
+# Tests listed in KNOWN-RED.txt are skipped; .ci/run prints the list.
 KNOWN_RED := $(shell [ -f KNOWN-RED.txt ] && grep -oE '^Test[A-Za-z0-9]+' KNOWN-RED.txt | paste -sd'|')
 SKIP := $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$')
 test:
 	go test -race -timeout 280s $(SKIP) ./...
 
-# Runs each test that KNOWN-RED.txt names, RUNS times on its own seeds and RUNS
-# times on others, and prints how often it failed: make known-red RUNS=5 SEED=100.
+# Runs each test listed in KNOWN-RED.txt RUNS times with its own seeds and RUNS times
+# with others, and prints the number of failures: make known-red RUNS=5 SEED=100.
 .PHONY: known-red
 known-red: RUNS = 3
 known-red:
@@ -40,7 +40,8 @@
 $(GOBIN)/staticcheck:
 	go install honnef.co/go/tools/cmd/staticcheck@$(STATICCHECK_VERSION)
 
-# The generated code is committed; only a change of a .proto file needs this.
+# The generated code is committed; these targets are only needed after a change to a
+# .proto file.
 tools:
 	go install github.com/bufbuild/buf/cmd/buf@$(BUF_VERSION)
 	go install google.golang.org/protobuf/cmd/protoc-gen-go@$(PROTOC_GEN_GO_VERSION)
@@ -55,53 +56,53 @@
 	FLEET=$(FLEET) bash scripts/demo.sh
 endif
 
-# Real processes killed, frozen and emptied under load.
+# Kills and freezes real processes and deletes their data under load.
 .PHONY: fail soak
 fail: build
 	FLEET=$(FLEET) bash scripts/fail.sh
 
-# The policy on real processes under bursts, stragglers and crashes.
+# Tests the routing policy on real processes with bursts, slow engines and crashes.
 MINUTES ?= 2
 soak: build
 	FLEET=$(FLEET) MINUTES=$(MINUTES) bash scripts/soak.sh
 
-# Real processes hurt from outside, checked from what callers, operators and
-# backend servers see: make fault-soak SEED=7 MINUTES=2; KEEP=FOLDER keeps the logs.
+# Injects random faults into real processes and checks what callers, operators and
+# backend servers observe: make fault-soak SEED=7 MINUTES=2; KEEP=FOLDER keeps the logs.
 SOAK_SECONDS ?= 10
 .PHONY: fault-soak
 fault-soak:
 	@go test ./faultsoak -count=1 -v -timeout 0 -args -seed $(SEED) -seeds $$(( $(MINUTES) * 60 / ($(SOAK_SECONDS) + 8) + 1 )) -length $(SOAK_SECONDS)s $(if $(KEEP),-keep $(KEEP))
 
-# Many real entries in trees: make wide ENTRIES_WANTED=45.
+# Runs a fleet with many entries, which form trees: make wide ENTRIES_WANTED=45.
 ENTRIES_WANTED ?= 45
 .PHONY: wide
 wide: build
 	ENTRIES_WANTED=$(ENTRIES_WANTED) bash scripts/wide.sh
 
-# Lines of code by kind.
+# Counts lines of code by kind.
 .PHONY: lines
 lines:
 	@bash scripts/lines.sh
 
-# SCENARIO and FLEET-like limits are optional: make bench SCENARIO=burst SEED=2
+# SCENARIO and BENCH_FLEET restrict the runs: make bench SCENARIO=burst SEED=2
 SEED ?= 1
 bench:
 	go run ./cmd/lilacbench --seed $(SEED) $(if $(SCENARIO),--scenario $(SCENARIO)) $(if $(BENCH_FLEET),--fleet $(BENCH_FLEET))
 
-# Cost of one decision at 13, 500 and 5,900 replicas.
+# Measures the cost of one routing decision at 13, 500 and 5,900 replicas.
 bench-choose:
 	go test -run '^$$' -bench Decision -benchmem ./request/policy
 
-# Randomised runs of log, files and state machine on a simulated clock, network
-# and disk, six kinds of runs for each seed: make proof SEED=1 RUNS=200; KIND=cutoff
-# makes those of one kind alone, TRACE=1 shows what happens.
+# Randomised runs of the replicated log, its files and its state machine on a simulated
+# clock, network and disk, with seven kinds of runs per seed: make proof SEED=1 RUNS=200.
+# KIND=cutoff selects one kind, TRACE=1 prints the trace.
 RUNS ?= 200
 .PHONY: proof
 proof:
 	@go test -c -o bin/proof.test ./internal/proof
 	@./bin/proof.test -seed $(SEED) -runs $(RUNS) $(if $(KIND),-kind $(KIND)) $(if $(TRACE),-trace)
 
-# What each role costs at the size to design for, from slopes measured here.
+# Projects the cost of each role at the design size from measured slopes.
 .PHONY: capacity
 capacity: build
 	@mkdir -p out
@@ -122,9 +123,9 @@
 	bash scripts/follow.sh >> out/capacity.txt
 	go run ./cmd/lilaccapacity < out/capacity.txt
 
-# Fuzzing of what reads bytes from outside; make test runs the corpora kept in
-# testdata/fuzz. Inputs that fail are written there by the tool itself. Counts in
-# place of times: a time that ends within a slow input is reported as a failure.
+# Fuzzes the parsers of external input; make test runs the corpora in testdata/fuzz,
+# to which go test adds failing inputs. The limit is a number of inputs, since a time
+# limit that expires during a slow input is reported as a failure.
 FUZZED := FuzzParse:./version/statement:200000x FuzzParse:./process/settings:100000x FuzzFrame:./connection/link:500000x FuzzRead:./process/wal:15000x
 .PHONY: fuzz
 fuzz:
