--- a/internal/bench/instance.go
+++ b/internal/bench/instance.go
@@ -181,13 +181,13 @@
 	}
 }
 
-func (in *instance) stop(a policy.Stop, appendReport bool) {
+func (in *instance) stop(a policy.Stop, move bool) {
 	j := in.jobs[a.ID]
 	if j == nil || j.attempt != a.Attempt {
 		return
 	}
 	delete(in.jobs, a.ID)
-	if appendReport {
+	if move {
 		in.pendingMove = j
 		return
 	}
--- a/internal/proof/callers_test.go
+++ b/internal/proof/callers_test.go
@@ -66,7 +66,7 @@
 	case 0:
 		k.propose()
 	case 1:
-		k.claimEnded()
+		k.claimAgain()
 	default:
 		k.claim()
 	}
@@ -256,9 +256,9 @@
 	return last
 }
 
-// claimEnded claims the key of a finished request again. It must be answered if the
+// claimAgain claims the key of a finished request again. It must be answered if the
 // state process of the own data centre knows the outcome.
-func (k *caller) claimEnded() {
+func (k *caller) claimAgain() {
 	c := k.cuts
 	if len(c.endedKeys) == 0 {
 		return
@@ -266,22 +266,22 @@
 	ended := c.endedKeys[c.rng.IntN(len(c.endedKeys))]
 	key, request := ended.key, k.claimOf(ended.key, c.nextName("again"))
 	own := k.entry.ownState()
-	known := !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own) && own.runner.Status().AppliedIndex >= ended.index
+	known := !c.isIsolated(k.entry) && !c.wasDown(own) && !k.avoids(own) && own.runner.Status().AppliedIndex >= ended.index
 	// Another process may know an outcome that the own one does not know yet.
 	k.call(&lilacv1.Command{Op: &lilacv1.Command_Claim{Claim: request}}, func(result *lilacv1.CommandResult, err error) {
 		answered := err == nil && result.GetClaim().GetState() == lilacv1.ClaimState_CLAIM_STATE_RAN && !result.GetClaim().GetGranted()
-		known = known && !c.isIsolated(k.entry) && !c.wasDown(own) && !k.skips(own)
+		known = known && !c.isIsolated(k.entry) && !c.wasDown(own) && !k.avoids(own)
 		k.sim.invariants.check(answered || !known && err != nil, "an ended key is answered", "%s asks for %s: %v, %v", k.entry.name, key, result, err)
 	})
 }
 
-// skips reports whether the entry avoids the state process because of a recent
+// avoids reports whether the entry avoids the state process because of a recent
 // attempt without an answer. A leader with one frozen voter, while the other voter
 // catches up after a cut, does not answer requests that need the log; it is then not
 // asked for known outcomes either.
-func (k *caller) skips(n *node) bool {
-	since, silentSince := k.silentSince[n.name]
-	return silentSince && (k.probing[n.name] || k.sim.now-since < silentRetryInterval+localReplyBound)
+func (k *caller) avoids(n *node) bool {
+	since, silent := k.silentSince[n.name]
+	return silent && (k.probing[n.name] || k.sim.now-since < silentRetryInterval+localReplyBound)
 }
 
 // propose issues a statement; operators checks its outcome.
--- a/internal/proof/cutoff_faults_test.go
+++ b/internal/proof/cutoff_faults_test.go
@@ -39,8 +39,8 @@
 // wasDown reports whether the state process is down because of injectFault or may
 // still be recovering.
 func (c *cutoffs) wasDown(n *node) bool {
-	to, cutoffWithFaults := c.downUntil[n.name]
-	return cutoffWithFaults && c.sim.now < to+recoveryBound
+	to, known := c.downUntil[n.name]
+	return known && c.sim.now < to+recoveryBound
 }
 
 // answers reports whether the state process is running and not frozen.
--- a/internal/proof/sim_test.go
+++ b/internal/proof/sim_test.go
@@ -273,7 +273,8 @@
 	run()
 }
 
-// identity returns the process's current identity, which may change while it runs.
+// identity returns the identity of the process, which may change while it runs. It is the
+// last one if the process does not run.
 func (n *node) identity() string {
 	if n.runner != nil {
 		n.id = n.runner.Status().ID
