--- a/process/logs/logs_test.go
+++ b/process/logs/logs_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// Nobody reads standard output any more: the pipe is full, and each write to it
-// waits for ever. Requests that log a line must go on all the same, and the
-// reader that comes back must learn how many lines it missed.
-func TestFullPipeHoldsNobodyUp(t *testing.T) {
+// Nobody reads standard output: the pipe is full and each write to it blocks forever.
+// Requests that log a line must continue, and a later reader must learn how many lines
+// were dropped.
+func TestFullPipeDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
@@ -40,9 +40,9 @@
 	is.True(strings.Count(text.String(), "line\n") <= queueLength+1)
 }
 
-// All requests fail at once. Their lines stay within the budget of a second, the
-// rest is counted, and lines of other kinds still go out.
-func TestBudgetBoundsEachKind(t *testing.T) {
+// All requests fail at once. Their lines must stay within the limit per second, the rest
+// must be counted, and lines of other kinds must still be written.
+func TestLimitAppliesPerKind(t *testing.T) {
 	is := is.New(t)
 	var text lockedBuffer
 	l := New(hclog.New(&hclog.LoggerOptions{Output: &text, JSONFormat: true}))
--- a/process/logs/story/story.go
+++ b/process/logs/story/story.go
@@ -1,4 +1,4 @@
-// Package story tells what became of one request, from the log lines of several
+// Package story reconstructs the course of one request from the log lines of several
 // processes.
 package story
 
@@ -15,10 +15,10 @@
 )
 
 const (
-	// maxLine bounds one log line, in bytes.
+	// maxLine is the maximum length of a log line in bytes.
 	maxLine = 1 << 20
-	// contextWindow is how long before the first line of a request, and after the last, a
-	// change of what its instance believed may have to do with it.
+	// contextWindow is how long before the first and after the last line of a request the
+	// other lines of its instances may be relevant to it.
 	contextWindow = 3 * time.Second
 )
 
@@ -28,30 +28,30 @@
 	module  string
 	message string
 	fields  map[string]any
-	// index is the line's number among those of its reader.
+	// index is the line's position in Timeline.lines.
 	index int
 }
 
-// Timeline holds the lines that were read.
+// Timeline holds the log lines that were read. It is not safe for concurrent use.
 type Timeline struct {
 	lines []line
-	// Skipped counts lines that are no JSON.
+	// Skipped counts lines that are not JSON log lines.
 	Skipped int
 }
 
-// Read takes in the lines of one reader. What stands before the first brace, such
-// as a collector's own time, is passed over.
-func (s *Timeline) Read(from io.Reader) error {
+// Read adds the lines of one reader. Text before the first brace of a line, such as the
+// timestamp of a log collector, is ignored.
+func (t *Timeline) Read(from io.Reader) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		l, ok := parse(scanner.Bytes())
 		if !ok {
-			s.Skipped++
+			t.Skipped++
 			continue
 		}
-		l.index = len(s.lines)
-		s.lines = append(s.lines, l)
+		l.index = len(t.lines)
+		t.lines = append(t.lines, l)
 	}
 	return scanner.Err()
 }
@@ -81,43 +81,45 @@
 	return id
 }
 
-// Print writes the story of the request and tells whether there is one. Lines of
-// one instance stand in the order in which it wrote them, whatever its clock did;
-// those of several are ordered by their clocks, which may disagree.
-func (s *Timeline) Print(w io.Writer, request string) bool {
-	var own []line
-	for _, l := range s.lines {
+// Print writes the lines of the request, marked with an asterisk, and the lines that may
+// be relevant to it. It reports whether there are lines of the request. Lines of one
+// instance keep the order in which it wrote them, even if its clock jumped; lines of
+// several instances are ordered by their clocks, which may disagree.
+func (t *Timeline) Print(w io.Writer, request string) bool {
+	var requestLines []line
+	for _, l := range t.lines {
 		if l.request() == request {
-			own = append(own, l)
+			requestLines = append(requestLines, l)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return false
 	}
-	told := append(own, s.contextLines(own)...)
-	slices.SortStableFunc(told, func(a, b line) int {
+	all := append(requestLines, t.contextLines(requestLines)...)
+	slices.SortStableFunc(all, func(a, b line) int {
 		if a.module == b.module {
 			return cmp.Compare(a.index, b.index)
 		}
 		return a.at.Compare(b.at)
 	})
-	for _, l := range told {
+	for _, l := range all {
 		mark := " "
 		if l.request() == request {
 			mark = "*"
 		}
 		fmt.Fprintf(w, "%s %s %-24s %s%s\n", mark, l.at.Format("15:04:05.000"), l.module, l.message, l.details())
 	}
-	if s.countModules(own) > 1 {
-		fmt.Fprintln(w, "lines of several instances: ordered by their clocks, which may disagree")
+	if t.countModules(requestLines) > 1 {
+		fmt.Fprintln(w, "lines of several instances are ordered by their clocks, which may disagree")
 	}
 	return true
 }
 
-// contextLines are the lines about no request that the same instances wrote meanwhile.
-func (s *Timeline) contextLines(own []line) []line {
+// contextLines returns the lines without a request that the same instances wrote within
+// contextWindow of the request, and their restarts after that.
+func (t *Timeline) contextLines(requestLines []line) []line {
 	first, last := make(map[string]time.Time), make(map[string]time.Time)
-	for _, l := range own {
+	for _, l := range requestLines {
 		if at, ok := first[l.module]; !ok || l.at.Before(at) {
 			first[l.module] = l.at
 		}
@@ -125,8 +127,8 @@
 			last[l.module] = l.at
 		}
 	}
-	found := s.restarts(last)
-	for _, l := range s.lines {
+	found := t.restarts(last)
+	for _, l := range t.lines {
 		begin, ok := first[l.module]
 		if ok && l.request() == "" && !l.at.Before(begin.Add(-contextWindow)) && !l.at.After(last[l.module].Add(contextWindow)) {
 			found = append(found, l)
@@ -135,13 +137,13 @@
 	return found
 }
 
-// restarts are the first starts of the same instances after the request's last
-// line, where they came too late to count as belonging to it: a request without an
-// end may have gone down with its instance.
-func (s *Timeline) restarts(last map[string]time.Time) []line {
+// restarts returns the first start of each of these instances that came later than
+// contextWindow after the last line of the request. A request without a final line may
+// have failed with its instance.
+func (t *Timeline) restarts(last map[string]time.Time) []line {
 	var found []line
 	seen := make(map[string]bool)
-	for _, l := range s.lines {
+	for _, l := range t.lines {
 		at, ok := last[l.module]
 		if ok && l.message == "started" && l.at.After(at.Add(contextWindow)) && !seen[l.module] {
 			seen[l.module] = true
@@ -151,15 +153,15 @@
 	return found
 }
 
-func (s *Timeline) countModules(own []line) int {
+func (t *Timeline) countModules(requestLines []line) int {
 	names := make(map[string]bool)
-	for _, l := range own {
+	for _, l := range requestLines {
 		names[l.module] = true
 	}
 	return len(names)
 }
 
-// details lists the other fields by name.
+// details returns the remaining fields, sorted by name.
 func (l *line) details() string {
 	var names []string
 	for name := range l.fields {
--- a/process/logs/story/story_test.go
+++ b/process/logs/story/story_test.go
@@ -16,19 +16,19 @@
 {"@level":"info","@message":"started","@module":"e2","@timestamp":"2026-01-01T00:00:02.000Z"}
 `
 
-// An engineer has the logs of all instances and a request's id. One instance's
-// clock jumped back in between; its lines must still stand in their order.
-func TestStoryOfOneRequest(t *testing.T) {
+// The clock of an instance jumps back while it handles a request. Its lines must still
+// be printed in the order in which they were written.
+func TestPrintKeepsOrderOfInstance(t *testing.T) {
 	is := is.New(t)
-	s := &Timeline{}
-	is.NoErr(s.Read(strings.NewReader(lines)))
-	is.Equal(s.Skipped, 1)
+	timeline := &Timeline{}
+	is.NoErr(timeline.Read(strings.NewReader(lines)))
+	is.Equal(timeline.Skipped, 1)
 	var text strings.Builder
-	is.True(s.Print(&text, "id1"))
-	told := strings.Split(strings.TrimSpace(text.String()), "\n")
-	is.Equal(len(told), 3)
-	is.True(strings.Contains(told[0], "document in force version=7"))
-	is.True(strings.HasPrefix(told[1], "*") && strings.Contains(told[1], `sent server="i-1"`))
-	is.True(strings.Contains(told[2], `attempt failed error="reset"`))
-	is.True(!s.Print(&text, "id9"))
+	is.True(timeline.Print(&text, "id1"))
+	printed := strings.Split(strings.TrimSpace(text.String()), "\n")
+	is.Equal(len(printed), 3)
+	is.True(strings.Contains(printed[0], "document in force version=7"))
+	is.True(strings.HasPrefix(printed[1], "*") && strings.Contains(printed[1], `sent server="i-1"`))
+	is.True(strings.Contains(printed[2], `attempt failed error="reset"`))
+	is.True(!timeline.Print(&text, "id9"))
 }
--- a/process/logs/writer.go
+++ b/process/logs/writer.go
@@ -1,5 +1,5 @@
-// Package logs writes a process's log: JSON lines on standard output that never
-// hold up what the process does, and whose number is bounded.
+// Package logs writes the log of a process as JSON lines. Writing never blocks the
+// process, and the number of lines is limited.
 package logs
 
 import (
@@ -11,19 +11,19 @@
 )
 
 const (
-	// queueLength is how many lines may wait for a reader that is slow: a second's
-	// worth at the budget of all kinds together.
+	// queueLength is the number of lines that may wait for a slow reader: more than one
+	// second of lines at the limits of all kinds.
 	queueLength = 1024
-	// flushTimeout bounds the wait for the last lines when the process ends.
+	// flushTimeout limits the wait for the last lines when the process exits.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer passes lines on from a goroutine of its own.
+// Writer forwards lines from a separate goroutine.
 //
-// It guards against a standard output that nobody reads: a full pipe would stop
-// each request at its first line. It shows as an instance that hangs for no
-// reason of its own. It holds because a line that finds no room is dropped and
-// counted; the count is told with the next line that goes out.
+// If nobody reads standard output, a full pipe would block each request at its first
+// line and the instance would hang. Writer therefore drops and counts a line when its
+// queue is full, and writes the count before the next line. It is safe for concurrent
+// use.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -33,28 +33,28 @@
 	once    sync.Once
 }
 
-// NewWriter returns a Writer to out; Close ends its goroutine.
+// NewWriter returns a Writer to out. Close stops its goroutine.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write queues a copy of one line. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	queued := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- queued:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines found no room so far and were not told of yet.
+// Dropped returns the number of dropped lines that have not been reported yet.
 func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
 
-// Close waits a moment for the lines that were taken.
+// Close waits up to flushTimeout until the queued lines are written.
 func (w *Writer) Close() error {
 	w.once.Do(func() { close(w.closing) })
 	select {
@@ -88,10 +88,10 @@
 	}
 }
 
-// write ignores errors: there is no other place to tell them.
+// write ignores errors because there is no other place to report them.
 func (w *Writer) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
-		_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped, nobody read them in time","@timestamp":%q,"lines":%d}`+"\n", time.Now().UTC().Format(time.RFC3339Nano), n)
+		_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped: the output was not read in time","@timestamp":%q,"lines":%d}`+"\n", time.Now().UTC().Format(time.RFC3339Nano), n)
 	}
 	_, _ = w.out.Write(line)
 }
--- a/process/secret/keys.go
+++ b/process/secret/keys.go
@@ -8,12 +8,12 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Keys are the keys that lilacbridge's own processes share. The first one proves
-// what this process says, each of them is taken as proof of another's. So a key
-// is replaced without a moment at which two processes refuse each other.
+// Keys are the keys that lilacbridge processes share. A process authenticates itself with
+// the first key and accepts any of them from others. A key can therefore be replaced
+// while all processes keep accepting each other.
 type Keys [][]byte
 
-// ReadKeys reads one key a line; empty lines and lines that begin with # are skipped.
+// ReadKeys reads one key per line. Empty lines and lines that begin with # are ignored.
 func ReadKeys(file string) (Keys, error) {
 	data, err := readPrivate(file)
 	if err != nil {
@@ -26,17 +26,17 @@
 			continue
 		}
 		if len(key) < minKeyBytes {
-			return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%s:%d: the key has fewer than %d bytes; write a longer random key", file, number+1, minKeyBytes)
+			return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%s:%d: the key has fewer than %d bytes; use a longer random key", file, number+1, minKeyBytes)
 		}
 		keys = append(keys, []byte(key))
 	}
 	if len(keys) == 0 {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "key file %s holds no key; write a random one of at least %d bytes", file, minKeyBytes)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "key file %s has no key; add a random one of at least %d bytes", file, minKeyBytes)
 	}
 	return keys, nil
 }
 
-// OpenKeys reads the keys of the file, or takes the key itself where that is set.
+// OpenKeys reads the keys from file, or uses key instead if it is set.
 func OpenKeys(file, key string) (*Reloadable[Keys], error) {
 	if key != "" {
 		return Fixed(Keys{[]byte(key)}), nil
@@ -44,17 +44,16 @@
 	return Open(file, ReadKeys)
 }
 
-// Contains tells whether the key is one of them, in a time that does not depend on
-// the keys' bytes.
+// Contains reports whether key is one of the keys. It compares in constant time.
 func (k Keys) Contains(key []byte) bool {
 	found := 0
-	for _, own := range k {
-		found |= subtle.ConstantTimeCompare(own, key)
+	for _, known := range k {
+		found |= subtle.ConstantTimeCompare(known, key)
 	}
 	return found == 1
 }
 
-// StaticKeys returns a source of keys that never change.
+// StaticKeys returns a function that always returns the given keys.
 func StaticKeys(keys ...[]byte) func() Keys {
 	return func() Keys { return keys }
 }
--- a/process/secret/reload.go
+++ b/process/secret/reload.go
@@ -11,15 +11,15 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Reloadable is what a file of keys or tokens holds. Any goroutine may read it
-// while it is reloaded.
+// Reloadable is the content of a file of keys or tokens. It is safe for concurrent use,
+// also during a reload.
 type Reloadable[T any] struct {
 	file  string
 	read  func(file string) (T, error)
 	value atomic.Pointer[T]
 }
 
-// Open reads the file with read, which is called again by Reload.
+// Open reads the file with read. Reload calls read again.
 func Open[T any](file string, read func(file string) (T, error)) (*Reloadable[T], error) {
 	r := &Reloadable[T]{file: file, read: read}
 	return r, r.Reload()
@@ -32,10 +32,10 @@
 	return r
 }
 
-// Get returns the value as of the last Reload that went well.
+// Get returns the value of the last successful Reload.
 func (r *Reloadable[T]) Get() T { return *r.value.Load() }
 
-// Reload reads the file again. On an error the value before stays in force.
+// Reload reads the file again. On an error the previous value stays in force.
 func (r *Reloadable[T]) Reload() error {
 	value, err := r.read(r.file)
 	if err != nil {
@@ -48,8 +48,8 @@
 // Reloader is a file that can be read again.
 type Reloader interface{ Reload() error }
 
-// ReloadOnHangUp reads the files again at each SIGHUP until ctx ends, and calls
-// then once all are right. A file that is wrong changes nothing of its own.
+// ReloadOnHangUp reloads the files on each SIGHUP until ctx ends, and calls then if all
+// of them succeeded. A file that fails keeps its previous value.
 func ReloadOnHangUp(ctx context.Context, logger hclog.Logger, then func(), files ...Reloader) {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
@@ -70,7 +70,7 @@
 		errs = append(errs, file.Reload())
 	}
 	if err := errors.Join(errs...); err != nil {
-		logger.Error("keys not reloaded, the old ones stay in force", "error", err)
+		logger.Error("failed to reload keys; files with errors keep the previous ones", "error", err)
 		return
 	}
 	then()
--- a/process/secret/secret_test.go
+++ b/process/secret/secret_test.go
@@ -14,9 +14,8 @@
 	return file
 }
 
-// A team's caller writes another team's name into its token. It must not be
-// able to speak as that team.
-func TestTokenSpeaksForOneTeamOnly(t *testing.T) {
+// A caller replaces the team in its token by another team. The token must be rejected.
+func TestTokenIsValidForOneTeam(t *testing.T) {
 	is := is.New(t)
 	key := []byte("0123456789abcdef")
 	token := CallerToken(key, "coop.west")
@@ -29,7 +28,7 @@
 	}
 }
 
-func TestKeyFileMustBePrivateAndLong(t *testing.T) {
+func TestKeyFileMustBePrivateAndLongEnough(t *testing.T) {
 	is := is.New(t)
 	_, err := ReadKey(write(t, "0123456789abcdef\n", 0o644))
 	is.True(err != nil) // readable by others
@@ -40,7 +39,7 @@
 	is.Equal(len(key), 16)
 }
 
-func TestKeysStandOneALine(t *testing.T) {
+func TestReadKeysReadsOnePerLine(t *testing.T) {
 	is := is.New(t)
 	keys, err := ReadKeys(write(t, "# the new one first\nfedcba9876543210\n\n0123456789abcdef\r\n", 0o600))
 	is.NoErr(err)
@@ -67,10 +66,9 @@
 	is.True(err != nil)
 }
 
-// An operator replaces the tokens' file by one with a slip and tells the entry
-// to read it again. The old tokens must stay in force; once the file is right,
-// the new ones are.
-func TestWrongFileKeepsTheTokensBefore(t *testing.T) {
+// A tokens file with an error is reloaded. The previous tokens must stay in force until
+// the file is corrected.
+func TestInvalidFileKeepsPreviousTokens(t *testing.T) {
 	is := is.New(t)
 	file := write(t, "op-1 0123456789abcdef\n", 0o600)
 	operators, err := Open(file, ReadOperators)
