--- a/process/build/build.go
+++ b/process/build/build.go
@@ -1,4 +1,4 @@
-// Package build tells which version of lilacbridge a process runs.
+// Package build holds the version of the lilacbridge binary.
 package build
 
 // Version is set by the linker to the commit that the binary was built from.
--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads time that goes on while the machine is suspended.
+// Package clock provides a monotonic clock that includes the time during which the
+// machine is suspended.
 package clock
 
 import (
@@ -7,17 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the time since the machine started, suspension included.
+// Boot returns the time since the machine was booted, including suspension.
 //
-// It guards against leases and ages that stand still with a suspended machine:
-// the monotonic clock that time.Now carries does not count that time. It shows
-// as an instance that wakes and takes what it knew seconds ago for fresh. It
-// holds because this clock counts the suspension too.
+// The monotonic clock of time.Now stops during suspension. With that clock, leases would
+// not expire and ages would not grow, and an instance that resumes would treat outdated
+// state as fresh.
 func Boot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
-		// Every kernel that Go runs on has this clock.
-		panic("clock: CLOCK_BOOTTIME can't be read: " + err.Error())
+		// Every Linux version that Go supports has this clock.
+		panic("clock: can't read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(now.Nano())
 }
--- a/process/fault/fault.go
+++ b/process/fault/fault.go
@@ -1,8 +1,8 @@
-// Package fault holds the typed errors that every layer of lilacbridge uses,
-// towards callers, operators and between its own processes.
+// Package fault provides the typed errors that lilacbridge returns to callers and
+// operators and exchanges between its own processes.
 //
-// Each error has a kind, says whether the request may have run, and when to
-// come back. Its message names what is wrong and the remedy.
+// Each error has a kind and may state whether the request has run, when to retry and
+// which address to use instead. Its message names the problem and the remedy.
 package fault
 
 import (
@@ -17,10 +17,10 @@
 	lilacv1 "github.com/lilacbridge/lilacbridge/api/lilacbridge/v1"
 )
 
-// Kind is the typed kind of an error; see docs/INTERFACES.md for the table.
+// Kind is the kind of an error; docs/INTERFACES.md lists all kinds.
 type Kind = lilacv1.ErrorKind
 
-// NotRun says whether a refused request may have run.
+// NotRun tells whether it is certain that a refused request has not run.
 type NotRun = lilacv1.NotRun
 
 type valueKey int
@@ -35,7 +35,7 @@
 // Option adds a detail to an error.
 type Option func(error) error
 
-// New makes an error of the kind; the message names the remedy.
+// New returns an error of the kind. The message should name the remedy.
 func New(kind Kind, message string, options ...Option) error {
 	err := merry.New(message, merry.WithValue(kindKey, kind), merry.NoCaptureStack())
 	for _, option := range options {
@@ -44,12 +44,13 @@
 	return err
 }
 
-// Newf is New with a formatted message and no options.
+// Newf is like New with a formatted message and no options.
 func Newf(kind Kind, format string, args ...any) error {
 	return New(kind, fmt.Sprintf(format, args...))
 }
 
-// Wrap gives err a kind and puts the message, which names the remedy, before its own.
+// Wrap returns err with a kind and with message prepended. The message should name the
+// remedy.
 func Wrap(err error, kind Kind, message string, options ...Option) error {
 	wrapped := merry.Prepend(err, message, merry.WithValue(kindKey, kind), merry.NoCaptureStack())
 	for _, option := range options {
@@ -58,23 +59,23 @@
 	return wrapped
 }
 
-// WithNotRun states whether the request may have run.
+// WithNotRun sets whether it is certain that the request has not run.
 func WithNotRun(notRun NotRun) Option {
 	return func(err error) error { return merry.Wrap(err, merry.WithValue(notRunKey, notRun)) }
 }
 
-// WithRetryAfter states when the caller should come back.
+// WithRetryAfter sets the time after which the caller should retry.
 func WithRetryAfter(after time.Duration) Option {
 	return func(err error) error { return merry.Wrap(err, merry.WithValue(retryAfterKey, after)) }
 }
 
-// WithLeader names the address that can answer instead.
+// WithLeader sets the address to which the request should be sent instead.
 func WithLeader(address string) Option {
 	return func(err error) error { return merry.Wrap(err, merry.WithValue(leaderKey, address)) }
 }
 
-// KindOf returns the kind of err. Errors that carry none are timeouts where the
-// context ended, else internal; nil is unspecified.
+// KindOf returns the kind of err. Without a kind, an exceeded context deadline is a
+// timeout and any other error is internal. The kind of nil is unspecified.
 func KindOf(err error) Kind {
 	if err == nil {
 		return lilacv1.ErrorKind_ERROR_KIND_UNSPECIFIED
@@ -88,7 +89,7 @@
 	return lilacv1.ErrorKind_ERROR_KIND_INTERNAL
 }
 
-// NotRunOf returns what err says of the request; unknown if it says nothing.
+// NotRunOf returns the value set by WithNotRun, or unknown.
 func NotRunOf(err error) NotRun {
 	if notRun, ok := merry.Value(err, notRunKey).(NotRun); ok {
 		return notRun
@@ -96,29 +97,30 @@
 	return lilacv1.NotRun_NOT_RUN_UNKNOWN
 }
 
-// RetryAfterOf returns when to come back; 0 if err does not say.
+// RetryAfterOf returns the value set by WithRetryAfter, or 0.
 func RetryAfterOf(err error) time.Duration {
 	after, _ := merry.Value(err, retryAfterKey).(time.Duration)
 	return after
 }
 
-// LeaderOf returns the address that can answer instead, or "".
+// LeaderOf returns the address set by WithLeader, or "".
 func LeaderOf(err error) string {
 	leader, _ := merry.Value(err, leaderKey).(string)
 	return leader
 }
 
-// Is tells whether err has the kind.
+// Is reports whether err is not nil and has the kind.
 func Is(err error, kind Kind) bool {
 	return err != nil && KindOf(err) == kind
 }
 
-// Name returns the kind as it stands in JSON and in labels, such as "no_quorum".
+// Name returns the name of the kind in JSON and in metric labels, such as "no_quorum".
 func Name(kind Kind) string {
 	return strings.ToLower(strings.TrimPrefix(kind.String(), "ERROR_KIND_"))
 }
 
-// ToStatus turns err into the closing frame of a stream; nil gives an empty status.
+// ToStatus converts err to the final frame of a stream. It returns an empty status for
+// nil.
 func ToStatus(err error) *lilacv1.LinkStatus {
 	if err == nil {
 		return &lilacv1.LinkStatus{}
@@ -132,7 +134,7 @@
 	}
 }
 
-// FromStatus is the inverse of ToStatus.
+// FromStatus converts a status from ToStatus back to an error, or to nil if it is empty.
 func FromStatus(status *lilacv1.LinkStatus) error {
 	if status.GetKind() == lilacv1.ErrorKind_ERROR_KIND_UNSPECIFIED {
 		return nil
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -1,5 +1,6 @@
-// Package metrics holds a process's counters, for /metrics. Labels are bounded:
-// class, kind, pool, tier, end; never a team or a request.
+// Package metrics defines the metrics of a process, which /metrics serves. The number of
+// label values is bounded: labels are class, kind, pool, tier and end, but never a team
+// or a request.
 package metrics
 
 import (
@@ -16,7 +17,8 @@
 	"github.com/lilacbridge/lilacbridge/process/build"
 )
 
-// NewRegistry returns a registry with the process's own figures and its version.
+// NewRegistry returns a registry with the metrics of the Go runtime and the process, and
+// the build version.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	info := prometheus.NewGauge(prometheus.GaugeOpts{
@@ -28,11 +30,11 @@
 	return registry
 }
 
-// ownPrefix begins the names of lilacbridge's own metrics.
+// ownPrefix is the prefix of lilacbridge's own metrics.
 const ownPrefix = "lilacbridge_"
 
-// Handler serves the registry, lilacbridge's own counters and gauges first, then its
-// histograms: what collects the page may keep only its beginning.
+// Handler serves the registry with lilacbridge's own counters and gauges first, followed
+// by its histograms, because some collectors only keep the beginning of the page.
 func Handler(registry *prometheus.Registry) http.Handler {
 	ownFirst := prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := registry.Gather()
@@ -52,10 +54,10 @@
 	return 0
 }
 
-// firstTokenBuckets are in seconds.
+// firstTokenBuckets are the upper bounds of histogram buckets in seconds.
 var firstTokenBuckets = []float64{.05, .1, .2, .3, .42, .6, 1, 2, 4, 8, 16, 32, 64}
 
-// Entry holds the counters of an entry instance.
+// Entry holds the metrics of an entry instance. It is safe for concurrent use.
 type Entry struct {
 	requests    *prometheus.CounterVec
 	refusals    *prometheus.CounterVec
@@ -66,7 +68,7 @@
 	violations  *prometheus.CounterVec
 }
 
-// NewEntry returns counters registered with registry.
+// NewEntry returns metrics that are registered with registry.
 func NewEntry(registry *prometheus.Registry) *Entry {
 	counters := func(name, help, label string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{label})
@@ -84,13 +86,13 @@
 	return e
 }
 
-// Request counts a request that passed the checks.
+// Request counts a request that passed validation.
 func (e *Entry) Request(class string) { e.requests.WithLabelValues(class).Inc() }
 
-// Refused counts an error answered to a caller.
+// Refused counts an error returned to a caller.
 func (e *Entry) Refused(kind string) { e.refusals.WithLabelValues(kind).Inc() }
 
-// Attempt counts how an attempt ended.
+// Attempt counts an attempt by how it ended.
 func (e *Entry) Attempt(end string) { e.attempts.WithLabelValues(end).Inc() }
 
 // FirstToken observes the time from arrival to the first token.
@@ -98,11 +100,11 @@
 	e.firstToken.WithLabelValues(class).Observe(wait.Seconds())
 }
 
-// Tokens counts tokens of answers.
+// Tokens adds n tokens of responses.
 func (e *Entry) Tokens(n int) { e.tokens.Add(float64(n)) }
 
-// Saved counts tokens that were not made again.
+// Saved adds n tokens of interrupted responses that did not have to be generated again.
 func (e *Entry) Saved(n int) { e.tokensSaved.Add(float64(n)) }
 
-// Broken counts a broken invariant.
+// Broken counts a violation of the invariant.
 func (e *Entry) Broken(invariant string) { e.violations.WithLabelValues(invariant).Inc() }
--- a/process/metrics/traffic.go
+++ b/process/metrics/traffic.go
@@ -2,7 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// RegisterTraffic adds a counter by direction, sent or received.
+// RegisterTraffic registers a counter with the label direction, sent or received. count
+// is called at each scrape and must be safe for concurrent use.
 func RegisterTraffic(registry prometheus.Registerer, name, help string, count func() (sent, received uint64)) {
 	add := func(direction string, value func() float64) {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -19,7 +20,8 @@
 	})
 }
 
-// Names and help texts of the counters of the links between lilacbridge's processes.
+// Names and help texts of the traffic counters of the links between lilacbridge
+// processes.
 const (
 	LinkBytes       = "lilacbridge_link_bytes_total"
 	LinkBytesHelp   = "Bytes of the links to other processes of lilacbridge, without packet headers."
