--- a/cmd/lilacload/changes.go
+++ b/cmd/lilacload/changes.go
@@ -28,11 +28,11 @@
 
 func (o *changeOptions) register(command *cobra.Command) {
 	flags := command.Flags()
-	flags.StringSliceVar(&o.endpoints, "endpoint", nil, "operators' address of an entry, more than once")
+	flags.StringSliceVar(&o.endpoints, "endpoint", nil, "operators' address of an entry, repeatable")
 	flags.StringVar(&o.tokenFile, "token-file", "", "file with the operator's token")
-	flags.StringVar(&o.record, "record", "", "file with the accepted changes")
+	flags.StringVar(&o.record, "record", "", "file that records the accepted changes")
 	for _, name := range []string{"endpoint", "token-file", "record"} {
-		// It fails for a flag that is not defined, and these are, above.
+		// It fails only for an undefined flag.
 		_ = command.MarkFlagRequired(name)
 	}
 }
@@ -49,17 +49,17 @@
 	var o changeOptions
 	command := &cobra.Command{
 		Use:   "changes",
-		Short: "Give changes one after the other and record those that were accepted",
+		Short: "Submit changes one after the other and record the accepted ones",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.change(command) },
 	}
 	o.register(command)
 	flags := command.Flags()
-	flags.StringVar(&o.plan.Prefix, "prefix", "probe", "beginning of the names of the teams that are made")
-	flags.IntVar(&o.plan.Count, "count", 0, "number of changes; 0 for as many as the duration allows")
+	flags.StringVar(&o.plan.Prefix, "prefix", "probe", "prefix of the names of the created teams")
+	flags.IntVar(&o.plan.Count, "count", 0, "number of changes; 0 means no limit")
 	flags.DurationVar(&o.plan.Interval, "interval", 50*time.Millisecond, "pause between changes")
-	flags.DurationVar(&o.plan.Resend, "resend", 40*time.Second, "how long a change without an answer is sent again")
-	flags.DurationVar(&o.duration, "duration", time.Hour, "when to stop; SIGTERM stops as well")
+	flags.DurationVar(&o.plan.Resend, "resend", 40*time.Second, "how long to retry a change without a final response")
+	flags.DurationVar(&o.duration, "duration", time.Hour, "time after which to stop; SIGTERM also stops")
 	return command
 }
 
@@ -72,7 +72,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, o.duration)
 	defer cancel()
-	log := loadgen.MakeChanges(ctx, client, o.plan)
+	log := loadgen.ApplyChanges(ctx, client, o.plan)
 	data, err := json.Marshal(log)
 	if err != nil {
 		return err
@@ -81,9 +81,9 @@
 		return err
 	}
 	fmt.Fprintf(command.OutOrStdout(), "accepted %d refused %v unknown %d longest_gap_ms %d disorder %d\n",
-		len(log.Accepted), log.Refused, len(log.Unknown), log.LongestGapMS, len(log.Disorder))
-	if len(log.Disorder) > 0 {
-		return errBroken
+		len(log.Accepted), log.Refused, len(log.Unknown), log.MaxGapMS, len(log.OutOfOrder))
+	if len(log.OutOfOrder) > 0 {
+		return errViolation
 	}
 	return nil
 }
@@ -92,12 +92,12 @@
 	var o changeOptions
 	command := &cobra.Command{
 		Use:   "verify",
-		Short: "Check that every accepted change is in force at every endpoint",
+		Short: "Verify that every accepted change is in force at every endpoint",
 		Args:  cobra.NoArgs,
 		RunE:  func(command *cobra.Command, _ []string) error { return o.verify(command) },
 	}
 	o.register(command)
-	command.Flags().DurationVar(&o.within, "within", 13*time.Second, "how long each endpoint may take")
+	command.Flags().DurationVar(&o.within, "within", 13*time.Second, "time within which each endpoint must show all changes")
 	return command
 }
 
@@ -111,27 +111,27 @@
 		return err
 	}
 	if len(log.Accepted) == 0 {
-		return errors.New("the record holds no accepted change: nothing can be verified")
+		return errors.New("the record contains no accepted change to verify")
 	}
-	all := make(map[string]bool)
-	silent := 0
+	lostTeams := make(map[string]bool)
+	unreachable := 0
 	for _, endpoint := range o.endpoints {
 		client, err := o.client(endpoint)
 		if err != nil {
 			return err
 		}
-		lost, err := loadgen.Verify(command.Context(), client, log, o.within)
+		lost, err := loadgen.VerifyChanges(command.Context(), client, log, o.within)
 		if err != nil {
-			silent++
+			unreachable++
 			fmt.Fprintf(command.ErrOrStderr(), "%s: %v\n", endpoint, err)
 		}
 		for _, team := range lost {
-			all[team] = true
+			lostTeams[team] = true
 		}
 	}
-	fmt.Fprintf(command.OutOrStdout(), "accepted %d lost %d silent %d\n", len(log.Accepted), len(all), silent)
-	if len(all)+silent > 0 {
-		return errBroken
+	fmt.Fprintf(command.OutOrStdout(), "accepted %d lost %d silent %d\n", len(log.Accepted), len(lostTeams), unreachable)
+	if len(lostTeams)+unreachable > 0 {
+		return errViolation
 	}
 	return nil
 }
--- a/faultsoak/soak_test.go
+++ b/faultsoak/soak_test.go
@@ -14,23 +14,23 @@
 
 var (
 	seed    = flag.Uint64("seed", 1, "first seed")
-	seeds   = flag.Uint64("seeds", 1, "how many seeds, one after the other")
-	length  = flag.Duration("length", 8*time.Second, "how long faults come in a run")
-	states  = flag.Int("states", 3, "state processes")
+	seeds   = flag.Uint64("seeds", 1, "number of consecutive seeds")
+	length  = flag.Duration("length", 8*time.Second, "duration of fault injection in a run")
+	states  = flag.Int("states", 3, "number of state processes")
 	entries = flag.Int("entries", 3, "entries")
-	servers = flag.Int("servers", 6, "backend servers")
-	keep    = flag.String("keep", "", "folder for logs, which stay; default a temporary one")
+	servers = flag.Int("servers", 6, "number of backend servers")
+	keep    = flag.String("keep", "", "folder in which logs are kept; default a temporary one")
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that have failed, with the cause. They are always run.
 var regressions = map[uint64]string{
-	1:   "an entry took the empty answer of processes without a group for the group, and never got a configuration",
-	14:  "the stand-in answered streams with a plain text where it framed an answer badly; so did seeds 32 and 44",
-	521: "two drains of one server overlapped, and the second one's end was taken for that of a drain since the year 1",
+	1:   "an entry mistook the empty reply of processes without a group for the group, and never got a configuration",
+	14:  "the stand-in answered streams with plain text when injecting a framing fault; also seeds 32 and 44",
+	521: "two drains of a server overlapped, and the end of the second was recorded as that of a drain with zero start time",
 }
 
-// programs builds the real programs into a folder.
-func programs(t *testing.T, folder string) {
+// buildPrograms builds the real programs into a folder.
+func buildPrograms(t *testing.T, folder string) {
 	for _, name := range []string{"lilacbridge-entry", "lilacbridge-state"} {
 		out, err := exec.Command("go", "build", "-o", filepath.Join(folder, name), "../cmd/"+name).CombinedOutput()
 		if err != nil {
@@ -39,15 +39,15 @@
 	}
 }
 
-// Processes are killed, stopped, paused, emptied, cut off and delayed in series and
-// at once, while callers keep their connections and operators send documents. What
-// was promised must hold all the while, and all must serve again in the end.
+// Guards against violated guarantees under faults: processes are killed, stopped, paused,
+// wiped, partitioned and delayed, in sequence and concurrently, while callers keep their
+// connections and operators send documents. Afterwards the fleet must recover.
 func TestFaultSoak(t *testing.T) {
 	folder := *keep
 	if folder == "" {
 		folder = t.TempDir()
 	}
-	programs(t, folder)
+	buildPrograms(t, folder)
 	list := make([]uint64, 0, *seeds)
 	for i := range *seeds {
 		list = append(list, *seed+i)
@@ -57,7 +57,7 @@
 	}
 	checks := int64(0)
 	for _, one := range list {
-		r := soak(t, folder, one)
+		r := runSeed(t, folder, one)
 		checks += r.checked.Load()
 		for _, problem := range r.problems {
 			t.Errorf("seed %d: %s", one, problem)
@@ -69,22 +69,22 @@
 	t.Logf("fault-soak: ok seeds=%d checks=%d", len(list), checks)
 }
 
-// The whole path on the platform's protocol, as separate processes: callers, two
-// documents and a graceful restart. make demo FLEET=platform shows it.
+// The complete request path with the platform's protocol in separate processes: callers,
+// two document changes and a graceful restart. make demo FLEET=platform runs it.
 func TestPlatformDemo(t *testing.T) {
 	folder := t.TempDir()
-	programs(t, folder)
-	r := play(t, folder, []step{
-		{time.Second, "change of the document", (*run).change},
-		{2 * time.Second, "entry-1 is restarted", func(r *run) { r.down(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
-		{3 * time.Second, "change of the document", (*run).change},
+	buildPrograms(t, folder)
+	r := runSteps(t, folder, []step{
+		{time.Second, "document change", (*run).change},
+		{2 * time.Second, "entry-1 restarted", func(r *run) { r.stopAndRestart(r.fleet.entries[1], syscall.SIGTERM, time.Second) }},
+		{3 * time.Second, "document change", (*run).change},
 	})
 	for _, problem := range r.problems {
 		t.Error(problem)
 	}
 	served := 0
 	for _, c := range r.calls {
-		if c.status == http.StatusOK && !c.cut {
+		if c.status == http.StatusOK && !c.interrupted {
 			served++
 		}
 	}
@@ -94,12 +94,12 @@
 	}
 }
 
-func soak(t *testing.T, programs string, seed uint64) *run {
-	return play(t, programs, plan(seed, *length, *states, *entries, *servers))
+func runSeed(t *testing.T, programs string, seed uint64) *run {
+	return runSteps(t, programs, plan(seed, *length, *states, *entries, *servers))
 }
 
-// play starts a fleet, has the steps happen and judges what was seen.
-func play(t *testing.T, programs string, steps []step) *run {
+// runSteps starts a fleet, executes the steps and checks the results.
+func runSteps(t *testing.T, programs string, steps []step) *run {
 	is := is.New(t)
 	f, err := newFleet(programs, *states, *entries, *servers)
 	is.NoErr(err)
@@ -113,28 +113,28 @@
 	for _, entry := range f.entries {
 		for range 3 {
 			r.callers.Add(1)
-			go r.callFrom(entry, 15*time.Millisecond)
+			go r.sendRequests(entry, 15*time.Millisecond)
 		}
 	}
-	end := time.Now().Add(startPatience)
-	for !r.servedLately() {
+	end := time.Now().Add(startTimeout)
+	for !r.servingRecently() {
 		if time.Now().After(end) {
-			t.Fatalf("the fleet does not serve %v after its start", startPatience)
+			t.Fatalf("the fleet does not serve within %v of its start", startTimeout)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	begun := time.Now()
+	started := time.Now()
 	for _, s := range steps {
-		time.Sleep(s.at - time.Since(begun))
+		time.Sleep(s.at - time.Since(started))
 		t.Log(s)
 		s.do(r)
 		r.readBack(f.states[int(s.at/time.Millisecond)%len(f.states)])
 	}
 	r.faults.Wait()
-	r.recovered()
+	r.waitForRecovery()
 	close(r.stop)
 	r.callers.Wait()
-	r.judge()
-	r.judgeLogs()
+	r.checkResults()
+	r.checkLogs()
 	return r
 }
--- a/loadgen/caller.go
+++ b/loadgen/caller.go
@@ -15,86 +15,88 @@
 	"time"
 )
 
-// Caller sends requests to a fleet's entries, as callers behind a balancer do.
+// Caller sends requests to a fleet's entries like a caller behind a load balancer. It is
+// safe for concurrent use.
 type Caller struct {
 	// Entries are base URLs.
 	Entries []string
 	// Token returns the bearer token of a team.
-	Token func(team string) string
-	// Client makes the calls.
+	Token  func(team string) string
 	Client *http.Client
 
-	mu   sync.Mutex
-	down map[int]time.Time
+	mu sync.Mutex
+	// unavailable holds until when an entry is skipped. Guarded by mu.
+	unavailable map[int]time.Time
 }
 
-// downFor is how long the balancer leaves out an entry that took no connection.
-const downFor = time.Second
+// unavailableFor is how long an entry is skipped after it refused a connection, or a request
+// because it was draining.
+const unavailableFor = time.Second
 
-// NewCaller returns a Caller that makes a connection for each request.
+// NewCaller returns a Caller that opens a connection for each request.
 func NewCaller(entries []string, token func(string) string) *Caller {
 	transport := &http.Transport{
-		// An entry that shuts down closes idle connections; a request written to one
-		// at that moment is lost without an answer, which would look like a cut one.
+		// An entry that shuts down closes idle connections. A request written to one at
+		// that moment gets no answer, which would count as an interrupted one.
 		DisableKeepAlives:  true,
 		DisableCompression: true,
 		DialContext:        (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 	}
-	return &Caller{Entries: entries, Token: token, Client: &http.Client{Transport: transport}, down: make(map[int]time.Time)}
+	return &Caller{Entries: entries, Token: token, Client: &http.Client{Transport: transport}, unavailable: make(map[int]time.Time)}
 }
 
-// Do sends the request once. Where an entry takes no connection, or refuses
-// because it drains, nothing ran there: the next entry is tried.
+// Do sends the request. If an entry refuses the connection, or the request because it is
+// draining, nothing ran there and the next entry is tried.
 func (c *Caller) Do(ctx context.Context, r *Request, send Send) *Outcome {
 	o := &Outcome{}
-	for try := range len(c.Entries) {
-		entry := (send.Entry + try) % len(c.Entries)
-		if try < len(c.Entries)-1 && c.isDown(entry) {
+	for offset := range len(c.Entries) {
+		entry := (send.Entry + offset) % len(c.Entries)
+		if offset < len(c.Entries)-1 && c.isUnavailable(entry) {
 			continue
 		}
-		o = c.once(ctx, r, c.Entries[entry])
-		o.Moved = try
-		leaving := o.Kind == "draining" && o.NotRun == "true" && o.Tokens == 0
-		if o.Kind != KindConnect && !leaving {
+		o = c.attempt(ctx, r, c.Entries[entry])
+		o.Failovers = offset
+		draining := o.Kind == "draining" && o.NotRun == "true" && o.Tokens == 0
+		if o.Kind != KindConnect && !draining {
 			return o
 		}
-		c.setDown(entry)
+		c.markUnavailable(entry)
 	}
 	return o
 }
 
-func (c *Caller) isDown(entry int) bool {
+func (c *Caller) isUnavailable(entry int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.down[entry])
+	return time.Now().Before(c.unavailable[entry])
 }
 
-func (c *Caller) setDown(entry int) {
+func (c *Caller) markUnavailable(entry int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.down[entry] = time.Now().Add(downFor)
+	c.unavailable[entry] = time.Now().Add(unavailableFor)
 }
 
-// callCtx is a call's context, which the caller may leave.
-type callCtx struct {
+// streamContext is the context of a load run with a function that disconnects one call.
+type streamContext struct {
 	context.Context
-	leave context.CancelFunc
+	disconnect context.CancelFunc
 }
 
-func (c *Caller) once(ctx context.Context, r *Request, base string) *Outcome {
-	call, leave := context.WithCancel(ctx)
-	defer leave()
+func (c *Caller) attempt(ctx context.Context, r *Request, base string) *Outcome {
+	call, disconnect := context.WithCancel(ctx)
+	defer disconnect()
 	o := &Outcome{Request: r}
 	start := time.Now()
 	defer func() { o.Total = time.Since(start) }()
-	request, err := c.build(call, r, base)
+	request, err := c.newRequest(call, r, base)
 	if err != nil {
 		o.Problem = err.Error()
 		return o
 	}
 	response, err := c.Client.Do(request)
 	if err != nil {
-		o.Kind = kindOf(ctx, err)
+		o.Kind = transportErrorKind(ctx, err)
 		return o
 	}
 	defer response.Body.Close()
@@ -103,14 +105,14 @@
 	o.Instance = response.Header.Get("X-Lilac-Instance")
 	o.Server = response.Header.Get("X-Lilac-Server")
 	if r.Stream && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		readStream(&callCtx{Context: ctx, leave: leave}, o, response.Body, start)
+		readStream(&streamContext{Context: ctx, disconnect: disconnect}, o, response.Body, start)
 		return o
 	}
-	readWhole(ctx, o, response.Body, start)
+	readBody(ctx, o, response.Body, start)
 	return o
 }
 
-func (c *Caller) build(ctx context.Context, r *Request, base string) (*http.Request, error) {
+func (c *Caller) newRequest(ctx context.Context, r *Request, base string) (*http.Request, error) {
 	url, body := base+"/services/"+r.Flow.Target+r.Flow.Path, []byte(r.Text)
 	contentType := "text/plain"
 	if r.Flow.Kind == KindChat {
@@ -128,8 +130,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The transport must not send a request again by itself: it would hide a
-	// connection that the entry broke.
+	// Without GetBody the transport can't retry, which would hide a connection broken by
+	// the entry.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", contentType)
 	request.Header.Set("Authorization", "Bearer "+c.Token(r.Team))
@@ -143,8 +145,9 @@
 	return request, nil
 }
 
-// kindOf tells a connection that was never made from one that broke.
-func kindOf(ctx context.Context, err error) string {
+// transportErrorKind distinguishes timeouts, failed connection attempts and broken
+// connections.
+func transportErrorKind(ctx context.Context, err error) string {
 	var op *net.OpError
 	switch {
 	case ctx.Err() != nil:
@@ -152,33 +155,33 @@
 	case errors.As(err, &op) && op.Op == "dial", errors.Is(err, syscall.ECONNREFUSED):
 		return KindConnect
 	}
-	return KindCut
+	return KindInterrupted
 }
 
-func readWhole(ctx context.Context, o *Outcome, body io.Reader, start time.Time) {
+func readBody(ctx context.Context, o *Outcome, body io.Reader, start time.Time) {
 	data, err := io.ReadAll(body)
 	if err != nil {
-		o.Kind = kindOf(ctx, err)
+		o.Kind = transportErrorKind(ctx, err)
 		return
 	}
 	o.FirstToken = time.Since(start)
 	if o.Status != http.StatusOK {
-		if !o.takeError(data) {
+		if !o.parseError(data) {
 			o.Kind = "status_" + strconv.Itoa(o.Status)
-			o.Problem = "error is not typed: " + string(data)
+			o.Problem = "error has no type: " + string(data)
 		}
 		return
 	}
 	if o.Request.Flow.Kind == KindService {
-		o.Problem = compare(o.Request, string(data))
+		o.Problem = checkAnswer(o.Request, string(data))
 		return
 	}
 	var answer chunk
 	if json.Unmarshal(data, &answer) != nil || len(answer.Choices) != 1 {
-		o.Problem = "answer is no chat completion: " + string(data)
+		o.Problem = "answer is not a chat completion: " + string(data)
 		return
 	}
 	text := answer.Choices[0].Message.Content
 	o.Tokens = len(strings.Fields(text))
-	o.Problem = compare(o.Request, text)
+	o.Problem = checkAnswer(o.Request, text)
 }
--- a/loadgen/changes.go
+++ b/loadgen/changes.go
@@ -13,76 +13,78 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Change is one change that was given and what became of it.
+// Change is an accepted change.
 type Change struct {
 	Team     string `json:"team"`
 	Revision uint64 `json:"revision"`
 }
 
-// ChangeLog is what a writer of changes saw.
+// ChangeLog records the results of submitted changes.
 type ChangeLog struct {
 	Accepted []Change `json:"accepted"`
-	// Refused by kind: these changes are not in force.
+	// Refused is the number of refused changes by error kind. They did not take effect.
 	Refused map[string]int `json:"refused"`
-	// Unknown are the teams of changes whose answer never came.
+	// Unknown are the teams of changes whose outcome is unknown.
 	Unknown []string `json:"unknown"`
-	// LongestGapMS is the longest time from one accepted change to the next.
-	LongestGapMS int64 `json:"longest_gap_ms"`
-	// Disorder names accepted changes whose revision is not above the one before.
-	Disorder []string `json:"disorder"`
+	// MaxGapMS is the longest time between two accepted changes, in milliseconds.
+	MaxGapMS int64 `json:"longest_gap_ms"`
+	// OutOfOrder describes accepted changes whose revision is not above the previous one.
+	OutOfOrder []string `json:"disorder"`
 }
 
-// ChangePlan says which changes are given.
+// ChangePlan describes the changes to submit.
 type ChangePlan struct {
-	// Prefix of the teams that are made, one a change.
+	// Prefix is the prefix of the names of the created teams, one for each change.
 	Prefix string
-	// Count of changes; 0 means until the context ends.
+	// Count is the number of changes; 0 means until the context ends.
 	Count int
-	// Interval between them.
+	// Interval is the pause between changes.
 	Interval time.Duration
-	// Resend is how long an unanswered change is sent again under its command id.
+	// Resend is how long a change with unknown outcome is retried under its command id.
 	Resend time.Duration
 }
 
-// MakeChanges gives one change after the other.
-func MakeChanges(ctx context.Context, client *operator.Client, plan ChangePlan) *ChangeLog {
+// ApplyChanges submits one change after the other until the plan is complete or the
+// context ends.
+func ApplyChanges(ctx context.Context, client *operator.Client, plan ChangePlan) *ChangeLog {
 	log := &ChangeLog{Refused: make(map[string]int)}
 	last := time.Now()
 	for n := 1; (plan.Count == 0 || n <= plan.Count) && ctx.Err() == nil; n++ {
 		team := fmt.Sprintf("%s-%d", plan.Prefix, n)
-		revision, err := changeOnce(client, plan, team)
-		log.take(team, revision, err)
+		revision, err := submitChange(client, plan, team)
+		log.record(team, revision, err)
 		if err == nil {
-			log.LongestGapMS = max(log.LongestGapMS, time.Since(last).Milliseconds())
+			log.MaxGapMS = max(log.MaxGapMS, time.Since(last).Milliseconds())
 			last = time.Now()
 		}
 		waitUntil(ctx, time.Now().Add(plan.Interval))
 	}
-	log.LongestGapMS = max(log.LongestGapMS, time.Since(last).Milliseconds())
+	log.MaxGapMS = max(log.MaxGapMS, time.Since(last).Milliseconds())
 	return log
 }
 
-// changeOnce sends a change until its fate is known. It does not end with the
-// writer's context, so that a stop leaves no change open.
-func changeOnce(client *operator.Client, plan ChangePlan, team string) (uint64, error) {
+// submitChange sends a change until its outcome is known or plan.Resend is over. It takes
+// no context, so that a stop leaves no change with unknown outcome.
+func submitChange(client *operator.Client, plan ChangePlan, team string) (uint64, error) {
 	request := &operator.StatementRequest{Statement: "SET TEAM " + team + " WEIGHT 1", CommandID: uuid.NewString()}
-	until := time.Now().Add(plan.Resend)
+	giveUp := time.Now().Add(plan.Resend)
 	for {
 		reply, err := client.Statement(context.Background(), request)
 		if err == nil && reply.Change != nil {
 			return reply.Change.Revision, nil
 		}
 		if err == nil {
-			return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the answer to a change holds no change")
+			return 0, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the reply to a change contains no change")
 		}
-		if !mayPass(err) || time.Now().After(until) {
+		if !mayTakeEffect(err) || time.Now().After(giveUp) {
 			return 0, err
 		}
 	}
 }
 
-// mayPass tells whether a change may still be, or become, in force.
-func mayPass(err error) bool {
+// mayTakeEffect reports whether a change that failed with err may have taken effect, or may
+// still do so.
+func mayTakeEffect(err error) bool {
 	switch fault.KindOf(err) {
 	case lilacv1.ErrorKind_ERROR_KIND_OUTCOME_UNKNOWN, lilacv1.ErrorKind_ERROR_KIND_TIMEOUT,
 		lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, lilacv1.ErrorKind_ERROR_KIND_NO_QUORUM, lilacv1.ErrorKind_ERROR_KIND_NOT_LEADER:
@@ -91,55 +93,55 @@
 	return false
 }
 
-func (l *ChangeLog) take(team string, revision uint64, err error) {
+func (l *ChangeLog) record(team string, revision uint64, err error) {
 	switch {
 	case err == nil:
 		if n := len(l.Accepted); n > 0 && revision <= l.Accepted[n-1].Revision {
-			l.Disorder = append(l.Disorder, fmt.Sprintf("%s got revision %d after %d", team, revision, l.Accepted[n-1].Revision))
+			l.OutOfOrder = append(l.OutOfOrder, fmt.Sprintf("%s got revision %d after %d", team, revision, l.Accepted[n-1].Revision))
 		}
 		l.Accepted = append(l.Accepted, Change{Team: team, Revision: revision})
-	case mayPass(err):
+	case mayTakeEffect(err):
 		l.Unknown = append(l.Unknown, team)
 	default:
 		l.Refused[fault.Name(fault.KindOf(err))]++
 	}
 }
 
-// verifyPause is the time between two looks at an endpoint.
-const verifyPause = 100 * time.Millisecond
+// verifyInterval is the time between two queries of an endpoint.
+const verifyInterval = 100 * time.Millisecond
 
-// Verify asks an endpoint until all accepted changes are in force there, or
-// the time is over, and returns the teams of those that are not.
-func Verify(ctx context.Context, client *operator.Client, log *ChangeLog, within time.Duration) (lost []string, err error) {
+// VerifyChanges queries an endpoint until it shows all accepted changes or the time limit
+// is reached. It returns the teams that are still missing.
+func VerifyChanges(ctx context.Context, client *operator.Client, log *ChangeLog, within time.Duration) (lost []string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
-		lost, err = missing(client, log)
-		if (err == nil && len(lost) == 0) || !waitUntil(ctx, time.Now().Add(verifyPause)) {
+		lost, err = missingTeams(client, log)
+		if (err == nil && len(lost) == 0) || !waitUntil(ctx, time.Now().Add(verifyInterval)) {
 			return lost, err
 		}
 	}
 }
 
-func missing(client *operator.Client, log *ChangeLog) ([]string, error) {
+func missingTeams(client *operator.Client, log *ChangeLog) ([]string, error) {
 	reply, err := client.Statement(context.Background(), &operator.StatementRequest{Statement: "SHOW TEAMS"})
 	if err != nil {
 		return nil, err
 	}
 	if reply.Table == nil {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the answer to a query holds no table")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the reply to a query contains no table")
 	}
 	team := slices.Index(reply.Table.Columns, "team")
 	if team < 0 {
 		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "the table of teams has no column team")
 	}
-	there := make(map[string]bool)
+	present := make(map[string]bool)
 	for _, row := range reply.Table.Rows {
-		there[row[team]] = true
+		present[row[team]] = true
 	}
 	lost := []string{}
 	for _, change := range log.Accepted {
-		if !there[change.Team] {
+		if !present[change.Team] {
 			lost = append(lost, change.Team)
 		}
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -6,71 +6,72 @@
 	"time"
 )
 
-// EngineConfig holds the settings of a stand-in engine.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
-	// Models that it has loaded at start.
+	// Models are loaded at start.
 	Models []string
-	// Slots is how many sequences it runs at once.
+	// Slots is the number of sequences that run concurrently.
 	Slots int
-	// MaxWaiting is the length of its queue beyond which it answers 429.
+	// MaxWaiting is the queue length at which requests are answered with 429.
 	MaxWaiting int
-	// FirstToken is the time from slot to first token of a prompt that is all cached.
+	// FirstToken is the time from admission to the first token of a fully cached prompt.
 	FirstToken time.Duration
-	// PerToken is the gap between tokens of a batch of one.
+	// PerToken is the time between tokens with a single running sequence.
 	PerToken time.Duration
-	// BatchCost is the share by which each further sequence lengthens the gap.
-	BatchCost float64
-	// PrefillPerWord is the time added to the first token by each word not cached.
+	// BatchSlowdown is the fraction by which each further sequence lengthens PerToken.
+	BatchSlowdown float64
+	// PrefillPerWord is added to FirstToken for each uncached word of the prompt.
 	PrefillPerWord time.Duration
-	// CacheBlocks is the size of the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache, in blocks.
 	CacheBlocks int
-	// KVWords is the size of the KV cache, for the load report.
+	// KVWords is the capacity of the KV cache in words, for the load report.
 	KVWords int
-	// ReportLag is how late the load report and the cache events are.
+	// ReportLag is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// EventGap makes every so many-th cache event vanish; 0 means none.
-	EventGap uint64
-	// IgnoreFencing makes the engine take orders with old fencing numbers.
+	// EventLossInterval N drops every N-th cache event; 0 drops none.
+	EventLossInterval uint64
+	// IgnoreFencing makes the engine accept orders with outdated fencing numbers.
 	IgnoreFencing bool
 	// ResumeWindow is how long a sequence without a reader is kept.
 	ResumeWindow time.Duration
-	// Crash ends the process, at once.
+	// Crash ends the process immediately.
 	Crash func()
 }
 
-// Fault is what POST /fault sets; absent fields mean no fault.
+// Fault is the body of POST /fault. Absent fields mean no fault.
 type Fault struct {
-	// Straggle multiplies all times; 0 means 1.
-	Straggle float64 `json:"straggle,omitempty"`
+	// Slowdown multiplies all durations; 0 means 1.
+	Slowdown float64 `json:"straggle,omitempty"`
 	// Crash ends the process now.
 	Crash bool `json:"crash,omitempty"`
-	// CrashWord crashes the process when a prompt with this word begins to run.
+	// CrashWord crashes the process when a prompt with this word starts to run.
 	CrashWord string `json:"crash_word,omitempty"`
-	// BreakAfter cuts the connection of each stream after so many tokens; 0 means never.
+	// BreakAfter closes the connection of each answer after this number of tokens; 0 means
+	// never.
 	BreakAfter int `json:"break_after,omitempty"`
-	// Refuse answers all new requests with 429.
+	// Refuse makes all new requests get 429.
 	Refuse bool `json:"refuse,omitempty"`
 }
 
-// Stats counts what an engine did.
+// Stats holds an engine's counters.
 type Stats struct {
-	// Runs by the word after RefWord; continuations do not count.
+	// Runs is the number of runs by the name after RefPrefix, without continuations.
 	Runs map[string]int `json:"runs"`
-	// Continued counts continuations and imports.
+	// Continued is the number of continuations and imports.
 	Continued int `json:"continued"`
-	// TokensMade counts all tokens made.
-	TokensMade int `json:"tokens_made"`
-	// TokensCanceled counts those made for sequences that were then canceled.
+	// TokensGenerated is the number of all generated tokens.
+	TokensGenerated int `json:"tokens_made"`
+	// TokensCanceled is the number of tokens generated for sequences canceled later.
 	TokensCanceled int `json:"tokens_canceled"`
-	// TokensSaved counts those not made since the sequence was canceled.
-	TokensSaved int `json:"tokens_saved"`
-	// WordsCached counts prompt words found in the prefix cache.
-	WordsCached int `json:"words_cached"`
-	// WordsRead counts all prompt words.
-	WordsRead int `json:"words_read"`
+	// TokensAvoided is the number of tokens not generated because of cancellation.
+	TokensAvoided int `json:"tokens_saved"`
+	// PromptWordsCached is the number of prompt words found in the prefix cache.
+	PromptWordsCached int `json:"words_cached"`
+	// PromptWordsTotal is the number of all prompt words.
+	PromptWordsTotal int `json:"words_read"`
 }
 
-// Load is an engine's report on itself.
+// Load is the load report of an engine or service.
 type Load struct {
 	Running        int     `json:"running"`
 	Waiting        int     `json:"waiting"`
@@ -79,47 +80,48 @@
 	MeasuredUnixMS int64   `json:"measured_unix_ms"`
 }
 
-// Engine is a stand-in model engine. One lock guards all of it.
+// Engine is a stand-in model engine.
 type Engine struct {
 	config EngineConfig
 	wake   chan struct{}
 
+	// mu guards the fields below and all sequences.
 	mu       sync.Mutex
 	fault    Fault
 	waiting  []*sequence
 	running  []*sequence
 	byID     map[string]*sequence
 	cache    *cache
-	orders   orderBook
+	orders   loadState
 	stats    Stats
 	reports  []Load
 	reported time.Time
 }
 
-// NewEngine makes an engine; Run makes it work.
+// NewEngine returns an engine, which generates tokens only while Run runs.
 func NewEngine(config EngineConfig) *Engine {
 	return &Engine{
 		config: config,
 		wake:   make(chan struct{}, 1),
 		byID:   make(map[string]*sequence),
-		cache:  newCache(config.CacheBlocks, config.EventGap),
-		orders: newOrderBook(config.Models, config.IgnoreFencing),
+		cache:  newCache(config.CacheBlocks, config.EventLossInterval),
+		orders: newLoadState(config.Models, config.IgnoreFencing),
 		stats:  Stats{Runs: make(map[string]int)},
 	}
 }
 
-// reportInterval is how often the engine measures itself.
+// reportInterval is the time between two load reports.
 const reportInterval = 50 * time.Millisecond
 
-// Run works off the sequences until the context ends.
+// Run processes sequences until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	measure := time.NewTicker(reportInterval)
 	defer measure.Stop()
 	for ctx.Err() == nil {
-		gap, busy := e.begin(time.Now())
+		stepTime, busy := e.startStep(time.Now())
 		if busy {
-			sleep(ctx, gap)
-			e.finish(time.Now())
+			sleep(ctx, stepTime)
+			e.finishStep(time.Now())
 			continue
 		}
 		select {
@@ -139,28 +141,29 @@
 	}
 }
 
-// begin admits what waits and returns how long the next step of the batch lasts.
-func (e *Engine) begin(now time.Time) (gap time.Duration, busy bool) {
+// startStep admits waiting sequences and returns the duration of the next step of the
+// batch. busy is false if no sequence runs.
+func (e *Engine) startStep(now time.Time) (stepTime time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropUnread(now)
-	e.admit(now)
+	e.cancelAbandoned(now)
+	e.admitWaiting(now)
 	e.measure(now)
 	if len(e.running) == 0 {
 		return 0, false
 	}
-	cost := 1 + e.config.BatchCost*float64(len(e.running)-1)
-	return e.slowed(time.Duration(float64(e.config.PerToken) * cost)), true
+	cost := 1 + e.config.BatchSlowdown*float64(len(e.running)-1)
+	return e.scaled(time.Duration(float64(e.config.PerToken) * cost)), true
 }
 
-func (e *Engine) slowed(d time.Duration) time.Duration {
-	if e.fault.Straggle > 0 {
-		return time.Duration(float64(d) * e.fault.Straggle)
+func (e *Engine) scaled(d time.Duration) time.Duration {
+	if e.fault.Slowdown > 0 {
+		return time.Duration(float64(d) * e.fault.Slowdown)
 	}
 	return d
 }
 
-func (e *Engine) admit(now time.Time) {
+func (e *Engine) admitWaiting(now time.Time) {
 	for len(e.running) < e.config.Slots && len(e.waiting) > 0 {
 		s := e.takeMostUrgent()
 		e.running = append(e.running, s)
@@ -168,11 +171,11 @@
 			s.ready = now
 			continue
 		}
-		cached := e.cache.use(blocks(s.words), now)
-		e.stats.WordsCached += cached
-		e.stats.WordsRead += len(s.words)
-		toRead := time.Duration(len(s.words) - cached)
-		s.ready = now.Add(e.slowed(e.config.FirstToken + toRead*e.config.PrefillPerWord))
+		cached := e.cache.insert(blockHashes(s.words), now)
+		e.stats.PromptWordsCached += cached
+		e.stats.PromptWordsTotal += len(s.words)
+		uncached := time.Duration(len(s.words) - cached)
+		s.ready = now.Add(e.scaled(e.config.FirstToken + uncached*e.config.PrefillPerWord))
 		e.countRun(s)
 	}
 }
@@ -187,7 +190,8 @@
 	}
 }
 
-// takeMostUrgent removes the earliest of the most urgent priority.
+// takeMostUrgent removes and returns the waiting sequence with the lowest priority value;
+// among equals, the one that arrived first.
 func (e *Engine) takeMostUrgent() *sequence {
 	best := 0
 	for i, s := range e.waiting {
@@ -200,37 +204,38 @@
 	return s
 }
 
-// finish ends a step: every sequence that has read its prompt makes one token.
-func (e *Engine) finish(now time.Time) {
+// finishStep generates one token for each sequence whose prompt is processed.
+func (e *Engine) finishStep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	still := e.running[:0]
+	unfinished := e.running[:0]
 	for _, s := range e.running {
 		if s.ready.After(now) {
-			still = append(still, s)
+			unfinished = append(unfinished, s)
 			continue
 		}
-		if e.fault.CrashWord != "" && s.has(e.fault.CrashWord) {
+		if e.fault.CrashWord != "" && s.hasWord(e.fault.CrashWord) {
 			e.config.Crash()
 			return
 		}
-		if s.made < len(s.tokens) {
-			s.made++
-			e.stats.TokensMade++
+		if s.generated < len(s.tokens) {
+			s.generated++
+			e.stats.TokensGenerated++
 		}
-		s.announce()
-		if s.made < len(s.tokens) {
-			still = append(still, s)
+		s.notify()
+		if s.generated < len(s.tokens) {
+			unfinished = append(unfinished, s)
 			continue
 		}
 		s.done = true
-		e.forgetLater(s)
+		e.forgetAfterWindow(s)
 	}
-	clear(e.running[len(still):])
-	e.running = still
+	clear(e.running[len(unfinished):])
+	e.running = unfinished
 }
 
-// measure keeps reports long enough that a late one can be given.
+// measure records a load report and drops those not needed for ReportLag. The caller
+// holds e.mu.
 func (e *Engine) measure(now time.Time) {
 	if now.Sub(e.reported) < reportInterval {
 		return
@@ -238,7 +243,7 @@
 	e.reported = now
 	words := 0
 	for _, s := range e.running {
-		words += len(s.words) + s.made
+		words += len(s.words) + s.generated
 	}
 	e.reports = append(e.reports, Load{
 		Running:        len(e.running),
@@ -252,7 +257,8 @@
 	}
 }
 
-// report returns the newest load report that is at least ReportLag old.
+// report returns the newest load report that is at least ReportLag old, or the oldest one
+// if none is.
 func (e *Engine) report(now time.Time) Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -9,7 +9,7 @@
 	khttp "github.com/go-kratos/kratos/v2/transport/http"
 )
 
-// Instance is one line of the platform's list.
+// Instance is an entry of the platform's list of instances.
 type Instance struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"`
@@ -20,39 +20,41 @@
 	State string `json:"state"`
 }
 
-// InstanceList is the platform's list.
+// InstanceList is the JSON form of the platform's list of instances.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
 
-type listVersion struct {
+type versionedList struct {
 	list InstanceList
 	at   time.Time
 }
 
-// Platform is a stand-in for the platform's list of instances.
+// Platform serves the platform's list of instances. Changes become visible after a lag.
 type Platform struct {
-	lag      time.Duration
-	mu       sync.Mutex
-	versions []listVersion
+	lag time.Duration
+
+	mu sync.Mutex
+	// versions are in order of time; the first is visible. Guarded by mu.
+	versions []versionedList
 }
 
-// NewPlatform makes a list whose changes show after the lag.
+// NewPlatform returns a Platform with an initial list that is visible at once.
 func NewPlatform(lag time.Duration, first InstanceList) *Platform {
 	if first.Instances == nil {
 		first.Instances = []Instance{}
 	}
-	return &Platform{lag: lag, versions: []listVersion{{list: first}}}
+	return &Platform{lag: lag, versions: []versionedList{{list: first}}}
 }
 
-// Routes adds the list to an HTTP server.
+// Routes registers the handler of the list: GET returns it, POST replaces it.
 func (p *Platform) Routes(server *khttp.Server) {
 	server.HandleFunc("/instances", p.serve)
 }
 
 func (p *Platform) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
-		writeJSON(w, p.shown(time.Now()))
+		writeJSON(w, p.visible(time.Now()))
 		return
 	}
 	var list InstanceList
@@ -67,10 +69,10 @@
 func (p *Platform) set(list InstanceList, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.versions = append(p.versions, listVersion{list: list, at: now})
+	p.versions = append(p.versions, versionedList{list: list, at: now})
 }
 
-func (p *Platform) shown(now time.Time) InstanceList {
+func (p *Platform) visible(now time.Time) InstanceList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.versions) > 1 && now.Sub(p.versions[1].at) >= p.lag {
