--- a/process/fault/fault.go
+++ b/process/fault/fault.go
@@ -20,7 +20,8 @@
 // Kind is the kind of an error; docs/INTERFACES.md lists all kinds.
 type Kind = lilacv1.ErrorKind
 
-// NotRun tells whether it is certain that a refused request has not run.
+// NotRun tells whether a refused request has not run, has run at least in part, or may
+// have run.
 type NotRun = lilacv1.NotRun
 
 type valueKey int
@@ -59,7 +60,7 @@
 	return wrapped
 }
 
-// WithNotRun sets whether it is certain that the request has not run.
+// WithNotRun sets whether the request has run.
 func WithNotRun(notRun NotRun) Option {
 	return func(err error) error { return merry.Wrap(err, merry.WithValue(notRunKey, notRun)) }
 }
--- a/process/logs/writer.go
+++ b/process/logs/writer.go
@@ -91,7 +91,7 @@
 // write ignores errors because there is no other place to report them.
 func (w *Writer) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
-		_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped: the output was not read in time","@timestamp":%q,"lines":%d}`+"\n", time.Now().UTC().Format(time.RFC3339Nano), n)
+		_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped, nobody read them in time","@timestamp":%q,"lines":%d}`+"\n", time.Now().UTC().Format(time.RFC3339Nano), n)
 	}
 	_, _ = w.out.Write(line)
 }
--- a/version/packed/packed_test.go
+++ b/version/packed/packed_test.go
@@ -41,7 +41,7 @@
 	truncated, err := Document(1, []byte(strings.Repeat("route", 1000)))
 	is.NoErr(err)
 	truncated.Content = truncated.Content[:len(truncated.Content)/2]
-	for name, d := range map[string]*lilacv1.Document{"huge": huge, "truncated": truncated, "unknown": {Version: 1, Encoding: 99}} {
+	for name, d := range map[string]*lilacv1.Document{"huge": huge, "torn": truncated, "unknown": {Version: 1, Encoding: 99}} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Text(d)
 			is.New(t).True(err != nil)
