--- a/version/fleet/fleet.go
+++ b/version/fleet/fleet.go
@@ -144,7 +144,7 @@
 	d.Lines = append(d.Lines, fmt.Sprintf("%s %s %s", symbol, kind, name))
 }
 
-func symbol(exists bool) string {
+func changeSymbol(exists bool) string {
 	if exists {
 		return "~"
 	}
@@ -158,19 +158,19 @@
 	for _, class := range f.Classes {
 		old, exists := view.Classes[class.Name]
 		if now := class.message(); !proto.Equal(old, now) {
-			d.add(symbol(exists), "class", class.Name, &lilacv1.Change{Op: &lilacv1.Change_SetClass{SetClass: now}})
+			d.add(changeSymbol(exists), "class", class.Name, &lilacv1.Change{Op: &lilacv1.Change_SetClass{SetClass: now}})
 		}
 	}
 	for _, team := range f.Teams {
 		old, exists := view.Teams[team.Name]
 		if now := team.message(); !proto.Equal(old, now) {
-			d.add(symbol(exists), "team", team.Name, &lilacv1.Change{Op: &lilacv1.Change_SetTeam{SetTeam: now}})
+			d.add(changeSymbol(exists), "team", team.Name, &lilacv1.Change{Op: &lilacv1.Change_SetTeam{SetTeam: now}})
 		}
 	}
 	for _, server := range f.Servers {
 		old, exists := view.Servers[server.Name]
 		if now := server.message(old.GetDraining()); !proto.Equal(old, now) {
-			d.add(symbol(exists), "server", server.Name, &lilacv1.Change{Op: &lilacv1.Change_SetServer{SetServer: now}})
+			d.add(changeSymbol(exists), "server", server.Name, &lilacv1.Change{Op: &lilacv1.Change_SetServer{SetServer: now}})
 		}
 	}
 	if prune {
--- a/version/spread/core.go
+++ b/version/spread/core.go
@@ -237,7 +237,7 @@
 
 // skipStaleState moves from a state process that is behind to the next one, for example
 // when the nearest is slow to catch up after a network partition. It moves at most once
-// per MaxAge, because during the partition no other state process is better.
+// per MaxAge, because during a partition no state process is better than the nearest.
 func (c *Core) skipStaleState(now time.Time) {
 	if c.current.IsState() && now.Sub(c.stateChangedAt) >= c.timing.MaxAge {
 		c.stateIndex++
