--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics defines the metrics of a process, which /metrics serves. The number of
-// label values is bounded: labels are class, kind, pool, tier and end, but never a team
-// or a request.
+// label values is bounded: labels are, for example, class, kind, pool, tier and end, but
+// never a team or a request.
 package metrics
 
 import (
--- a/process/settings/settings_test.go
+++ b/process/settings/settings_test.go
@@ -52,7 +52,7 @@
 			is.True(err != nil)
 			for _, want := range c.wants {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%q lacks %q", err, want)
+					t.Errorf("error %q does not contain %q", err, want)
 				}
 			}
 		})
--- a/version/routing/routing_test.go
+++ b/version/routing/routing_test.go
@@ -42,11 +42,11 @@
 			c.corrupt(d)
 			err := d.Validate()
 			if err == nil {
-				t.Fatal("accepted")
+				t.Fatal("invalid document accepted")
 			}
 			for _, want := range c.wants {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("%q lacks %q", err, want)
+					t.Errorf("error %q does not contain %q", err, want)
 				}
 			}
 		})
--- a/version/spread/spread_test.go
+++ b/version/spread/spread_test.go
@@ -29,7 +29,7 @@
 func onlyTarget(t *testing.T, actions []Follow) Target {
 	t.Helper()
 	if len(actions) != 1 {
-		t.Fatalf("want one Follow, got %v", actions)
+		t.Fatalf("got %v, want one Follow", actions)
 	}
 	return actions[0].Target
 }
--- a/version/statement/statement_test.go
+++ b/version/statement/statement_test.go
@@ -74,7 +74,7 @@
 			is.True(fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST))
 			for _, want := range wants {
 				if !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(want)) {
-					t.Errorf("%q lacks %q", err, want)
+					t.Errorf("error %q does not contain %q", err, want)
 				}
 			}
 		})
@@ -89,7 +89,7 @@
 		parsed, err := Parse(text)
 		if err != nil {
 			if fault.KindOf(err) == lilacv1.ErrorKind_ERROR_KIND_INTERNAL {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("error without a kind: %v", err)
 			}
 			return
 		}
