--- a/api/lilacbridge/v1/doc.go
+++ b/api/lilacbridge/v1/doc.go
@@ -1,3 +1,4 @@
-// Package lilacv1 holds the messages between lilacbridge's own processes,
-// generated from the .proto files beside it by "make generate".
+// Package lilacv1 contains the messages exchanged between lilacbridge processes and
+// the records that they store. It is generated from the .proto files in this directory
+// by "make generate".
 package lilacv1
