--- a/version/statement/parse.go
+++ b/version/statement/parse.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// MaxLength is the longest statement, in bytes.
+	// MaxLength is the maximum length of a statement in bytes.
 	MaxLength = 16 << 10
-	// farthestWord is how many letters may differ for a word to be suggested.
-	farthestWord = 3
+	// editDistanceLimit is the edit distance from which a keyword is not suggested.
+	editDistanceLimit = 3
 )
 
-// Parse reads one statement. Its error gives the column, what was expected and
-// the nearest key word.
+// Parse parses one statement. A syntax error names the column, the expected token and
+// the most similar keyword.
 func Parse(text string) (*Statement, error) {
 	if len(text) > MaxLength {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the statement has %d bytes, %d are allowed; use apply with a file", len(text), MaxLength)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_TOO_LARGE, "the statement has %d bytes, the limit is %d; use apply with a file", len(text), MaxLength)
 	}
 	parsed, err := parser.ParseString("", text)
 	if err != nil {
-		return nil, explain(err)
+		return nil, convertError(err)
 	}
 	return parsed, nil
 }
 
-func explain(err error) error {
+func convertError(err error) error {
 	var unexpected *participle.UnexpectedTokenError
 	if errors.As(err, &unexpected) {
-		return atToken(unexpected.Unexpected, expected(unexpected.Message()))
+		return tokenError(unexpected.Unexpected, expected(unexpected.Message()))
 	}
 	var parseError participle.Error
 	if errors.As(err, &parseError) {
@@ -44,14 +44,14 @@
 	return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "%v", err)
 }
 
-// expected takes what was expected out of the library's message, which ends
-// with "(expected …)" where it knows.
+// expected extracts the expected token from the message of the parser library, which
+// ends with "(expected …)" if it is known.
 func expected(message string) string {
 	_, rest, _ := strings.Cut(message, "(expected ")
 	return strings.TrimSuffix(rest, ")")
 }
 
-func atToken(token lexer.Token, expect string) error {
+func tokenError(token lexer.Token, expect string) error {
 	found := fmt.Sprintf("%q", token.Value)
 	if token.EOF() {
 		found = "the end"
@@ -66,10 +66,10 @@
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, message)
 }
 
-// nearest returns the key word with the fewest letters to change, or "" if all
-// are far.
+// nearest returns the keyword with the smallest edit distance to found, or "" if found
+// is a keyword or no keyword is similar.
 func nearest(found string) string {
-	best, word := farthestWord, ""
+	best, word := editDistanceLimit, ""
 	if len(found) < best {
 		best = len(found)
 	}
@@ -85,7 +85,7 @@
 	return word
 }
 
-// distance is the Levenshtein distance, in letters.
+// distance returns the Levenshtein distance of a and b in bytes.
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -1,4 +1,4 @@
-// Package table filters, sorts and cuts the rows of an operator's query.
+// Package table filters, sorts and limits the rows of an operator's query.
 package table
 
 import (
@@ -13,23 +13,23 @@
 	"github.com/lilacbridge/lilacbridge/version/statement"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query. Each row has one value per column.
 type Table struct {
 	Columns []string   `json:"columns" yaml:"columns"`
 	Rows    [][]string `json:"rows" yaml:"rows"`
 }
 
-// Select applies WHERE, ORDER BY and LIMIT of the query to the table, in place.
+// Select applies WHERE, ORDER BY and LIMIT of the query in place.
 func (t *Table) Select(query *statement.Show) error {
 	for _, condition := range query.Where {
-		column, err := t.column(condition.Column)
+		column, err := t.columnIndex(condition.Column)
 		if err != nil {
 			return err
 		}
-		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return !holds(row[column], condition) })
+		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return !matches(row[column], condition) })
 	}
 	if query.OrderBy != "" {
-		column, err := t.column(query.OrderBy)
+		column, err := t.columnIndex(query.OrderBy)
 		if err != nil {
 			return err
 		}
@@ -46,16 +46,16 @@
 	return nil
 }
 
-func (t *Table) column(name string) (int, error) {
+func (t *Table) columnIndex(name string) (int, error) {
 	for i, column := range t.Columns {
 		if strings.EqualFold(column, name) {
 			return i, nil
 		}
 	}
-	return 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no column %q; there are %s", name, strings.Join(t.Columns, ", "))
+	return 0, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "no column %q; the columns are %s", name, strings.Join(t.Columns, ", "))
 }
 
-func holds(value string, condition statement.Condition) bool {
+func matches(value string, condition statement.Condition) bool {
 	if strings.EqualFold(condition.Op, "CONTAINS") {
 		return strings.Contains(value, condition.Value)
 	}
@@ -75,17 +75,17 @@
 	return order >= 0
 }
 
-// compare orders numbers and durations by size, all else as text.
+// compare compares numbers and durations by value, anything else as text.
 func compare(a, b string) int {
-	x, okX := number(a)
-	y, okY := number(b)
+	x, okX := parseNumber(a)
+	y, okY := parseNumber(b)
 	if okX && okY {
 		return cmp.Compare(x, y)
 	}
 	return cmp.Compare(a, b)
 }
 
-func number(text string) (float64, bool) {
+func parseNumber(text string) (float64, bool) {
 	if value, err := strconv.ParseFloat(text, 64); err == nil {
 		return value, true
 	}
