--- a/request/policy/admission.go
+++ b/request/policy/admission.go
@@ -21,7 +21,7 @@
 	r := &request{Arrival: a, quarantinedAt: now, idleSince: now}
 	if refusal, ok := c.admit(now, r); !ok {
 		refusal.ID = a.ID
-		refusal.Queue.Level = -1
+		refusal.Queue.Position = -1
 		refusal.NotRun = lilacv1.NotRun_NOT_RUN_TRUE
 		c.stats.Refused++
 		c.emit(refusal)
--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -227,13 +227,13 @@
 	Queue QueueState
 }
 
-// QueueState describes a request's place in the queue when it was given up.
+// QueueState describes the state of the queue for a request when the request was given up.
 type QueueState struct {
-	// Level is the request's place in the order of urgency, -1 if it was refused
+	// Position is the request's position (see model.Position), -1 if it was refused
 	// before it was queued. Before counts the requests that would have started first.
-	Level, Before int
+	Position, Before int
 	// Running is the number of running requests of this instance of the same or a more
-	// urgent level, Slots how many of them it may run.
+	// urgent position, Slots how many of them it may run.
 	Running, Slots float64
 	// Blocked is why the request had not started.
 	Blocked BlockReason
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -74,9 +74,9 @@
 	return model.Level(int(class.GetTier()), int(class.GetRank()))
 }
 
-// placeOf returns the class's position in the allocation of slots, by rank and then
+// positionOf returns the class's position in the allocation of slots, by rank and then
 // by tier.
-func placeOf(class *lilacv1.Class) int {
+func positionOf(class *lilacv1.Class) int {
 	return model.Position(int(class.GetTier()), int(class.GetRank()))
 }
 
@@ -84,5 +84,5 @@
 // meet their target. Engines preempt running requests by it, so that long answers of
 // any tier are preempted before short urgent ones.
 func engineLevelOf(class *lilacv1.Class) int {
-	return min(placeOf(class), lateEngineLevel-1)
+	return min(positionOf(class), lateEngineLevel-1)
 }
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -9,8 +9,8 @@
 )
 
 // dispatch starts waiting requests while servers have free slots: first classes
-// below their guaranteed share, then requests that can meet their target, by place,
-// then late ones, by place.
+// below their guaranteed share, then requests that can meet their target, by position,
+// then late ones, by position.
 func (c *core) dispatch(now time.Time, p *pool) {
 	p.dirty = false
 	c.tryTrials(now, p)
@@ -44,8 +44,8 @@
 
 func (c *core) startNext(now time.Time, p *pool) bool {
 	for _, late := range [...]bool{false, true} {
-		for place := range model.Positions {
-			if c.startRank(now, p, model.TierOf(place), model.RankOf(place), late) {
+		for position := range model.Positions {
+			if c.startRank(now, p, model.TierOf(position), model.RankOf(position), late) {
 				return true
 			}
 		}
@@ -75,7 +75,7 @@
 func (c *core) tryStart(now time.Time, p *pool, item *queue.Item) bool {
 	urgent := item.Tier == 0 && item.Rank == 0 && !item.Late
 	r := c.requests[ID(item.ID)]
-	if !urgent && (p.runningUpTo(placeOf(r.class)) >= p.quota || !p.withinSplit(r)) {
+	if !urgent && (p.runningUpTo(positionOf(r.class)) >= p.quota || !p.withinSplit(r)) {
 		r.blocked = BlockedByShare
 		return false
 	}
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -10,8 +10,8 @@
 
 // Long answers of less urgent classes hold their slots for many seconds. As a burst grows they
 // would fill the engines before the more urgent requests arrive, and running answers are not
-// stopped. Each place therefore asks for the slots that its requests will occupy at the current
-// arrival rate, by Little's law, and less urgent places get what is left.
+// stopped. Each position therefore asks for the slots that its requests will occupy at the current
+// arrival rate, by Little's law, and less urgent positions get what is left.
 
 const (
 	// lengthSampleWeight is the weight of one request in the mean answer length of its class,
@@ -21,7 +21,7 @@
 	// holdSlowdown is how much longer than now answers are expected to hold their slots: until
 	// slots are scarce, batches fill up and prompts queue for prefill.
 	holdSlowdown = 2.0
-	// growthWindow limits the expected growth of a place to the arrivals of this time: a class
+	// growthWindow limits the expected growth of a position to the arrivals of this time: a class
 	// that already occupies what it needs would otherwise keep as much again from less urgent
 	// ones.
 	growthWindow = 4 * time.Second
@@ -70,7 +70,7 @@
 	return holdSlowdown * t.answerTime(minStep)
 }
 
-// expectSlots updates the number of slots that each place's requests are expected to occupy.
+// expectSlots updates the number of slots that each position's requests are expected to occupy.
 func (p *pool) expectSlots(now time.Time) {
 	p.expectedSlots = tiers.Demand{}
 	if p.service {
@@ -81,21 +81,21 @@
 	for _, u := range p.usages {
 		u.traffic.decayRate()
 		if now.Sub(u.lastAt) < classUseWindow {
-			p.expectedSlots[placeOf(u.class)] += u.traffic.rate * u.traffic.slotHoldTime(fullBatchStep)
-			growth[placeOf(u.class)] += u.traffic.rate * growthWindow.Seconds()
+			p.expectedSlots[positionOf(u.class)] += u.traffic.rate * u.traffic.slotHoldTime(fullBatchStep)
+			growth[positionOf(u.class)] += u.traffic.rate * growthWindow.Seconds()
 		}
 	}
-	for place := range p.expectedSlots {
-		p.expectedSlots[place] = min(p.expectedSlots[place], p.runningByPlace[place]+growth[place])
+	for position := range p.expectedSlots {
+		p.expectedSlots[position] = min(p.expectedSlots[position], p.runningByPosition[position]+growth[position])
 	}
 }
 
 // slotDemand returns the slots that this instance asks for: the larger of what runs and waits and
-// of what is expected, by place.
+// of what is expected, by position.
 func (p *pool) slotDemand() tiers.Demand {
 	demand := p.demand()
-	for place := range demand {
-		demand[place] = max(demand[place], p.expectedSlots[place])
+	for position := range demand {
+		demand[position] = max(demand[position], p.expectedSlots[position])
 	}
 	return demand
 }
@@ -109,16 +109,16 @@
 // ones. Any request but a long answer of the least urgent rank may borrow those: engines preempt
 // the long answers first, and other requests must not go without while slots stand idle.
 func (p *pool) withinSplit(r *request) bool {
-	place := placeOf(r.class)
+	position := positionOf(r.class)
 	if p.service || !r.Pinned {
 		return true
 	}
-	if p.holdsSlotsLong(r) && model.RankOf(place) >= p.lastRank {
-		return p.runningByPlace[place] < p.slotSplit[place]
+	if p.holdsSlotsLong(r) && model.RankOf(position) >= p.lastRank {
+		return p.runningByPosition[position] < p.slotSplit[position]
 	}
 	slots := 0.0
-	for _, part := range p.slotSplit[:place+1] {
+	for _, part := range p.slotSplit[:position+1] {
 		slots += part
 	}
-	return p.runningUpTo(place) < slots
+	return p.runningUpTo(position) < slots
 }
--- a/request/policy/final.go
+++ b/request/policy/final.go
@@ -45,14 +45,14 @@
 	c.emit(Refuse{ID: r.ID, Kind: kind, Message: message, NotRun: notRun, RetryAfter: after, Queue: r.queueState()})
 }
 
-// queueState returns the request's place in the queue and why it has not started.
+// queueState returns the request's state in the queue and why it has not started.
 func (r *request) queueState() QueueState {
-	place := placeOf(r.class)
+	position := positionOf(r.class)
 	slots := 0.0
-	for _, part := range r.pool.slotSplit[:place+1] {
+	for _, part := range r.pool.slotSplit[:position+1] {
 		slots += part
 	}
-	return QueueState{Level: place, Before: r.pool.queue.Before(&r.item), Running: r.pool.runningUpTo(place), Slots: slots, Blocked: r.blocked}
+	return QueueState{Position: position, Before: r.pool.queue.Before(&r.item), Running: r.pool.runningUpTo(position), Slots: slots, Blocked: r.blocked}
 }
 
 // forget removes the request and corrects the charge to its team's limit.
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -26,13 +26,13 @@
 	queueBoundDecrease = 0.7
 )
 
-// updateFullSince records, by place, since when requests have waited for a slot.
+// updateFullSince records, by position, since when requests have waited for a slot.
 func (p *pool) updateFullSince(now time.Time) {
 	waiting := false
-	for place := range p.fullSince {
-		count, _ := p.queue.LevelLen(model.Level(model.TierOf(place), model.RankOf(place)))
+	for position := range p.fullSince {
+		count, _ := p.queue.LevelLen(model.Level(model.TierOf(position), model.RankOf(position)))
 		waiting = waiting || count > 0
-		switch since := &p.fullSince[place]; {
+		switch since := &p.fullSince[position]; {
 		case !waiting:
 			*since = time.Time{}
 		case since.IsZero():
@@ -44,7 +44,7 @@
 // full reports whether requests at least as urgent as this one have waited for a slot for
 // fullAfter. Less urgent ones do not count, since they take nothing from it.
 func (p *pool) full(now time.Time, r *request) bool {
-	since := p.fullSince[placeOf(r.class)]
+	since := p.fullSince[positionOf(r.class)]
 	return !since.IsZero() && now.Sub(since) >= fullAfter
 }
 
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -265,9 +265,9 @@
 func (p *pool) laneDemand() (byLane [laneCount]float64) {
 	demand := p.slotDemand()
 	for _, u := range p.usages {
-		place := placeOf(u.class)
-		byLane[p.wantedLane(u.class)] += demand[place]
-		demand[place] = 0
+		position := positionOf(u.class)
+		byLane[p.wantedLane(u.class)] += demand[position]
+		demand[position] = 0
 	}
 	return byLane
 }
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -45,9 +45,9 @@
 // lowestRunningTier returns the least urgent tier of the running requests, or -1.
 func (p *pool) lowestRunningTier() int {
 	lowest := -1
-	for place, running := range p.runningByPlace {
+	for position, running := range p.runningByPosition {
 		if running > 0 {
-			lowest = max(lowest, model.TierOf(place))
+			lowest = max(lowest, model.TierOf(position))
 		}
 	}
 	return lowest
--- a/request/policy/overload_test.go
+++ b/request/policy/overload_test.go
@@ -127,7 +127,7 @@
 	r := newReplay(1, 8, 4, 64, smallFleetSpeed, smallFleetKinds())
 	seen := make(map[BlockReason]int)
 	r.onRefuse = func(refusal Refuse) {
-		is.True(refusal.Queue.Level >= 0)
+		is.True(refusal.Queue.Position >= 0)
 		seen[refusal.Queue.Blocked]++
 	}
 	r.run(8*time.Second, surge(3.5))
--- a/request/policy/peerloads.go
+++ b/request/policy/peerloads.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Work is reported by lane and demand by place; loadboard and this package must agree
+// Work is reported by lane and demand by position; loadboard and this package must agree
 // on the number of each.
 var (
 	_ [loadboard.Lanes]uint32      = [laneCount]uint32{}
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -234,12 +234,12 @@
 	c.limits.SetShare(len(c.peerNames), len(c.knownInstances))
 }
 
-// instanceRank returns the position of this instance among the reachable ones, and
+// instanceRank returns the index of this instance among the reachable ones by name, and
 // their number.
-func (c *core) instanceRank() (place, of int) {
+func (c *core) instanceRank() (rank, of int) {
 	if len(c.peerNames) == 0 {
 		return 0, 1
 	}
-	place, _ = slices.BinarySearch(c.peerNames, c.options.Instance)
-	return place, len(c.peerNames)
+	rank, _ = slices.BinarySearch(c.peerNames, c.options.Instance)
+	return rank, len(c.peerNames)
 }
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -22,8 +22,8 @@
 	queue   *queue.Queue
 	tiers   *tiers.Table
 	// running holds the requests that this instance runs in the pool.
-	running        []*request
-	runningByPlace tiers.Demand
+	running           []*request
+	runningByPosition tiers.Demand
 	// quarantine holds suspects that wait for a trial.
 	quarantine []*request
 	// parked holds copies of a running request that may only join it; see identical.go.
@@ -34,7 +34,7 @@
 	lastLevel int
 	// lastTier and lastRank are the least urgent ones of the classes in use at any instance.
 	lastTier, lastRank int
-	// shares are the guaranteed shares of the classes in use, by place.
+	// shares are the guaranteed shares of the classes in use, by position.
 	shares       tiers.Shares
 	usageByClass map[string]*classUsage
 	usages       []*classUsage
@@ -64,7 +64,7 @@
 	// openAt is when a server was last available, progressAt when one last sent anything to this
 	// instance, rejectedAt when an attempt last failed.
 	openAt, progressAt, rejectedAt time.Time
-	// fullSince is since when requests of a place, or of those before it, have waited for a free
+	// fullSince is since when requests of a position, or of a more urgent one, have waited for a free
 	// slot; zero if none do.
 	fullSince [model.Positions]time.Time
 	// queueBounds is how many requests of each level may wait while the pool is full; see
@@ -74,7 +74,7 @@
 	// of the engine.
 	startRate      float64
 	laneStartRates [laneCount]float64
-	// expectedSlots is how many slots the requests of each place are expected to occupy,
+	// expectedSlots is how many slots the requests of each position are expected to occupy,
 	// slotSplit how many this instance's requests may; see expected.go.
 	expectedSlots, slotSplit tiers.Demand
 	// dirty is true if a waiting request may have become able to start.
@@ -122,16 +122,16 @@
 func (p *pool) updateClassUse(now time.Time) {
 	p.minTokenGapTarget, p.shares = 0, tiers.Shares{}
 	others := p.tiers.OthersDemand()
-	p.lastLevel, p.lastTier = min(others.LastPlace(), lateEngineLevel-1), others.LastTier()
-	p.lastRank = model.RankOf(max(others.LastPlace(), 0))
+	p.lastLevel, p.lastTier = min(others.LastPosition(), lateEngineLevel-1), others.LastTier()
+	p.lastRank = model.RankOf(max(others.LastPosition(), 0))
 	for _, u := range p.usages {
 		if now.Sub(u.lastAt) >= classUseWindow {
 			continue
 		}
-		p.shares[placeOf(u.class)] += guaranteedShare(u.class)
+		p.shares[positionOf(u.class)] += guaranteedShare(u.class)
 		p.lastLevel = max(p.lastLevel, engineLevelOf(u.class))
 		p.lastTier = max(p.lastTier, int(u.class.GetTier()))
-		p.lastRank = max(p.lastRank, model.RankOf(placeOf(u.class)))
+		p.lastRank = max(p.lastRank, model.RankOf(positionOf(u.class)))
 		target := time.Duration(u.class.GetBetweenTokensMs()) * time.Millisecond
 		if target > 0 && (p.minTokenGapTarget == 0 || target < p.minTokenGapTarget) {
 			p.minTokenGapTarget = target
@@ -139,16 +139,16 @@
 	}
 }
 
-// lateSlots is the most slots that the late waiting requests of one place ask for together.
+// lateSlots is the most slots that the late waiting requests of one position ask for together.
 const lateSlots = 4
 
-// demand returns the slots that this instance asks for, by place. Waiting requests that are late
+// demand returns the slots that this instance asks for, by position. Waiting requests that are late
 // ask for few: they cannot meet their target any more and start in slots that others leave. All
 // late requests of a burst would otherwise hold slots back from lower tiers and other instances
 // whose requests can still be in time. The few keep an instance without the burst from losing its
 // part to one with it.
 func (p *pool) demand() tiers.Demand {
-	demand := p.runningByPlace
+	demand := p.runningByPosition
 	for level := range model.Levels {
 		waiting, late := p.queue.LevelLen(level)
 		demand[model.PositionOf(level)] += float64(waiting - late + min(late, lateSlots))
@@ -156,15 +156,15 @@
 	return demand
 }
 
-// runningUpTo returns how many requests of the place and of more urgent places this instance
-// runs. Only these count against the quota for a request of the place. While a burst of a less
-// urgent place at other instances keeps the quota small, this instance's running answers of that
-// place would otherwise make an urgent request wait seconds for their end, although its own
-// demand won it a slot. The excess over the quota is at most the answers of less urgent places
+// runningUpTo returns how many requests of the position and of more urgent positions this instance
+// runs. Only these count against the quota for a request of the position. While a burst of a less
+// urgent position at other instances keeps the quota small, this instance's running answers of that
+// position would otherwise make an urgent request wait seconds for their end, although its own
+// demand won it a slot. The excess over the quota is at most the answers of less urgent positions
 // that ran before, and the servers' limits hold in any case.
-func (p *pool) runningUpTo(place int) float64 {
+func (p *pool) runningUpTo(position int) float64 {
 	sum := 0.0
-	for _, running := range p.runningByPlace[:place+1] {
+	for _, running := range p.runningByPosition[:position+1] {
 		sum += running
 	}
 	return sum
@@ -251,7 +251,7 @@
 func (p *pool) attach(r *request) {
 	r.poolIndex = len(p.running)
 	p.running = append(p.running, r)
-	p.runningByPlace[placeOf(r.class)]++
+	p.runningByPosition[positionOf(r.class)]++
 }
 
 func (p *pool) detach(r *request) {
@@ -260,5 +260,5 @@
 	p.running[r.poolIndex].poolIndex = r.poolIndex
 	p.running[last] = nil
 	p.running = p.running[:last]
-	p.runningByPlace[placeOf(r.class)]--
+	p.runningByPosition[positionOf(r.class)]--
 }
--- a/request/policy/waiting_test.go
+++ b/request/policy/waiting_test.go
@@ -210,7 +210,7 @@
 	p := c.pools["llm"]
 	p.updateClassUse(epoch)
 	p.slotSplit = tiers.Demand{}
-	p.slotSplit[placeOf(c.view.Classes["draft"])] = 10
+	p.slotSplit[positionOf(c.view.Classes["draft"])] = 10
 	for id, want := range []bool{true, true, false} {
 		is.Equal(p.withinSplit(c.requests[ID(id+1)]), want)
 	}
--- a/request/queue/queue.go
+++ b/request/queue/queue.go
@@ -27,7 +27,7 @@
 type Item struct {
 	ID   uint64
 	Tier int
-	// Rank is the class's place within its tier, 0 to model.Ranks-1.
+	// Rank is the class's rank within its tier, 0 to model.Ranks-1.
 	Rank  int
 	Class string
 	Team  string
@@ -183,7 +183,7 @@
 }
 
 // Before returns how many requests on time would start before the item if it
-// arrived now: those of its own place in the start order and of earlier places.
+// arrived now: those of its own position and of more urgent positions.
 func (q *Queue) Before(item *Item) int {
 	count, own := 0, model.Position(item.Tier, item.Rank)
 	for i, l := range q.levels {
--- a/request/relay/log.go
+++ b/request/relay/log.go
@@ -34,7 +34,7 @@
 func (r *Relay) logRefused(req *request, a policy.Refuse) {
 	r.Log.Line(logs.Failure, "refused", "request", req.requestID, "class", req.class, "team", req.team, "target", req.target,
 		"kind", fault.Name(a.Kind), "not_run", a.NotRun.String(), "retry_after_ms", a.RetryAfter.Milliseconds(),
-		"after_ms", time.Since(req.arrived).Milliseconds(), "level", a.Queue.Level, "before", a.Queue.Before,
+		"after_ms", time.Since(req.arrived).Milliseconds(), "level", a.Queue.Position, "before", a.Queue.Before,
 		"running", a.Queue.Running, "slots", a.Queue.Slots, "blocked", string(a.Queue.Blocked))
 }
 
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -44,11 +44,11 @@
 	noTier = model.Tiers
 )
 
-// Demand is the number of requested slots by place.
+// Demand is the number of requested slots by position.
 type Demand [model.Positions]float64
 
-// LastPlace returns the last place with any demand, or -1.
-func (d Demand) LastPlace() int {
+// LastPosition returns the last position with any demand, or -1.
+func (d Demand) LastPosition() int {
 	last := len(d) - 1
 	for last >= 0 && d[last] == 0 {
 		last--
@@ -59,9 +59,9 @@
 // LastTier returns the least urgent tier with any demand, or 0.
 func (d Demand) LastTier() int {
 	last := 0
-	for place, count := range d {
+	for position, count := range d {
 		if count > 0 {
-			last = max(last, model.TierOf(place))
+			last = max(last, model.TierOf(position))
 		}
 	}
 	return last
@@ -69,13 +69,13 @@
 
 // byTier returns the demand summed by tier.
 func (d Demand) byTier() (sums [model.Tiers]float64) {
-	for place, count := range d {
-		sums[model.TierOf(place)] += count
+	for position, count := range d {
+		sums[model.TierOf(position)] += count
 	}
 	return sums
 }
 
-// Shares are the guaranteed shares of the capacity by place, 0 to 1 in total. Instances that
+// Shares are the guaranteed shares of the capacity by position, 0 to 1 in total. Instances that
 // know different classes split slightly differently; servers' own limits hold regardless.
 type Shares [model.Positions]float64
 
@@ -148,12 +148,12 @@
 	p.demand = demandOf(cutoff)
 }
 
-// demandOf returns the demand in a peer's announcement. Peers that report no demand by place
+// demandOf returns the demand in a peer's announcement. Peers that report no demand by position
 // report it by tier.
 func demandOf(cutoff *lilacv1.PoolCutoff) (demand Demand) {
-	for place, count := range cutoff.GetPlaceDemand() {
-		if place < model.Positions {
-			demand[place] = float64(count)
+	for position, count := range cutoff.GetPlaceDemand() {
+		if position < model.Positions {
+			demand[position] = float64(count)
 		}
 	}
 	if len(cutoff.GetPlaceDemand()) > 0 {
@@ -247,7 +247,7 @@
 	for _, count := range demand.byTier() {
 		cutoff.Demand = append(cutoff.Demand, uint32(math.Round(count)))
 	}
-	for _, count := range demand[:demand.LastPlace()+1] {
+	for _, count := range demand[:demand.LastPosition()+1] {
 		cutoff.PlaceDemand = append(cutoff.PlaceDemand, uint32(math.Round(count)))
 	}
 	return cutoff
@@ -280,37 +280,37 @@
 	}
 	var sum Demand
 	for _, p := range t.peers {
-		for place, count := range p.demand {
-			sum[place] += count
+		for position, count := range p.demand {
+			sum[position] += count
 		}
 	}
 	return sum
 }
 
-// Split returns how many requests of each place this instance may run at once, and how
-// many in total. Each place first gets its share of capacity, up to its demand; the rest is
-// granted place by place. Within a place, slots are divided among instances in proportion to
-// demand. Capacity without demand is divided evenly and is open to every place.
+// Split returns how many requests of each position this instance may run at once, and how
+// many in total. Each position first gets its share of capacity, up to its demand; the rest is
+// granted position by position. Within a position, slots are divided among instances in proportion to
+// demand. Capacity without demand is divided evenly and is open to every position.
 func (t *Table) Split(capacity float64, own Demand, shares Shares) (split Demand, quota float64) {
 	total := t.OthersDemand()
 	remaining := capacity
 	var granted Demand
-	for place := range own {
-		total[place] += own[place]
-		granted[place] = min(total[place], shares[place]*capacity)
-		remaining -= granted[place]
+	for position := range own {
+		total[position] += own[position]
+		granted[position] = min(total[position], shares[position]*capacity)
+		remaining -= granted[position]
 	}
-	for place := range own {
-		extra := min(total[place]-granted[place], max(remaining, 0))
+	for position := range own {
+		extra := min(total[position]-granted[position], max(remaining, 0))
 		remaining -= extra
-		if total[place] > 0 {
-			split[place] = (granted[place] + extra) * own[place] / total[place]
-			quota += split[place]
+		if total[position] > 0 {
+			split[position] = (granted[position] + extra) * own[position] / total[position]
+			quota += split[position]
 		}
 	}
 	evenShare := max(remaining, 0) / float64(t.otherInstances()+1)
-	for place := range split {
-		split[place] += evenShare
+	for position := range split {
+		split[position] += evenShare
 	}
 	return split, max(1, quota+evenShare)
 }
--- a/request/tiers/table_test.go
+++ b/request/tiers/table_test.go
@@ -44,7 +44,7 @@
 
 // Queries will soon need most of the slots. Notes that started in the slots not yet
 // occupied by queries would hold them for many seconds.
-func TestSplitLeavesLessUrgentPlacesOnlyWhatIsNotRequested(t *testing.T) {
+func TestSplitLeavesLessUrgentPositionsOnlyWhatIsNotRequested(t *testing.T) {
 	is := is.New(t)
 	const queries, notes = 1, 2*model.Tiers + 1
 	a := NewTable("m", epoch)
@@ -53,7 +53,7 @@
 	is.Equal(split[notes], 30.0)
 	is.Equal(quota, 100.0)
 	split, _ = a.Split(100, Demand{queries: 20, notes: 30}, Shares{})
-	is.Equal(split[notes], 30.0+50) // unrequested slots are open to every place
+	is.Equal(split[notes], 30.0+50) // unrequested slots are open to every position
 }
 
 // Notes of an urgent tier must not take the slots that short queries of the next tier need.
