--- a/daemon/entry/convict.go
+++ b/daemon/entry/convict.go
@@ -25,7 +25,7 @@
 	select {
 	case e.convictions <- c:
 	default:
-		e.counters.Broken("convictions_pile_up")
+		e.counters.InvariantViolated("convictions_pile_up")
 	}
 }
 
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -103,8 +103,8 @@
 // Tokens adds n tokens of responses.
 func (e *Entry) Tokens(n int) { e.tokens.Add(float64(n)) }
 
-// Saved adds n tokens of interrupted responses that did not have to be generated again.
-func (e *Entry) Saved(n int) { e.tokensSaved.Add(float64(n)) }
+// TokensSaved adds n tokens of interrupted responses that did not have to be generated again.
+func (e *Entry) TokensSaved(n int) { e.tokensSaved.Add(float64(n)) }
 
-// Broken counts a violation of the invariant.
-func (e *Entry) Broken(invariant string) { e.violations.WithLabelValues(invariant).Inc() }
+// InvariantViolated counts a violation of the invariant.
+func (e *Entry) InvariantViolated(invariant string) { e.violations.WithLabelValues(invariant).Inc() }
--- a/request/relay/chat_open.go
+++ b/request/relay/chat_open.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	j.completion.base, j.resumeBase = j.completion.tokens, j.completion.tokens
-	j.relay.Counter.Saved(j.completion.tokens)
+	j.relay.Counter.TokensSaved(j.completion.tokens)
 	return j.relay.Engines.Chat(ctx, call, body)
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	j.relay.Counter.Saved(j.completion.tokens)
+	j.relay.Counter.TokensSaved(j.completion.tokens)
 	if before.server != att.start.Server {
 		j.relay.release(before)
 	}
@@ -88,7 +88,7 @@
 	var status *upstream.StatusError
 	switch {
 	case err == nil:
-		j.relay.Counter.Saved(j.completion.tokens)
+		j.relay.Counter.TokensSaved(j.completion.tokens)
 		return stream, nil
 	case errors.As(err, &status):
 		return nil, errAnswerLost
--- a/request/relay/loop.go
+++ b/request/relay/loop.go
@@ -189,7 +189,7 @@
 	select {
 	case req.actions <- action:
 	default:
-		r.Counter.Broken("actions_pile_up")
+		r.Counter.InvariantViolated("actions_pile_up")
 	}
 }
 
--- a/request/relay/relay.go
+++ b/request/relay/relay.go
@@ -35,10 +35,10 @@
 	FirstToken(class string, wait time.Duration)
 	// Tokens counts tokens forwarded to callers.
 	Tokens(n int)
-	// Saved counts tokens of interrupted answers that were not generated again.
-	Saved(n int)
-	// Broken counts a violated invariant by name.
-	Broken(invariant string)
+	// TokensSaved counts tokens of interrupted answers that were not generated again.
+	TokensSaved(n int)
+	// InvariantViolated counts a violated invariant by name.
+	InvariantViolated(invariant string)
 }
 
 // Options are the dependencies and settings of a Relay.
@@ -107,7 +107,7 @@
 // counted as a violated invariant.
 func (r *Relay) Configure(view *model.View) {
 	if old := r.view.Load(); old != nil && old.Revision > view.Revision {
-		r.Counter.Broken("revision_went_back")
+		r.Counter.InvariantViolated("revision_went_back")
 		return
 	}
 	r.view.Store(view)
--- a/request/relay/run.go
+++ b/request/relay/run.go
@@ -95,7 +95,7 @@
 	r.logRefused(req, a)
 	err := req.record.Error(a.Kind, a.Message, fault.WithRetryAfter(a.RetryAfter))
 	if a.NotRun == lilacv1.NotRun_NOT_RUN_TRUE && fault.NotRunOf(err) != a.NotRun {
-		r.Counter.Broken("refused_as_not_run_without_proof")
+		r.Counter.InvariantViolated("refused_as_not_run_without_proof")
 	}
 	return err
 }
@@ -162,7 +162,7 @@
 		req.record.Refused()
 	}
 	if errors.Is(err, upstream.ErrIDMismatch) {
-		r.Counter.Broken("answer_of_another_request")
+		r.Counter.InvariantViolated("answer_of_another_request")
 	}
 	if j.begun() && !j.continuable() {
 		failed.Permanent = true
