--- a/connection/spreadlink/watcher.go
+++ b/connection/spreadlink/watcher.go
@@ -53,11 +53,11 @@
 // Watcher keeps the configuration of one entry up to date. It is a Source, so that
 // other entries can watch this one.
 type Watcher struct {
-	options Options
-	log     *logs.Log
-	holder  *config.Follower
-	core    *spread.Core
-	events  chan spread.Event
+	options  Options
+	log      *logs.Log
+	follower *config.Follower
+	core     *spread.Core
+	events   chan spread.Event
 
 	mu        sync.Mutex
 	entries   []settings.Peer
@@ -87,29 +87,29 @@
 		options.Logger = hclog.NewNullLogger()
 	}
 	return &Watcher{
-		options: options,
-		log:     logs.New(options.Logger),
-		holder:  config.NewFollower(),
-		core:    spread.NewCoreWithTiming(options.Instance, options.Timing),
-		events:  make(chan spread.Event, 64),
-		entries: options.Entries,
-		changed: make(chan struct{}),
+		options:  options,
+		log:      logs.New(options.Logger),
+		follower: config.NewFollower(),
+		core:     spread.NewCoreWithTiming(options.Instance, options.Timing),
+		events:   make(chan spread.Event, 64),
+		entries:  options.Entries,
+		changed:  make(chan struct{}),
 	}
 }
 
 // Current returns the view of the newest applied revision, or nil before the first.
-func (w *Watcher) Current() *model.View { return w.holder.Current() }
+func (w *Watcher) Current() *model.View { return w.follower.Current() }
 
 // Revision returns the number of the newest applied revision.
-func (w *Watcher) Revision() uint64 { return w.holder.Revision() }
+func (w *Watcher) Revision() uint64 { return w.follower.Revision() }
 
 // Since implements Source.
 func (w *Watcher) Since(have uint64, limit int) ([]*lilacv1.Revision, bool) {
-	return w.holder.Since(have, limit)
+	return w.follower.Since(have, limit)
 }
 
 // Config implements Source.
-func (w *Watcher) Config() *lilacv1.Snapshot { return w.holder.Config() }
+func (w *Watcher) Config() *lilacv1.Snapshot { return w.follower.Config() }
 
 // Changed implements Source.
 func (w *Watcher) Changed() <-chan struct{} {
@@ -199,7 +199,7 @@
 	w.receiving.Lock()
 	defer w.receiving.Unlock()
 	_, age := w.LatestKnown()
-	w.log.Line(logs.StateChange, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.holder.Revision(), "age_ms", age.Milliseconds())
+	w.log.Line(logs.StateChange, "following revisions", "from", name, "reason", string(follow.Reason), "revision", w.follower.Revision(), "age_ms", age.Milliseconds())
 	started := w.options.Clock()
 	err := w.receiveUpdates(ctx, caller, prefix, target)
 	for fault.Is(err, lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND) {
@@ -286,7 +286,7 @@
 
 func (w *Watcher) receiveUpdates(ctx context.Context, caller link.Caller, prefix string, target spread.Target) error {
 	stream, err := caller.Open(ctx, prefix+".watch", &lilacv1.WatchRequest{
-		Have: w.holder.Revision(), Instance: w.options.Instance, DataCenter: w.options.DataCenter,
+		Have: w.follower.Revision(), Instance: w.options.Instance, DataCenter: w.options.DataCenter,
 		SignOfLifeMs: uint32(w.options.Timing.HeartbeatInterval.Milliseconds()),
 	})
 	if err != nil {
@@ -311,8 +311,8 @@
 func (w *Watcher) applyUpdate(update *lilacv1.WatchUpdate, asOf time.Duration) error {
 	// Without revisions in the update there is something to apply only if no revision
 	// exists at all; the empty configuration then becomes the current one.
-	if len(update.GetRevisions()) > 0 || w.holder.Current() == nil && update.GetNewest() == 0 {
-		if err := w.apply(func() error { return w.holder.Apply(update.GetRevisions()) }); err != nil {
+	if len(update.GetRevisions()) > 0 || w.follower.Current() == nil && update.GetNewest() == 0 {
+		if err := w.apply(func() error { return w.follower.Apply(update.GetRevisions()) }); err != nil {
 			return err
 		}
 	}
@@ -326,11 +326,11 @@
 func (w *Watcher) apply(change func() error) error {
 	w.setApplying(true)
 	defer w.setApplying(false)
-	before := w.holder.Current()
+	before := w.follower.Current()
 	if err := change(); err != nil {
 		return err
 	}
-	view := w.holder.Current()
+	view := w.follower.Current()
 	if view == before {
 		return nil
 	}
@@ -367,7 +367,7 @@
 		if snapshot != nil {
 			w.log.Line(logs.StateChange, "received configuration snapshot", "revision", snapshot.GetRevision(), "document", snapshot.GetDocument().GetVersion(),
 				"bytes", bytes, "after_ms", (w.options.Clock() - started).Milliseconds())
-			return w.apply(func() error { return w.holder.Load(snapshot) })
+			return w.apply(func() error { return w.follower.Load(snapshot) })
 		}
 	}
 }
--- a/request/relay/chat.go
+++ b/request/relay/chat.go
@@ -36,7 +36,7 @@
 	relay      *Relay
 	req        *request
 	q          *caller.Chat
-	answer     *caller.ResponseWriter
+	rw         *caller.ResponseWriter
 	completion *completion
 	frame      []byte
 	// recorder records what was sent to the caller, for the ledger; nil without a
@@ -60,17 +60,17 @@
 
 // Chat handles a chat completions request. It returns a typed error if the answer could not be
 // completed.
-func (r *Relay) Chat(ctx context.Context, q *caller.Chat, answer *caller.ResponseWriter) error {
+func (r *Relay) Chat(ctx context.Context, q *caller.Chat, rw *caller.ResponseWriter) error {
 	req := newRequest(&q.Meta)
 	texts := q.Texts()
 	words := prefix.Words(texts...)
-	j := &chatJob{relay: r, req: req, q: q, answer: answer, completion: newCompletion(q.RequestID, words)}
+	j := &chatJob{relay: r, req: req, q: q, rw: rw, completion: newCompletion(q.RequestID, words)}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
 		PromptTokens: words, MaxTokens: q.TokenLimit(), Prefix: blocksOf(prefix.Blocks(texts...)),
 		Deadline: q.Deadline, Idempotent: q.Key == "",
 	}
-	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
+	return r.serve(ctx, req, &q.Meta, rw, func(recorder *answerRecorder) error {
 		j.recorder = recorder
 		return r.run(ctx, req, arrival, j)
 	})
@@ -85,7 +85,7 @@
 	return blocks
 }
 
-func (j *chatJob) begun() bool { return j.answer.HeaderWritten() }
+func (j *chatJob) begun() bool { return j.rw.HeaderWritten() }
 
 // continuable reports whether the answer so far is plain text; part of a tool call can't be
 // passed to another engine as a prefix.
--- a/request/relay/chat_write.go
+++ b/request/relay/chat_write.go
@@ -10,7 +10,7 @@
 // forward sends an engine event to a streaming caller.
 func (j *chatJob) forward(att *upstreamAttempt, chunk *engine.Chunk, data []byte) error {
 	j.finishSent = j.finishSent || chunk.FinishReason() != ""
-	continued := j.answer.HeaderWritten() && att.start.Attempt > 1 && j.completion.tokens > 0
+	continued := j.rw.HeaderWritten() && att.start.Attempt > 1 && j.completion.tokens > 0
 	switch {
 	case chunk.Usage != nil && len(chunk.Choices) == 0:
 		// Usage is sent at the end, corrected over all attempts.
@@ -38,9 +38,9 @@
 }
 
 func (j *chatJob) write(att *upstreamAttempt, frame []byte) error {
-	j.answer.WriteStreamHeader(att.start.Server)
+	j.rw.WriteStreamHeader(att.start.Server)
 	j.recorder.write(frame)
-	if err := j.answer.WriteEvent(frame); err != nil && !j.req.claimed {
+	if err := j.rw.WriteEvent(frame); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
@@ -72,8 +72,8 @@
 	}
 	j.recorder.begin(http.StatusOK, contentJSON)
 	j.recorder.write(body)
-	j.answer.WriteHeader(http.StatusOK, contentJSON, att.start.Server)
-	if _, err := j.answer.Write(body); err != nil && !j.req.claimed {
+	j.rw.WriteHeader(http.StatusOK, contentJSON, att.start.Server)
+	if _, err := j.rw.Write(body); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
--- a/request/relay/claimed.go
+++ b/request/relay/claimed.go
@@ -36,7 +36,7 @@
 // serve runs a validated request, under a claim if it has an Idempotency-Key. The request
 // counts as in progress until its outcome was passed to Claims, so that a drain waits for
 // both.
-func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, answer *caller.ResponseWriter, run func(*answerRecorder) error) error {
+func (r *Relay) serve(ctx context.Context, req *request, meta *caller.Meta, rw *caller.ResponseWriter, run func(*answerRecorder) error) error {
 	if err := r.register(req); err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 		return err
 	}
 	if stored != nil {
-		return replay(stored, answer)
+		return replay(stored, rw)
 	}
 	recorder := &answerRecorder{status: http.StatusOK, contentType: "text/event-stream"}
 	err = run(recorder)
@@ -63,12 +63,12 @@
 }
 
 // replay sends the stored answer of an earlier request with the same key.
-func replay(stored *lilacv1.StoredAnswer, answer *caller.ResponseWriter) error {
-	answer.Header().Set("X-Lilac-Replayed", "true")
-	answer.WriteHeader(int(stored.GetStatus()), stored.GetContentType(), "")
-	_, err := answer.Write(stored.GetBody())
+func replay(stored *lilacv1.StoredAnswer, rw *caller.ResponseWriter) error {
+	rw.Header().Set("X-Lilac-Replayed", "true")
+	rw.WriteHeader(int(stored.GetStatus()), stored.GetContentType(), "")
+	_, err := rw.Write(stored.GetBody())
 	if err != nil {
 		return nil
 	}
-	return answer.Flush()
+	return rw.Flush()
 }
--- a/request/relay/forward.go
+++ b/request/relay/forward.go
@@ -30,10 +30,10 @@
 
 // forwardJob handles a request of the gateway.
 type forwardJob struct {
-	relay  *Relay
-	req    *request
-	q      *gateway.Request
-	answer *gateway.ResponseWriter
+	relay *Relay
+	req   *request
+	q     *gateway.Request
+	rw    *gateway.ResponseWriter
 	// lastEvent is the id of the last complete event sent to the caller.
 	lastEvent string
 	// failedAnswer is the last 5xx answer of a server; it is sent to the caller unchanged
@@ -59,7 +59,7 @@
 
 // Forward handles a request of the gateway. It returns a typed error if the request could not
 // be answered.
-func (r *Relay) Forward(ctx context.Context, q *gateway.Request, answer *gateway.ResponseWriter) error {
+func (r *Relay) Forward(ctx context.Context, q *gateway.Request, rw *gateway.ResponseWriter) error {
 	team := routing.NoTeam
 	if q.Team != nil {
 		team = q.Team.Name
@@ -70,7 +70,7 @@
 		target: q.Route.Pick(rand.Float64()), arrived: time.Now(), deadline: q.Deadline,
 		actions: make(chan policy.Action, actionSlots),
 	}
-	j := &forwardJob{relay: r, req: req, q: q, answer: answer}
+	j := &forwardJob{relay: r, req: req, q: q, rw: rw}
 	arrival := policy.Arrival{
 		Class: req.class, Team: team, Target: req.target, Digest: Digest(team, q.URI, q.Body),
 		PromptTokens: max(q.PromptTokens, 1), MaxTokens: q.MaxTokens, Hint: q.LengthHint, Prefix: prefixOf(q.Parts),
@@ -81,7 +81,7 @@
 	}
 	defer r.unregister(req)
 	err := r.run(ctx, req, arrival, j)
-	if err != nil && j.failedAnswer != nil && !answer.HeaderWritten() && ctx.Err() == nil {
+	if err != nil && j.failedAnswer != nil && !rw.HeaderWritten() && ctx.Err() == nil {
 		return j.writeBuffered(j.failedAnswer)
 	}
 	return err
@@ -106,7 +106,7 @@
 	return blocks
 }
 
-func (j *forwardJob) begun() bool { return j.answer.HeaderWritten() }
+func (j *forwardJob) begun() bool { return j.rw.HeaderWritten() }
 
 // continuable reports whether the route's events carry ids from which another server can
 // resume.
@@ -183,11 +183,11 @@
 		return errAnswerTooLarge
 	}
 	buffered := &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
-	if resp.StatusCode >= http.StatusInternalServerError && !j.answer.HeaderWritten() {
+	if resp.StatusCode >= http.StatusInternalServerError && !j.rw.HeaderWritten() {
 		j.failedAnswer = buffered
 		return errServerFailed
 	}
-	if j.answer.HeaderWritten() {
+	if j.rw.HeaderWritten() {
 		// A resumed stream was answered with something other than a stream.
 		return errors.New("backend server answered " + strconv.Itoa(resp.StatusCode) + " instead of a resumed stream")
 	}
@@ -198,13 +198,13 @@
 func (j *forwardJob) writeBuffered(buffered *bufferedAnswer) error {
 	j.req.record.Answered()
 	j.reportTokens(1)
-	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), buffered.header)
-	j.answer.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
-	j.answer.WriteHeader(buffered.status)
+	j.relay.Protocol.CopyResponseHeader(j.rw.Header(), buffered.header)
+	j.rw.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
+	j.rw.WriteHeader(buffered.status)
 	if j.q.Method == http.MethodHead {
 		return nil
 	}
-	if _, err := j.answer.Write(buffered.body); err != nil {
+	if _, err := j.rw.Write(buffered.body); err != nil {
 		return errCallerGone
 	}
 	return nil
@@ -252,18 +252,18 @@
 
 // endStream sends the header of a stream that had no events.
 func (j *forwardJob) endStream(resp *gateway.Response) error {
-	if !j.answer.HeaderWritten() {
+	if !j.rw.HeaderWritten() {
 		j.begin(resp)
 	}
 	return nil
 }
 
 func (j *forwardJob) begin(resp *gateway.Response) {
-	j.relay.Protocol.CopyResponseHeader(j.answer.Header(), resp.Header)
+	j.relay.Protocol.CopyResponseHeader(j.rw.Header(), resp.Header)
 	if resp.ContentLength >= 0 && !j.q.Route.Resumable {
-		j.answer.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
+		j.rw.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	j.answer.WriteHeader(resp.StatusCode)
+	j.rw.WriteHeader(resp.StatusCode)
 }
 
 func (j *forwardJob) forwardEvent(ctx context.Context, resp *gateway.Response, event []byte, tokens int) error {
@@ -273,15 +273,15 @@
 	if j.req.pastDeadline() {
 		return context.DeadlineExceeded
 	}
-	if !j.answer.HeaderWritten() {
+	if !j.rw.HeaderWritten() {
 		j.begin(resp)
 	}
 	j.req.record.Answered()
 	j.reportTokens(tokens)
-	if _, err := j.answer.Write(event); err != nil {
+	if _, err := j.rw.Write(event); err != nil {
 		return errCallerGone
 	}
-	if err := j.answer.Flush(); err != nil {
+	if err := j.rw.Flush(); err != nil {
 		return errCallerGone
 	}
 	if id, ok := eventID(event); ok {
--- a/request/relay/service.go
+++ b/request/relay/service.go
@@ -24,7 +24,7 @@
 	relay    *Relay
 	req      *request
 	q        *caller.Service
-	answer   *caller.ResponseWriter
+	rw       *caller.ResponseWriter
 	recorder *answerRecorder
 }
 
@@ -32,15 +32,15 @@
 
 // Service handles a request for a plain service. It returns a typed error if it could not be
 // answered.
-func (r *Relay) Service(ctx context.Context, q *caller.Service, answer *caller.ResponseWriter) error {
+func (r *Relay) Service(ctx context.Context, q *caller.Service, rw *caller.ResponseWriter) error {
 	req := newRequest(&q.Meta)
-	j := &serviceJob{relay: r, req: req, q: q, answer: answer}
+	j := &serviceJob{relay: r, req: req, q: q, rw: rw}
 	arrival := policy.Arrival{
 		Class: q.Class, Team: q.Team, Target: q.Target, Digest: Digest(q.Team, q.Path, q.Body),
 		PromptTokens: 1, Deadline: q.Deadline,
 		Idempotent: j.idempotent(),
 	}
-	return r.serve(ctx, req, &q.Meta, answer, func(recorder *answerRecorder) error {
+	return r.serve(ctx, req, &q.Meta, rw, func(recorder *answerRecorder) error {
 		j.recorder = recorder
 		return r.run(ctx, req, arrival, j)
 	})
@@ -50,7 +50,7 @@
 	return j.q.Key == "" && (j.q.Method == http.MethodGet || j.q.Method == http.MethodHead)
 }
 
-func (j *serviceJob) begun() bool       { return j.answer.HeaderWritten() }
+func (j *serviceJob) begun() bool       { return j.rw.HeaderWritten() }
 func (j *serviceJob) continuable() bool { return false }
 
 func (j *serviceJob) attempt(ctx context.Context, att *upstreamAttempt) error {
@@ -104,7 +104,7 @@
 	j.relay.Counter.FirstToken(j.q.Class, time.Since(j.req.arrived))
 	j.copyHeader(resp.Header)
 	j.recorder.begin(resp.StatusCode, resp.Header.Get("Content-Type"))
-	j.answer.WriteHeader(resp.StatusCode, "", att.start.Server)
+	j.rw.WriteHeader(resp.StatusCode, "", att.start.Server)
 	if err := j.write(head); err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 
 // copyHeader copies the service's headers, except those that lilacbridge sets itself.
 func (j *serviceJob) copyHeader(from http.Header) {
-	to := j.answer.Header()
+	to := j.rw.Header()
 	kept := make(http.Header)
 	for _, key := range []string{"X-Request-Id", "X-Lilac-Instance"} {
 		kept[key] = to[key]
@@ -135,7 +135,7 @@
 			if err := j.write(buffer[:n]); err != nil {
 				return err
 			}
-			if err := j.answer.Flush(); err != nil && !j.req.claimed {
+			if err := j.rw.Flush(); err != nil && !j.req.claimed {
 				return fmt.Errorf("%w: %w", errCallerGone, err)
 			}
 		}
@@ -153,7 +153,7 @@
 		return nil
 	}
 	j.recorder.write(b)
-	if _, err := j.answer.Write(b); err != nil && !j.req.claimed {
+	if _, err := j.rw.Write(b); err != nil && !j.req.claimed {
 		return fmt.Errorf("%w: %w", errCallerGone, err)
 	}
 	return nil
