--- a/connection/spreadlink/freshness.go
+++ b/connection/spreadlink/freshness.go
@@ -23,7 +23,7 @@
 func (w *Watcher) LatestKnown() (newest uint64, age time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return max(w.freshness.newest, w.holder.Revision()), w.options.Clock() - w.freshness.asOf
+	return max(w.freshness.newest, w.follower.Revision()), w.options.Clock() - w.freshness.asOf
 }
 
 // Staleness returns the time since the held revision was last known to be the newest.
@@ -46,7 +46,7 @@
 // recordNewest records the newest revision known to a sender as of the given time. A
 // sender that is behind this entry says nothing about the newest revision.
 func (w *Watcher) recordNewest(newest uint64, asOf time.Duration) {
-	held := w.holder.Revision()
+	held := w.follower.Revision()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.freshness.newest = max(w.freshness.newest, newest, held)
@@ -63,7 +63,7 @@
 
 // logLag logs when this entry falls behind the newest revision and when it has caught up.
 func (w *Watcher) logLag() {
-	held, now := w.holder.Revision(), w.options.Clock()
+	held, now := w.follower.Revision(), w.options.Clock()
 	w.mu.Lock()
 	newest, since := w.freshness.newest, w.freshness.behindSince
 	switch {
