--- a/connection/serverlist/store.go
+++ b/connection/serverlist/store.go
@@ -117,7 +117,7 @@
 		s := &servers[i]
 		reply.Servers = append(reply.Servers, &lilacv1.ListedServer{
 			Name: s.Name, Identity: s.Identity, Service: s.Service, Address: s.Address,
-			DataCenter: s.DataCenter, Slots: uint32(s.Slots), Leaving: s.Leaving,
+			DataCenter: s.DataCenter, Slots: uint32(s.Slots), Leaving: s.Draining,
 		})
 	}
 	// Marshalling a valid message does not fail.
@@ -132,7 +132,7 @@
 	for _, s := range reply.GetServers() {
 		servers = append(servers, routing.Server{
 			Name: s.GetName(), Identity: s.GetIdentity(), Service: s.GetService(), Address: s.GetAddress(),
-			DataCenter: s.GetDataCenter(), Slots: int(s.GetSlots()), Leaving: s.GetLeaving(),
+			DataCenter: s.GetDataCenter(), Slots: int(s.GetSlots()), Draining: s.GetLeaving(),
 		})
 	}
 	return servers
--- a/version/routing/routing_test.go
+++ b/version/routing/routing_test.go
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	table := NewTable(document(), 9)
 	view := View(table, []Server{
-		{Name: "i-1/x", Identity: "i-1", Service: "engines", Address: "10.0.0.1:80", DataCenter: "a", Leaving: true},
+		{Name: "i-1/x", Identity: "i-1", Service: "engines", Address: "10.0.0.1:80", DataCenter: "a", Draining: true},
 		{Name: "i-2", Identity: "i-2", Service: "gone", Address: "10.0.0.2:80"},
 	}, nil)
 	is.Equal(view.Revision, uint64(9))
--- a/version/routing/view.go
+++ b/version/routing/view.go
@@ -18,8 +18,8 @@
 	Address    string
 	DataCenter string
 	Slots      int
-	// Leaving servers get no new requests.
-	Leaving bool
+	// Draining servers get no new requests.
+	Draining bool
 }
 
 // NoTeam is the team of requests that have none: on public routes, and if the document
@@ -98,7 +98,7 @@
 	server := &lilacv1.Server{
 		Name: s.Name, Identity: s.Identity, Address: s.Address, DataCenter: s.DataCenter,
 		Kind: lilacv1.ServerKind_SERVER_KIND_SERVICE, Serves: []string{s.Service},
-		Slots: uint32(s.Slots), Draining: s.Leaving,
+		Slots: uint32(s.Slots), Draining: s.Draining,
 	}
 	if service.Engine != nil {
 		server.Kind = lilacv1.ServerKind_SERVER_KIND_ENGINE
