--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -67,7 +67,7 @@
 		if s.servesFetches(now) {
 			h.updateHolders(now, s, r, lastShared)
 		}
-		if s.closed() || s.unreachable || s.limited.Advertised && s.allowed.share == 0 {
+		if s.closed() || s.unreachable || s.rateLimit.Advertised && s.allowance.share == 0 {
 			continue
 		}
 		rank := xxhash.Sum64String(prefix + s.name)
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -127,7 +127,7 @@
 // Only a few instances may send to them, and capacity that one of these leaves unused is lost.
 func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Advertised && !s.limitReached(now) {
+		if s.rateLimit.Advertised && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
--- a/request/policy/engine_test.go
+++ b/request/policy/engine_test.go
@@ -12,8 +12,8 @@
 	"github.com/lilacbridge/lilacbridge/process/loadboard"
 )
 
-// scaledReplay returns the workshop replay on engines that are slower by the given factor, with
-// as much less traffic.
+// scaledReplay returns the replay of the small fleet on engines that are slower by the given
+// factor; the request rate is lower by the same factor.
 func scaledReplay(slots int, slowdown float64) *replay {
 	scale := func(d time.Duration) time.Duration { return time.Duration(slowdown * float64(d)) }
 	s := engineSpeed{step: scale(smallFleetSpeed.step), perRequest: scale(smallFleetSpeed.perRequest), prefill: scale(smallFleetSpeed.prefill), fixed: smallFleetSpeed.fixed}
--- a/request/policy/limit_replay_test.go
+++ b/request/policy/limit_replay_test.go
@@ -133,7 +133,7 @@
 				for _, name := range []string{"a-0", "b-1"} {
 					is.True(r.engines[name].limiter.rate(6*time.Second, 12*time.Second) >= 0.5)
 					for _, c := range r.cores {
-						is.True(!c.servers[name].limited.Advertised)
+						is.True(!c.servers[name].rateLimit.Advertised)
 					}
 				}
 			}
--- a/request/policy/limitshare.go
+++ b/request/policy/limitshare.go
@@ -96,7 +96,7 @@
 	slices.SortFunc(local, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(s.name+"/"+a), xxhash.Sum64String(s.name+"/"+b)), cmp.Compare(a, b))
 	})
-	return local[:min(len(local), minSenders+int(s.limited.PerSecond))]
+	return local[:min(len(local), minSenders+int(s.rateLimit.PerSecond))]
 }
 
 // allowance is a token bucket for requests to a limited server.
@@ -115,35 +115,35 @@
 
 // shareLimit computes this instance's share of the server's limit.
 func (c *core) shareLimit(now time.Time, s *server) {
-	if !s.limited.Advertised {
-		s.allowed = allowance{}
+	if !s.rateLimit.Advertised {
+		s.allowance = allowance{}
 		return
 	}
-	if s.allowed.at.IsZero() {
-		s.allowed.at = now
+	if s.allowance.at.IsZero() {
+		s.allowance.at = now
 	}
-	s.allowed.refresh(now)
-	s.allowed.share = 0
+	s.allowance.refresh(now)
+	s.allowance.share = 0
 	if senders := c.fleet.senders(s); slices.Contains(senders, c.options.Instance) {
-		s.allowed.share = s.limited.PerSecond / float64(len(senders))
+		s.allowance.share = s.rateLimit.PerSecond / float64(len(senders))
 	}
 }
 
 // limitReached reports whether this instance may not send a request to the server
 // now because of its limit.
 func (s *server) limitReached(now time.Time) bool {
-	if !s.limited.Advertised {
+	if !s.rateLimit.Advertised {
 		return false
 	}
-	s.allowed.refresh(now)
-	return s.allowed.credit < 1
+	s.allowance.refresh(now)
+	return s.allowance.credit < 1
 }
 
 // takeAllowance takes a started request out of the server's allowance.
 func (s *server) takeAllowance(now time.Time) {
-	if s.limited.Advertised {
-		s.allowed.refresh(now)
-		s.allowed.credit--
+	if s.rateLimit.Advertised {
+		s.allowance.refresh(now)
+		s.allowance.credit--
 	}
 }
 
@@ -155,7 +155,7 @@
 		if s.closed() || s.unreachable {
 			continue
 		}
-		if !s.limited.Advertised || s.allowed.share > 0 {
+		if !s.rateLimit.Advertised || s.allowance.share > 0 {
 			return false
 		}
 		limited = true
--- a/request/policy/limitshare_test.go
+++ b/request/policy/limitshare_test.go
@@ -37,14 +37,14 @@
 				c := &core{options: Options{Instance: view.self.Name}, fleet: view}
 				s := newServer("i-1")
 				s.dataCenter = "b"
-				s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: perSecond}
+				s.rateLimit.Limit = loadboard.Limit{Advertised: true, PerSecond: perSecond}
 				c.shareLimit(epoch, s)
-				if s.allowed.share > 0 {
-					s.allowed.credit = 1e9
-					s.allowed.refresh(epoch)
-					burst += s.allowed.credit
+				if s.allowance.share > 0 {
+					s.allowance.credit = 1e9
+					s.allowance.refresh(epoch)
+					burst += s.allowance.credit
 				}
-				share += s.allowed.share
+				share += s.allowance.share
 			}
 			is.True(share <= perSecond+1e-9)
 			is.True(share >= perSecond-1e-9) // the shares add up to the limit
@@ -60,7 +60,7 @@
 	views := fleetViews(8)
 	s := newServer("i-1")
 	s.dataCenter = "b"
-	s.limited.Limit = loadboard.Limit{Advertised: true, PerSecond: 1}
+	s.rateLimit.Limit = loadboard.Limit{Advertised: true, PerSecond: 1}
 	before := views[0].senders(s)
 	is.Equal(len(before), 3)
 	views[0].update(epoch.Add(time.Minute), nil)
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -118,8 +118,8 @@
 	}
 	copied.Limited = make(map[string]float64)
 	for _, s := range c.ordered {
-		if s.limited.Advertised {
-			copied.Limited[s.name] = s.limited.PerSecond
+		if s.rateLimit.Advertised {
+			copied.Limited[s.name] = s.rateLimit.PerSecond
 		}
 	}
 	for name := range c.peers {
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -185,8 +185,8 @@
 		open++
 		gapsPerRequest += s.gapPerRequest
 		n := s.limit(s.gapTarget(p, 0), p.minTokenGapTarget)
-		if s.limited.Advertised {
-			n = min(n, s.limited.PerSecond*limitedSlotTime.Seconds())
+		if s.rateLimit.Advertised {
+			n = min(n, s.rateLimit.PerSecond*limitedSlotTime.Seconds())
 		}
 		p.capacity += n
 		p.tokenRate += s.tokenRateAt(n)
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -147,9 +147,10 @@
 	// fullUntil is until when the server counts as full after a late first token.
 	fullUntil time.Time
 
-	// limited is the request rate limit that the server states.
-	limited serverLimit
-	allowed allowance
+	// rateLimit is the request rate limit that the server states; allowance is what this
+	// instance may send of it.
+	rateLimit serverLimit
+	allowance allowance
 
 	// trial is the digest of the suspect whose trial runs here or has the server reserved;
 	// peerTrials is the number of trials by other instances.
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -66,20 +66,20 @@
 
 func (c *core) limitReport(now time.Time, e LimitReport) {
 	s := c.servers[e.Server]
-	if s == nil || !e.Advertised && s.limited.At.IsZero() {
+	if s == nil || !e.Advertised && s.rateLimit.At.IsZero() {
 		return
 	}
 	c.setLimit(now, s, loadboard.Limit{PerSecond: e.PerSecond, Advertised: e.Advertised, At: now}, LimitFromResponse)
-	s.limited.reportedAt = now
+	s.rateLimit.reportedAt = now
 }
 
 // setLimit stores a limit unless a newer one is known.
 func (c *core) setLimit(now time.Time, s *server, reported loadboard.Limit, source LimitSource) {
-	before := s.limited.Limit
+	before := s.rateLimit.Limit
 	if reported.At.Before(before.At) {
 		return
 	}
-	s.limited.Limit = reported
+	s.rateLimit.Limit = reported
 	if reported.Advertised == before.Advertised && reported.PerSecond == before.PerSecond {
 		return
 	}
@@ -92,7 +92,7 @@
 
 func (c *core) emitLimitChanged(now time.Time, s *server, source LimitSource) {
 	c.emit(LimitChanged{
-		Server: s.name, Advertised: s.limited.Advertised, PerSecond: s.limited.PerSecond, Source: source, Age: now.Sub(s.limited.At), Share: s.allowed.share,
+		Server: s.name, Advertised: s.rateLimit.Advertised, PerSecond: s.rateLimit.PerSecond, Source: source, Age: now.Sub(s.rateLimit.At), Share: s.allowance.share,
 	})
 }
 
@@ -100,8 +100,8 @@
 func (c *core) ownLimits(now time.Time) loadboard.Limits {
 	limits := make(loadboard.Limits)
 	for _, s := range c.ordered {
-		if at := s.limited.reportedAt; !at.IsZero() && now.Sub(at) <= limitReportTTL && !s.limited.At.After(at) {
-			limits[s.key] = s.limited.Limit
+		if at := s.rateLimit.reportedAt; !at.IsZero() && now.Sub(at) <= limitReportTTL && !s.rateLimit.At.After(at) {
+			limits[s.key] = s.rateLimit.Limit
 		}
 	}
 	return limits
@@ -121,14 +121,14 @@
 func (c *core) refreshLimits(now time.Time) {
 	c.fleet.expire(now)
 	for _, s := range c.ordered {
-		if s.limited.Advertised && now.Sub(s.limited.At) > limitTTL {
+		if s.rateLimit.Advertised && now.Sub(s.rateLimit.At) > limitTTL {
 			c.setLimit(now, s, loadboard.Limit{At: now}, LimitExpired)
 		}
-		if !s.limited.Advertised {
+		if !s.rateLimit.Advertised {
 			continue
 		}
-		before := s.allowed.share
-		if c.shareLimit(now, s); s.allowed.share != before {
+		before := s.allowance.share
+		if c.shareLimit(now, s); s.allowance.share != before {
 			c.emitLimitChanged(now, s, LimitFromFleet)
 		}
 	}
--- a/request/policy/serverlimit_test.go
+++ b/request/policy/serverlimit_test.go
@@ -22,11 +22,11 @@
 	changed := only[LimitChanged](t, here.Step(epoch, namedLimit("a-1", 1.8)))
 	is.Equal(changed.Source, LimitFromResponse)
 	there.Step(epoch.Add(100*ms), PeerDigest{Digest: here.Digest(epoch.Add(50 * ms)), At: epoch})
-	is.Equal(there.servers["a-1"].limited.PerSecond, 1.8)
+	is.Equal(there.servers["a-1"].rateLimit.PerSecond, 1.8)
 	is.Equal(len(there.Digest(epoch.Add(200*ms)).GetLimits()), 0) // an instance that learned of it from a peer does not report it
 	here.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	there.Step(epoch.Add(1100*ms), PeerDigest{Digest: here.Digest(epoch.Add(time.Second)), At: epoch})
-	is.True(!there.servers["a-1"].limited.Advertised)
+	is.True(!there.servers["a-1"].rateLimit.Advertised)
 	is.Equal(there.Stats().Limited, map[string]float64{})
 }
 
@@ -49,7 +49,7 @@
 	c.Step(epoch.Add(time.Second), LimitReport{Server: "a-1"})
 	old := loadboard.Limits{loadboard.Key("a-1"): {PerSecond: 2, Advertised: true, At: epoch.Add(500 * ms)}}
 	c.Step(epoch.Add(1100*ms), PeerLoads{Report: loadboard.Report{Loads: loadboard.Loads{}, Limits: old}})
-	is.True(!c.servers["a-1"].limited.Advertised)
+	is.True(!c.servers["a-1"].rateLimit.Advertised)
 }
 
 // A limited server that gets no requests sends no answers, so its limit must expire.
@@ -58,8 +58,8 @@
 	c := coreWithEngines("e1", 3, "a")
 	c.Step(epoch, namedLimit("a-1", 2))
 	c.Step(epoch.Add(limitTTL), Tick{})
-	is.True(c.servers["a-1"].limited.Advertised)
+	is.True(c.servers["a-1"].rateLimit.Advertised)
 	changed := only[LimitChanged](t, c.Step(epoch.Add(limitTTL+time.Second), Tick{}))
 	is.Equal(changed.Source, LimitExpired)
-	is.True(!c.servers["a-1"].limited.Advertised)
+	is.True(!c.servers["a-1"].rateLimit.Advertised)
 }
