--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -10,12 +10,12 @@
 	"github.com/lilacbridge/lilacbridge/process/member"
 )
 
-// A request that shares a long part of its prompt with others costs a quarter of a second less on
-// an engine that has the part in its cache. All instances therefore rank the engines by the same
-// hash of the shared part; the first few are its homes. The first home gets all requests of the
-// part, from all instances; the others take what exceeds its capacity.
+// A request that shares a long prompt prefix with others takes a quarter of a second less on an
+// engine that has the prefix in its cache. All instances therefore rank the engines by the same
+// hash of the shared prefix; the first few are its homes. The first home gets all requests with
+// the prefix, from all instances; the others take what exceeds its capacity.
 
-// homeCount is the number of homes of a shared part: enough for some choice by load, and few
+// homeCount is the number of homes of a shared prefix: enough for some choice by load, and few
 // enough that concurrent requests spread over all engines.
 const homeCount = 4
 
@@ -25,13 +25,13 @@
 	// ranked holds the homes in order of rank; nil where there are fewer engines.
 	ranked [homeCount]*server
 	ranks  [homeCount]uint64
-	// assumeCached is true if the first home is assumed to have the parts in its cache.
+	// assumeCached is true if the first home is assumed to have the prefixes in its cache.
 	assumeCached bool
-	// holder is the engine with the most cached tokens of the shared parts, heldTokens their
+	// holder is the engine with the most cached tokens of the shared prefixes, heldTokens their
 	// number; nil if none is known.
 	holder     *server
 	heldTokens float64
-	// assigned and assignedTokens are the same including parts that were sent to an engine but
+	// assigned and assignedTokens are the same including prefixes that were sent to an engine but
 	// may not be prefilled yet.
 	assigned       *server
 	assignedTokens float64
@@ -53,7 +53,7 @@
 	}
 }
 
-// homesOf ranks the available engines by the request's last shared part.
+// homesOf ranks the available engines by the request's last shared prefix.
 func (c *core) homesOf(now time.Time, r *request) homes {
 	h := homes{assumeCached: c.peers[member.Others] != nil && !c.boardActive}
 	lastShared := len(r.Prefix) - 2
@@ -88,7 +88,7 @@
 // its cache. Instances that exchange digests directly learn within one exchange what was sent
 // where. Through a tree of digests that takes seconds, and an instance sees few of the requests
 // itself, so the first home is assumed to have the prompt. Without the assumption, 76 instances
-// prefilled shared parts again 2.7 times as often.
+// prefilled shared prefixes again 2.7 times as often.
 func (h *homes) uncachedAt(s *server, r *request) float64 {
 	uncached := s.uncachedTokens(r)
 	if !h.assumeCached || s != h.first() {
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -137,7 +137,7 @@
 //
 // Instances that see the same loads, half a second old, would otherwise all send to the engine
 // that was the least loaded then: with 78 instances, some engines had 5 s of prompts to prefill
-// beside idle ones. Here each shared part has its own homes, spread over all engines.
+// beside idle ones. Here each shared prefix has its own homes, spread over all engines.
 func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
 		if h.position(s) > 0 || s == h.holder || s == h.assigned {
--- a/request/policy/core.go
+++ b/request/policy/core.go
@@ -61,8 +61,8 @@
 	stats           Stats
 	actions         []Action
 	announced       bool
-	// prefills are the recent prefills of shared blocks that digests report.
-	prefills []prefillRecord
+	// cachedPrefixes are the shared prefixes recently sent to servers, which this instance reports.
+	cachedPrefixes []cachedPrefix
 	// unconfirmed holds the digests with two crashes whose conviction is pending.
 	// lastNewCrash is when the last new crash was reported.
 	unconfirmed  []string
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -169,7 +169,7 @@
 	c.identical.add(r)
 	s.ownBacklog.add(r.level, r.uncached)
 	r.pool.attach(r)
-	c.recordPrefills(now, r, s)
+	c.recordPrefixes(now, r, s)
 	s.cache.insert(r.Prefix, now.Add(r.expectedFirst))
 	c.running++
 	c.stats.Starts++
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -4,7 +4,7 @@
 
 // A shared prompt of 13,300 tokens takes an engine a quarter of a second to prefill, and
 // meanwhile all its running answers get their tokens seven times slower. An engine can instead
-// fetch the KV cache of the part from one that holds it, in half the time and in parallel with
+// fetch the KV cache of the prompt from one that holds it, in half the time and in parallel with
 // its own work. So if the engine that holds the prompt is busy, a request can go to another one
 // without a second prefill.
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// assumeHeldAtHome makes the first home the holder of all shared parts if that is assumed and the
+// assumeHeldAtHome makes the first home the holder of all shared prefixes if that is assumed and the
 // home has not just failed.
 func (h *homes) assumeHeldAtHome(now time.Time, r *request, lastShared int) {
 	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
--- a/request/policy/fetch_test.go
+++ b/request/policy/fetch_test.go
@@ -120,7 +120,7 @@
 	is.Equal(only[Start](t, plain.Step(epoch.Add(slowTick), digest(3, 7))).FetchFrom, "")
 }
 
-// The prefill of a short shared part takes less time than the start of a fetch.
+// The prefill of a short shared prefix takes less time than the start of a fetch.
 func TestShortPrefixesAreNotFetched(t *testing.T) {
 	is := is.New(t)
 	c := withIndirectDigests(enableFetch(coreWithEngines("e1", 3, "a", "b", "c")))
--- a/request/policy/gateway_test.go
+++ b/request/policy/gateway_test.go
@@ -159,7 +159,7 @@
 	c.Step(epoch, PeerGone{Instance: "e2"})
 	is.Equal(s.backlogBefore(engineLevels-1), 0.0)
 	is.Equal(s.uncachedTokens(mine), 3700.0) // still cached at the engine
-	is.Equal(len(peer.Digest(epoch.Add(2*prefillRecordTTL)).GetReadings()), 0)
+	is.Equal(len(peer.Digest(epoch.Add(2*prefixReportPeriod)).GetReadings()), 0)
 }
 
 // An engine processes urgent prompts first. A draft does not wait for the digests there,
--- a/request/policy/peerloads.go
+++ b/request/policy/peerloads.go
@@ -27,7 +27,7 @@
 		s.estimateOtherLoad(c.boardActive || len(c.peers) > 0)
 	}
 	for _, prefix := range e.Report.CachedPrefixes {
-		c.observePeerPrefill(now, c.byKey[prefix.Server], prefix.Hash, int(prefix.Tokens))
+		c.observePeerPrefix(now, c.byKey[prefix.Server], prefix.Hash, int(prefix.Tokens))
 	}
 	c.applyPeerLimits(now, e.Report.Limits)
 	for _, p := range c.poolOrder {
@@ -131,9 +131,9 @@
 		}
 		report.Loads[s.key] = load
 	}
-	for _, prefill := range c.recentPrefills(now) {
+	for _, prefix := range c.recentPrefixes(now) {
 		report.CachedPrefixes = append(report.CachedPrefixes, loadboard.CachedPrefix{
-			Server: loadboard.Key(prefill.server), Hash: prefill.block.Hash, Tokens: uint32(prefill.tokens),
+			Server: loadboard.Key(prefix.server), Hash: prefix.block.Hash, Tokens: uint32(prefix.tokens),
 		})
 	}
 	return report
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -52,7 +52,7 @@
 		Revision:    c.view.Revision,
 		Suspects:    c.suspects.Export(now),
 		Spends:      c.teamSpends(now),
-		Readings:    c.advertisedPrefills(now),
+		Readings:    c.advertisedPrefixes(now),
 		Work:        c.encodeWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
@@ -115,7 +115,7 @@
 	p.dataCenter, p.leaving = d.GetDataCenter(), d.GetLeaving()
 	c.applyLoads(now, p, d.GetLoads())
 	c.applyWork(p, d.GetWork())
-	c.observePeerPrefills(now, d.GetReadings())
+	c.observePeerPrefixes(now, d.GetReadings())
 	c.applyPeerLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
 	c.applySuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
