--- a/process/fault/fault.go
+++ b/process/fault/fault.go
@@ -20,7 +20,7 @@
 // Kind is the kind of an error; docs/INTERFACES.md lists all kinds.
 type Kind = lilacv1.ErrorKind
 
-// NotRun tells whether a refused request has not run, has run at least in part, or may
+// NotRun states whether a refused request has not run, has run at least in part, or may
 // have run.
 type NotRun = lilacv1.NotRun
 
--- a/process/settings/entry.go
+++ b/process/settings/entry.go
@@ -33,7 +33,7 @@
 	// for up to ten instances. Default 1s; shorter intervals make decisions agree sooner
 	// and cost bandwidth.
 	DigestInterval Duration `yaml:"digest_interval"`
-	// Limits limits what a caller may send.
+	// Limits restricts what a caller may send.
 	Limits EntryLimits `yaml:"limits"`
 	// Policy holds the weights of the scheduling policy.
 	Policy Policy `yaml:"policy"`
@@ -46,7 +46,7 @@
 	DrainLag Duration `yaml:"drain_lag"`
 }
 
-// EntryLimits limits what a caller may send.
+// EntryLimits restricts what a caller may send.
 type EntryLimits struct {
 	// BodyBytes is the maximum size of a body. Default 1048576.
 	BodyBytes int64 `yaml:"body_bytes"`
@@ -86,7 +86,7 @@
 	defaultWasteWeight = 0.5
 )
 
-// Validate checks what the types of the fields can't, and sets defaults.
+// Validate checks the settings beyond what their types do, and sets defaults.
 func (e *Entry) Validate() error {
 	all := e.validateCommon()
 	all = append(all, validatePeers("state", e.State)...)
@@ -141,12 +141,12 @@
 	ServerList Address `yaml:"server_list"`
 	// ListInterval is the polling interval of that list. Default 1s.
 	ListInterval Duration `yaml:"list_every"`
-	// Revocation is the maximum time after acceptance until a change that revokes a key
-	// must be known to an instance; 0 means no limit. Default 0.
+	// Revocation is the maximum time from the acceptance of a document that revokes a key
+	// until every instance must know of it; 0 means no limit. Default 0.
 	Revocation Duration `yaml:"revocation"`
-	// AppliedWithin is the maximum time after acceptance until a document must be known to
-	// an instance. An instance that may lack a newer document reports no route or key as
-	// unknown. 0 means no limit. Default 0.
+	// AppliedWithin is the maximum time from the acceptance of a document until every
+	// instance must know it. An instance that may not have the newest document rejects no
+	// route or key as unknown. 0 means no limit. Default 0.
 	AppliedWithin Duration `yaml:"applied_within"`
 	// Grace is how long the process may take to exit after SIGTERM. The defaults of
 	// drain_lag and drain depend on it. Default 8s.
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%s:%d: %s%s", p.File, p.Line, field, p.Message)
 }
 
-// Validator checks what the types of the fields can't. Validate returns joined *Problem
+// Validator checks settings beyond what their types do. Validate returns joined *Problem
 // values; their File is set by Parse.
 type Validator interface{ Validate() error }
 
@@ -186,8 +186,8 @@
 	// LogLevel is one of debug, info, warn, error. Default info.
 	LogLevel string `yaml:"log_level"`
 	// GCPercent is the growth of the heap, in percent of the live heap, that triggers a
-	// garbage collection. Lower values save memory and cost processor time. Default 100,
-	// as in the Go runtime.
+	// garbage collection. Lower values use less memory and more CPU time. Default 100, as
+	// in the Go runtime.
 	GCPercent int `yaml:"gc_percent"`
 }
 
--- a/process/settings/state.go
+++ b/process/settings/state.go
@@ -43,7 +43,7 @@
 	defaultAuditRetention = 100000
 )
 
-// Validate checks what the types of the fields can't, and sets defaults.
+// Validate checks the settings beyond what their types do, and sets defaults.
 func (s *State) Validate() error {
 	all := s.validateCommon()
 	all = append(all, validatePeers("peers", s.Peers)...)
--- a/request/tiers/table.go
+++ b/request/tiers/table.go
@@ -1,7 +1,7 @@
 // Package tiers makes shedding and the division of slots a joint decision of all instances
 // that share a pool, using only their digests.
 //
-// An instance that wants to shed tier t announces it (held back). Each instance that
+// An instance that wants to shed tier t announces t as held back. Each instance that
 // receives this cuts off its own least urgent tier, one tier per round of digests, and
 // announces which tiers it still admits. Tier t is shed only while every reachable instance
 // announces that it admits nothing less urgent than t.
@@ -30,8 +30,8 @@
 	// DefaultValidity is how long an announcement without a stated time is valid after it
 	// was received.
 	DefaultValidity = 1200 * time.Millisecond
-	// DefaultPromise is how long this instance's announcements bind unless SetPromise
-	// changes it.
+	// DefaultPromise is how long this instance is bound by an announcement unless
+	// SetPromise changes it.
 	DefaultPromise = 2 * time.Second
 	// startupDelay is how long a new instance sheds only the least urgent tier: it has not
 	// yet heard from all others.
@@ -40,7 +40,7 @@
 	holdBackDuration = 2 * time.Second
 	// lowestTier is the least urgent tier.
 	lowestTier = model.Tiers - 1
-	// noTier stands for no tier.
+	// noTier is the value of a tier that is not set; it exceeds every tier.
 	noTier = model.Tiers
 )
 
@@ -113,7 +113,7 @@
 	return &Table{pool: pool, createdAt: now, peers: make(map[string]*peer), announced: lowestTier, admitted: lowestTier, promise: DefaultPromise, neededTier: noTier}
 }
 
-// SetPromise sets how long this instance's announcements bind. A shorter duration takes
+// SetPromise sets how long this instance is bound by its announcements. A shorter duration takes
 // effect only when no announcement that excludes a tier is in force.
 func (t *Table) SetPromise(promise time.Duration) {
 	if promise > t.promise || t.announced == lowestTier && t.admitted == lowestTier {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Promise returns how long announcements bind from when they are sent.
+// Promise returns how long this instance is bound by an announcement after it was sent.
 func (t *Table) Promise() time.Duration { return t.promise }
 
 // Observe records a peer's announcement for the pool, valid for DefaultValidity; nil means
@@ -167,11 +167,11 @@
 	return demand
 }
 
-// RemovePeer forgets a peer that is no longer reachable.
+// RemovePeer removes a peer that is no longer reachable.
 func (t *Table) RemovePeer(name string) { delete(t.peers, name) }
 
-// HoldBack records that this instance wants to shed the tier. The request lapses unless it
-// is repeated.
+// HoldBack records that this instance wants to shed the tier. This expires after
+// holdBackDuration unless it is repeated.
 func (t *Table) HoldBack(tier int, now time.Time) {
 	t.neededTier = min(t.neededTier, tier)
 	t.neededAt = now
@@ -288,9 +288,10 @@
 }
 
 // Split returns how many requests of each position this instance may run at once, and how
-// many in total. Each position first gets its share of capacity, up to its demand; the rest is
-// granted position by position. Within a position, slots are divided among instances in proportion to
-// demand. Capacity without demand is divided evenly and is open to every position.
+// many in total. Each position first gets its share of capacity, up to its demand; the rest
+// is granted in the order of positions. Within a position, slots are divided among instances
+// in proportion to demand. Capacity without demand is divided evenly and is open to every
+// position.
 func (t *Table) Split(capacity float64, own Demand, shares Shares) (split Demand, quota float64) {
 	total := t.OthersDemand()
 	remaining := capacity
--- a/version/model/view.go
+++ b/version/model/view.go
@@ -13,18 +13,18 @@
 // Ranks is the number of ranks within a tier; rank 0 is the most urgent.
 const Ranks = 3
 
-// Levels is the number of combinations of tier and rank.
+// Levels is the number of values that Level returns.
 const Levels = Tiers * Ranks
 
-// Level numbers the combinations by tier first, then by rank.
+// Level returns the number of a tier and rank in the order by tier, then by rank.
 func Level(tier, rank int) int { return tier*Ranks + min(rank, Ranks-1) }
 
-// Positions is the number of positions; see Position.
+// Positions is the number of values that Position returns.
 const Positions = Tiers * Ranks
 
-// Position numbers the combinations by rank first, then by tier. This is the order in
-// which requests start, are allotted capacity and are kept at engines: the short urgent
-// work of all tiers precedes the bulk work of any tier.
+// Position returns the number of a tier and rank in the order by rank, then by tier.
+// Requests start and get capacity in this order, and engines preempt them in the reverse
+// order: the short urgent work of all tiers precedes the bulk work of any tier.
 func Position(tier, rank int) int { return min(rank, Ranks-1)*Tiers + tier }
 
 // TierOf returns the tier of a position.
@@ -40,12 +40,14 @@
 // immutable, so any goroutine may read it without a lock.
 type View struct {
 	Revision uint64
-	// Recoveries is how often the state processes were recovered after a lost majority.
-	Recoveries  uint32
-	Classes     map[string]*lilacv1.Class
-	Teams       map[string]*lilacv1.Team
-	Servers     map[string]*lilacv1.Server
-	Instances   map[string]*lilacv1.InstanceState
+	// Recoveries is how often the group of state processes was recovered after it had lost
+	// its majority.
+	Recoveries uint32
+	Classes    map[string]*lilacv1.Class
+	Teams      map[string]*lilacv1.Team
+	Servers    map[string]*lilacv1.Server
+	Instances  map[string]*lilacv1.InstanceState
+	// Convictions is keyed by the digest of the request.
 	Convictions map[string]*lilacv1.Conviction
 	Orders      []*lilacv1.ModelOrder
 	// Pools maps each model or service to its backend servers, sorted by
--- a/version/routing/document.go
+++ b/version/routing/document.go
@@ -1,4 +1,4 @@
-// Package routing is the configuration of the gateway: routes by host and path, the
+// Package routing defines the configuration of the gateway: routes by host and path, the
 // services behind them, the teams with their keys, and limits.
 //
 // A Document is the decoded and validated configuration that operators send. A Table is
@@ -13,7 +13,7 @@
 	"github.com/lilacbridge/lilacbridge/process/fault"
 )
 
-// Kind tells whether requests of a route may be repeated.
+// Kind is the kind of a route's requests. It determines whether they may be repeated.
 type Kind int
 
 const (
@@ -50,11 +50,11 @@
 	// EventGap is the maximum time between two events of a stream that meets its target;
 	// 0 for routes without streams.
 	EventGap time.Duration
-	// Priority 0 is the most urgent.
+	// Priority is the urgency of the route's requests; 0 is the most urgent.
 	Priority int
 	Backends []Backend
-	// MaxAttempts is the number of backend servers that a request may be sent to; 0 means
-	// that only the limits of the policy apply.
+	// MaxAttempts is the maximum number of backend servers that a request is sent to; 0
+	// means that only the limits of the policy apply.
 	MaxAttempts int
 	// Public routes require no key.
 	Public bool
@@ -76,7 +76,7 @@
 	Name string
 	// HealthPath is the path of the health check of a server.
 	HealthPath string
-	// Connections is how many connections a server accepts in total.
+	// Connections is the maximum number of connections that a server accepts in total.
 	Connections int
 	// Engine is nil for services that are not model engines.
 	Engine *Engine
@@ -104,7 +104,7 @@
 	HasPriority bool
 }
 
-// Limits limits what callers may send.
+// Limits restricts what callers may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
--- a/version/routing/view.go
+++ b/version/routing/view.go
@@ -10,7 +10,7 @@
 
 // Server is a backend server in the platform's list.
 type Server struct {
-	// Name identifies one start of the server.
+	// Name identifies one incarnation of the server: each restart has a new name.
 	Name string
 	// Identity is the name that the server reports; it may stay the same after a restart.
 	Identity   string
@@ -22,11 +22,11 @@
 	Draining bool
 }
 
-// NoTeam is the team of requests that have none: on public routes, and if the document
-// has no teams.
+// NoTeam is the team of requests without one: those on public routes, and all requests if
+// the document has no teams.
 const NoTeam = "-"
 
-// ClassName returns the class of a route's requests at a priority. A team's priority may
+// ClassName returns the name of the class of a route's requests at a priority. A team's priority may
 // override that of the route, so a route may have several classes.
 func ClassName(route *Route, priority int) string {
 	if priority == route.Priority {
@@ -43,7 +43,7 @@
 	return route.Priority
 }
 
-// View translates the document and the servers into the model of the policy: each
+// View translates the document and the servers into a model for the scheduling policy: each
 // combination of route and priority becomes a class, each service a pool.
 func View(t *Table, servers []Server, convictions map[string]*lilacv1.Conviction) *model.View {
 	s := &lilacv1.Snapshot{Revision: t.Revision, Teams: []*lilacv1.Team{{Name: NoTeam}}}
