--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -19,8 +19,8 @@
 // enough that concurrent requests spread over all engines.
 const homeCount = 4
 
-// homes are the preferred engines of a request by its shared prompt parts; empty where the
-// request shares too little.
+// homes are the preferred engines of a request by its shared prompt prefix; empty if the request
+// shares too little.
 type homes struct {
 	// ranked holds the homes in order of rank; nil where there are fewer engines.
 	ranked [homeCount]*server
--- a/request/policy/backlog.go
+++ b/request/policy/backlog.go
@@ -74,8 +74,8 @@
 	return model.Level(int(class.GetTier()), int(class.GetRank()))
 }
 
-// positionOf returns the class's position in the allocation of slots, by rank and then
-// by tier.
+// positionOf returns the class's position in the allocation of slots, by rank and then by
+// tier; see model.Position.
 func positionOf(class *lilacv1.Class) int {
 	return model.Position(int(class.GetTier()), int(class.GetRank()))
 }
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -30,8 +30,8 @@
 	staleLoadReserve = 1
 	// contentionWeight is the weight of the longer gaps that a request causes for others.
 	contentionWeight = 0.5
-	// prefillWeight keeps requests with the engine that has their shared prompt until it is about to
-	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
+	// prefillWeight keeps requests at the engine that has their shared prompt until they would
+	// almost miss their target there: 13,000 tokens weigh as much as a wait of 0.9 of the target.
 	prefillWeight = 6
 	// decodeWeight is the weight of the gap between tokens of a pinned answer.
 	decodeWeight = 0.2
--- a/request/policy/claim.go
+++ b/request/policy/claim.go
@@ -9,8 +9,8 @@
 // Copies of a crashing request at several instances may be lost with the same
 // server. If each of these instances tried its copy again after the same delay,
 // several more servers would crash at once. So an instance claims the trial as soon
-// as its copy was lost; of several claims, the one of the first instance by name
-// stands. Digests carry a claim as a trial on a server that the request has already
+// as its copy was lost; of several claims, the one of the first instance by name has
+// precedence. Digests carry a claim as a trial on a server that the request has already
 // crashed, since no real trial runs there.
 
 // claimTrial claims the next trial for a copy that was lost with the server.
--- a/request/policy/copies.go
+++ b/request/policy/copies.go
@@ -82,8 +82,8 @@
 // the server restarts.
 const stoppedCopyWindow = 3 * time.Second
 
-// stoppedCopy is a copy that may have crashed its server before the stop arrived. The
-// breaking of its own connection goes unnoticed, since it was stopped.
+// stoppedCopy is a copy that may have crashed its server before the stop arrived. Since
+// it was stopped, this instance does not see its connection break.
 type stoppedCopy struct {
 	digest, team string
 	server       *server
--- a/request/policy/displace.go
+++ b/request/policy/displace.go
@@ -10,15 +10,15 @@
 // the same engines first, and on as few as they need.
 
 const (
-	// maxPreemptibleShare is the fraction of an engine's slots that one instance may displace its
-	// own bulk from, in addition to what other instances displace.
+	// maxPreemptibleShare is the maximum fraction of an engine's slots from which one instance
+	// displaces its own bulk, in addition to what other instances displace.
 	maxPreemptibleShare = 0.125
 	// minPreemptibleSlots is the number of slots below which none is displaced: many instances
 	// share a small engine, and all would displace one at the same moment.
 	minPreemptibleSlots = 2
-	// displaceOvercommit is the fraction of an engine's slots that displacing requests may exceed
-	// the limit by, waiting there: a slot that is free for a moment would go back to bulk, which
-	// is prefilled again.
+	// displaceOvercommit is the fraction of an engine's slots by which displacing requests may
+	// exceed its limit and wait there: a slot that is free for a moment would go back to bulk,
+	// which is prefilled again.
 	displaceOvercommit = 1.0 / 3
 )
 
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -18,15 +18,15 @@
 	// gapSampleWeight that of one token event in the class's mean gap.
 	lengthSampleWeight = 0.05
 	gapSampleWeight    = 0.02
-	// holdSlowdown is how much longer than now answers are expected to hold their slots: until
-	// slots are scarce, batches fill up and prompts queue for prefill.
+	// holdSlowdown is the factor by which answers are expected to hold their slots longer than
+	// now: by the time slots are scarce, batches are full and prompts queue for prefill.
 	holdSlowdown = 2.0
 	// growthWindow limits the expected growth of a position to the arrivals of this time: a class
 	// that already occupies what it needs would otherwise keep as much again from less urgent
 	// ones.
 	growthWindow = 4 * time.Second
-	// maxBriefHold is the longest time for which a lent slot may be held and still be free again
-	// before all the requests it is kept for have arrived.
+	// maxBriefHold is the longest time for which a request may use a slot that is kept for more
+	// urgent ones, such that the slot is free again before all of these have arrived.
 	maxBriefHold = growthWindow
 )
 
--- a/request/policy/fetch.go
+++ b/request/policy/fetch.go
@@ -66,8 +66,8 @@
 	return !s.closed() || now.Sub(s.closedAt) < leavingFetchWindow
 }
 
-// updateHolders updates the engines that hold, or were sent, the most of the request's shared
-// parts.
+// updateHolders updates the engines that hold, or were sent, the most tokens of the request's
+// shared prefixes.
 func (h *homes) updateHolders(now time.Time, s *server, r *request, lastShared int) {
 	if assignedTokens := float64(s.cache.cachedTokens(r.Prefix[:lastShared+1])); assignedTokens > h.assignedTokens && !s.closed() && !s.limitReached(now) && !s.interferes(now, r, s.uncachedTokens(r)) {
 		h.assigned, h.assignedTokens = s, assignedTokens
@@ -78,8 +78,8 @@
 	}
 }
 
-// assumeHeldAtHome makes the first home the holder of all shared prefixes if that is assumed and the
-// home has not just failed.
+// assumeHeldAtHome makes the first home the holder of all shared prefixes if that is assumed and
+// the home has not just failed.
 func (h *homes) assumeHeldAtHome(now time.Time, r *request, lastShared int) {
 	if !h.assumeCached || h.first() == nil || now.Before(h.first().ejectedUntil) {
 		return
--- a/request/policy/full.go
+++ b/request/policy/full.go
@@ -90,7 +90,7 @@
 
 // refuseWhenFull refuses an arrival that would not start in time in a full pool, unless it is
 // within the guaranteed share of its class. This does not violate the order of tiers: only
-// requests at least as urgent count as ahead of it, and no less urgent request gets its place.
+// requests at least as urgent count as ahead of it, and no less urgent request gets its slot.
 func (c *core) refuseWhenFull(now time.Time, r *request) bool {
 	p := r.pool
 	if p.closedByLimits() {
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -28,7 +28,7 @@
 	// peerGapWeight is the weight of a gap reported by a peer.
 	peerGapWeight = 0.5
 	// gapMaxAge is the age from which a gap without new samples decays towards the pool's, by
-	// gapDecay at each slowTick: otherwise a straggler that nobody uses would never be tried
+	// gapDecay at each slowTick: otherwise a straggler that no instance uses would never be tried
 	// again.
 	gapMaxAge = 3 * time.Second
 	gapDecay  = 0.02
--- a/request/policy/lanes.go
+++ b/request/policy/lanes.go
@@ -246,10 +246,10 @@
 const laneUtilization = 0.8
 
 // tightLaneShare returns the fraction of all n engines that tight answers need by their slot
-// demand, as far as the others' demand leaves it free, but at least what they occupy now, up to a
-// third of the engines: a burst of long prompts must not take the lane from them. Where engines
-// have few slots, a lane sized by work alone is too small, and answers that find it full are late
-// beside long prompts.
+// demand, limited to what the demand of other requests leaves free. It covers at least what tight
+// answers occupy now, up to a third of the engines: a burst of long prompts must not take the lane
+// from them. Where engines have few slots, a lane sized by work alone is too small, and answers
+// that find it full are late beside long prompts.
 func (p *pool) tightLaneShare(n int) float64 {
 	demand, total := p.laneDemand(), 0.0
 	for l := range demand {
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -23,8 +23,8 @@
 	lateServerPause = 300 * time.Millisecond
 )
 
-// preempt frees a slot for a request that would be late by pausing one of the least urgent
-// running tier, and returns its server. The paused answer continues later from where it stopped;
+// preempt pauses a request of the least urgent running tier to free its slot for a request that
+// would be late, and returns its server. The paused answer continues later from where it stopped;
 // its caller keeps what it has received.
 func (c *core) preempt(now time.Time, r *request) *server {
 	if r.item.Late || r.pool.service || r.item.Due.Sub(now) > preemptSlack {
--- a/request/policy/options.go
+++ b/request/policy/options.go
@@ -13,7 +13,7 @@
 	Instance string
 	// DataCenter is the data centre of this instance.
 	DataCenter string
-	// Incarnation is different at each start of the process.
+	// Incarnation identifies this run of the process; it differs after each start.
 	Incarnation string
 	// Seed initializes the random numbers used for jitter and server selection.
 	Seed uint64
--- a/request/policy/overload.go
+++ b/request/policy/overload.go
@@ -92,8 +92,8 @@
 
 // withinShare reports whether the class's guaranteed share serves the request within
 // its target, after all waiting requests of the class at this instance. One request
-// is always within the share. Such a request is not shed for load: it delays others
-// but displaces none.
+// is always within the share. Such a request is not shed under load: it delays other
+// requests but takes no slot from them.
 func (p *pool) withinShare(r *request) bool {
 	waiting := float64(p.queue.ClassLen(r.Class))
 	served := guaranteedShare(r.class) * p.tokenRate * r.firstTokenTarget().Seconds()
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -211,7 +211,7 @@
 	delete(c.peers, name)
 	c.sumPeerWork()
 	if p.leaving {
-		// It shut down in an orderly way and spends no more tokens.
+		// It shut down after a drain and spends no more tokens.
 		delete(c.knownInstances, name)
 	}
 	c.updatePeerNames()
--- a/request/policy/pool.go
+++ b/request/policy/pool.go
@@ -38,8 +38,9 @@
 	shares       tiers.Shares
 	usageByClass map[string]*classUsage
 	usages       []*classUsage
-	// capacity is how many requests the pool runs within their targets, quota this instance's
-	// part of it, tokenRate its tokens a second, meanGap the mean gap of the servers.
+	// capacity is the number of requests that the pool can run within their targets, quota this
+	// instance's part of it, tokenRate the pool's tokens per second, meanGap the mean gap of its
+	// servers.
 	capacity, quota, tokenRate float64
 	meanGap                    time.Duration
 	// engine is the learned performance of engines with large batches.
@@ -50,7 +51,7 @@
 	medianPrefill float64
 	// prefillScratch is reused to avoid an allocation for each update.
 	prefillScratch []float64
-	// work determines the lane sizes, sizes holds them by data centre, and hasLane tells which
+	// work determines the lane sizes, sizes holds them by data centre, and hasLane reports which
 	// lanes have engines; see lanes.go.
 	work    laneWork
 	sizes   map[string][laneCount]int
@@ -70,8 +71,8 @@
 	// queueBounds is how many requests of each level may wait while the pool is full; see
 	// full.go.
 	queueBounds [model.Levels]float64
-	// startRate is how many requests start here, a second; laneStartRates is the same by the lane
-	// of the engine.
+	// startRate is the number of requests per second that this instance starts; laneStartRates is
+	// the same by the lane of the engine.
 	startRate      float64
 	laneStartRates [laneCount]float64
 	// expectedSlots is how many slots the requests of each position are expected to occupy,
@@ -95,7 +96,7 @@
 	return p
 }
 
-// recordUse records that a request of the class came to the pool.
+// recordUse records the arrival of a request of the class.
 func (p *pool) recordUse(class *lilacv1.Class, now time.Time) {
 	u := p.usageByClass[class.GetName()]
 	if u == nil {
@@ -145,8 +146,8 @@
 // demand returns the slots that this instance asks for, by position. Waiting requests that are late
 // ask for few: they cannot meet their target any more and start in slots that others leave. All
 // late requests of a burst would otherwise hold slots back from lower tiers and other instances
-// whose requests can still be in time. The few keep an instance without the burst from losing its
-// part to one with it.
+// whose requests can still be in time. A few are counted so that an instance without the burst
+// does not lose its part of the slots to one with it.
 func (p *pool) demand() tiers.Demand {
 	demand := p.runningByPosition
 	for level := range model.Levels {
--- a/request/policy/request.go
+++ b/request/policy/request.go
@@ -75,7 +75,8 @@
 	idleSince  time.Time
 	rejections int
 	suspect    bool
-	// serverIndex and poolIndex are the positions in the lists of the server and pool.
+	// serverIndex and poolIndex are the request's indexes in the lists of running requests of
+	// its server and its pool.
 	serverIndex, poolIndex int
 }
 
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -213,8 +213,8 @@
 }
 
 const (
-	// serviceOvercommit lets a few calls queue at plain services: they take less time than the
-	// load information is old.
+	// serviceOvercommit lets a few calls queue at plain services: a call takes less time than the
+	// age of the load information.
 	serviceOvercommit = 1.5
 	// minStrictBatch is the batch size below which a server is left to classes with looser
 	// targets.
@@ -328,7 +328,7 @@
 	return float64(s.history[(s.historyIndex-steps+historyLength)%historyLength])
 }
 
-// estimateOtherLoad combines what peers say with the server's load report, weighted by age.
+// estimateOtherLoad combines the peers' reports with the server's load report, weighted by age.
 func (s *server) estimateOtherLoad(peersKnown bool) {
 	if s.reportAge < 0 {
 		s.otherLoad = s.peerLoad + s.boardLoad
@@ -347,7 +347,7 @@
 	s.otherLoad = (reportWeight*s.reportedLoad + digestWeight*(s.peerLoad+s.boardLoad)) / (reportWeight + digestWeight)
 }
 
-// eject keeps new requests away after a failure, for longer with each failure in a row.
+// eject stops new requests to the server after a failure, for longer with each failure in a row.
 func (s *server) eject(now time.Time) {
 	if now.Before(s.ejectedUntil) {
 		return
--- a/request/policy/unresponsive.go
+++ b/request/policy/unresponsive.go
@@ -35,8 +35,8 @@
 
 // expectsProgress reports whether silence indicates a failure. While an engine
 // processes long prompts of other instances it sends nothing to an instance whose
-// answers have all not begun. With 76 instances that is common in a burst, and
-// ejecting such engines had 4,200k tokens computed again on a day of overload.
+// answers have all not begun. With 76 instances that is common in a burst. Ejecting
+// such engines caused 4.2 million tokens to be prefilled again in one day of overload.
 func (s *server) expectsProgress() bool { return s.service || s.decoding > 0 }
 
 // oldestUnanswered returns the request that has waited longest for its answer to
