--- a/connection/link/coalesce.go
+++ b/connection/link/coalesce.go
@@ -34,7 +34,7 @@
 //
 // So a header is delayed until its body is written, and a frame that only opens or closes
 // a stream until the next write. An opening frame is followed by the request immediately,
-// and nobody waits for the close of a stream whose status was read. Frames that the peer
+// and no caller waits for the close of a stream whose status was read. Frames that the peer
 // may wait for, such as window updates and resets, are sent immediately, and so is the
 // close of an aborted call (flush). Bytes that are delayed while nothing else is written
 // are sent within twice keepAliveInterval (flushStale).
--- a/connection/spreadlink/freshness.go
+++ b/connection/spreadlink/freshness.go
@@ -44,7 +44,7 @@
 }
 
 // recordNewest records the newest revision known to a sender as of the given time. A
-// sender that is behind this entry says nothing about the newest revision.
+// sender that is behind this entry does not know the newest revision.
 func (w *Watcher) recordNewest(newest uint64, asOf time.Duration) {
 	held := w.follower.Revision()
 	w.mu.Lock()
--- a/process/member/partners.go
+++ b/process/member/partners.go
@@ -32,8 +32,8 @@
 }
 
 // initiates reports whether this side initiates the exchange within a pair of
-// equals. The higher-ranked one does; the other takes over if it hears nothing, so
-// that a one-way partition hides nobody.
+// equals. The higher-ranked one does; the other takes over if it receives nothing, so
+// that a one-way partition hides no instance.
 func (c *Core) initiates(now time.Time, name string) bool {
 	r, known := c.received[name]
 	return CompareRank(c.self.Name, name) < 0 || !known || now.Sub(r.receivedAt) > c.interval()+c.interval()/2
--- a/process/member/validity.go
+++ b/process/member/validity.go
@@ -9,7 +9,7 @@
 )
 
 // Cutoffs are valid for a limited period, like a lease: an instance that sheds a
-// tier relies on what the others say they admit. A delayed digest is as reliable as
+// tier relies on the tiers that the others announce they admit. A delayed digest is as reliable as
 // a fast one, and a late or lost digest only shortens the period.
 //
 // Clocks of different instances are never compared. Each digest carries a stamp of
@@ -21,7 +21,7 @@
 	// meshValidity is the validity period in a mesh: one digest, two lost ones, and
 	// up to one second of age of the echo.
 	meshValidity = 4 * time.Second
-	// missingTimeout is how long an instance that has fallen silent makes combined
+	// missingTimeout is how long an instance that has stopped sending makes combined
 	// digests incomplete. Within that time a live one has found another parent or
 	// returned to this one.
 	missingTimeout = avoidPeriod + TreeLifetime
@@ -36,7 +36,7 @@
 	startedAt time.Time
 	// lastStamps holds the last stamp of each peer, to be echoed.
 	lastStamps map[string]uint64
-	// missing holds the instances that fell silent without leaving.
+	// missing holds the instances that stopped sending without leaving.
 	missing map[string]missingInstance
 	// summarySequence numbers the combined digests delivered to the policy.
 	summarySequence uint64
@@ -158,7 +158,7 @@
 	return levels
 }
 
-// noteMissing records that an instance fell silent without announcing that it
+// noteMissing records that an instance stopped sending without announcing that it
 // leaves.
 //
 // While a child of a failed parent looks for a new one, the combined digests lack
@@ -175,7 +175,7 @@
 // noteOrphans records that a higher-ranked peer was given up, since its children
 // are unknown here.
 //
-// An instance that takes the place of a dead parent has never heard its other
+// An instance that replaces a dead parent has never heard from the parent's other
 // children, so it would not miss them: its combined digests would seem complete
 // while such a child still looks for a parent and admits tiers that they exclude.
 // This happens when several parents die in a row, since a child tries the dead ones
--- a/process/replica/core.go
+++ b/process/replica/core.go
@@ -182,7 +182,7 @@
 	c.resetElectionTimer()
 	if c.cfg.AutoMembers {
 		// A starting process need not wait a full election timeout: if there is a
-		// leader, the pre-vote fails because the other voters still hear it.
+		// leader, the pre-vote fails because the other voters still hear from it.
 		c.electionAt -= c.cfg.Election * 2 / 3
 	}
 	return c
--- a/process/replica/election.go
+++ b/process/replica/election.go
@@ -9,7 +9,7 @@
 //
 // A process that was partitioned must not raise its term over and over: once the
 // partition healed it would depose a working leader, and changes would be refused for
-// an election. The term is raised only after a quorum has answered that it hears no
+// an election. The term is raised only after a quorum has answered that it hears from no
 // leader and that this log is up to date.
 func (c *Core) campaign() {
 	c.votes = map[string]bool{}
--- a/process/replica/event.go
+++ b/process/replica/event.go
@@ -118,7 +118,7 @@
 // Accepted reports the log position at which a proposal was appended.
 type Accepted struct{ RequestID, Index, Term uint64 }
 
-// Reason says why a proposal or read was refused. A refused request never ran.
+// Reason is the reason why a proposal or read was refused. A refused request never ran.
 type Reason int
 
 const (
--- a/process/replica/freshness.go
+++ b/process/replica/freshness.go
@@ -9,7 +9,7 @@
 // everything committed.
 //
 // A process that was partitioned and is receiving the log or a snapshot again already
-// hears the leader; clients that follow it must not take its old state for current and
+// hears from the leader; clients that follow it must not take its old state for current and
 // stay with it. A commit index from the leader therefore counts only once everything
 // up to it has been applied here.
 type freshness struct {
--- a/process/replica/join.go
+++ b/process/replica/join.go
@@ -72,7 +72,7 @@
 }
 
 // mayHaveBeenRemoved reports whether this voter may have been removed while it was
-// unreachable: its own log does not say so, and no member sends to it any more.
+// unreachable: its own log does not show it, and no member sends to it any more.
 func (c *Core) mayHaveBeenRemoved(silence time.Duration) bool {
 	return c.cfg.AutoMembers && (c.role == Follower || c.role == PreCandidate) && silence > rejoinElectionTimeouts*c.cfg.Election
 }
@@ -199,9 +199,9 @@
 // tryBootstrap creates the group if this process has the first name of the founders and
 // all others have replied within an election timeout that they belong to no group.
 //
-// A voter that lost its disk while its settings still say bootstrap must not create a
+// A voter that lost its disk while bootstrap is still set must not create a
 // second group under the same names: with another such process it could override what
-// was committed. Any process with a group says so, and one that does not reply prevents
+// was committed. Any process with a group reports it, and one that does not reply prevents
 // the bootstrap. If a founder loses its disk immediately, its second group and the first
 // one cannot both have a quorum, because each of the others binds its identity to one
 // group permanently.
--- a/process/replica/lineage.go
+++ b/process/replica/lineage.go
@@ -55,7 +55,7 @@
 	return slices.ContainsFunc(c.Members(), func(m *lilacv1.RaftMember) bool { return m.GetAddress() == address })
 }
 
-// handleOtherGroup processes what a message says about other groups. It returns true if
+// handleOtherGroup processes the information about other groups in a message. It returns true if
 // the message needs no further processing.
 func (c *Core) handleOtherGroup(m *message) bool {
 	if m.GetGroup() == "" || c.group == "" || m.GetGroup() == c.group {
--- a/process/replica/message.go
+++ b/process/replica/message.go
@@ -122,7 +122,7 @@
 		}
 	case kindVote:
 		// A candidate that cannot reach the leader, or was removed, must not disrupt a
-		// leader that the other voters still hear.
+		// leader that the other voters still hear from.
 		if c.hasRecentLeader() && !m.GetTransfer() {
 			c.IgnoredMessages++
 			return false
--- a/process/replica/node.go
+++ b/process/replica/node.go
@@ -114,7 +114,7 @@
 }
 
 // Propose replicates command and returns the state machine's result once a quorum has
-// synced it and it has been applied locally. The error kind says whether it may still
+// synced it and it has been applied locally. The error kind states whether it may still
 // run: NOT_LEADER, NO_QUORUM, DISK_FULL and OVERLOADED mean that it did not run,
 // OUTCOME_UNKNOWN that it may.
 func (n *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Done returns a channel that is closed when the node has stopped; Err says why.
+// Done returns a channel that is closed when the node has stopped; Err then returns the reason.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
 // Err returns the error that stopped the node; nil while it runs and after Close.
--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -4,7 +4,8 @@
 // It is a deterministic core. Step takes the time and one event and returns
 // actions. It starts no goroutine, reads no clock, opens no socket, and draws
 // random numbers from a seeded source, so that the entry process and the bench
-// can drive the same code.
+// can drive the same code. The code that calls Step and carries out the actions,
+// such as package relay, is called the shell.
 package policy
 
 import (
--- a/request/policy/engine.go
+++ b/request/policy/engine.go
@@ -245,7 +245,7 @@
 }
 
 const (
-	// fitWindow is the number of samples after which the fit forgets, by exponential decay.
+	// fitWindow is the time constant, in samples, of the exponential decay of old samples.
 	fitWindow = 2000.0
 	// fitPrior is the weight of each of two points, an empty and a full batch, that stabilize the
 	// fit while there are few samples.
--- a/request/policy/expected.go
+++ b/request/policy/expected.go
@@ -106,8 +106,8 @@
 }
 
 // withinSplit reports whether the request leaves free the slots that are kept for more urgent
-// ones. Any request but a long answer of the least urgent rank may borrow those: engines preempt
-// the long answers first, and other requests must not go without while slots stand idle.
+// ones. Any request but a long answer of the least urgent rank may use those slots: engines preempt
+// the long answers first, and other requests must not wait while slots are idle.
 func (p *pool) withinSplit(r *request) bool {
 	position := positionOf(r.class)
 	if p.service || !r.Pinned {
--- a/request/policy/gap.go
+++ b/request/policy/gap.go
@@ -14,7 +14,7 @@
 	switch {
 	case sample <= outlierRatio*s.gapPerRequest:
 	case s.engine != nil:
-		// A single gap beside a long prompt says nothing about the step time; many in a row do.
+		// A single gap beside a long prompt does not indicate the step time; many in a row do.
 		sample = outlierRatio * s.gapPerRequest
 	default:
 		weight = outlierWeight
--- a/request/policy/server.go
+++ b/request/policy/server.go
@@ -38,7 +38,7 @@
 	headroom = 0.93
 	// historyLength is the number of samples of the own load kept, one for each slowTick.
 	historyLength = 64
-	// leavingGrace is the time within which news that a server is leaving must take effect.
+	// leavingGrace is the time within which a notice that a server is leaving must take effect.
 	leavingGrace = 3 * time.Second
 	// reportAgeScale is the age in seconds at which the weight of a load report has fallen to
 	// half.
--- a/request/policy/serverlimit.go
+++ b/request/policy/serverlimit.go
@@ -7,8 +7,8 @@
 )
 
 // An overloaded server states in its answers how many requests per second it accepts
-// from all instances together. Instances share what their answers say, since most of
-// them get none from that server.
+// from all instances together. Instances report the limits that their answers state to
+// each other, since most of them get no answer from that server.
 
 const (
 	// limitReportTTL is how long an instance reports what an answer to itself stated.
