--- a/connection/spreadlink/fetch.go
+++ b/connection/spreadlink/fetch.go
@@ -18,11 +18,11 @@
 	if err != nil || snapshot.GetRevision() == 0 {
 		return snapshot, err
 	}
-	holder := config.NewFollower()
-	if err := holder.Load(snapshot); err != nil {
+	follower := config.NewFollower()
+	if err := follower.Load(snapshot); err != nil {
 		return nil, err
 	}
-	stream, err := entry.Open(ctx, "entry.watch", &lilacv1.WatchRequest{Have: holder.Revision()})
+	stream, err := entry.Open(ctx, "entry.watch", &lilacv1.WatchRequest{Have: follower.Revision()})
 	if err != nil {
 		return nil, err
 	}
@@ -32,11 +32,11 @@
 		if err := stream.Recv(update); err != nil {
 			return nil, err
 		}
-		if err := holder.Apply(update.GetRevisions()); err != nil {
+		if err := follower.Apply(update.GetRevisions()); err != nil {
 			return nil, err
 		}
-		if len(update.GetRevisions()) == 0 || holder.Revision() >= update.GetNewest() {
-			return holder.Config(), nil
+		if len(update.GetRevisions()) == 0 || follower.Revision() >= update.GetNewest() {
+			return follower.Config(), nil
 		}
 	}
 }
