--- a/request/choose/choose.go
+++ b/request/choose/choose.go
@@ -42,7 +42,7 @@
 	Index int
 	// Hash is the rendezvous hash of the request and the server.
 	Hash uint64
-	// Remote is set for servers of another data centre.
+	// Remote is set for servers in another region.
 	Remote bool
 	// Unavailable servers are leaving, gone, ejected, busy or unreachable.
 	Unavailable bool
--- a/request/choose/score.go
+++ b/request/choose/score.go
@@ -12,7 +12,7 @@
 	return c.FirstToken.Seconds() + r.RemainingTokens*c.TokenGap.Seconds()
 }
 
-// Remote adds Cost to servers of another data centre, for latency and traffic.
+// Remote adds Cost to servers in another region, for latency and traffic.
 type Remote struct{ Cost time.Duration }
 
 var _ Scorer = Remote{}
