--- a/request/policy/affinity.go
+++ b/request/policy/affinity.go
@@ -106,8 +106,9 @@
 	otherEnginePenalty = 500 * time.Millisecond
 )
 
-// position returns the server's position among the homes, from 1 on, or 0.
-func (h *homes) position(s *server) int {
+// ordinal returns the server's number among the homes in order of preference, from 1 on; 0 if it is
+// not a home.
+func (h *homes) ordinal(s *server) int {
 	return 1 + slices.Index(h.ranked[:], s)
 }
 
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -140,7 +140,7 @@
 // beside idle ones. Here each shared prefix has its own homes, spread over all engines.
 func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if h.position(s) > 0 || s == h.holder || s == h.assigned {
+		if h.ordinal(s) > 0 || s == h.holder || s == h.assigned {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
--- a/request/policy/dispatch.go
+++ b/request/policy/dispatch.go
@@ -164,7 +164,7 @@
 	r.expectedFirst = s.firstToken(s.load()+1, r.uncached, r.level) + s.fetchTime(r.fetched)
 	c.setTransferred(now, r, s, from)
 	decision := c.decision(now, r, s)
-	decision.Home = h.position(s)
+	decision.Home = h.ordinal(s)
 	s.attach(r)
 	c.identical.add(r)
 	s.ownBacklog.add(r.level, r.uncached)
