--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -264,7 +264,7 @@
 		Tombstones:       m.ledger.Tombstones(),
 		LateOutcomes:     m.ledger.LateOutcomes(),
 		InDoubtClaims:    m.ledger.InDoubtClaims(),
-		BrokenInvariants: m.ledger.BrokenInvariants(),
+		BrokenInvariants: m.ledger.InvariantsViolated(),
 	}
 }
 
--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -15,7 +15,7 @@
 // it returns false.
 func (l *Ledger) checkInvariant(holds bool) bool {
 	if !holds {
-		l.brokenInvariants++
+		l.invariantsViolated++
 	}
 	return holds
 }
--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -89,7 +89,7 @@
 	// recovery is the last recovery from a lost majority; nil if there was none.
 	recovery                       *lilacv1.LedgerRecovery
 	forgetting                     forgetProgress
-	lateOutcomes, brokenInvariants uint64
+	lateOutcomes, invariantsViolated uint64
 	// inDoubtClaims counts the claims refused because the key is in doubt.
 	inDoubtClaims uint64
 }
@@ -120,10 +120,10 @@
 // have granted the key.
 func (l *Ledger) InDoubtClaims() uint64 { return l.inDoubtClaims }
 
-// BrokenInvariants returns the number of violated invariants: steps that would have
+// InvariantsViolated returns the number of violated invariants: steps that would have
 // moved a state backwards or granted a key twice. Those steps were refused; the
 // count must stay 0.
-func (l *Ledger) BrokenInvariants() uint64 { return l.brokenInvariants }
+func (l *Ledger) InvariantsViolated() uint64 { return l.invariantsViolated }
 
 // advance moves the ledger's time forward; an older time has no effect.
 func (l *Ledger) advance(nowUnixMs int64) {
--- a/process/ledger/random_test.go
+++ b/process/ledger/random_test.go
@@ -140,7 +140,7 @@
 				}
 			}
 		}
-		is.Equal(h.ledger.BrokenInvariants(), uint64(0))
+		is.Equal(h.ledger.InvariantsViolated(), uint64(0))
 		is.True(h.ledger.Len() <= limits.Entries)
 		is.True(h.ledger.tombstones.untimedSize()+h.ledger.untimed <= limits.Tombstones)
 		total += h.grants
--- a/process/ledger/recover_test.go
+++ b/process/ledger/recover_test.go
@@ -78,7 +78,7 @@
 		is.True(!reply.GetGranted())
 		is.Equal(reply.GetState(), state)
 	}
-	is.Equal(l.BrokenInvariants(), uint64(0))
+	is.Equal(l.InvariantsViolated(), uint64(0))
 }
 
 // One attempt ran under a claim that was lost. Another attempt, which was never
