--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -87,8 +87,8 @@
 	// tombstone reserved.
 	untimed int
 	// recovery is the last recovery from a lost majority; nil if there was none.
-	recovery                       *lilacv1.LedgerRecovery
-	forgetting                     forgetProgress
+	recovery                         *lilacv1.LedgerRecovery
+	forgetting                       forgetProgress
 	lateOutcomes, invariantsViolated uint64
 	// inDoubtClaims counts the claims refused because the key is in doubt.
 	inDoubtClaims uint64
