--- a/request/policy/api.go
+++ b/request/policy/api.go
@@ -4,7 +4,8 @@
 // It is a deterministic core. Step takes the time and one event and returns
 // actions. It starts no goroutine, reads no clock, opens no socket, and draws
 // random numbers from a seeded source, so that the entry process and the bench
-// can drive the same code.
+// can drive the same code. The code that calls Step and carries out the actions,
+// such as package relay, is called the shell.
 package policy
 
 import (
@@ -227,13 +228,13 @@
 	Queue QueueState
 }
 
-// QueueState describes a request's place in the queue when it was given up.
+// QueueState describes the state of the queue for a request when the request was given up.
 type QueueState struct {
-	// Level is the request's place in the order of urgency, -1 if it was refused
+	// Position is the request's position (see model.Position), -1 if it was refused
 	// before it was queued. Before counts the requests that would have started first.
-	Level, Before int
+	Position, Before int
 	// Running is the number of running requests of this instance of the same or a more
-	// urgent level, Slots how many of them it may run.
+	// urgent position, Slots how many of them it may run.
 	Running, Slots float64
 	// Blocked is why the request had not started.
 	Blocked BlockReason
--- a/request/policy/choice.go
+++ b/request/policy/choice.go
@@ -30,8 +30,8 @@
 	staleLoadReserve = 1
 	// contentionWeight is the weight of the longer gaps that a request causes for others.
 	contentionWeight = 0.5
-	// prefillWeight keeps requests with the engine that has their shared prompt until it is about to
-	// miss their target: 13,000 tokens weigh as much as a wait of 0.9 of the target.
+	// prefillWeight keeps requests at the engine that has their shared prompt until they would
+	// almost miss their target there: 13,000 tokens weigh as much as a wait of 0.9 of the target.
 	prefillWeight = 6
 	// decodeWeight is the weight of the gap between tokens of a pinned answer.
 	decodeWeight = 0.2
@@ -127,7 +127,7 @@
 // Only a few instances may send to them, and capacity that one of these leaves unused is lost.
 func (c *core) collectLimited(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if s.limited.Advertised && !s.limitReached(now) {
+		if s.rateLimit.Advertised && !s.limitReached(now) {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
@@ -137,10 +137,10 @@
 //
 // Instances that see the same loads, half a second old, would otherwise all send to the engine
 // that was the least loaded then: with 78 instances, some engines had 5 s of prompts to prefill
-// beside idle ones. Here each shared part has its own homes, spread over all engines.
+// beside idle ones. Here each shared prefix has its own homes, spread over all engines.
 func (c *core) collectHomes(now time.Time, r *request, h *homes) {
 	for i, s := range r.pool.servers {
-		if h.position(s) > 0 || s == h.holder || s == h.assigned {
+		if h.ordinal(s) > 0 || s == h.holder || s == h.assigned {
 			c.choice.candidates = append(c.choice.candidates, s.candidate(r, now, i, h))
 		}
 	}
--- a/request/policy/moves.go
+++ b/request/policy/moves.go
@@ -23,8 +23,8 @@
 	lateServerPause = 300 * time.Millisecond
 )
 
-// preempt frees a slot for a request that would be late by pausing one of the least urgent
-// running tier, and returns its server. The paused answer continues later from where it stopped;
+// preempt pauses a request of the least urgent running tier to free its slot for a request that
+// would be late, and returns its server. The paused answer continues later from where it stopped;
 // its caller keeps what it has received.
 func (c *core) preempt(now time.Time, r *request) *server {
 	if r.item.Late || r.pool.service || r.item.Due.Sub(now) > preemptSlack {
@@ -45,9 +45,9 @@
 // lowestRunningTier returns the least urgent tier of the running requests, or -1.
 func (p *pool) lowestRunningTier() int {
 	lowest := -1
-	for place, running := range p.runningByPlace {
+	for position, running := range p.runningByPosition {
 		if running > 0 {
-			lowest = max(lowest, model.TierOf(place))
+			lowest = max(lowest, model.TierOf(position))
 		}
 	}
 	return lowest
--- a/request/policy/peers.go
+++ b/request/policy/peers.go
@@ -52,7 +52,7 @@
 		Revision:    c.view.Revision,
 		Suspects:    c.suspects.Export(now),
 		Spends:      c.teamSpends(now),
-		Readings:    c.advertisedPrefills(now),
+		Readings:    c.advertisedPrefixes(now),
 		Work:        c.encodeWork(),
 		Limits:      c.ownLimits(now).Encode(now),
 	}
@@ -115,7 +115,7 @@
 	p.dataCenter, p.leaving = d.GetDataCenter(), d.GetLeaving()
 	c.applyLoads(now, p, d.GetLoads())
 	c.applyWork(p, d.GetWork())
-	c.observePeerPrefills(now, d.GetReadings())
+	c.observePeerPrefixes(now, d.GetReadings())
 	c.applyPeerLimits(now, loadboard.DecodeLimits(now, d.GetLimits()))
 	c.applySuspects(now, name, p, d.GetSuspects())
 	for _, spend := range d.GetSpends() {
@@ -211,7 +211,7 @@
 	delete(c.peers, name)
 	c.sumPeerWork()
 	if p.leaving {
-		// It shut down in an orderly way and spends no more tokens.
+		// It shut down after a drain and spends no more tokens.
 		delete(c.knownInstances, name)
 	}
 	c.updatePeerNames()
@@ -234,12 +234,12 @@
 	c.limits.SetShare(len(c.peerNames), len(c.knownInstances))
 }
 
-// instanceRank returns the position of this instance among the reachable ones, and
+// instanceRank returns the index of this instance among the reachable ones by name, and
 // their number.
-func (c *core) instanceRank() (place, of int) {
+func (c *core) instanceRank() (rank, of int) {
 	if len(c.peerNames) == 0 {
 		return 0, 1
 	}
-	place, _ = slices.BinarySearch(c.peerNames, c.options.Instance)
-	return place, len(c.peerNames)
+	rank, _ = slices.BinarySearch(c.peerNames, c.options.Instance)
+	return rank, len(c.peerNames)
 }
