--- a/connection/stateclient/calls.go
+++ b/connection/stateclient/calls.go
@@ -42,7 +42,7 @@
 	}
 	if winner := reply.GetWinner(); winner != nil {
 		return reply, fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, fmt.Sprintf(
-			"the configuration is at revision %d, not %d; %s created revision %d at %s: %s; review it, then repeat the statement with the new revision number",
+			"the configuration is at revision %d, not %d; %s made revision %d at %s: %s; look at it, then give the statement again with the new number",
 			reply.GetRevision(), p.GetIfRevision(), winner.GetWho(), winner.GetNumber(),
 			time.UnixMilli(winner.GetProposedUnixMs()).UTC().Format(time.RFC3339), winner.GetStatement()),
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
--- a/daemon/state/machine.go
+++ b/daemon/state/machine.go
@@ -57,7 +57,7 @@
 	m.applied = index
 	c := &lilacv1.Command{}
 	if err := proto.Unmarshal(command, c); err != nil {
-		return encode(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "failed to decode command; run the same version on all instances")))
+		return encode(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command does not decode; run one version on all instances")))
 	}
 	return encode(m.apply(c))
 }
@@ -81,7 +81,7 @@
 	case *lilacv1.Command_Lease:
 		return m.lease(op.Lease)
 	}
-	return failed(fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "unknown kind of command; run the same version on all instances"))
+	return failed(fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "command of a kind that this version does not know; run one version on all instances"))
 }
 
 func (m *Machine) propose(p *lilacv1.Proposal) *lilacv1.CommandResult {
@@ -173,7 +173,7 @@
 func (m *Machine) Restore(data []byte) error {
 	s := &lilacv1.MachineSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "failed to decode snapshot; give this process an empty data folder, so that it rejoins the group")
+		return fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "snapshot does not decode; give this process a new data folder, it then joins anew")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -306,7 +306,7 @@
 func encode(result *lilacv1.CommandResult) []byte {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(result)
 	if err != nil {
-		data, _ = proto.Marshal(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "failed to encode result")))
+		data, _ = proto.Marshal(failed(fault.Wrap(err, lilacv1.ErrorKind_ERROR_KIND_INTERNAL, "result does not encode")))
 	}
 	return data
 }
--- a/daemon/state/replay.go
+++ b/daemon/state/replay.go
@@ -148,6 +148,6 @@
 	if known <= m.config.Recoveries() {
 		return nil
 	}
-	return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this group of state processes was replaced by a recovered group; stop the process and move its data folder away",
+	return fault.New(lilacv1.ErrorKind_ERROR_KIND_UNAVAILABLE, "this group of state processes was replaced by a recovered one; stop the process and move its data folder away",
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
--- a/process/lease/lease.go
+++ b/process/lease/lease.go
@@ -35,7 +35,7 @@
 // apart.
 func (t *Table) Apply(r *lilacv1.LeaseRequest) (*lilacv1.LeaseReply, error) {
 	if r.GetName() == "" || r.GetHolder() == "" || r.GetIncarnation() == "" || r.GetDurationMs() > maxDurationMs {
-		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "a lease request must have a name, holder and incarnation, and a duration of at most %d ms", maxDurationMs)
+		return nil, fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "a lease names what it is for, its holder and incarnation, and lasts at most %d ms", maxDurationMs)
 	}
 	current := t.leases[r.GetName()]
 	if current == nil && t.fencingFloor > 0 {
--- a/process/ledger/entries.go
+++ b/process/ledger/entries.go
@@ -179,12 +179,12 @@
 func (l *Ledger) reserveCapacity(key string) error {
 	if !isTimed(key) && l.tombstones.untimedSize()+l.untimed >= l.limits.Tombstones {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
-			"the ledger has no room for another key without a timestamp; send a version 7 UUID as Idempotency-Key, or ask the operators to run FORGET KEYS",
+			"the ledger can remember no more keys without a time; send a UUID of version 7 as Idempotency-Key, or ask the operators to FORGET KEYS",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	}
 	if len(l.entries) >= l.limits.Entries && !l.retireOldest() {
 		return fault.New(lilacv1.ErrorKind_ERROR_KIND_LIMIT,
-			"the ledger of non-idempotent requests is full; retry later, or shorten claim_retention",
+			"the ledger of non-idempotent requests is full; come back later, or shorten claim_retention",
 			fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE), fault.WithRetryAfter(fullLedgerRetryAfter))
 	}
 	return nil
--- a/process/ledger/incarnations.go
+++ b/process/ledger/incarnations.go
@@ -37,7 +37,7 @@
 func (n *incarnations) observe(instance, incarnation string, endClaims func([]*entry)) error {
 	if _, fenced := n.fenced[incarnation]; fenced {
 		return fault.Newf(lilacv1.ErrorKind_ERROR_KIND_CONFLICT,
-			"this incarnation of instance %s was declared dead; restart the instance or claim under a new incarnation", instance)
+			"instance %s was taken for dead under this incarnation; it must restart or claim under a new one", instance)
 	}
 	previous, known := n.current[instance]
 	if previous == incarnation {
--- a/process/ledger/keytime.go
+++ b/process/ledger/keytime.go
@@ -45,7 +45,7 @@
 		return nil
 	}
 	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST,
-		"the time in the Idempotency-Key is more than an hour ahead; correct the caller's clock",
+		"the time in the Idempotency-Key lies more than an hour ahead; set the caller's clock",
 		fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
--- a/process/ledger/ledger.go
+++ b/process/ledger/ledger.go
@@ -189,17 +189,17 @@
 	problem := ""
 	switch {
 	case r.GetTeam() == "":
-		problem = "the claim has no team"
+		problem = "the claim names no team"
 	case r.GetKey() == "" || len(r.GetKey()) > maxKeyBytes:
-		problem = "an Idempotency-Key must have 1 to 256 bytes"
+		problem = "an Idempotency-Key has 1 to 256 bytes"
 	case len(r.GetDigest()) != digestBytes:
-		problem = "the claim has no SHA-256 digest of the request"
+		problem = "the claim carries no SHA-256 of the request"
 	case r.GetInstance() == "" || r.GetIncarnation() == "" || r.GetAttempt() == "":
-		problem = "the claim lacks the instance, incarnation or attempt"
+		problem = "the claim names no instance, incarnation or attempt"
 	default:
 		return nil
 	}
-	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, problem+"; correct the request", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
+	return fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, problem+"; mend the request", fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 }
 
 // repeatedClaim answers a claim of a known key.
@@ -234,7 +234,7 @@
 func (l *Ledger) Outcome(r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	l.advance(r.GetNowUnixMs())
 	if !isEndState(r.GetState()) || r.GetTeam() == "" || r.GetKey() == "" || r.GetAttempt() == "" || len(r.GetKey()) > maxKeyBytes {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "an outcome must have a team, key, attempt and one of the states ran, unknown or not_run")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST, "an outcome names team, key, attempt and one of ran, unknown or not_run")
 	}
 	key := keyID{r.GetTeam(), r.GetKey()}
 	existing, ok := l.entries[key]
@@ -262,7 +262,7 @@
 // marked not_run when its claim arrives.
 func (l *Ledger) outcomeWithoutClaim(key keyID, r *lilacv1.OutcomeRequest) (*lilacv1.OutcomeReply, error) {
 	if l.expired(key) || r.GetState() != lilacv1.ClaimState_CLAIM_STATE_NOT_RUN {
-		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no such claim is stored; its retention has passed, or it was never made")
+		return nil, fault.New(lilacv1.ErrorKind_ERROR_KIND_NOT_FOUND, "no such claim is remembered; its retention has passed, or it never was")
 	}
 	// Another attempt with a key in doubt may have run, so the key must not be
 	// released.
--- a/version/config/machine.go
+++ b/version/config/machine.go
@@ -63,7 +63,7 @@
 	if revision, ok := m.audit.byCommand(p.GetCommandId()); ok {
 		if revision.GetStatement() != p.GetStatement() || revision.GetWho() != p.GetWho() {
 			return refusal(fault.Newf(lilacv1.ErrorKind_ERROR_KIND_BAD_REQUEST,
-				"command id %q was already used by another statement, for revision %d; generate a new id for each statement", p.GetCommandId(), revision.GetNumber()), nil)
+				"command id %q was used for revision %d, another statement; make a new id for each statement", p.GetCommandId(), revision.GetNumber()), nil)
 		}
 		return accepted(&lilacv1.ProposeReply{Revision: revision.GetNumber(), RepeatedCommand: true})
 	}
@@ -72,16 +72,16 @@
 
 func (m *Machine) decide(p *lilacv1.Proposal) *lilacv1.CommandResult {
 	if p.GetCommandId() == "" && !p.GetDryRun() {
-		return refusal(invalid("the proposal has no command id; generate a new id for each statement"), nil)
+		return refusal(invalid("the proposal has no command id; make a fresh one for each statement"), nil)
 	}
 	if p.IfRevision != nil && p.GetIfRevision() != m.tables.revision {
 		return m.conflict(p)
 	}
 	if count := len(p.GetChanges()); count == 0 || count > maxChanges {
-		return refusal(invalid("the proposal has %d changes; use 1 to %d", count, maxChanges), nil)
+		return refusal(invalid("the proposal holds %d changes; write 1 to %d", count, maxChanges), nil)
 	}
 	if size := proto.Size(p); size > maxProposalBytes {
-		return refusal(invalid("the proposal has %d bytes, the limit is %d; split it", size, maxProposalBytes), nil)
+		return refusal(invalid("the proposal has %d bytes, %d are allowed; split it", size, maxProposalBytes), nil)
 	}
 	if m.superseded(p) {
 		return accepted(&lilacv1.ProposeReply{Revision: m.tables.revision})
@@ -134,10 +134,10 @@
 	}
 	message := fmt.Sprintf("the configuration is at revision %d, not %d", m.tables.revision, p.GetIfRevision())
 	if winner != nil {
-		message += fmt.Sprintf("; %s created revision %d at %s: %s", winner.GetWho(), winner.GetNumber(),
+		message += fmt.Sprintf("; %s made revision %d at %s: %s", winner.GetWho(), winner.GetNumber(),
 			time.UnixMilli(winner.GetProposedUnixMs()).UTC().Format(time.RFC3339), winner.GetStatement())
 	}
-	message += "; review it, then repeat the statement with the new revision number"
+	message += "; look at it, then give the statement again with the new number"
 	err := fault.New(lilacv1.ErrorKind_ERROR_KIND_CONFLICT, message, fault.WithNotRun(lilacv1.NotRun_NOT_RUN_TRUE))
 	return refusal(err, &lilacv1.ProposeReply{Winner: winner, Revision: m.tables.revision})
 }
--- a/version/config/validate.go
+++ b/version/config/validate.go
@@ -29,14 +29,14 @@
 
 func checkName(kind, name string) error {
 	if name == "" || len(name) > maxNameBytes {
-		return invalid("the name of a %s must have 1 to %d bytes", kind, maxNameBytes)
+		return invalid("a %s needs a name of 1 to %d bytes", kind, maxNameBytes)
 	}
 	return nil
 }
 
 func checkExists[T any](items map[string]*T, kind, name string) error {
 	if _, ok := items[name]; !ok {
-		return invalid("%s %q does not exist; SHOW lists the existing ones", kind, name)
+		return invalid("there is no %s %q; SHOW lists those that there are", kind, name)
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 		return checkExists(t.convictions, "conviction", op.LiftConviction)
 	case *lilacv1.Change_SetDocument:
 		if op.SetDocument.GetVersion() == 0 {
-			return invalid("the document has no version; versions start at 1")
+			return invalid("the document has no version; number it from 1")
 		}
 		return nil
 	case *lilacv1.Change_OrderModel:
@@ -74,7 +74,7 @@
 	case *lilacv1.Change_ForgetKeysBeforeUnixMs:
 		return nil // Checked by the ledger; see daemon/state.
 	}
-	return invalid("unknown kind of change; run the same version on all instances")
+	return invalid("a change of a kind that this version does not know; run one version on all instances")
 }
 
 func (t *tables) checkClass(class *lilacv1.Class) error {
@@ -82,15 +82,15 @@
 		return err
 	}
 	if class.GetTier() >= model.Tiers {
-		return invalid("class %q has tier %d; use 0 (most urgent) to %d", class.GetName(), class.GetTier(), model.Tiers-1)
+		return invalid("class %q has tier %d; write 0 (most urgent) to %d", class.GetName(), class.GetTier(), model.Tiers-1)
 	}
 	if class.GetFirstTokenMs() == 0 {
-		return invalid("class %q has no first-token target; set one in ms", class.GetName())
+		return invalid("class %q has no target for the first token; write one in ms", class.GetName())
 	}
 	// 64 bits, so that a huge share can't overflow and pass the check.
 	others := uint64(t.shares) - uint64(t.classes[class.GetName()].GetSharePermille())
 	if total := others + uint64(class.GetSharePermille()); total > maxTotalShare {
-		return invalid("the shares of all classes would add up to %d permille; the maximum is %d", total, maxTotalShare)
+		return invalid("the classes' shares would add up to %d permille; lower one, %d is all", total, maxTotalShare)
 	}
 	return nil
 }
@@ -100,30 +100,30 @@
 		return err
 	}
 	if _, err := netip.ParseAddrPort(server.GetAddress()); err != nil {
-		return invalid("server %q has address %q; use an IP address with a port, such as 10.1.0.4:8000", server.GetName(), server.GetAddress())
+		return invalid("server %q has address %q; write an IP number with a port, such as 10.1.0.4:8000", server.GetName(), server.GetAddress())
 	}
 	if server.GetDataCenter() == "" {
-		return invalid("server %q has no data centre; set it", server.GetName())
+		return invalid("server %q has no data centre; name the one that it stands in", server.GetName())
 	}
 	kind := server.GetKind()
 	if kind != lilacv1.ServerKind_SERVER_KIND_ENGINE && kind != lilacv1.ServerKind_SERVER_KIND_SERVICE {
-		return invalid("server %q is neither engine nor service; set its kind", server.GetName())
+		return invalid("server %q is neither engine nor service; say which", server.GetName())
 	}
 	if len(server.GetServes()) == 0 {
-		return invalid("server %q serves no model or service; name at least one", server.GetName())
+		return invalid("server %q serves nothing; name its models or services", server.GetName())
 	}
 	return nil
 }
 
 func (t *tables) checkConviction(conviction *lilacv1.Conviction) error {
-	if err := checkName("conviction (its digest)", conviction.GetDigest()); err != nil {
+	if err := checkName("conviction's digest", conviction.GetDigest()); err != nil {
 		return err
 	}
 	if conviction.GetExpiresUnixMs() <= 0 {
-		return invalid("conviction %q has no expiry; set one", conviction.GetDigest())
+		return invalid("conviction %q has no expiry; give one", conviction.GetDigest())
 	}
 	if _, known := t.convictions[conviction.GetDigest()]; !known && len(t.convictions) >= maxConvictions {
-		return invalid("the limit of %d convictions is reached; lift some, or find what crashes the servers", maxConvictions)
+		return invalid("%d convictions stand already; lift some, or find what crashes the servers", maxConvictions)
 	}
 	return nil
 }
@@ -134,10 +134,10 @@
 	}
 	server, ok := t.servers[order.GetServer()]
 	if !ok {
-		return invalid("server %q does not exist; SHOW servers lists the existing ones", order.GetServer())
+		return invalid("there is no server %q; SHOW servers lists those that there are", order.GetServer())
 	}
 	if server.GetKind() != lilacv1.ServerKind_SERVER_KIND_ENGINE {
-		return invalid("server %q is not an engine; only engines load models", order.GetServer())
+		return invalid("server %q is no engine; only engines load models", order.GetServer())
 	}
 	return nil
 }
