--- a/daemon/entry/drain.go
+++ b/daemon/entry/drain.go
@@ -7,9 +7,9 @@
 )
 
 var (
-	errLeaving         = errors.New("draining: finishing requests in progress")
-	errKeysStale       = errors.New("state processes unreachable: API keys can't be verified; check the links to them")
-	errNoConfiguration = errors.New("no configuration yet: no state process has answered; check that they are running")
+	errLeaving         = errors.New("leaving: requests in progress are being finished")
+	errKeysStale       = errors.New("cut off from the state processes: keys can't be checked; see the links to them")
+	errNoConfiguration = errors.New("no configuration yet: no state process has answered; check that they run")
 )
 
 // outcomeStoreTimeout bounds the wait for outcomes to be stored after the last request.
--- a/daemon/entry/stats.go
+++ b/daemon/entry/stats.go
@@ -30,12 +30,12 @@
 func newCoreStats(r *relay.Relay) *coreStats {
 	return &coreStats{
 		relay:             r,
-		events:            prometheus.NewDesc("lilacbridge_policy_decisions_total", "Decisions made and events seen by the policy.", []string{"decision"}, nil),
-		requests:          prometheus.NewDesc("lilacbridge_policy_requests", "Requests that the policy tracks.", []string{"state"}, nil),
+		events:            prometheus.NewDesc("lilacbridge_policy_decisions_total", "What the policy decided or saw.", []string{"decision"}, nil),
+		requests:          prometheus.NewDesc("lilacbridge_policy_requests", "Requests in the policy's hands.", []string{"state"}, nil),
 		invariantsChecked: prometheus.NewDesc("lilacbridge_policy_invariants_checked_total", "Evaluations of invariants.", nil, nil),
-		invariantsBroken:  prometheus.NewDesc("lilacbridge_policy_invariants_broken_total", "Violations of policy invariants; must stay 0.", []string{"invariant"}, nil),
-		tokensSaved:       prometheus.NewDesc("lilacbridge_policy_tokens_spared_total", "Tokens that engines did not have to compute: the estimated remainder of answers whose caller disconnected or whose deadline passed, and tokens moved by KV cache transfer.", []string{"cause"}, nil),
-		serverLimit:       prometheus.NewDesc("lilacbridge_server_limit", "Requests per second that a backend server accepts from all instances together, as reported by the server; only servers that report a limit.", []string{"server"}, nil),
+		invariantsBroken:  prometheus.NewDesc("lilacbridge_policy_invariants_broken_total", "Invariants of the policy seen broken; must stay 0.", []string{"invariant"}, nil),
+		tokensSaved:       prometheus.NewDesc("lilacbridge_policy_tokens_spared_total", "Tokens that engines did not have to make: the estimated rest of answers whose caller left or whose deadline passed, and what moved by its KV cache.", []string{"cause"}, nil),
+		serverLimit:       prometheus.NewDesc("lilacbridge_server_limit", "Requests a second that a backend server takes from all instances together, by its own word; only servers that name a limit.", []string{"server"}, nil),
 	}
 }
 
@@ -95,17 +95,17 @@
 	counter := func(name, help string, value func() float64) {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, value))
 	}
-	gauge("lilacbridge_entries_live", "Other entries considered alive.", func() float64 { return float64(len(d.liveEntries())) })
-	gauge("lilacbridge_revision", "Newest revision in force on this instance.", func() float64 { return float64(d.watcher.Revision()) })
-	gauge("lilacbridge_revisions_behind", "Revisions known to exist but not yet in force on this instance.", func() float64 {
+	gauge("lilacbridge_entries_live", "Other entries that are taken for alive.", func() float64 { return float64(len(d.liveEntries())) })
+	gauge("lilacbridge_revision", "Newest revision in force here.", func() float64 { return float64(d.watcher.Revision()) })
+	gauge("lilacbridge_revisions_behind", "Revisions known to exist and not in force here.", func() float64 {
 		newest, _ := d.watcher.LatestKnown()
 		return float64(max(newest, d.watcher.Revision()) - d.watcher.Revision())
 	})
-	gauge("lilacbridge_revision_age_seconds", "Time since the newest revision was last confirmed.", func() float64 {
+	gauge("lilacbridge_revision_age_seconds", "How long ago the newest revision was known for sure.", func() float64 {
 		_, age := d.watcher.LatestKnown()
 		return age.Seconds()
 	})
-	counter("lilacbridge_digest_exchanges_total", "Digest exchanges started by this instance.", func() float64 { return float64(d.gossip.Stats().Exchanges) })
-	counter("lilacbridge_digest_failures_total", "Digest exchanges that failed.", func() float64 { return float64(d.gossip.Stats().Failures) })
-	counter("lilacbridge_digest_bytes_total", "Bytes of digests in both directions, without framing.", func() float64 { return float64(d.gossip.Stats().Bytes) })
+	counter("lilacbridge_digest_exchanges_total", "Exchanges of digests begun here.", func() float64 { return float64(d.gossip.Stats().Exchanges) })
+	counter("lilacbridge_digest_failures_total", "Exchanges of digests that failed.", func() float64 { return float64(d.gossip.Stats().Failures) })
+	counter("lilacbridge_digest_bytes_total", "Bytes of digests, both directions, without framing.", func() float64 { return float64(d.gossip.Stats().Bytes) })
 }
--- a/daemon/state/admin.go
+++ b/daemon/state/admin.go
@@ -27,7 +27,7 @@
 		case stopping():
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
 		case status.Staleness > maxReadyStaleness:
-			http.Error(w, "no leader with a quorum, or this process has not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
+			http.Error(w, "no leader with a quorum, or not caught up with it; see lilacctl status", http.StatusServiceUnavailable)
 		default:
 			fmt.Fprintln(w, "ready")
 		}
